--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -22,188 +22,188 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), bufio.NewWriter(out)
-	doors, reply := map[uint16]*door{}, &simwire.Reply{}
+	reader, writer := simwire.NewReader(in), bufio.NewWriter(out)
+	instances, reply := map[uint16]*instance{}, &simwire.Reply{}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var busy []*door
-		for i := range b.Events {
-			e := &b.Events[i]
-			d := doors[e.Manager]
+		var active []*instance
+		for i := range batch.Events {
+			event := &batch.Events[i]
+			inst := instances[event.Manager]
 			switch {
-			case e.Code == simwire.EvStart:
-				told, err := start.Read(e.Info)
+			case event.Code == simwire.EvStart:
+				settings, err := start.Read(event.Settings)
 				if err != nil {
 					return err
 				}
-				if d != nil {
-					d.module = nil
+				if inst != nil {
+					inst.module = nil
 				}
-				d = newDoor(e.Manager, told.Load, policy.New(told.Site, e.Seed, b.Now), told.Site, reply)
-				doors[e.Manager] = d
-			case d == nil:
-				return fmt.Errorf("event %d for unknown instance %d", e.Code, e.Manager)
-			case e.Code == simwire.EvStop:
-				d.module = nil
-				delete(doors, e.Manager)
+				inst = newInstance(event.Manager, settings.Load, policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
+				instances[event.Manager] = inst
+			case inst == nil:
+				return fmt.Errorf("event %d for unknown instance %d", event.Code, event.Manager)
+			case event.Code == simwire.EvStop:
+				inst.module = nil
+				delete(instances, event.Manager)
 				continue
 			}
-			if !d.busy {
-				d.busy = true
-				busy = append(busy, d)
-				d.module.At(b.Now)
+			if !inst.inTurn {
+				inst.inTurn = true
+				active = append(active, inst)
+				inst.module.At(batch.Now)
 			}
-			if err := d.event(e); err != nil {
+			if err := inst.dispatch(event); err != nil {
 				return err
 			}
 		}
-		for _, d := range busy {
-			d.busy = false
-			if d.module != nil {
-				d.module.Settle(d)
+		for _, inst := range active {
+			inst.inTurn = false
+			if inst.module != nil {
+				inst.module.Settle(inst)
 			}
 		}
-		if err := reply.WriteTo(w, b.Number); err != nil {
+		if err := reply.WriteTo(writer, batch.Number); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
 // door maps one instance's wire ids to small numbers and back.
-type door struct {
-	manager   uint16
-	module    session.Manager
-	names     []string
-	site      *session.Site
-	reply     *simwire.Reply
-	busy      bool
-	servers   map[simwire.Server]int
-	serverIDs []simwire.Server
-	titles    map[uint64]int
-	playbacks map[uint32]int
-	ids       []uint32
-	free      []int
+type instance struct {
+	managerID       uint16
+	module          session.Manager
+	loadNames       []string
+	site            *session.Site
+	reply           *simwire.Reply
+	inTurn          bool
+	serverNumbers   map[simwire.Server]int
+	serverIDs       []simwire.Server
+	titleNumbers    map[uint64]int
+	playbackNumbers map[uint32]int
+	playbackIDs     []uint32
+	freePlaybacks   []int
 }
 
-func newDoor(manager uint16, names []string, m session.Manager, site *session.Site, reply *simwire.Reply) *door {
-	return &door{manager: manager, module: m, names: names, site: site, reply: reply,
-		servers: map[simwire.Server]int{}, titles: map[uint64]int{}, playbacks: map[uint32]int{}}
+func newInstance(managerID uint16, loadNames []string, module session.Manager, site *session.Site, reply *simwire.Reply) *instance {
+	return &instance{managerID: managerID, module: module, loadNames: loadNames, site: site, reply: reply,
+		serverNumbers: map[simwire.Server]int{}, titleNumbers: map[uint64]int{}, playbackNumbers: map[uint32]int{}}
 }
 
-func (d *door) server(s simwire.Server) int {
-	i, ok := d.servers[s]
+func (d *instance) serverNumber(id simwire.Server) int {
+	number, ok := d.serverNumbers[id]
 	if !ok {
-		i = len(d.serverIDs)
-		d.servers[s] = i
-		d.serverIDs = append(d.serverIDs, s)
+		number = len(d.serverIDs)
+		d.serverNumbers[id] = number
+		d.serverIDs = append(d.serverIDs, id)
 	}
-	return i
+	return number
 }
 
-func (d *door) request(e *simwire.Event) (session.Request, error) {
-	r := e.Request
-	if r.Plan >= len(d.site.Plans) {
-		return r, fmt.Errorf("request of unknown class %d", r.Plan)
+func (d *instance) newRequest(event *simwire.Event) (session.Request, error) {
+	request := event.Request
+	if request.Plan >= len(d.site.Plans) {
+		return request, fmt.Errorf("request of unknown class %d", request.Plan)
 	}
-	i, ok := d.titles[r.Show]
+	title, ok := d.titleNumbers[request.Show]
 	if !ok {
-		i = len(d.titles)
-		d.titles[r.Show] = i
+		title = len(d.titleNumbers)
+		d.titleNumbers[request.Show] = title
 	}
-	r.Title = i
-	r.Playback = len(d.ids)
-	if n := len(d.free); n > 0 {
-		r.Playback, d.free = d.free[n-1], d.free[:n-1]
-		d.ids[r.Playback] = e.ID
+	request.Title = title
+	request.Playback = len(d.playbackIDs)
+	if n := len(d.freePlaybacks); n > 0 {
+		request.Playback, d.freePlaybacks = d.freePlaybacks[n-1], d.freePlaybacks[:n-1]
+		d.playbackIDs[request.Playback] = event.ID
 	} else {
-		d.ids = append(d.ids, e.ID)
+		d.playbackIDs = append(d.playbackIDs, event.ID)
 	}
-	d.playbacks[e.ID] = r.Playback
-	return r, nil
+	d.playbackNumbers[event.ID] = request.Playback
+	return request, nil
 }
 
-func (d *door) event(e *simwire.Event) error {
-	m := d.module
-	switch e.Code {
+func (d *instance) dispatch(event *simwire.Event) error {
+	module := d.module
+	switch event.Code {
 	case simwire.EvRequest, simwire.EvOpen:
-		if _, ok := d.playbacks[e.ID]; ok {
+		if _, ok := d.playbackNumbers[event.ID]; ok {
 			return nil // an id is never used again: a repeat says nothing new
 		}
-		r, err := d.request(e)
+		request, err := d.newRequest(event)
 		if err != nil {
 			return err
 		}
-		if e.Code == simwire.EvOpen {
-			m.Opened(r, d.server(e.Server))
+		if event.Code == simwire.EvOpen {
+			module.Opened(request, d.serverNumber(event.Server))
 		} else {
-			m.Requested(r)
+			module.Requested(request)
 		}
 		return nil
 	case simwire.EvList:
-		l := session.List{Whole: e.Whole(), Failed: e.Failed(), Entries: make([]session.Entry, len(e.Entries))}
-		for i, x := range e.Entries {
-			if x.Kind >= len(d.site.Fleet.Places) {
-				return fmt.Errorf("list entry of unknown kind %d", x.Kind)
+		list := session.List{Whole: event.Complete(), Failed: event.Failed(), Entries: make([]session.Entry, len(event.Entries))}
+		for i, entry := range event.Entries {
+			if entry.Kind >= len(d.site.Fleet.Places) {
+				return fmt.Errorf("list entry of unknown kind %d", entry.Kind)
 			}
-			x.Server = d.server(x.ID)
-			l.Entries[i] = x.Entry
+			entry.Server = d.serverNumber(entry.ID)
+			list.Entries[i] = entry.Entry
 		}
-		m.Listed(l)
+		module.Listed(list)
 		return nil
 	case simwire.EvWake:
-		m.Woken(e.Token)
+		module.Woken(event.Token)
 		return nil
 	case simwire.EvProbed:
-		m.Probed(d.server(e.Server), e.Outcome, start.Load(d.names, e.Values))
+		module.Probed(d.serverNumber(event.Server), event.Outcome, start.Load(d.loadNames, event.LoadValues))
 		return nil
 	case simwire.EvPeer:
 		return nil
 	}
-	pb, ok := d.playbacks[e.ID]
+	pb, ok := d.playbackNumbers[event.ID]
 	if !ok {
 		return nil // finished and forgotten
 	}
-	switch e.Code {
+	switch event.Code {
 	case simwire.EvPlaying:
-		m.Playing(pb, e.Try, d.server(e.Server), e.Took)
+		module.Playing(pb, event.Try, d.serverNumber(event.Server), event.Took)
 	case simwire.EvResult:
-		m.Ended(session.Result{Playback: pb, Try: e.Try, Server: d.server(e.Server), Outcome: e.Outcome,
-			Took: e.Took, Final: e.Final, Load: start.Load(d.names, e.Values)})
+		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: d.serverNumber(event.Server), Outcome: event.Outcome,
+			Took: event.Took, Final: event.Final, Load: start.Load(d.loadNames, event.LoadValues)})
 	case simwire.EvLeft:
-		m.Left(pb)
+		module.Left(pb)
 	case simwire.EvNote:
-		n := e.Note
-		n.Playback, n.Server = pb, d.server(e.Server)
-		m.Noted(n)
+		note := event.Note
+		note.Playback, note.Server = pb, d.serverNumber(event.Server)
+		module.Noted(note)
 	}
 	return nil
 }
 
-func (d *door) SetRung(pb, rung int)    { d.reply.SetRung(d.manager, d.ids[pb], rung) }
-func (d *door) Abort(pb int)            { d.reply.Abort(d.manager, d.ids[pb]) }
-func (d *door) Move(pb int)             { d.reply.Move(d.manager, d.ids[pb]) }
-func (d *door) Probe(server int)        { d.reply.Probe(d.manager, d.serverIDs[server]) }
-func (d *door) Watch()                  { d.reply.Watch(d.manager) }
-func (d *door) Wake(at int64, t uint64) { d.reply.Wake(d.manager, at, t) }
+func (d *instance) SetRung(pb, rung int)        { d.reply.SetRung(d.managerID, d.playbackIDs[pb], rung) }
+func (d *instance) Abort(pb int)                { d.reply.Abort(d.managerID, d.playbackIDs[pb]) }
+func (d *instance) Move(pb int)                 { d.reply.Move(d.managerID, d.playbackIDs[pb]) }
+func (d *instance) Probe(server int)            { d.reply.Probe(d.managerID, d.serverIDs[server]) }
+func (d *instance) Watch()                      { d.reply.Watch(d.managerID) }
+func (d *instance) Wake(at int64, token uint64) { d.reply.Wake(d.managerID, at, token) }
 
-func (d *door) Try(pb, server int, limit session.Time) {
-	d.reply.Try(d.manager, d.ids[pb], d.serverIDs[server], limit)
+func (d *instance) Try(pb, server int, limit session.Time) {
+	d.reply.Try(d.managerID, d.playbackIDs[pb], d.serverIDs[server], limit)
 }
 
-func (d *door) Reject(pb int, comeAgain session.Time) {
-	d.reply.Reject(d.manager, d.ids[pb], comeAgain)
+func (d *instance) Reject(pb int, comeAgain session.Time) {
+	d.reply.Reject(d.managerID, d.playbackIDs[pb], comeAgain)
 }
 
-func (d *door) Forget(pb int) {
-	delete(d.playbacks, d.ids[pb])
-	d.free = append(d.free, pb)
+func (d *instance) Forget(pb int) {
+	delete(d.playbackNumbers, d.playbackIDs[pb])
+	d.freePlaybacks = append(d.freePlaybacks, pb)
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -45,7 +45,7 @@
 	if len(e) != 1 || e[0].Zone != 1 || e[0].Started != 6100000 || e[0].Weight != 1.5 || e[0].Cell != 7 {
 		t.Errorf("list %+v", e)
 	}
-	if v := b.Events[2].Values; !b.Events[2].Final || len(v) != 3 || v[2] != 1.25 {
+	if v := b.Events[2].LoadValues; !b.Events[2].Final || len(v) != 3 || v[2] != 1.25 {
 		t.Errorf("result %+v", b.Events[2])
 	}
 	if n := b.Events[3].Note; n.Kind != session.Delivered || n.Value != 0.5 {
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -28,24 +28,24 @@
 
 // Read decodes the object.
 func Read(text []byte) (*Told, error) {
-	var w object
-	if err := json.Unmarshal(text, &w); err != nil {
+	var input object
+	if err := json.Unmarshal(text, &input); err != nil {
 		return nil, fmt.Errorf("start information: %w", err)
 	}
-	s, err := w.site()
+	site, err := input.site()
 	if err != nil {
 		return nil, err
 	}
-	t := &Told{Site: s, Zones: w.Localities, Kinds: w.Kinds, Load: w.LoadReport.Names, Connect: micros(w.Limits.ConnectTimeout),
-		Idle: micros(w.Limits.ConnIdle), Tell: micros(w.Domain.ToldEvery), Shared: w.Limits.StreamsPerConn}
-	for _, c := range w.Classes {
-		t.Plans = append(t.Plans, c.Name)
-		t.Patience = append(t.Patience, micros(c.GiveUp))
+	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, Load: input.LoadReport.Names, Connect: micros(input.Limits.ConnectTimeout),
+		Idle: micros(input.Limits.ConnIdle), Tell: micros(input.Domain.ToldEvery), Shared: input.Limits.StreamsPerConn}
+	for _, entry := range input.Classes {
+		settings.Plans = append(settings.Plans, entry.Name)
+		settings.Patience = append(settings.Patience, micros(entry.GiveUp))
 	}
-	for _, c := range w.Customers {
-		t.Tenants = append(t.Tenants, c.Name)
+	for _, entry := range input.Customers {
+		settings.Tenants = append(settings.Tenants, entry.Name)
 	}
-	return t, nil
+	return settings, nil
 }
 
 func micros(seconds float64) session.Time { return session.Time(math.Round(seconds * 1e6)) }
@@ -100,93 +100,93 @@
 	WeightKind string
 }
 
-func named[T any](kind, word string, words map[string]T) (T, error) {
-	v, ok := words[word]
+func lookUp[T any](kind, word string, words map[string]T) (T, error) {
+	value, ok := words[word]
 	if !ok {
-		return v, fmt.Errorf("start information: unknown %s %q", kind, word)
+		return value, fmt.Errorf("start information: unknown %s %q", kind, word)
 	}
-	return v, nil
+	return value, nil
 }
 
-func (w *object) site() (*session.Site, error) {
-	d, n := &w.Domain, len(w.Classes)
-	if n == 0 || len(d.LadderKb) == 0 || len(d.LevelWorth) != len(d.LadderKb) || d.Positions < 1 ||
-		d.Cabinets < 1 || w.Balancers < 1 {
+func (o *object) site() (*session.Site, error) {
+	domain, classes := &o.Domain, len(o.Classes)
+	if classes == 0 || len(domain.LadderKb) == 0 || len(domain.LevelWorth) != len(domain.LadderKb) || domain.Positions < 1 ||
+		domain.Cabinets < 1 || o.Balancers < 1 {
 		return nil, fmt.Errorf("start information: classes, ladder, positions, cabinets or balancers missing")
 	}
-	if len(d.ClassTop) != n || len(d.LowestRung) != n || len(d.IsLive) != n || len(d.RateFactor) != n ||
-		(len(d.Seats) != n && len(d.Seats) != 0) {
-		return nil, fmt.Errorf("start information: domain tables do not fit %d classes", n)
+	if len(domain.ClassTop) != classes || len(domain.LowestRung) != classes || len(domain.IsLive) != classes || len(domain.RateFactor) != classes ||
+		(len(domain.Seats) != classes && len(domain.Seats) != 0) {
+		return nil, fmt.Errorf("start information: domain tables do not fit %d classes", classes)
 	}
-	onRequest, err := named("registryMode", w.RegistryMode, map[string]bool{"pushed": false, "on_request": true})
+	onRequest, err := lookUp("registryMode", o.RegistryMode, map[string]bool{"pushed": false, "on_request": true})
 	if err != nil {
 		return nil, err
 	}
-	s := &session.Site{
-		Fronts: w.Balancers, Front: w.SlotNo, Zone: w.Locality, ListOnRequest: onRequest,
-		Ladder: session.Ladder{RateKB: d.LadderKb, Worth: d.LevelWorth, Join: d.Join,
-			Change: micros(d.ChangeCostsS)},
-		Fleet: session.Fleet{Cells: d.Positions, Racks: d.Cabinets, LinksKB: d.LinksKb, UplinkKB: d.UplinkKb,
-			KBPerWeight: d.KBPerWeight, WeightsTold: w.WeightKind != "silent", Places: d.KindSlots,
-			FullFrom: d.RefusesFrom, NoteDelay: micros(d.SeenAfter), NoteEvery: micros(d.ToldEvery),
-			LoadInAnswers: w.LoadReport.Source == "piggyback", LoadInProbes: w.LoadReport.Source != "silent",
-			UplinkUntold: w.LoadReport.Source == "silent" || !slices.Contains(w.LoadReport.Names, "x1")},
-		Terms: session.Terms{ColdFrom: w.Rules.ColdFrom, WarmUp: micros(w.Rules.WarmUp),
-			FallMultiple: w.Rules.FallMultiple, FallSpan: micros(w.Rules.OverloadFor),
-			AskWithin: micros(w.Rules.AskWithin), MaxTries: w.Limits.MaxAttempts,
-			Probes: w.Limits.Probes},
-		Prices: session.Prices{CrossZone: w.Prices.CrossZone, Move: w.Prices.Moves, Probe: w.Prices.Probe,
-			WorstPlan: w.Goal.WorstClass, OverShare: w.OverShareWorth},
-	}
-	if w.Limits.RetryAfter {
-		s.Terms.MaxComeAgain = micros(w.Limits.MaxRetryAfter)
-	}
-	if r := w.Rules; r.RatioSpan != nil {
-		s.Terms.Rationed, s.Terms.TrySpan = true, micros(*r.RatioSpan)
-		if r.MinExtra != nil {
-			s.Terms.FreeTries = *r.MinExtra
+	site := &session.Site{
+		Fronts: o.Balancers, Front: o.SlotNo, Zone: o.Locality, ListOnRequest: onRequest,
+		Ladder: session.Ladder{RateKB: domain.LadderKb, Worth: domain.LevelWorth, Join: domain.Join,
+			Change: micros(domain.ChangeCostsS)},
+		Fleet: session.Fleet{Cells: domain.Positions, Racks: domain.Cabinets, LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb,
+			KBPerWeight: domain.KBPerWeight, WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots,
+			FullFrom: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteEvery: micros(domain.ToldEvery),
+			LoadInAnswers: o.LoadReport.Source == "piggyback", LoadInProbes: o.LoadReport.Source != "silent",
+			UplinkUntold: o.LoadReport.Source == "silent" || !slices.Contains(o.LoadReport.Names, "x1")},
+		Terms: session.Terms{ColdFrom: o.Rules.ColdFrom, WarmUp: micros(o.Rules.WarmUp),
+			FallMultiple: o.Rules.FallMultiple, FallSpan: micros(o.Rules.OverloadFor),
+			AskWithin: micros(o.Rules.AskWithin), MaxTries: o.Limits.MaxAttempts,
+			Probes: o.Limits.Probes},
+		Prices: session.Prices{CrossZone: o.Prices.CrossZone, Move: o.Prices.Moves, Probe: o.Prices.Probe,
+			WorstPlan: o.Goal.WorstClass, OverShare: o.OverShareWorth},
+	}
+	if o.Limits.RetryAfter {
+		site.Terms.MaxComeAgain = micros(o.Limits.MaxRetryAfter)
+	}
+	if rules := o.Rules; rules.RatioSpan != nil {
+		site.Terms.Rationed, site.Terms.TrySpan = true, micros(*rules.RatioSpan)
+		if rules.MinExtra != nil {
+			site.Terms.FreeTries = *rules.MinExtra
 		}
-		if r.RepeatRatio != nil {
-			s.Terms.TryShare = *r.RepeatRatio
+		if rules.RepeatRatio != nil {
+			site.Terms.TryShare = *rules.RepeatRatio
 		}
 	}
-	for i, c := range w.Classes {
-		p := session.Plan{Window: micros(c.Window), Startup: micros(c.Promise), Revenue: c.Worth,
-			Live: d.IsLive[i], RateFactor: d.RateFactor[i], Floor: d.LowestRung[i],
-			Top: min(d.ClassTop[i], len(d.LadderKb)-1)}
-		if len(d.Seats) > 0 {
-			p.Seats = d.Seats[i]
+	for i, entry := range o.Classes {
+		plan := session.Plan{Window: micros(entry.Window), Startup: micros(entry.Promise), Revenue: entry.Worth,
+			Live: domain.IsLive[i], RateFactor: domain.RateFactor[i], Floor: domain.LowestRung[i],
+			Top: min(domain.ClassTop[i], len(domain.LadderKb)-1)}
+		if len(domain.Seats) > 0 {
+			plan.Seats = domain.Seats[i]
 		}
-		if p.Repeat, err = named("effect", c.Effect, map[string]session.Repeat{"read_like": session.Harmless,
+		if plan.Repeat, err = lookUp("effect", entry.Effect, map[string]session.Repeat{"read_like": session.Harmless,
 			"idempotency_key": session.Keyed, "non_idempotent": session.Unsafe}); err != nil {
 			return nil, err
 		}
 		scopes := map[string]session.Scope{"": session.Everywhere, "all": session.Everywhere,
 			"zone": session.SameZone, "cell": session.SameCell}
-		if p.Scope, err = named("keyScope", c.KeyScope, scopes); err != nil {
+		if plan.Scope, err = lookUp("keyScope", entry.KeyScope, scopes); err != nil {
 			return nil, err
 		}
-		s.Plans = append(s.Plans, p)
+		site.Plans = append(site.Plans, plan)
 	}
-	for _, c := range w.Customers {
-		s.Tenants = append(s.Tenants, session.Tenant{QuotaPerS: c.QuotaPerS})
+	for _, entry := range o.Customers {
+		site.Tenants = append(site.Tenants, session.Tenant{QuotaPerS: entry.QuotaPerS})
 	}
-	return s, nil
+	return site, nil
 }
 
 // Load reads a report's values by their names.
-func Load(names []string, values []float64) (l session.Load) {
-	for i, v := range values[:min(len(values), len(names))] {
+func Load(names []string, values []float64) (load session.Load) {
+	for i, value := range values[:min(len(values), len(names))] {
 		switch names[i] {
 		case "x0":
-			l.Link, l.HasLink, l.Capped = v, true, false
+			load.Link, load.HasLink, load.Capped = value, true, false
 		case "util":
 			if !slices.Contains(names, "x0") {
-				l.Link, l.HasLink, l.Capped = v, true, true
+				load.Link, load.HasLink, load.Capped = value, true, true
 			}
 		case "x1":
-			l.Uplink, l.HasUplink = v, true
+			load.Uplink, load.HasUplink = value, true
 		}
 	}
-	return l
+	return load
 }
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -12,14 +12,14 @@
 "limits":{"maxAttempts":3,"maxRetryAfter":0.5,"retryAfter":true},"loadReport":{"names":["inflight","x0"],"source":"piggyback"}}`
 
 func TestSite(t *testing.T) {
-	w, err := Read([]byte(startInfo))
+	settings, err := Read([]byte(startInfo))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := w.Site
-	if len(w.Load) != 2 || s.Plans[0].Startup != 1500000 || s.Plans[0].Top != 1 ||
-		s.Fleet.NoteDelay != 712078 || s.Terms.Rationed || s.Terms.MaxComeAgain != 500000 {
-		t.Errorf("%+v", s)
+	site := settings.Site
+	if len(settings.Load) != 2 || site.Plans[0].Startup != 1500000 || site.Plans[0].Top != 1 ||
+		site.Fleet.NoteDelay != 712078 || site.Terms.Rationed || site.Terms.MaxComeAgain != 500000 {
+		t.Errorf("%+v", site)
 	}
 	for _, bad := range []string{"{", "[]", "{}", strings.Replace(startInfo, "read_like", "odd", 1),
 		strings.Replace(startInfo, `"rateFactor":[1.4]`, `"rateFactor":[]`, 1),
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,330 +12,330 @@
 
 // Tuned values; each is a share or a multiple of something that the site tells.
 const (
-	brim       = 0.90                // the design's mark: a stream opens where it leaves the link under this
-	admit      = 0.86                // at the lowest rung a playback is still taken up to here
-	spare      = 0.50                // how much lower the mark lies for the rungs that earn least for their rate
-	shortAt    = 1.03                // from here on streams step down
-	relieved   = 0.97                // and go on until the link is asked so much
-	upBelow    = 0.04                // stepping up leaves so much more free than opening does
-	trust      = 0.50                // weight of a new reading against what was expected of it
-	blend      = 0.05                // weight of one reading in what is usual of such links, at the least
-	swing      = 0.08                // chance added to the fill, so that fronts do not all pick the same server
-	gather     = 0.30                // the same for live titles, but equal at all fronts
-	probeSpend = 0.01                // probes may cost this part of the whole result
-	coldShare  = 0.75                // of the cold budget, for the unknown shape of the ramp
-	changePays = 2.0                 // a step up must earn its cost so many times
-	buckets    = 8                   // of a ring's span
-	history    = 32                  // buckets of a gauge's own past
-	tenantSpan = 10 * session.Second // over which a tenant's rate is held against its share
-	least      = 0.50                // the price of room stays over this part of what the densest floor earns
-	follow     = 0.03                // and follows the best step left untaken so fast, a tick
-	knew       = 0.25                // a short note that tells of so much more than was known counts at once
-	unheard    = 0.60                // fill of a link not heard of, to a manager just back, at the least
-	shows      = 2                   // note delays until a step, or the end of a shortage, shows in the readings
-	served     = 0.98                // share of its rate from which a playback loses nothing
-	even       = 0.30                // so far behind the others a plan counts as the worst in full
-	rush       = 2                   // times what one front's set-ups differ by chance
-	widest     = 2                   // an untold uplink is taken to give so many times the mean at most
-	never      = math.MinInt64 / 4   // a moment long before any clock
+	maxOpenFill        = 0.90                // the design's mark: a stream opens where it leaves the link under this
+	maxFloorFill       = 0.86                // at the lowest rung a playback is still taken up to here
+	markReduction      = 0.50                // how much lower the mark lies for the rungs that earn least for their rate
+	shortageFill       = 1.03                // from here on streams step down
+	reliefFill         = 0.97                // and go on until the link is asked so much
+	stepUpMargin       = 0.04                // stepping up leaves so much more free than opening does
+	newReadingWeight   = 0.50                // weight of a new reading against what was expected of it
+	minMeanWeight      = 0.05                // weight of one reading in what is usual of such links, at the least
+	fillJitter         = 0.08                // chance added to the fill, so that fronts do not all pick the same server
+	titleJitter        = 0.30                // the same for live titles, but equal at all fronts
+	probeBudget        = 0.01                // probes may cost this part of the whole result
+	coldBudgetShare    = 0.75                // of the cold budget, for the unknown shape of the ramp
+	stepUpPayback      = 2.0                 // a step up must earn its cost so many times
+	bucketsPerSpan     = 8                   // of a ring's span
+	historyBuckets     = 32                  // buckets of a gauge's own past
+	tenantRateSpan     = 10 * session.Second // over which a tenant's rate is held against its share
+	minPriceShare      = 0.50                // the price of room stays over this part of what the densest floor earns
+	priceSmoothing     = 0.03                // and follows the best step left untaken so fast, a tick
+	surpriseFill       = 0.25                // a short note that tells of so much more than was known counts at once
+	assumedFill        = 0.60                // fill of a link not heard of, to a manager just back, at the least
+	feedbackNoteDelays = 2                   // note delays until a step, or the end of a shortage, shows in the readings
+	fullDelivery       = 0.98                // share of its rate from which a playback loses nothing
+	maxPlanGap         = 0.30                // so far behind the others a plan counts as the worst in full
+	surgeDeviations    = 2                   // times what one front's set-ups differ by chance
+	maxUplinkFactor    = 2                   // an untold uplink is taken to give so many times the mean at most
+	never              = math.MinInt64 / 4   // a moment long before any clock
 )
 
 const (
-	owed = iota
-	reject
-	abort
+	answerOwed = iota
+	answerReject
+	answerAbort
 )
 
 // New returns the decision module of one front.
 func New(site *session.Site, seed uint64, now Time) session.Manager {
 	f := newFront(site, seed, now)
-	for i, p := range site.Plans {
-		f.best = max(f.best, p.Revenue*f.worth(p.Floor)/f.rate(i, p.Floor))
-		f.price, f.slowest = f.best, max(f.slowest, p.Startup)
+	for i, plan := range site.Plans {
+		f.maxFloorDensity = max(f.maxFloorDensity, plan.Revenue*f.rungRevenue(plan.Floor)/f.rateKB(i, plan.Floor))
+		f.capacityPrice, f.longestStartup = f.maxFloorDensity, max(f.longestStartup, plan.Startup)
 	}
-	f.life, f.watchAt = 2*float64(site.Terms.WarmUp), never
+	f.meanPlaybackTime, f.watchAt = 2*float64(site.Terms.WarmUp), never
 	if site.ListOnRequest {
 		f.watchAt = now
 	}
-	f.wakeAt, f.fearedUntil = now+1, now+site.Terms.WarmUp
+	f.wakeAt, f.assumeColdUntil = now+1, now+site.Terms.WarmUp
 	return f
 }
 
 // fill is what is asked of the link, in parts of what it gives. What the others ask is the latest reading,
 // which fades to what is usual as their playbacks end; of a link not heard of it is the usual.
-func (g *gauge) fill(f *front) float64 {
-	w := g.fresh(f)
-	return max(g.base*w+g.others(f)*(1-w), 0) + g.own/g.kb
+func (g *loadEstimate) fill(f *front) float64 {
+	weight := g.freshness(f)
+	return max(g.othersFill*weight+g.typicalOthers(f)*(1-weight), 0) + g.ownKB/g.capacityKB
 }
 
 // others is what other fronts usually ask; of an uplink that no report tells it is what its links are asked.
-func (g *gauge) others(f *front) float64 {
-	if !f.Fleet.UplinkUntold || g.usual != &f.uplinks {
-		return g.usual.fill(f)
+func (g *loadEstimate) typicalOthers(f *front) float64 {
+	if !f.Fleet.UplinkUntold || g.typical != &f.typicalUplinks {
+		return g.typical.fill(f)
 	}
-	kb := -g.own
-	for _, i := range g.behind {
-		if s := &f.servers[i]; s.entry.State != session.Gone {
-			kb += s.link.fill(f) * s.link.kb
+	kb := -g.ownKB
+	for _, i := range g.servers {
+		if server := &f.servers[i]; server.entry.State != session.Gone {
+			kb += server.link.fill(f) * server.link.capacityKB
 		}
 	}
-	return max(kb, 0) / g.kb
+	return max(kb, 0) / g.capacityKB
 }
 
 // fit takes an uplink that no report tells of to give what makes its links' asking come to a fill of x.
-func (g *gauge) fit(f *front, x float64) {
-	g.kb = min(max(g.kb*g.fill(f)/x, f.Fleet.UplinkKB/widest), f.Fleet.UplinkKB*widest)
+func (g *loadEstimate) fitCapacity(f *front, fill float64) {
+	g.capacityKB = min(max(g.capacityKB*g.fill(f)/fill, f.Fleet.UplinkKB/maxUplinkFactor), f.Fleet.UplinkKB*maxUplinkFactor)
 }
 
 // widen takes such an uplink for wider while none of this front's playbacks behind it is told to be short.
-func (f *front) widen(g *gauge, tick Time) {
-	if !f.Fleet.UplinkUntold || g.own == 0 || f.now-g.shortAt < shows*f.Fleet.NoteDelay+session.Second {
+func (f *front) widenUplink(uplink *loadEstimate, tick Time) {
+	if !f.Fleet.UplinkUntold || uplink.ownKB == 0 || f.now-uplink.shortageAt < feedbackNoteDelays*f.Fleet.NoteDelay+session.Second {
 		return
 	}
-	x := g.fill(f)
-	g.fit(f, min(x, 1)/(1+float64(tick)/f.life))
+	fill := uplink.fill(f)
+	uplink.fitCapacity(f, min(fill, 1)/(1+float64(tick)/f.meanPlaybackTime))
 }
 
 // fresh is how much the last reading still tells.
-func (g *gauge) fresh(f *front) float64 {
-	if !g.known {
+func (g *loadEstimate) freshness(f *front) float64 {
+	if !g.measured {
 		return 0
 	}
-	return f.life / (f.life + float64(f.now-g.readAt))
+	return f.meanPlaybackTime / (f.meanPlaybackTime + float64(f.now-g.readAt))
 }
 
 // fill is the mean of what others ask; unheard, as this front asks, within limits: it may have few playbacks.
-func (u *usual) fill(f *front) float64 {
-	if u.heard > 0 {
-		return u.mean
+func (u *typicalDemand) fill(f *front) float64 {
+	if u.readings > 0 {
+		return u.meanFill
 	}
-	x := u.own * float64(f.Fronts-1) / u.kb
-	if f.fearedUntil != never || x > unheard {
-		return unheard
+	estimate := u.ownKB * float64(f.Fronts-1) / u.capacityKB
+	if f.assumeColdUntil != never || estimate > assumedFill {
+		return assumedFill
 	}
-	return x
+	return estimate
 }
 
 // read takes a reading of the fill as it was at a moment past.
-func (g *gauge) read(f *front, x float64, asOf Time) {
-	w, u := (1-trust)*g.fresh(f), g.usual
-	x -= g.past.At(f.now, asOf) / g.kb
-	dt := float64(f.now - u.readAt)
-	u.mean = u.fill(f) + (x-u.fill(f))*max(blend, dt/(dt+f.life/4), 1/(2+u.heard))
-	u.heard++
-	u.readAt = f.now
-	g.base, g.known, g.readAt = (1-w)*x+w*g.base, true, f.now
+func (g *loadEstimate) addReading(f *front, fill float64, asOf Time) {
+	oldWeight, typical := (1-newReadingWeight)*g.freshness(f), g.typical
+	fill -= g.ownHistory.At(f.now, asOf) / g.capacityKB
+	dt := float64(f.now - typical.readAt)
+	typical.meanFill = typical.fill(f) + (fill-typical.fill(f))*max(minMeanWeight, dt/(dt+f.meanPlaybackTime/4), 1/(2+typical.readings))
+	typical.readings++
+	typical.readAt = f.now
+	g.othersFill, g.measured, g.readAt = (1-oldWeight)*fill+oldWeight*g.othersFill, true, f.now
 }
 
 // newsSpan is how old news of a link may be before the next comes.
-func (f *front) newsSpan() Time {
-	return f.Fleet.NoteDelay + max(f.Fleet.NoteEvery, shows*f.Fleet.NoteDelay)
+func (f *front) maxReadingAge() Time {
+	return f.Fleet.NoteDelay + max(f.Fleet.NoteEvery, feedbackNoteDelays*f.Fleet.NoteDelay)
 }
 
 // At begins a turn. One that comes late finds news that is older than it looks.
 func (f *front) At(now Time) {
-	f.now, f.late = now, max(now-f.wakeAt, 0)
+	f.now, f.turnDelay = now, max(now-f.wakeAt, 0)
 	// A rush meets all fronts at once, whatever its cause, before a reading shows it: what this front set up of
 	// late beyond what ended, less a few by chance, the others are taken to have set up too.
-	kb := f.Ladder.RateKB[len(f.Ladder.RateKB)/2]
-	usual := f.links.own / kb * float64(f.newsSpan()) / f.life
-	beyond := f.added.Least(now)/kb - usual - rush*math.Sqrt(usual+1)
-	f.unseen = max(beyond, 0) * kb * float64(f.Fronts-1) / f.Fleet.LinksKB
+	rungKB := f.Ladder.RateKB[len(f.Ladder.RateKB)/2]
+	expected := f.typicalLinks.ownKB / rungKB * float64(f.maxReadingAge()) / f.meanPlaybackTime
+	excess := f.recentSetupKB.Least(now)/rungKB - expected - surgeDeviations*math.Sqrt(expected+1)
+	f.unreportedFill = max(excess, 0) * rungKB * float64(f.Fronts-1) / f.Fleet.LinksKB
 }
 
 // Listed follows the list of servers.
-func (f *front) Listed(l session.List) {
-	if l.Failed {
+func (f *front) Listed(list session.List) {
+	if list.Failed {
 		if f.ListOnRequest {
 			f.watchAt = f.now + f.Terms.AskWithin/4
 		}
 		return
 	}
-	if l.Whole && f.StartsTold { // which servers are cold is known from here on
-		f.fearedUntil = min(f.fearedUntil, f.now)
+	if list.Whole && f.StartsTold { // which servers are cold is known from here on
+		f.assumeColdUntil = min(f.assumeColdUntil, f.now)
 	}
-	for i := 0; l.Whole && i < len(f.servers); i++ {
+	for i := 0; list.Whole && i < len(f.servers); i++ {
 		f.servers[i].entry.State = session.Gone
 	}
-	for _, e := range l.Entries {
-		s := f.server(e.Server)
-		was := s.entry
-		f.enter(s, e)
-		if e.Started > 0 && e.Started != was.Started && e.Started+f.Terms.WarmUp > f.now {
+	for _, entry := range list.Entries {
+		server := f.server(entry.Server)
+		previous := server.entry
+		f.setEntry(server, entry)
+		if entry.Started > 0 && entry.Started != previous.Started && entry.Started+f.Terms.WarmUp > f.now {
 			// a restart: what was known of the process is void, and all managers hear of it at once
-			s.coldUntil, s.coldTold = e.Started+f.Terms.WarmUp, true
-			s.shunUntil, s.strikes, s.trial = 0, 0, false
-			s.link.base, s.link.known, s.link.readAt = 0, true, f.now // it comes back empty
-			if f.now-f.started < f.Terms.FallSpan {
-				s.cold.Add(f.now, f.coldBudget(s)) // just back: what it sent before is forgotten
+			server.coldUntil, server.coldListed = entry.Started+f.Terms.WarmUp, true
+			server.suspendedUntil, server.suspensions, server.halfOpen = 0, 0, false
+			server.link.othersFill, server.link.measured, server.link.readAt = 0, true, f.now // it comes back empty
+			if f.now-f.startedAt < f.Terms.FallSpan {
+				server.recentTries.Add(f.now, f.coldBudget(server)) // just back: what it sent before is forgotten
 			}
 		}
 	}
-	places := 0.0
+	totalPlaces := 0.0
 	for i := range f.servers {
-		places += f.Fleet.Places[f.servers[i].entry.Kind]
+		totalPlaces += f.Fleet.Places[f.servers[i].entry.Kind]
 	}
 	for i := range f.servers {
-		s := &f.servers[i]
-		s.link.kb = f.Fleet.LinksKB * f.Fleet.Places[s.entry.Kind] / places
-		if told := s.entry.Weight * f.Fleet.KBPerWeight; f.Fleet.WeightsTold && told > 0 {
-			s.link.kb = told
+		server := &f.servers[i]
+		server.link.capacityKB = f.Fleet.LinksKB * f.Fleet.Places[server.entry.Kind] / totalPlaces
+		if listedKB := server.entry.Weight * f.Fleet.KBPerWeight; f.Fleet.WeightsTold && listedKB > 0 {
+			server.link.capacityKB = listedKB
 		}
 	}
 }
 
 // coldBudget is this front's share of what a cold server takes within the span of the rule. Under one
 // set-up the fronts take turns, counted from its start, and use half a turn: no span sees more than are due.
-func (f *front) coldBudget(s *server) float64 {
-	t := &f.Terms
-	warmth := 1 - (1-t.ColdFrom)*float64(max(s.coldUntil, f.fearedUntil)-f.now)/float64(t.WarmUp)
-	all := coldShare * f.Fleet.Places[s.entry.Kind] / float64(t.WarmUp) * float64(t.FallSpan) * t.FallMultiple
-	b := all * min(max(warmth, t.ColdFrom), 1) / float64(f.Fronts)
-	if b >= 1 || !s.coldTold {
-		return max(b, 1)
-	}
-	turn := float64(f.now-s.entry.Started) / float64(t.FallSpan) * (max(math.Floor(all*t.ColdFrom), 1) - 0.5)
-	if k := int(turn); turn-float64(k) < 0.5 && (k+s.entry.Cell)%f.Fronts == f.Front {
+func (f *front) coldBudget(server *serverState) float64 {
+	terms := &f.Terms
+	capacityShare := 1 - (1-terms.ColdFrom)*float64(max(server.coldUntil, f.assumeColdUntil)-f.now)/float64(terms.WarmUp)
+	fleetBudget := coldBudgetShare * f.Fleet.Places[server.entry.Kind] / float64(terms.WarmUp) * float64(terms.FallSpan) * terms.FallMultiple
+	budget := fleetBudget * min(max(capacityShare, terms.ColdFrom), 1) / float64(f.Fronts)
+	if budget >= 1 || !server.coldListed {
+		return max(budget, 1)
+	}
+	turn := float64(f.now-server.entry.Started) / float64(terms.FallSpan) * (max(math.Floor(fleetBudget*terms.ColdFrom), 1) - 0.5)
+	if turnNumber := int(turn); turn-float64(turnNumber) < 0.5 && (turnNumber+server.entry.Cell)%f.Fronts == f.Front {
 		return 1
 	}
-	return b
+	return budget
 }
 
 // usable tells whether a set-up may go to the server now.
-func (f *front) usable(i int) bool {
-	s := &f.servers[i]
-	if s.entry.State != session.Ready || f.now < s.shunUntil || s.trial && s.out > 0 {
+func (f *front) acceptsTry(srv int) bool {
+	server := &f.servers[srv]
+	if server.entry.State != session.Ready || f.now < server.suspendedUntil || server.halfOpen && server.pendingTries > 0 {
 		return false
 	}
 	// A manager that has just come back cannot know which servers are cold, unless it was handed playbacks.
-	return f.now >= max(s.coldUntil, f.fearedUntil) || s.cold.Most(f.now)+1 <= f.coldBudget(s)
+	return f.now >= max(server.coldUntil, f.assumeColdUntil) || server.recentTries.Most(f.now)+1 <= f.coldBudget(server)
 }
 
 // fullness is the tighter of link and uplink once kb more are asked.
-func (f *front) fullness(s *server, kb float64) float64 {
-	k, link := &f.racks[s.rack], s.link.kb
-	if f.now < s.coldUntil {
+func (f *front) fillWith(server *serverState, kb float64) float64 {
+	uplink, link := &f.uplinks[server.rack], server.link.capacityKB
+	if f.now < server.coldUntil {
 		link *= f.Terms.ColdFrom
 	}
-	part := min(float64(f.now-s.link.readAt)/float64(f.newsSpan()), 1)
-	return max(s.link.fill(f)+kb/link, k.fill(f)+kb/k.kb) + f.unseen*part
+	unreportedShare := min(float64(f.now-server.link.readAt)/float64(f.maxReadingAge()), 1)
+	return max(server.link.fill(f)+kb/link, uplink.fill(f)+kb/uplink.capacityKB) + f.unreportedFill*unreportedShare
 }
 
 // mark is how full a link may get by a step that earns so much for the rate it adds: it leaves room for steps
 // that earn more and for viewers still to come.
-func (f *front) mark(density float64) float64 {
-	return brim * (1 - spare*(1-min(1, density/f.price)))
+func (f *front) fillMark(density float64) float64 {
+	return maxOpenFill * (1 - markReduction*(1-min(1, density/f.capacityPrice)))
 }
 
 // revenue is a plan's, less what the tenant's traffic beyond its share is not worth.
 func (f *front) revenue(pb *playback) float64 {
-	r := f.Plans[pb.Plan].Revenue * f.plans[pb.Plan].weight
-	if pb.Tenant < len(f.tenants) {
-		t := &f.tenants[pb.Tenant]
-		since := float64(max(min(tenantSpan, f.now-f.started), session.Second)) / float64(session.Second)
-		rate := t.Least(f.now) / since * float64(f.Fronts)
-		if q := f.Site.Tenants[pb.Tenant].QuotaPerS; rate > q && q > 0 {
-			r *= q/rate + (1-q/rate)*f.Prices.OverShare
+	revenue := f.Plans[pb.Plan].Revenue * f.planStats[pb.Plan].weight
+	if pb.Tenant < len(f.tenantRequests) {
+		requests := &f.tenantRequests[pb.Tenant]
+		seconds := float64(max(min(tenantRateSpan, f.now-f.startedAt), session.Second)) / float64(session.Second)
+		requestRate := requests.Least(f.now) / seconds * float64(f.Fronts)
+		if quota := f.Site.Tenants[pb.Tenant].QuotaPerS; requestRate > quota && quota > 0 {
+			revenue *= quota/requestRate + (1-quota/requestRate)*f.Prices.OverShare
 		}
 	}
-	return r
+	return revenue
 }
 
 // openRung is the best rung for opening at a server, -1 if none fits.
-func (f *front) openRung(pb *playback, s *server) int {
-	p := &f.Plans[pb.Plan]
-	viewers := max(float64(f.viewers+1)/float64(f.running+1), 2) // it is opened for one more at least
-	for r := pb.Top; r > p.Floor; r-- {
-		kb := f.rate(pb.Plan, r)
-		step := kb - f.rate(pb.Plan, r-1)
-		if p.Live { // others are still to join it, as many as this front has seen come together
-			step *= (1 + f.Ladder.Join*(viewers-1)) / viewers
+func (f *front) openRung(pb *playback, server *serverState) int {
+	plan := &f.Plans[pb.Plan]
+	viewers := max(float64(f.liveViewers+1)/float64(f.liveStreams+1), 2) // it is opened for one more at least
+	for rung := pb.Top; rung > plan.Floor; rung-- {
+		kb := f.rateKB(pb.Plan, rung)
+		addedKB := kb - f.rateKB(pb.Plan, rung-1)
+		if plan.Live { // others are still to join it, as many as this front has seen come together
+			addedKB *= (1 + f.Ladder.Join*(viewers-1)) / viewers
 		}
-		if f.fullness(s, kb) <= f.mark((f.worth(r)-f.worth(r-1))*f.revenue(pb)/step) {
-			return r
+		if f.fillWith(server, kb) <= f.fillMark((f.rungRevenue(rung)-f.rungRevenue(rung-1))*f.revenue(pb)/addedKB) {
+			return rung
 		}
 	}
-	if f.fullness(s, f.rate(pb.Plan, p.Floor)) <= admit {
-		return p.Floor
+	if f.fillWith(server, f.rateKB(pb.Plan, plan.Floor)) <= maxFloorFill {
+		return plan.Floor
 	}
 	return -1
 }
 
 // can tells whether the next try of a playback may go to a server.
-func (f *front) can(pb *playback, i int) bool {
-	return !slices.Contains(pb.tried, i) && f.holds(pb, &f.servers[i]) && f.may(pb, i) && f.usable(i)
+func (f *front) mayTry(pb *playback, srv int) bool {
+	return !slices.Contains(pb.triedServers, srv) && f.holdsTitle(pb, &f.servers[srv]) && f.mayRepeatAt(pb, srv) && f.acceptsTry(srv)
 }
 
 // place finds a server and a rung: a running stream to join, else the roomiest holder, local ones first.
 func (f *front) place(pb *playback) (srv, rung int, remote bool) {
-	var run *stream
-	var room float64
+	var joinable *streamState
+	var lowestFill float64
 	for i := range f.servers {
-		s := &f.servers[i]
-		if !f.Plans[pb.Plan].Live || !f.can(pb, i) {
+		server := &f.servers[i]
+		if !f.Plans[pb.Plan].Live || !f.mayTry(pb, i) {
 			continue
 		}
-		for _, st := range s.streams {
-			if st.title != pb.Title || st.plan != pb.Plan || st.rung > pb.Top || s.entry.Zone != f.Zone && !st.opened {
+		for _, stream := range server.streams {
+			if stream.title != pb.Title || stream.plan != pb.Plan || stream.rung > pb.Top || server.entry.Zone != f.Zone && !stream.openedRemote {
 				continue
 			}
-			kb := f.rate(pb.Plan, st.rung) * f.Ladder.Join
-			full := f.fullness(s, kb)
-			if full <= relieved && // it asks a part of what one more stream would
-				(run == nil || run.opened && !st.opened || run.opened == st.opened &&
-					(st.rung > run.rung || st.rung == run.rung && full < room)) {
-				run, room = st, full
+			kb := f.rateKB(pb.Plan, stream.rung) * f.Ladder.Join
+			fill := f.fillWith(server, kb)
+			if fill <= reliefFill && // it asks a part of what one more stream would
+				(joinable == nil || joinable.openedRemote && !stream.openedRemote || joinable.openedRemote == stream.openedRemote &&
+					(stream.rung > joinable.rung || stream.rung == joinable.rung && fill < lowestFill)) {
+				joinable, lowestFill = stream, fill
 			}
 		}
 	}
-	if run != nil && !run.opened {
-		return run.server, run.rung, false
+	if joinable != nil && !joinable.openedRemote {
+		return joinable.server, joinable.rung, false
 	}
-	if run != nil && float64(len(run.members)) < f.goHome() {
-		return run.server, run.rung, true
+	if joinable != nil && float64(len(joinable.members)) < f.maxRemoteViewers() {
+		return joinable.server, joinable.rung, true
 	}
-	if srv, rung = f.open(pb, true); rung >= 0 {
-		if run != nil && f.Prices.CrossZone > f.Prices.Move {
-			for _, m := range run.members { // they come back as requests and join the local stream
-				m.wantMove = m.plays && f.Plans[m.Plan].Repeat != session.Unsafe // it would be paid again
-				f.touch(m)
+	if srv, rung = f.findServer(pb, true); rung >= 0 {
+		if joinable != nil && f.Prices.CrossZone > f.Prices.Move {
+			for _, member := range joinable.members { // they come back as requests and join the local stream
+				member.wantMove = member.playing && f.Plans[member.Plan].Repeat != session.Unsafe // it would be paid again
+				f.markDirty(member)
 			}
 		}
 		return srv, rung, false
 	}
-	if run != nil {
-		return run.server, run.rung, true
+	if joinable != nil {
+		return joinable.server, joinable.rung, true
 	}
-	if far, r := f.open(pb, false); r >= 0 || srv < 0 {
-		return far, r, true
+	if remoteSrv, remoteRung := f.findServer(pb, false); remoteRung >= 0 || srv < 0 {
+		return remoteSrv, remoteRung, true
 	}
 	return srv, rung, false
 }
 
 // goHome is the paper's mark 2(1-c)/c. Its c is the price of crossing zones against that and what the room
 // of one more stream would earn at the lowest rung.
-func (f *front) goHome() float64 {
-	c := f.Prices.CrossZone / (f.Prices.CrossZone + f.worth(0)) // 0 without a price: never
+func (f *front) maxRemoteViewers() float64 {
+	c := f.Prices.CrossZone / (f.Prices.CrossZone + f.rungRevenue(0)) // 0 without a price: never
 	return 2 * (1 - c) / c
 }
 
 // open finds the roomiest holder of the zone, or of the others, and a new stream's rung, -1 if none fits.
-func (f *front) open(pb *playback, local bool) (srv, rung int) {
+func (f *front) findServer(pb *playback, local bool) (srv, rung int) {
 	srv = -1
-	var room float64
+	var lowestFill float64
 	for i := range f.servers {
-		s := &f.servers[i]
-		if (s.entry.Zone == f.Zone) != local || !f.can(pb, i) {
+		server := &f.servers[i]
+		if (server.entry.Zone == f.Zone) != local || !f.mayTry(pb, i) {
 			continue
 		}
-		full := f.fullness(s, f.rate(pb.Plan, f.Plans[pb.Plan].Floor))
+		fill := f.fillWith(server, f.rateKB(pb.Plan, f.Plans[pb.Plan].Floor))
 		if f.Plans[pb.Plan].Live { // all fronts lean to the same holders, where their viewers share
-			full += gather * meet(pb.Show, s.entry.Cell)
+			fill += titleJitter * titleCellHash(pb.Show, server.entry.Cell)
 		} else {
-			full += swing * f.chance()
+			fill += fillJitter * f.random()
 		}
-		if srv < 0 || full < room {
-			srv, room = i, full
+		if srv < 0 || fill < lowestFill {
+			srv, lowestFill = i, fill
 		}
 	}
 	if srv < 0 {
@@ -345,404 +345,404 @@
 }
 
 // may keeps keyed plans within their scope once a try may have run.
-func (f *front) may(pb *playback, i int) bool {
-	p := &f.Plans[pb.Plan]
-	if p.Repeat == session.Harmless || pb.ranAt < 0 {
+func (f *front) mayRepeatAt(pb *playback, srv int) bool {
+	plan := &f.Plans[pb.Plan]
+	if plan.Repeat == session.Harmless || pb.mayHaveRunAt < 0 {
 		return true
 	}
-	a, b := &f.servers[pb.ranAt].entry, &f.servers[i].entry
-	return p.Repeat == session.Keyed && f.now-pb.ranSince < p.Window &&
-		(p.Scope == session.Everywhere || p.Scope == session.SameZone && a.Zone == b.Zone ||
-			p.Scope == session.SameCell && a.Cell == b.Cell)
+	ranEntry, entry := &f.servers[pb.mayHaveRunAt].entry, &f.servers[srv].entry
+	return plan.Repeat == session.Keyed && f.now-pb.mayHaveRunSince < plan.Window &&
+		(plan.Scope == session.Everywhere || plan.Scope == session.SameZone && ranEntry.Zone == entry.Zone ||
+			plan.Scope == session.SameCell && ranEntry.Cell == entry.Cell)
 }
 
-func (f *front) Requested(r session.Request) {
-	pb := f.take(r)
-	f.taken.Add(f.now, 1)
-	if pb.Tenant < len(f.tenants) {
-		f.tenants[pb.Tenant].Add(f.now, 1)
+func (f *front) Requested(request session.Request) {
+	pb := f.addPlayback(request)
+	f.recentRequests.Add(f.now, 1)
+	if pb.Tenant < len(f.tenantRequests) {
+		f.tenantRequests[pb.Tenant].Add(f.now, 1)
 	}
 	f.decide(pb)
 }
 
 // decide sends a playback that has no try out, or answers it.
 func (f *front) decide(pb *playback) {
-	f.touch(pb)
-	p := &f.Plans[pb.Plan]
-	key := [2]int{pb.Plan, pb.Title}
-	left := pb.Abandon - f.now
-	seated := p.Seats == 0 || f.seats[key] < p.Seats
-	again := pb.tries == 0 || pb.tries < f.Terms.MaxTries && f.rationLeft()
-	if pb.Top >= p.Floor && seated && again && float64(left) > 2*f.typical && left > 0 {
+	f.markDirty(pb)
+	plan := &f.Plans[pb.Plan]
+	seatKey := [2]int{pb.Plan, pb.Title}
+	timeLeft := pb.Abandon - f.now
+	seatFree := plan.Seats == 0 || f.seats[seatKey] < plan.Seats
+	triesLeft := pb.tries == 0 || pb.tries < f.Terms.MaxTries && f.retryBudgetLeft()
+	if pb.Top >= plan.Floor && seatFree && triesLeft && float64(timeLeft) > 2*f.meanSetupTime && timeLeft > 0 {
 		srv, rung, remote := f.place(pb)
-		if srv >= 0 && f.look(pb, srv) { // before a rejection too
+		if srv >= 0 && f.delayForProbe(pb, srv) { // before a rejection too
 			return
 		}
 		if rung >= 0 {
 			pb.wantServer, pb.wantRung = srv, rung
 			f.attach(pb, srv, rung)
 			if remote && len(pb.stream.members) == 1 {
-				pb.stream.opened = true
+				pb.stream.openedRemote = true
 			}
-			pb.limit = f.limit(pb)
+			pb.tryTimeout = f.tryTimeout(pb)
 			pb.tries++
 			if pb.tries > 1 {
-				f.extra.Add(f.now, 1)
+				f.recentRetries.Add(f.now, 1)
 			}
-			f.added.Add(f.now, f.rate(pb.Plan, rung))
-			f.hold(pb, srv)
-			f.servers[srv].cold.Add(f.now, 1)
+			f.recentSetupKB.Add(f.now, f.rateKB(pb.Plan, rung))
+			f.reserve(pb, srv)
+			f.servers[srv].recentTries.Add(f.now, 1)
 			return
 		}
 	}
-	pb.wantEnd = reject
-	unsure := p.Repeat == session.Unsafe || p.Repeat == session.Keyed && p.Scope != session.Everywhere
-	if pb.ranAt >= 0 && unsure {
-		pb.wantEnd = abort
+	pb.wantAnswer = answerReject
+	repeatUnsafe := plan.Repeat == session.Unsafe || plan.Repeat == session.Keyed && plan.Scope != session.Everywhere
+	if pb.mayHaveRunAt >= 0 && repeatUnsafe {
+		pb.wantAnswer = answerAbort
 	}
 }
 
 // look holds a playback back for a probe of the server chosen, as its rung depends on load not heard of.
-func (f *front) look(pb *playback, srv int) bool {
-	s := &f.servers[srv]
-	if f.heard(s) || pb.looked || !f.probing() || f.now+f.slowest > pb.Abandon {
+func (f *front) delayForProbe(pb *playback, srv int) bool {
+	server := &f.servers[srv]
+	if f.loadIsRecent(server) || pb.probeAwaited || !f.mayProbe() || f.now+f.longestStartup > pb.Abandon {
 		return false
 	}
-	pb.looked = true
-	s.waiting = append(s.waiting, pb)
-	f.ask(srv)
+	pb.probeAwaited = true
+	server.awaitingProbe = append(server.awaitingProbe, pb)
+	f.requestProbe(srv)
 	return true
 }
 
 // heard tells whether the server's load was told lately enough to decide by.
-func (f *front) heard(s *server) bool {
-	return f.now-s.link.readAt < f.Fleet.NoteDelay || f.Fleet.LoadInAnswers && 2*s.link.fresh(f) > 1
+func (f *front) loadIsRecent(server *serverState) bool {
+	return f.now-server.link.readAt < f.Fleet.NoteDelay || f.Fleet.LoadInAnswers && 2*server.link.freshness(f) > 1
 }
 
-func (f *front) seen(s *server) {
-	waiting := s.waiting
-	s.waiting = nil
+func (f *front) resumeWaiting(server *serverState) {
+	waiting := server.awaitingProbe
+	server.awaitingProbe = nil
 	for _, pb := range waiting {
-		if !pb.gone {
+		if !pb.finished {
 			f.decide(pb)
 		}
 	}
 }
 
 // probing tells whether probes tell load, and another one is within the playbacks' part for them.
-func (f *front) probing() bool {
+func (f *front) mayProbe() bool {
 	return f.Terms.Probes && f.Fleet.LoadInProbes &&
-		f.probes < math.Floor(f.takes*probeSpend/max(f.Prices.Probe, probeSpend/2))
+		f.probeCount < math.Floor(f.playbackCount*probeBudget/max(f.Prices.Probe, probeBudget/2))
 }
 
-func (f *front) ask(i int) {
-	if s := &f.servers[i]; !s.probeOut {
-		s.probeOut, s.probedAt = true, f.now
-		f.probes++
-		f.wantProbes = append(f.wantProbes, i)
+func (f *front) requestProbe(srv int) {
+	if server := &f.servers[srv]; !server.probePending {
+		server.probePending, server.probeSentAt = true, f.now
+		f.probeCount++
+		f.wantProbes = append(f.wantProbes, srv)
 	}
 }
 
-func (f *front) rationLeft() bool {
-	t := &f.Terms
-	return !t.Rationed || f.extra.Most(f.now)+1 <= t.FreeTries+t.TryShare*f.taken.Least(f.now)
+func (f *front) retryBudgetLeft() bool {
+	terms := &f.Terms
+	return !terms.Rationed || f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.Least(f.now)
 }
 
 // limit leaves time for another try within the startup target, while there is one to be had.
-func (f *front) limit(pb *playback) Time {
-	if p := &f.Plans[pb.Plan]; p.Repeat == session.Unsafe { // the only one; its viewer hears when it is lost
-		return p.Startup
+func (f *front) tryTimeout(pb *playback) Time {
+	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe { // the only one; its viewer hears when it is lost
+		return plan.Startup
 	}
-	left := pb.Abandon - f.now
-	if aim := pb.aim - f.now; float64(aim) > 4*f.typical && aim > 0 {
-		left = aim
+	timeout := pb.Abandon - f.now
+	if untilDeadline := pb.startupDeadline - f.now; float64(untilDeadline) > 4*f.meanSetupTime && untilDeadline > 0 {
+		timeout = untilDeadline
 	}
 	if pb.tries+1 < f.Terms.MaxTries {
-		left /= 2
+		timeout /= 2
 	}
-	return left
+	return timeout
 }
 
 // Opened takes over a playback that plays already.
-func (f *front) Opened(r session.Request, srv int) {
-	pb := f.take(r)
-	pb.tries, pb.out, pb.plays = 1, true, true
-	f.attach(pb, srv, pb.setRung)
-	pb.wantRung, pb.stream.changedAt, f.fearedUntil = pb.setRung, never, never
-	f.hold(pb, srv)
-	f.answered(srv, true)
+func (f *front) Opened(request session.Request, srv int) {
+	pb := f.addPlayback(request)
+	pb.tries, pb.active, pb.playing = 1, true, true
+	f.attach(pb, srv, pb.currentRung)
+	pb.wantRung, pb.stream.rungChangedAt, f.assumeColdUntil = pb.currentRung, never, never
+	f.reserve(pb, srv)
+	f.tryFinished(srv, true)
 }
 
 func (f *front) Playing(id, try, srv int, took Time) {
-	pb := f.pbs[id]
-	if pb == nil || !pb.out || try != pb.tries-1 || pb.plays {
+	pb := f.playbacks[id]
+	if pb == nil || !pb.active || try != pb.tries-1 || pb.playing {
 		return
 	}
-	pb.plays = true
-	f.answered(srv, true)
-	f.typical += (float64(took) - f.typical) / 16
+	pb.playing = true
+	f.tryFinished(srv, true)
+	f.meanSetupTime += (float64(took) - f.meanSetupTime) / 16
 }
 
 // answered notes that a setup try at a server has come to an end, well or not.
-func (f *front) answered(srv int, well bool) {
-	s := f.server(srv)
-	s.out = max(s.out-1, 0)
-	if !well {
+func (f *front) tryFinished(srv int, succeeded bool) {
+	server := f.server(srv)
+	server.pendingTries = max(server.pendingTries-1, 0)
+	if !succeeded {
 		return
 	}
-	if s.trial && f.now >= s.coldUntil { // it may have restarted unseen; its list entry may be on the way
-		s.coldUntil, s.coldTold = f.now+f.Terms.WarmUp, false
+	if server.halfOpen && f.now >= server.coldUntil { // it may have restarted unseen; its list entry may be on the way
+		server.coldUntil, server.coldListed = f.now+f.Terms.WarmUp, false
 	}
-	s.trial, s.erred = false, false
-	s.strikes /= 2
+	server.halfOpen, server.lastFailed = false, false
+	server.suspensions /= 2
 }
 
 // strike keeps new work off a server that fails, resets or keeps silent, twice as long each time.
 // It guards against whatever makes set-ups end badly there; it harms where single errors are common.
-func (f *front) strike(srv int, o session.Outcome) {
-	s := f.server(srv)
-	fault := o != session.TimedOut || f.late < f.slowest/4         // or this late front was at fault
-	if s.trial = s.trial || fault; fault && f.now >= s.shunUntil { // else the same trouble, told again
-		s.shunUntil = f.now + f.slowest/2<<min(s.strikes, 3)
-		s.strikes++
+func (f *front) suspend(srv int, outcome session.Outcome) {
+	server := f.server(srv)
+	fault := outcome != session.TimedOut || f.turnDelay < f.longestStartup/4                 // or this late front was at fault
+	if server.halfOpen = server.halfOpen || fault; fault && f.now >= server.suspendedUntil { // else the same trouble, told again
+		server.suspendedUntil = f.now + f.longestStartup/2<<min(server.suspensions, 3)
+		server.suspensions++
 	}
 }
 
 // err strikes a server for an error only when it errs on two playbacks running, the second of which erred
 // nowhere else: it guards against requests that no server can use. One that errs on all costs a try more.
-func (f *front) err(pb *playback, srv int) {
-	s := f.server(srv)
-	if s.erred && !pb.erred {
-		f.strike(srv, session.Failed)
+func (f *front) recordError(pb *playback, srv int) {
+	server := f.server(srv)
+	if server.lastFailed && !pb.failedBefore {
+		f.suspend(srv, session.Failed)
 	}
-	s.erred, pb.erred = true, true
+	server.lastFailed, pb.failedBefore = true, true
 }
 
 // Ended takes the end of a setup try or of a playback.
-func (f *front) Ended(r session.Result) {
-	pb := f.pbs[r.Playback]
-	if pb == nil || !pb.out || r.Try != pb.tries-1 {
+func (f *front) Ended(result session.Result) {
+	pb := f.playbacks[result.Playback]
+	if pb == nil || !pb.active || result.Try != pb.tries-1 {
 		return
 	}
-	f.loaded(r.Server, r.Load, f.now-f.Fleet.NoteDelay/2-f.late)
+	f.recordLoad(result.Server, result.Load, f.now-f.Fleet.NoteDelay/2-f.turnDelay)
 	f.release(pb)
-	switch r.Outcome {
+	switch result.Outcome {
 	case session.Failed:
-		f.err(pb, r.Server)
+		f.recordError(pb, result.Server)
 	case session.TimedOut, session.NoConnection, session.Reset:
-		f.strike(r.Server, r.Outcome)
+		f.suspend(result.Server, result.Outcome)
 	case session.Full: // at least as full as it was thought to be, guard told or not
-		f.server(r.Server).link.read(f, max(f.Fleet.FullFrom, f.server(r.Server).link.fill(f)), f.now)
+		f.server(result.Server).link.addReading(f, max(f.Fleet.FullFrom, f.server(result.Server).link.fill(f)), f.now)
 	}
-	if !pb.plays {
-		f.answered(r.Server, false)
-	} else if r.Outcome == session.OK {
-		f.life += (float64(f.now-pb.since) - f.life) / 16
+	if !pb.playing {
+		f.tryFinished(result.Server, false)
+	} else if result.Outcome == session.OK {
+		f.meanPlaybackTime += (float64(f.now-pb.requestedAt) - f.meanPlaybackTime) / 16
 	}
-	if r.Final || pb.plays || pb.gone {
-		f.forget(pb)
+	if result.Final || pb.playing || pb.finished {
+		f.finish(pb)
 		return
 	}
-	neverRan := r.Outcome == session.Full || r.Outcome == session.NoConnection || r.Outcome == session.NotSent
-	if !neverRan && pb.ranAt < 0 {
-		pb.ranAt, pb.ranSince = r.Server, f.now-r.Took
+	neverRan := result.Outcome == session.Full || result.Outcome == session.NoConnection || result.Outcome == session.NotSent
+	if !neverRan && pb.mayHaveRunAt < 0 {
+		pb.mayHaveRunAt, pb.mayHaveRunSince = result.Server, f.now-result.Took
 	}
 	pb.wantServer = -1
-	pb.tried = append(pb.tried, r.Server)
+	pb.triedServers = append(pb.triedServers, result.Server)
 	f.decide(pb)
 }
 
 func (f *front) Left(id int) {
-	if pb := f.pbs[id]; pb != nil && !pb.gone {
-		pb.wantEnd, pb.gone = owed, true
-		if !pb.out { // a try may have been decided on and not sent yet
+	if pb := f.playbacks[id]; pb != nil && !pb.finished {
+		pb.wantAnswer, pb.finished = answerOwed, true
+		if !pb.active { // a try may have been decided on and not sent yet
 			if pb.wantServer >= 0 {
-				f.answered(pb.wantServer, false)
+				f.tryFinished(pb.wantServer, false)
 			}
 			f.release(pb)
-			f.forget(pb)
+			f.finish(pb)
 		}
 	}
 }
 
-func (f *front) loaded(srv int, l session.Load, asOf Time) {
-	s := f.server(srv)
-	if l.HasLink {
-		if l.Capped && l.Link >= 1 {
-			l.Link = max(l.Link, s.link.fill(f))
+func (f *front) recordLoad(srv int, load session.Load, asOf Time) {
+	server := f.server(srv)
+	if load.HasLink {
+		if load.Capped && load.Link >= 1 {
+			load.Link = max(load.Link, server.link.fill(f))
 		}
-		s.link.read(f, l.Link, asOf)
-		f.relieve(&s.link, func(x int) bool { return x == srv })
+		server.link.addReading(f, load.Link, asOf)
+		f.relieveShortage(&server.link, func(x int) bool { return x == srv })
 	}
-	if l.HasUplink {
-		f.racks[s.rack].read(f, l.Uplink, asOf)
-		f.relieve(&f.racks[s.rack], func(x int) bool { return f.servers[x].rack == s.rack })
+	if load.HasUplink {
+		f.uplinks[server.rack].addReading(f, load.Uplink, asOf)
+		f.relieveShortage(&f.uplinks[server.rack], func(x int) bool { return f.servers[x].rack == server.rack })
 	}
 }
 
 // Probed takes the answer to a probe.
-func (f *front) Probed(srv int, o session.Outcome, l session.Load) {
-	s := f.server(srv)
-	s.probeOut = false
-	if o == session.OK {
-		f.loaded(srv, l, f.now-f.Fleet.NoteDelay/2-f.late)
-	} else if s.entry.State == session.Ready && o != session.Full {
-		f.strike(srv, o)
+func (f *front) Probed(srv int, outcome session.Outcome, load session.Load) {
+	server := f.server(srv)
+	server.probePending = false
+	if outcome == session.OK {
+		f.recordLoad(srv, load, f.now-f.Fleet.NoteDelay/2-f.turnDelay)
+	} else if server.entry.State == session.Ready && outcome != session.Full {
+		f.suspend(srv, outcome)
 	}
-	f.seen(s)
+	f.resumeWaiting(server)
 }
 
 // Noted takes news on a playback.
-func (f *front) Noted(n session.Note) {
-	pb := f.pbs[n.Playback]
+func (f *front) Noted(note session.Note) {
+	pb := f.playbacks[note.Playback]
 	if pb == nil {
 		return
 	}
-	then := f.now - f.Fleet.NoteDelay - f.late
-	switch n.Kind {
+	asOf := f.now - f.Fleet.NoteDelay - f.turnDelay
+	switch note.Kind {
 	case session.RungNow:
-		f.playsAt(pb, int(n.Value))
+		f.setKnownRung(pb, int(note.Value))
 	case session.LinkAsked:
-		f.loaded(n.Server, session.Load{Link: n.Value, HasLink: true}, then)
+		f.recordLoad(note.Server, session.Load{Link: note.Value, HasLink: true}, asOf)
 	case session.UplinkAsked:
-		f.loaded(n.Server, session.Load{Uplink: n.Value, HasUplink: true}, then)
+		f.recordLoad(note.Server, session.Load{Uplink: note.Value, HasUplink: true}, asOf)
 	case session.Delivered:
-		f.delivered(n.Server, n.Value, then)
+		f.recordDelivery(note.Server, note.Value, asOf)
 	}
 }
 
 // delivered takes the share of their rates that playbacks at a server get for the fuller of its link and its
 // rack's uplink.
-func (f *front) delivered(srv int, share float64, then Time) {
-	s := &f.servers[srv]
-	g, behind := &s.link, func(x int) bool { return x == srv }
-	if f.racks[s.rack].fill(f) > g.fill(f) {
-		g, behind = &f.racks[s.rack], func(x int) bool { return f.servers[x].rack == s.rack }
-	}
-	known, asked := g.fill(f), 1/max(share, 0.1)
-	if share >= served && (known <= 1 || !f.Fleet.LoadInAnswers) {
+func (f *front) recordDelivery(srv int, share float64, asOf Time) {
+	server := &f.servers[srv]
+	estimate, isBehind := &server.link, func(x int) bool { return x == srv }
+	if f.uplinks[server.rack].fill(f) > estimate.fill(f) {
+		estimate, isBehind = &f.uplinks[server.rack], func(x int) bool { return f.servers[x].rack == server.rack }
+	}
+	currentFill, impliedFill := estimate.fill(f), 1/max(share, 0.1)
+	if share >= fullDelivery && (currentFill <= 1 || !f.Fleet.LoadInAnswers) {
 		return // where no notes follow, an end would be taken for brimful for long
 	}
-	if g != &s.link && f.Fleet.UplinkUntold {
-		g.fit(f, asked)
+	if estimate != &server.link && f.Fleet.UplinkUntold {
+		estimate.fitCapacity(f, impliedFill)
 	} else {
-		nearer := f.now-g.readAt < f.Fleet.NoteEvery && known > asked-knew // this one is smoothed
-		if nearer || share < served && known >= asked {
+		currentIsRecent := f.now-estimate.readAt < f.Fleet.NoteEvery && currentFill > impliedFill-surpriseFill // this one is smoothed
+		if currentIsRecent || share < fullDelivery && currentFill >= impliedFill {
 			return
 		}
-		g.read(f, asked, then)
+		estimate.addReading(f, impliedFill, asOf)
 	}
-	f.relieve(g, behind)
+	f.relieveShortage(estimate, isBehind)
 }
 
 // relieve answers a shortage: of the streams behind the gauge those go one rung down that lose least for
 // the rate they free, until this front's part of what is too much is gone; the other fronts do the same.
-func (f *front) relieve(g *gauge, behind func(srv int) bool) {
-	x := g.fill(f)
-	if x > shortAt {
-		g.shortAt = f.now
+func (f *front) relieveShortage(estimate *loadEstimate, isBehind func(srv int) bool) {
+	fill := estimate.fill(f)
+	if fill > shortageFill {
+		estimate.shortageAt = f.now
 	}
-	if x <= shortAt || f.now-g.steppedAt < shows*f.Fleet.NoteDelay { // a step taken is not in the readings yet
+	if fill <= shortageFill || f.now-estimate.steppedAt < feedbackNoteDelays*f.Fleet.NoteDelay { // a step taken is not in the readings yet
 		return
 	}
-	for need := (x - relieved) / x * g.own; need > 0; {
-		var worst *stream
-		least, frees := math.Inf(1), 0.0
+	for excessKB := (fill - reliefFill) / fill * estimate.ownKB; excessKB > 0; {
+		var cheapest *streamState
+		lowestLoss, cheapestKB := math.Inf(1), 0.0
 		for i := range f.servers {
-			if !behind(i) {
+			if !isBehind(i) {
 				continue
 			}
-			for _, st := range f.servers[i].streams {
-				if st.rung <= f.Plans[st.plan].Floor || f.now-st.changedAt < shows*f.Fleet.NoteDelay {
+			for _, stream := range f.servers[i].streams {
+				if stream.rung <= f.Plans[stream.plan].Floor || f.now-stream.rungChangedAt < feedbackNoteDelays*f.Fleet.NoteDelay {
 					continue
 				}
-				revenue := f.Plans[st.plan].Revenue * f.plans[st.plan].weight * float64(len(st.members))
-				lost := (f.worth(st.rung) - f.worth(st.rung-1)) * revenue
-				freed := f.streamKB(st, len(st.members)) * (1 - f.rate(st.plan, st.rung-1)/f.rate(st.plan, st.rung))
-				if lost/freed < least {
-					worst, least, frees = st, lost/freed, freed
+				revenue := f.Plans[stream.plan].Revenue * f.planStats[stream.plan].weight * float64(len(stream.members))
+				lostRevenue := (f.rungRevenue(stream.rung) - f.rungRevenue(stream.rung-1)) * revenue
+				freedKB := f.streamKB(stream, len(stream.members)) * (1 - f.rateKB(stream.plan, stream.rung-1)/f.rateKB(stream.plan, stream.rung))
+				if lostRevenue/freedKB < lowestLoss {
+					cheapest, lowestLoss, cheapestKB = stream, lostRevenue/freedKB, freedKB
 				}
 			}
 		}
-		if g.steppedAt = f.now; worst == nil || need < frees*f.chance() {
+		if estimate.steppedAt = f.now; cheapest == nil || excessKB < cheapestKB*f.random() {
 			return // where a part of the stream would do, some of the fronts step theirs
 		}
-		f.step(worst, worst.rung-1)
-		need -= frees
+		f.setStreamRung(cheapest, cheapest.rung-1)
+		excessKB -= cheapestKB
 	}
 }
 
 // stepUp is what a stream's next rung earns and asks more; nothing unless all its viewers can take it.
-func (f *front) stepUp(st *stream) (gain, kb float64) {
-	for _, pb := range st.members {
-		if pb.Top == st.rung || !pb.plays || pb.moving {
+func (f *front) stepUpValue(stream *streamState) (gain, kb float64) {
+	for _, pb := range stream.members {
+		if pb.Top == stream.rung || !pb.playing || pb.moving {
 			return 0, 1
 		}
-		gain += f.revenue(pb) * (f.worth(st.rung+1) - f.worth(st.rung))
+		gain += f.revenue(pb) * (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
 	}
-	return gain, f.streamKB(st, len(st.members)) * (f.rate(st.plan, st.rung+1)/f.rate(st.plan, st.rung) - 1)
+	return gain, f.streamKB(stream, len(stream.members)) * (f.rateKB(stream.plan, stream.rung+1)/f.rateKB(stream.plan, stream.rung) - 1)
 }
 
 // raise takes streams one rung up where there is room and no shortage was heard of.
-func (f *front) raise(i int) {
-	s := &f.servers[i]
-	k := &f.racks[s.rack]
-	if s.entry.State != session.Ready || f.now < max(s.shunUntil, s.coldUntil) ||
-		!s.link.known && f.Fleet.LoadInAnswers ||
-		f.now-max(s.link.shortAt, k.shortAt, s.link.steppedAt, k.steppedAt) < shows*f.Fleet.NoteDelay {
+func (f *front) stepUpStreams(srv int) {
+	server := &f.servers[srv]
+	uplink := &f.uplinks[server.rack]
+	if server.entry.State != session.Ready || f.now < max(server.suspendedUntil, server.coldUntil) ||
+		!server.link.measured && f.Fleet.LoadInAnswers ||
+		f.now-max(server.link.shortageAt, uplink.shortageAt, server.link.steppedAt, uplink.steppedAt) < feedbackNoteDelays*f.Fleet.NoteDelay {
 		return
 	}
-	for others := 1.0; ; others = float64(f.Fronts) { // more steps than one leave the other fronts their room
-		var pick *stream
-		most := 0.0
-		for _, st := range s.streams {
-			gain, kb := f.stepUp(st)
-			if gain/kb <= most || f.fullness(s, kb*others) > f.mark(gain/kb)-upBelow {
+	for fronts := 1.0; ; fronts = float64(f.Fronts) { // more steps than one leave the other fronts their room
+		var best *streamState
+		bestDensity := 0.0
+		for _, stream := range server.streams {
+			gain, kb := f.stepUpValue(stream)
+			if gain/kb <= bestDensity || f.fillWith(server, kb*fronts) > f.fillMark(gain/kb)-stepUpMargin {
 				continue
 			}
-			pays := changePays * float64(f.Ladder.Change) / (f.worth(st.rung+1) - f.worth(st.rung))
-			if float64(f.now-st.changedAt) >= pays { // the last one has earned its cost
-				pick, most = st, gain/kb
+			payback := stepUpPayback * float64(f.Ladder.Change) / (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
+			if float64(f.now-stream.rungChangedAt) >= payback { // the last one has earned its cost
+				best, bestDensity = stream, gain/kb
 			}
 		}
-		if pick == nil {
+		if best == nil {
 			return
 		}
-		if !f.Fleet.LoadInAnswers && !f.heard(s) && f.probing() { // the answer decides
-			f.ask(i)
+		if !f.Fleet.LoadInAnswers && !f.loadIsRecent(server) && f.mayProbe() { // the answer decides
+			f.requestProbe(srv)
 			return
 		}
-		f.step(pick, pick.rung+1)
-		s.link.steppedAt, k.steppedAt = f.now, f.now
+		f.setStreamRung(best, best.rung+1)
+		server.link.steppedAt, uplink.steppedAt = f.now, f.now
 	}
 }
 
 // weighPlans gives the plan served worst the weight that the site counts it with beside the whole.
-func (f *front) weighPlans(tick Time) {
-	step := float64(tick) / (float64(tick) + f.life) // under 1, however short playbacks are against a tick
-	for i := range f.plans {
-		f.plans[i].asked *= 1 - step
-		f.plans[i].earned *= 1 - step
+func (f *front) updatePlanWeights(tick Time) {
+	weight := float64(tick) / (float64(tick) + f.meanPlaybackTime) // under 1, however short playbacks are against a tick
+	for i := range f.planStats {
+		f.planStats[i].requested *= 1 - weight
+		f.planStats[i].earned *= 1 - weight
 	}
 	for i := range f.servers {
-		for _, st := range f.servers[i].streams {
-			p := &f.plans[st.plan]
-			for _, pb := range st.members {
-				p.asked += step * f.Plans[st.plan].Revenue * f.worth(pb.Top)
-				p.earned += step * f.Plans[st.plan].Revenue * f.worth(st.rung)
+		for _, stream := range f.servers[i].streams {
+			stats := &f.planStats[stream.plan]
+			for _, pb := range stream.members {
+				stats.requested += weight * f.Plans[stream.plan].Revenue * f.rungRevenue(pb.Top)
+				stats.earned += weight * f.Plans[stream.plan].Revenue * f.rungRevenue(stream.rung)
 			}
 		}
 	}
-	all, earned := 0.0, 0.0
-	for _, p := range f.plans {
-		all, earned = all+p.asked, earned+p.earned
+	totalRequested, totalEarned := 0.0, 0.0
+	for _, stats := range f.planStats {
+		totalRequested, totalEarned = totalRequested+stats.requested, totalEarned+stats.earned
 	}
-	for i := range f.plans {
-		p := &f.plans[i]
-		if p.weight = 1; p.asked > 0 && all > p.asked {
-			behind := (earned-p.earned)/(all-p.asked) - p.earned/p.asked
-			w := f.Prices.WorstPlan / (1 - f.Prices.WorstPlan) * all / p.asked
-			p.weight += w * min(max(behind/even, 0), 1)
+	for i := range f.planStats {
+		stats := &f.planStats[i]
+		if stats.weight = 1; stats.requested > 0 && totalRequested > stats.requested {
+			gap := (totalEarned-stats.earned)/(totalRequested-stats.requested) - stats.earned/stats.requested
+			maxExtraWeight := f.Prices.WorstPlan / (1 - f.Prices.WorstPlan) * totalRequested / stats.requested
+			stats.weight += maxExtraWeight * min(max(gap/maxPlanGap, 0), 1)
 		}
 	}
 }
@@ -753,68 +753,68 @@
 		return
 	}
 	f.wakeAt = f.now + max(f.Fleet.NoteDelay/4, 1)
-	most := least * f.best
+	bestDensity := minPriceShare * f.maxFloorDensity
 	for i := range f.servers {
-		for _, st := range f.servers[i].streams {
-			gain, kb := f.stepUp(st)
-			most = max(most, min(gain/kb, f.best))
+		for _, stream := range f.servers[i].streams {
+			gain, kb := f.stepUpValue(stream)
+			bestDensity = max(bestDensity, min(gain/kb, f.maxFloorDensity))
 		}
 	}
-	f.price += (most - f.price) * follow
-	f.weighPlans(f.wakeAt - f.now)
-	for i := range f.racks {
-		f.widen(&f.racks[i], f.wakeAt-f.now)
+	f.capacityPrice += (bestDensity - f.capacityPrice) * priceSmoothing
+	f.updatePlanWeights(f.wakeAt - f.now)
+	for i := range f.uplinks {
+		f.widenUplink(&f.uplinks[i], f.wakeAt-f.now)
 	}
 	for i := range f.servers {
-		f.raise(i)
-		if s := &f.servers[i]; len(s.waiting) > 0 && f.now-s.probedAt > f.slowest/4 {
-			f.seen(s) // the look takes too long
+		f.stepUpStreams(i)
+		if server := &f.servers[i]; len(server.awaitingProbe) > 0 && f.now-server.probeSentAt > f.longestStartup/4 {
+			f.resumeWaiting(server) // the look takes too long
 		}
 	}
 }
 
 // Settle emits the difference between what is wanted and what is out.
-func (f *front) Settle(a session.Actions) {
+func (f *front) Settle(actions session.Actions) {
 	for i := 0; i < len(f.dirty); i++ {
 		pb := f.dirty[i]
 		pb.dirty = false
-		switch pb.wantEnd {
-		case reject:
-			a.Reject(pb.Playback, f.Terms.MaxComeAgain)
-		case abort:
-			a.Abort(pb.Playback)
-		}
-		if pb.gone = pb.gone || pb.wantEnd != owed; pb.gone {
-			if !pb.out && f.pbs[pb.Playback] == pb {
-				f.pbs[pb.Playback] = nil
-				a.Forget(pb.Playback)
+		switch pb.wantAnswer {
+		case answerReject:
+			actions.Reject(pb.Playback, f.Terms.MaxComeAgain)
+		case answerAbort:
+			actions.Abort(pb.Playback)
+		}
+		if pb.finished = pb.finished || pb.wantAnswer != answerOwed; pb.finished {
+			if !pb.active && f.playbacks[pb.Playback] == pb {
+				f.playbacks[pb.Playback] = nil
+				actions.Forget(pb.Playback)
 			}
 			continue
 		}
-		if pb.wantRung != pb.setRung {
-			pb.setRung = pb.wantRung
-			a.SetRung(pb.Playback, pb.wantRung)
+		if pb.wantRung != pb.currentRung {
+			pb.currentRung = pb.wantRung
+			actions.SetRung(pb.Playback, pb.wantRung)
 		}
-		if pb.wantServer >= 0 && !pb.out {
-			pb.out = true
-			a.Try(pb.Playback, pb.wantServer, pb.limit)
+		if pb.wantServer >= 0 && !pb.active {
+			pb.active = true
+			actions.Try(pb.Playback, pb.wantServer, pb.tryTimeout)
 		}
 		if pb.wantMove && !pb.moving {
 			pb.moving = true
-			a.Move(pb.Playback)
+			actions.Move(pb.Playback)
 		}
 	}
 	f.dirty = f.dirty[:0]
 	for _, i := range f.wantProbes {
-		a.Probe(i)
+		actions.Probe(i)
 	}
 	f.wantProbes = f.wantProbes[:0]
 	if f.watchAt != never && f.now >= f.watchAt {
 		f.watchAt = never
-		a.Watch()
+		actions.Watch()
 	}
-	if f.wakeAt != f.wokenAt {
-		f.wokenAt = f.wakeAt
-		a.Wake(f.wakeAt, 0)
+	if f.wakeAt != f.wakeRequestedAt {
+		f.wakeRequestedAt = f.wakeAt
+		actions.Wake(f.wakeAt, 0)
 	}
 }
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -17,62 +17,62 @@
 // `|` parts what stands on one line. `set key value` and
 // `server key=value ...` come first.
 // Whatever the scenario, no playback may have two tries out, two answers, or a try at a server not ready.
-type stage struct {
-	t        *testing.T
-	line     string
-	site     session.Site
-	m        session.Manager
-	now      Time
-	entries  []session.Entry
-	actions  []string
-	wakes    []Time
-	at, try  map[int]int // server and number of the latest try
-	out, end map[int]bool
+type scenario struct {
+	t                    *testing.T
+	line                 string
+	site                 session.Site
+	manager              session.Manager
+	now                  Time
+	entries              []session.Entry
+	actions              []string
+	wakes                []Time
+	tryServer, tryNumber map[int]int // server and number of the latest try
+	pending, answered    map[int]bool
 }
 
-func (s *stage) fail(format string, a ...any) {
+func (s *scenario) fail(format string, a ...any) {
 	s.t.Errorf("%s: %s (since the event: %s)", s.line, fmt.Sprintf(format, a...), strings.Join(s.actions, "; "))
 }
 
-func (s *stage) act(format string, a ...any) {
+func (s *scenario) record(format string, a ...any) {
 	s.actions = append(s.actions, fmt.Sprintf(format, a...))
 }
 
-func (s *stage) answer(pb int) {
-	if s.end[pb] || s.out[pb] {
+func (s *scenario) recordAnswer(pb int) {
+	if s.answered[pb] || s.pending[pb] {
 		s.fail("second answer, or answer with a try out, for %d", pb)
 	}
-	s.end[pb] = true
+	s.answered[pb] = true
 }
 
-func (s *stage) SetRung(pb, rung int) { s.act("rung %d %d", pb, rung) }
-func (s *stage) Try(pb, server int, limit Time) {
-	if s.out[pb] || s.end[pb] {
+func (s *scenario) SetRung(pb, rung int) { s.record("rung %d %d", pb, rung) }
+func (s *scenario) Try(pb, server int, limit Time) {
+	if s.pending[pb] || s.answered[pb] {
 		s.fail("try for %d, which has one out or is answered", pb)
 	}
 	if s.entries[server].State != session.Ready {
 		s.fail("try at server %d, which is not ready", server)
 	}
-	if n, ok := s.try[pb]; ok {
-		s.try[pb] = n + 1
+	if n, ok := s.tryNumber[pb]; ok {
+		s.tryNumber[pb] = n + 1
 	} else {
-		s.try[pb] = 0
+		s.tryNumber[pb] = 0
 	}
-	s.out[pb], s.at[pb] = true, server
-	s.act("try %d %d limit %.2f", pb, server, float64(limit)/1e6)
+	s.pending[pb], s.tryServer[pb] = true, server
+	s.record("try %d %d limit %.2f", pb, server, float64(limit)/1e6)
 }
-func (s *stage) Reject(pb int, comeAgain Time) {
-	s.answer(pb)
-	s.act("reject %d %.2f", pb, float64(comeAgain)/1e6)
+func (s *scenario) Reject(pb int, comeAgain Time) {
+	s.recordAnswer(pb)
+	s.record("reject %d %.2f", pb, float64(comeAgain)/1e6)
 }
-func (s *stage) Abort(pb int)           { s.answer(pb); s.act("abort %d", pb) }
-func (s *stage) Move(pb int)            { s.act("move %d", pb) }
-func (s *stage) Probe(server int)       { s.act("probe %d", server) }
-func (s *stage) Wake(at Time, _ uint64) { s.wakes = append(s.wakes, at) }
-func (s *stage) Watch()                 { s.act("watch") }
-func (s *stage) Forget(pb int)          { s.act("forget %d", pb) }
+func (s *scenario) Abort(pb int)           { s.recordAnswer(pb); s.record("abort %d", pb) }
+func (s *scenario) Move(pb int)            { s.record("move %d", pb) }
+func (s *scenario) Probe(server int)       { s.record("probe %d", server) }
+func (s *scenario) Wake(at Time, _ uint64) { s.wakes = append(s.wakes, at) }
+func (s *scenario) Watch()                 { s.record("watch") }
+func (s *scenario) Forget(pb int)          { s.record("forget %d", pb) }
 
-func stageSite() session.Site {
+func scenarioSite() session.Site {
 	plan := session.Plan{Window: 5e6, Startup: 1e6, Revenue: 1, RateFactor: 1, Top: 3}
 	live := plan
 	live.Live = true
@@ -87,29 +87,29 @@
 }
 
 // set changes a told figure.
-func (s *stage) set(key, value string) {
-	x, _ := strconv.ParseFloat(value, 64)
-	one := &s.site.Plans[1]
-	for k, f := range map[string]func(){
-		"fronts": func() { s.site.Fronts = int(x) }, "crossing": func() { s.site.Prices.CrossZone = x },
-		"moving": func() { s.site.Prices.Move = x }, "floor": func() { one.Floor = int(x) },
-		"seats": func() { one.Seats = int(x) }, "places": func() { s.site.Fleet.Places[0] = x },
-		"unsafe": func() { one.Repeat = session.Unsafe }, "onrequest": func() { s.site.ListOnRequest = true },
-		"keyed":    func() { one.Repeat, one.Scope = session.Keyed, session.Scope(x) },
-		"uplink":   func() { s.site.Fleet.UplinkKB = x },
+func (s *scenario) set(key, value string) {
+	number, _ := strconv.ParseFloat(value, 64)
+	plan := &s.site.Plans[1]
+	for name, apply := range map[string]func(){
+		"fronts": func() { s.site.Fronts = int(number) }, "crossing": func() { s.site.Prices.CrossZone = number },
+		"moving": func() { s.site.Prices.Move = number }, "floor": func() { plan.Floor = int(number) },
+		"seats": func() { plan.Seats = int(number) }, "places": func() { s.site.Fleet.Places[0] = number },
+		"unsafe": func() { plan.Repeat = session.Unsafe }, "onrequest": func() { s.site.ListOnRequest = true },
+		"keyed":    func() { plan.Repeat, plan.Scope = session.Keyed, session.Scope(number) },
+		"uplink":   func() { s.site.Fleet.UplinkKB = number },
 		"paidlive": func() { s.site.Plans[0].Repeat = session.Unsafe },
-		"warmup":   func() { s.site.Terms.WarmUp = Time(x * 1e6) },
+		"warmup":   func() { s.site.Terms.WarmUp = Time(number * 1e6) },
 		"nonotes":  func() { s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteEvery = false, 0 },
 		"untold":   func() { s.site.Fleet.UplinkUntold = true },
 		"silent":   func() { s.site.Terms.MaxComeAgain = 0 },
-		"worst":    func() { s.site.Prices.WorstPlan = x },
+		"worst":    func() { s.site.Prices.WorstPlan = number },
 		"inprobe":  func() { s.site.Terms.Probes, s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteEvery = true, false, 0 },
 		"looks":    func() { s.site.Terms.Probes = true },
-		"ration":   func() { s.site.Terms.Rationed, s.site.Terms.TrySpan, s.site.Terms.FreeTries = true, 10e6, x },
-		"quota":    func() { s.site.Tenants = []session.Tenant{{QuotaPerS: x}, {QuotaPerS: 100}} },
+		"ration":   func() { s.site.Terms.Rationed, s.site.Terms.TrySpan, s.site.Terms.FreeTries = true, 10e6, number },
+		"quota":    func() { s.site.Tenants = []session.Tenant{{QuotaPerS: number}, {QuotaPerS: 100}} },
 	} {
-		if k == key {
-			f()
+		if name == key {
+			apply()
 			return
 		}
 	}
@@ -121,82 +121,82 @@
 	"cancelled": session.Cancelled}
 
 // event tells one event of the words after the time.
-func (s *stage) event(w []string) {
-	arg := map[string]float64{}
-	var plain []int
-	for _, x := range w[1:] {
-		if k, v, ok := strings.Cut(x, "="); ok {
-			arg[k], _ = strconv.ParseFloat(v, 64)
-		} else if n, err := strconv.Atoi(x); err == nil {
-			plain = append(plain, n)
+func (s *scenario) event(words []string) {
+	named := map[string]float64{}
+	var numbers []int
+	for _, word := range words[1:] {
+		if k, v, ok := strings.Cut(word, "="); ok {
+			named[k], _ = strconv.ParseFloat(v, 64)
+		} else if n, err := strconv.Atoi(word); err == nil {
+			numbers = append(numbers, n)
 		}
 	}
-	get := func(k string, or float64) float64 {
-		if v, ok := arg[k]; ok {
+	get := func(k string, fallback float64) float64 {
+		if v, ok := named[k]; ok {
 			return v
 		}
-		return or
+		return fallback
 	}
 	var load session.Load
-	load.Link, load.HasLink = arg["link"]
-	load.Uplink, load.HasUplink = arg["uplink"]
+	load.Link, load.HasLink = named["link"]
+	load.Uplink, load.HasUplink = named["uplink"]
 	request := func(pb int) session.Request {
 		return session.Request{Playback: pb, Plan: int(get("plan", 0)), Title: int(get("title", float64(pb))),
-			Show: uint64(get("title", float64(pb))), Top: int(get("top", 3)), Tenant: int(arg["tenant"]),
-			Abandon: s.now + Time(get("abandon", 4)*1e6), Base: int(arg["base"]), Span: int(arg["span"])}
+			Show: uint64(get("title", float64(pb))), Top: int(get("top", 3)), Tenant: int(named["tenant"]),
+			Abandon: s.now + Time(get("abandon", 4)*1e6), Base: int(named["base"]), Span: int(named["span"])}
 	}
-	switch w[0] {
+	switch words[0] {
 	case "all":
-		s.m.Listed(session.List{Entries: s.entries, Whole: true})
+		s.manager.Listed(session.List{Entries: s.entries, Whole: true})
 	case "listfails":
-		s.m.Listed(session.List{Failed: true})
+		s.manager.Listed(session.List{Failed: true})
 	case "drains", "gone", "restarts":
-		e := &s.entries[plain[0]]
-		e.State = map[string]session.ServerState{"drains": session.Draining, "gone": session.Gone,
-			"restarts": session.Ready}[w[0]]
-		if w[0] == "restarts" {
-			e.Started = s.now
+		entry := &s.entries[numbers[0]]
+		entry.State = map[string]session.ServerState{"drains": session.Draining, "gone": session.Gone,
+			"restarts": session.Ready}[words[0]]
+		if words[0] == "restarts" {
+			entry.Started = s.now
 		}
-		s.m.Listed(session.List{Entries: []session.Entry{*e}})
+		s.manager.Listed(session.List{Entries: []session.Entry{*entry}})
 	case "request": // request FIRST [LAST]
-		for pb := plain[0]; pb <= plain[len(plain)-1]; pb++ {
-			s.m.Requested(request(pb))
+		for pb := numbers[0]; pb <= numbers[len(numbers)-1]; pb++ {
+			s.manager.Requested(request(pb))
 		}
 	case "open": // open PB SERVER RUNG
-		s.at[plain[0]], s.try[plain[0]], s.out[plain[0]] = plain[1], 0, false
-		s.m.Opened(request(plain[0]), plain[1])
-		s.m.Noted(session.Note{Playback: plain[0], Server: plain[1], Kind: session.RungNow, Value: float64(plain[2])})
+		s.tryServer[numbers[0]], s.tryNumber[numbers[0]], s.pending[numbers[0]] = numbers[1], 0, false
+		s.manager.Opened(request(numbers[0]), numbers[1])
+		s.manager.Noted(session.Note{Playback: numbers[0], Server: numbers[1], Kind: session.RungNow, Value: float64(numbers[2])})
 	case "plays":
-		for pb := plain[0]; pb <= plain[len(plain)-1]; pb++ {
-			s.out[pb], s.end[pb] = false, true
-			s.m.Playing(pb, s.try[pb], s.at[pb], 50_000)
+		for pb := numbers[0]; pb <= numbers[len(numbers)-1]; pb++ {
+			s.pending[pb], s.answered[pb] = false, true
+			s.manager.Playing(pb, s.tryNumber[pb], s.tryServer[pb], 50_000)
 		}
 	case "ends": // ends PB OUTCOME
-		pb := plain[0]
-		final := s.end[pb]
-		s.out[pb] = false
-		s.m.Ended(session.Result{Playback: pb, Try: s.try[pb], Server: s.at[pb], Outcome: outcomes[w[2]],
+		pb := numbers[0]
+		final := s.answered[pb]
+		s.pending[pb] = false
+		s.manager.Ended(session.Result{Playback: pb, Try: s.tryNumber[pb], Server: s.tryServer[pb], Outcome: outcomes[words[2]],
 			Took: 50_000, Final: final, Load: load})
-		if len(w) > 3 { // `then left` at the same moment
-			s.end[pb] = true
-			s.m.Left(pb)
+		if len(words) > 3 { // `then left` at the same moment
+			s.answered[pb] = true
+			s.manager.Left(pb)
 		}
 	case "left":
-		s.end[plain[0]] = true
-		s.m.Left(plain[0])
+		s.answered[numbers[0]] = true
+		s.manager.Left(numbers[0])
 	case "note": // note PB delivered|link|uplink=X
 		for k, kind := range map[string]session.NoteKind{"delivered": session.Delivered,
 			"link": session.LinkAsked, "uplink": session.UplinkAsked} {
-			if v, ok := arg[k]; ok {
-				s.m.Noted(session.Note{Playback: plain[0], Server: s.at[plain[0]], Kind: kind, Value: v})
+			if v, ok := named[k]; ok {
+				s.manager.Noted(session.Note{Playback: numbers[0], Server: s.tryServer[numbers[0]], Kind: kind, Value: v})
 			}
 		}
 	case "probed": // probed SERVER OUTCOME
-		s.m.Probed(plain[0], outcomes[w[2]], load)
+		s.manager.Probed(numbers[0], outcomes[words[2]], load)
 	case "loads": // loads SERVER...: probes until the reading has settled
-		for _, srv := range plain {
+		for _, srv := range numbers {
 			for range 8 {
-				s.m.Probed(srv, session.OK, load)
+				s.manager.Probed(srv, session.OK, load)
 			}
 		}
 	case "wait":
@@ -206,7 +206,7 @@
 }
 
 // pass lets the timers fire that are due before a moment.
-func (s *stage) pass(until Time) {
+func (s *scenario) advance(until Time) {
 	for {
 		next := -1
 		for i, at := range s.wakes {
@@ -219,74 +219,74 @@
 		}
 		s.now = max(s.now, s.wakes[next])
 		s.wakes = append(s.wakes[:next], s.wakes[next+1:]...)
-		s.m.At(s.now)
-		s.m.Woken(0)
-		s.m.Settle(s)
+		s.manager.At(s.now)
+		s.manager.Woken(0)
+		s.manager.Settle(s)
 	}
 	s.now = until
-	s.m.At(until)
+	s.manager.At(until)
 }
 
-func (s *stage) run(line string) {
-	w := strings.Fields(line)
-	n := 0
-	want := strings.Join(w[1:], " ")
-	if w[0] == "=" {
-		want = strings.Join(w[2:], " ")
+func (s *scenario) runLine(line string) {
+	words := strings.Fields(line)
+	matches := 0
+	want := strings.Join(words[1:], " ")
+	if words[0] == "=" {
+		want = strings.Join(words[2:], " ")
 	}
-	for _, a := range s.actions {
-		if strings.HasPrefix(a+" ", want+" ") {
-			n++
+	for _, action := range s.actions {
+		if strings.HasPrefix(action+" ", want+" ") {
+			matches++
 		}
 	}
-	switch w[0] {
+	switch words[0] {
 	case "set":
-		s.set(w[1], w[2])
+		s.set(words[1], words[2])
 	case "server":
-		e := session.Entry{Server: len(s.entries), Cell: len(s.entries), State: session.Ready, Weight: 1}
-		for _, x := range w[1:] {
-			k, v, _ := strings.Cut(x, "=")
-			f, _ := strconv.ParseFloat(v, 64)
-			switch k {
+		entry := session.Entry{Server: len(s.entries), Cell: len(s.entries), State: session.Ready, Weight: 1}
+		for _, word := range words[1:] {
+			key, value, _ := strings.Cut(word, "=")
+			number, _ := strconv.ParseFloat(value, 64)
+			switch key {
 			case "zone":
-				e.Zone = int(f)
+				entry.Zone = int(number)
 			case "weight":
-				e.Weight = f
+				entry.Weight = number
 			case "started":
-				e.Started = Time(f * 1e6)
+				entry.Started = Time(number * 1e6)
 			}
 		}
-		s.entries = append(s.entries, e)
+		s.entries = append(s.entries, entry)
 	case ">":
-		if n == 0 {
+		if matches == 0 {
 			s.fail("missing")
 		}
 	case "!":
-		if n > 0 {
+		if matches > 0 {
 			s.fail("unwanted")
 		}
 	case "=":
-		if strconv.Itoa(n) != w[1] {
-			s.fail("%d of them", n)
+		if strconv.Itoa(matches) != words[1] {
+			s.fail("%d of them", matches)
 		}
 	default:
-		at, err := strconv.ParseFloat(w[0], 64)
+		seconds, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
 			s.t.Fatalf("%s: not understood", line)
 		}
-		t := Time(at * 1e6)
-		if s.m == nil {
-			s.now, s.m = t, New(&s.site, 7, t)
+		moment := Time(seconds * 1e6)
+		if s.manager == nil {
+			s.now, s.manager = moment, New(&s.site, 7, moment)
 		}
 		s.actions = nil
-		if w[1] == "late" { // the turn comes late: timers due before have not fired yet
-			s.now, w = t, w[1:]
-			s.m.At(t)
+		if words[1] == "late" { // the turn comes late: timers due before have not fired yet
+			s.now, words = moment, words[1:]
+			s.manager.At(moment)
 		} else {
-			s.pass(t)
+			s.advance(moment)
 		}
-		s.event(w[1:])
-		s.m.Settle(s)
+		s.event(words[1:])
+		s.manager.Settle(s)
 	}
 }
 
@@ -301,14 +301,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &stage{t: t, site: stageSite(), at: map[int]int{}, try: map[int]int{}, out: map[int]bool{},
-				end: map[int]bool{}}
+			s := &scenario{t: t, site: scenarioSite(), tryServer: map[int]int{}, tryNumber: map[int]int{}, pending: map[int]bool{},
+				answered: map[int]bool{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
 				for part := range strings.SplitSeq(line, "|") {
 					if part = strings.TrimSpace(part); part != "" {
 						s.line = fmt.Sprintf("%s:%d: %s", filepath.Base(name), i+1, part)
-						s.run(part)
+						s.runLine(part)
 					}
 				}
 			}
