--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -45,7 +45,7 @@
 				if inst != nil {
 					inst.module = nil
 				}
-				inst = newInstance(event.Manager, settings.Load, policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
+				inst = newInstance(event.Manager, settings.LoadNames, policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
 				instances[event.Manager] = inst
 			case inst == nil:
 				return fmt.Errorf("event %d for unknown instance %d", event.Code, event.Manager)
@@ -99,62 +99,62 @@
 		serverNumbers: map[simwire.Server]int{}, titleNumbers: map[uint64]int{}, playbackNumbers: map[uint32]int{}}
 }
 
-func (d *instance) serverNumber(id simwire.Server) int {
-	number, ok := d.serverNumbers[id]
+func (inst *instance) serverNumber(id simwire.Server) int {
+	number, ok := inst.serverNumbers[id]
 	if !ok {
-		number = len(d.serverIDs)
-		d.serverNumbers[id] = number
-		d.serverIDs = append(d.serverIDs, id)
+		number = len(inst.serverIDs)
+		inst.serverNumbers[id] = number
+		inst.serverIDs = append(inst.serverIDs, id)
 	}
 	return number
 }
 
-func (d *instance) newRequest(event *simwire.Event) (session.Request, error) {
+func (inst *instance) newRequest(event *simwire.Event) (session.Request, error) {
 	request := event.Request
-	if request.Plan >= len(d.site.Plans) {
+	if request.Plan >= len(inst.site.Plans) {
 		return request, fmt.Errorf("request of unknown class %d", request.Plan)
 	}
-	title, ok := d.titleNumbers[request.Show]
+	title, ok := inst.titleNumbers[request.Show]
 	if !ok {
-		title = len(d.titleNumbers)
-		d.titleNumbers[request.Show] = title
+		title = len(inst.titleNumbers)
+		inst.titleNumbers[request.Show] = title
 	}
 	request.Title = title
-	request.Playback = len(d.playbackIDs)
-	if n := len(d.freePlaybacks); n > 0 {
-		request.Playback, d.freePlaybacks = d.freePlaybacks[n-1], d.freePlaybacks[:n-1]
-		d.playbackIDs[request.Playback] = event.ID
+	request.Playback = len(inst.playbackIDs)
+	if n := len(inst.freePlaybacks); n > 0 {
+		request.Playback, inst.freePlaybacks = inst.freePlaybacks[n-1], inst.freePlaybacks[:n-1]
+		inst.playbackIDs[request.Playback] = event.ID
 	} else {
-		d.playbackIDs = append(d.playbackIDs, event.ID)
+		inst.playbackIDs = append(inst.playbackIDs, event.ID)
 	}
-	d.playbackNumbers[event.ID] = request.Playback
+	inst.playbackNumbers[event.ID] = request.Playback
 	return request, nil
 }
 
-func (d *instance) dispatch(event *simwire.Event) error {
-	module := d.module
+func (inst *instance) dispatch(event *simwire.Event) error {
+	module := inst.module
 	switch event.Code {
 	case simwire.EvRequest, simwire.EvOpen:
-		if _, ok := d.playbackNumbers[event.ID]; ok {
+		if _, ok := inst.playbackNumbers[event.ID]; ok {
 			return nil // an id is never used again: a repeat says nothing new
 		}
-		request, err := d.newRequest(event)
+		request, err := inst.newRequest(event)
 		if err != nil {
 			return err
 		}
 		if event.Code == simwire.EvOpen {
-			module.Opened(request, d.serverNumber(event.Server))
+			module.Opened(request, inst.serverNumber(event.Server))
 		} else {
 			module.Requested(request)
 		}
 		return nil
 	case simwire.EvList:
-		list := session.List{Whole: event.Complete(), Failed: event.Failed(), Entries: make([]session.Entry, len(event.Entries))}
+		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(), Entries: make([]session.Entry, len(event.Entries))}
 		for i, entry := range event.Entries {
-			if entry.Kind >= len(d.site.Fleet.Places) {
+			if entry.Kind >= len(inst.site.Fleet.Places) {
 				return fmt.Errorf("list entry of unknown kind %d", entry.Kind)
 			}
-			entry.Server = d.serverNumber(entry.ID)
+			entry.Server = inst.serverNumber(entry.ID)
 			list.Entries[i] = entry.Entry
 		}
 		module.Listed(list)
@@ -163,47 +163,49 @@
 		module.Woken(event.Token)
 		return nil
 	case simwire.EvProbed:
-		module.Probed(d.serverNumber(event.Server), event.Outcome, start.Load(d.loadNames, event.LoadValues))
+		module.Probed(inst.serverNumber(event.Server), event.Outcome, start.Load(inst.loadNames, event.LoadValues))
 		return nil
 	case simwire.EvPeer:
 		return nil
 	}
-	pb, ok := d.playbackNumbers[event.ID]
+	pb, ok := inst.playbackNumbers[event.ID]
 	if !ok {
 		return nil // finished and forgotten
 	}
 	switch event.Code {
 	case simwire.EvPlaying:
-		module.Playing(pb, event.Try, d.serverNumber(event.Server), event.Took)
+		module.Playing(pb, event.Try, inst.serverNumber(event.Server), event.Took)
 	case simwire.EvResult:
-		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: d.serverNumber(event.Server), Outcome: event.Outcome,
-			Took: event.Took, Final: event.Final, Load: start.Load(d.loadNames, event.LoadValues)})
+		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: inst.serverNumber(event.Server), Outcome: event.Outcome,
+			Took: event.Took, Final: event.Final, Load: start.Load(inst.loadNames, event.LoadValues)})
 	case simwire.EvLeft:
 		module.Left(pb)
 	case simwire.EvNote:
 		note := event.Note
-		note.Playback, note.Server = pb, d.serverNumber(event.Server)
+		note.Playback, note.Server = pb, inst.serverNumber(event.Server)
 		module.Noted(note)
 	}
 	return nil
 }
 
-func (d *instance) SetRung(pb, rung int)        { d.reply.SetRung(d.managerID, d.playbackIDs[pb], rung) }
-func (d *instance) Abort(pb int)                { d.reply.Abort(d.managerID, d.playbackIDs[pb]) }
-func (d *instance) Move(pb int)                 { d.reply.Move(d.managerID, d.playbackIDs[pb]) }
-func (d *instance) Probe(server int)            { d.reply.Probe(d.managerID, d.serverIDs[server]) }
-func (d *instance) Watch()                      { d.reply.Watch(d.managerID) }
-func (d *instance) Wake(at int64, token uint64) { d.reply.Wake(d.managerID, at, token) }
+func (inst *instance) SetRung(pb, rung int) {
+	inst.reply.SetRung(inst.managerID, inst.playbackIDs[pb], rung)
+}
+func (inst *instance) Abort(pb int)                { inst.reply.Abort(inst.managerID, inst.playbackIDs[pb]) }
+func (inst *instance) Move(pb int)                 { inst.reply.Move(inst.managerID, inst.playbackIDs[pb]) }
+func (inst *instance) Probe(server int)            { inst.reply.Probe(inst.managerID, inst.serverIDs[server]) }
+func (inst *instance) Watch()                      { inst.reply.Watch(inst.managerID) }
+func (inst *instance) Wake(at int64, token uint64) { inst.reply.Wake(inst.managerID, at, token) }
 
-func (d *instance) Try(pb, server int, limit session.Time) {
-	d.reply.Try(d.managerID, d.playbackIDs[pb], d.serverIDs[server], limit)
+func (inst *instance) Try(pb, server int, limit session.Time) {
+	inst.reply.Try(inst.managerID, inst.playbackIDs[pb], inst.serverIDs[server], limit)
 }
 
-func (d *instance) Reject(pb int, comeAgain session.Time) {
-	d.reply.Reject(d.managerID, d.playbackIDs[pb], comeAgain)
+func (inst *instance) Reject(pb int, comeAgain session.Time) {
+	inst.reply.Reject(inst.managerID, inst.playbackIDs[pb], comeAgain)
 }
 
-func (d *instance) Forget(pb int) {
-	delete(d.playbackNumbers, d.playbackIDs[pb])
-	d.freePlaybacks = append(d.freePlaybacks, pb)
+func (inst *instance) Forget(pb int) {
+	delete(inst.playbackNumbers, inst.playbackIDs[pb])
+	inst.freePlaybacks = append(inst.freePlaybacks, pb)
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -41,8 +41,8 @@
 	return sum
 }
 
-// Least is the count over the span less up to a bucket.
-func (c *Count) Least(now Time) float64 {
+// LowerBound is the count over the span less up to a bucket.
+func (c *Count) LowerBound(now Time) float64 {
 	sum := c.Most(now)
 	return sum - c.buckets[(c.latest+1)%Time(len(c.buckets))]
 }
@@ -59,14 +59,14 @@
 }
 
 // Set gives the quantity its value from now on.
-func (p *History) Set(now Time, x float64) {
-	i := p.advance(now, p.current)
-	p.current, p.buckets[i] = x, x
+func (h *History) Set(now Time, x float64) {
+	i := h.advance(now, h.current)
+	h.current, h.buckets[i] = x, x
 }
 
 // At is the value that stood at the end of the bucket of then, or the oldest one remembered.
-func (p *History) At(now, then Time) float64 {
-	p.advance(now, p.current)
-	size := Time(len(p.buckets))
-	return p.buckets[max(then/p.width, p.latest-size+1, 0)%size]
+func (h *History) At(now, then Time) float64 {
+	h.advance(now, h.current)
+	size := Time(len(h.buckets))
+	return h.buckets[max(then/h.width, h.latest-size+1, 0)%size]
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -92,99 +92,99 @@
 	if len(body) != int(size) {
 		return Batch{}, fmt.Errorf("truncated frame: %d of %d bytes", len(body), size)
 	}
-	frame := &decoder{rest: body}
-	batch := Batch{Number: binary.BigEndian.Uint32(header[:]), Now: frame.time()}
-	for n := binary.BigEndian.Uint32(header[4:]); n > 0 && frame.err == nil; n-- {
-		if event, ok := r.readRecord(frame); ok {
+	dec := &decoder{rest: body}
+	batch := Batch{Number: binary.BigEndian.Uint32(header[:]), Now: dec.time()}
+	for n := binary.BigEndian.Uint32(header[4:]); n > 0 && dec.err == nil; n-- {
+		if event, ok := r.readRecord(dec); ok {
 			batch.Events = append(batch.Events, event)
 		}
 	}
-	if frame.err == nil && len(frame.rest) > 0 {
-		frame.err = fmt.Errorf("%d bytes after the last record", len(frame.rest))
+	if dec.err == nil && len(dec.rest) > 0 {
+		dec.err = fmt.Errorf("%d bytes after the last record", len(dec.rest))
 	}
-	return batch, frame.err
+	return batch, dec.err
 }
 
-func (r *Reader) readRecord(frame *decoder) (Event, bool) {
-	event := Event{Code: int(frame.u16())}
-	if frame.err != nil {
+func (r *Reader) readRecord(dec *decoder) (Event, bool) {
+	event := Event{Code: int(dec.u16())}
+	if dec.err != nil {
 		return event, false
 	}
 	if event.Code == evListEntries {
-		r.readEntries(frame)
+		r.readEntries(dec)
 		return event, false
 	}
-	event.Manager = frame.u16()
+	event.Manager = dec.u16()
 	switch event.Code {
 	case EvStart:
-		event.Seed = frame.u64()
-		event.Settings = frame.next(int(frame.u32()))
+		event.Seed = dec.u64()
+		event.Settings = dec.next(int(dec.u32()))
 	case EvStop:
 	case EvList:
-		event.ListKind = int(frame.u8())
-		frame.u64()
-		number := frame.u32()
+		event.ListKind = int(dec.u8())
+		dec.u64()
+		number := dec.u32()
 		if event.ListKind == listFailed {
 			break
 		}
 		if event.ListKind != listFull && event.ListKind != listCached && event.ListKind != listDelta {
-			frame.fail("list kind %d", event.ListKind)
+			dec.fail("list kind %d", event.ListKind)
 		} else if number >= listNumbers {
-			frame.fail("list number %d", number)
+			dec.fail("list number %d", number)
 		} else {
 			event.Entries = r.lists[number]
 		}
 	case EvRequest:
-		event.ID = frame.u32()
-		event.Request.Abandon = frame.time()
-		event.Request.Tenant = int(frame.u32())
-		event.Request.Plan = int(frame.u8())
-		event.Request.Top = frame.count()
-		frame.time()
-		frame.u8()
-		frame.u64()
-		event.Request.Span = frame.count()
-		event.Request.Show = frame.u64()
-		event.Request.Base = frame.count()
+		event.ID = dec.u32()
+		event.Request.Abandon = dec.time()
+		event.Request.Tenant = int(dec.u32())
+		event.Request.Plan = int(dec.u8())
+		event.Request.Top = dec.count()
+		dec.time()
+		dec.u8()
+		dec.u64()
+		event.Request.Span = dec.count()
+		event.Request.Show = dec.u64()
+		event.Request.Base = dec.count()
 	case EvOpen:
-		event.ID = frame.u32()
-		event.Request.Top = frame.count()
-		frame.u8()
-		frame.u64()
-		event.Request.Span = frame.count()
-		event.Request.Show = frame.u64()
-		event.Request.Plan = int(frame.u8())
-		event.Request.Base = frame.count()
-		event.Server = frame.server()
-		frame.time()
-		event.Request.Abandon = frame.time()
-		event.Request.Tenant = int(frame.u32())
+		event.ID = dec.u32()
+		event.Request.Top = dec.count()
+		dec.u8()
+		dec.u64()
+		event.Request.Span = dec.count()
+		event.Request.Show = dec.u64()
+		event.Request.Plan = int(dec.u8())
+		event.Request.Base = dec.count()
+		event.Server = dec.server()
+		dec.time()
+		event.Request.Abandon = dec.time()
+		event.Request.Tenant = int(dec.u32())
 	case EvPlaying:
-		event.ID, event.Try, event.Server, event.Took = frame.u32(), int(frame.u16()), frame.server(), frame.time()
+		event.ID, event.Try, event.Server, event.Took = dec.u32(), int(dec.u16()), dec.server(), dec.time()
 	case EvResult:
-		event.ID, event.Try, event.Server = frame.u32(), int(frame.u16()), frame.server()
-		event.Outcome = frame.outcome()
-		event.Took = frame.time()
-		event.Final = frame.u8() != 0
-		event.LoadValues = frame.values()
+		event.ID, event.Try, event.Server = dec.u32(), int(dec.u16()), dec.server()
+		event.Outcome = dec.outcome()
+		event.Took = dec.time()
+		event.Final = dec.u8() != 0
+		event.LoadValues = dec.values()
 	case EvLeft:
-		event.ID = frame.u32()
+		event.ID = dec.u32()
 	case EvWake:
-		event.Token = frame.u64()
+		event.Token = dec.u64()
 	case EvProbed:
-		event.Server, event.Took = frame.server(), frame.time()
-		event.Outcome = frame.outcome()
-		event.LoadValues = frame.values()
+		event.Server, event.Took = dec.server(), dec.time()
+		event.Outcome = dec.outcome()
+		event.LoadValues = dec.values()
 	case EvPeer:
-		frame.u32() // nothing is made of messages between managers yet
-		frame.next(int(frame.u16()))
+		dec.u32() // nothing is made of messages between managers yet
+		dec.next(int(dec.u16()))
 	case EvNote:
-		event.ID, event.Try, event.Server = frame.u32(), int(frame.u16()), frame.server()
-		event.Note.Kind, event.Note.Value = session.NoteKind(frame.u8()), frame.f32()
+		event.ID, event.Try, event.Server = dec.u32(), int(dec.u16()), dec.server()
+		event.Note.Kind, event.Note.Value = session.NoteKind(dec.u8()), dec.f32()
 	default:
-		frame.fail("unknown record code %d", event.Code)
+		dec.fail("unknown record code %d", event.Code)
 	}
-	return event, frame.err == nil
+	return event, dec.err == nil
 }
 
 // The kinds of list.
@@ -193,29 +193,29 @@
 // Whole tells whether an EvList names every server; Failed whether it reports a failed call.
 func (e *Event) Complete() bool { return e.ListKind == listFull || e.ListKind == listCached }
 
-// Failed tells whether an EvList reports a failed call.
-func (e *Event) Failed() bool { return e.ListKind == listFailed }
+// ListFailed tells whether an EvList reports a failed call.
+func (e *Event) ListFailed() bool { return e.ListKind == listFailed }
 
-func (r *Reader) readEntries(frame *decoder) {
-	number, count := frame.u32(), int(frame.u32())
-	if frame.err == nil && (number >= listNumbers || count > len(frame.rest)/entryBytes) {
-		frame.fail("list %d of %d entries", number, count)
+func (r *Reader) readEntries(dec *decoder) {
+	number, count := dec.u32(), int(dec.u32())
+	if dec.err == nil && (number >= listNumbers || count > len(dec.rest)/entryBytes) {
+		dec.fail("list %d of %d entries", number, count)
 	}
-	if frame.err != nil {
+	if dec.err != nil {
 		return
 	}
 	list := make([]Entry, count)
 	for i := range list {
 		entry := &list[i]
-		entry.State = session.ServerState(frame.u8())
-		entry.Zone = int(frame.u8())
-		entry.ID = frame.server()
-		entry.Kind = int(frame.u16())
-		entry.Started = frame.time()
-		entry.Weight = frame.f32()
-		entry.Cell = int(frame.u16())
+		entry.State = session.ServerState(dec.u8())
+		entry.Zone = int(dec.u8())
+		entry.ID = dec.server()
+		entry.Kind = int(dec.u16())
+		entry.Started = dec.time()
+		entry.Weight = dec.f32()
+		entry.Cell = int(dec.u16())
 		if entry.State > session.Draining {
-			frame.fail("server state %d", entry.State)
+			dec.fail("server state %d", entry.State)
 		}
 	}
 	r.lists[number] = list
@@ -227,81 +227,81 @@
 	err  error
 }
 
-func (frame *decoder) fail(format string, args ...any) {
-	if frame.err == nil {
-		frame.err = fmt.Errorf(format, args...)
+func (dec *decoder) fail(format string, args ...any) {
+	if dec.err == nil {
+		dec.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (frame *decoder) next(n int) []byte {
-	if frame.err == nil && n > len(frame.rest) {
-		frame.err = errors.New("record runs past its frame")
+func (dec *decoder) next(n int) []byte {
+	if dec.err == nil && n > len(dec.rest) {
+		dec.err = errors.New("record runs past its frame")
 	}
-	if frame.err != nil {
+	if dec.err != nil {
 		return nil
 	}
-	out := frame.rest[:n]
-	frame.rest = frame.rest[n:]
+	out := dec.rest[:n]
+	dec.rest = dec.rest[n:]
 	return out
 }
 
-func (frame *decoder) number(n int) uint64 {
+func (dec *decoder) number(n int) uint64 {
 	var v uint64
-	for _, x := range frame.next(n) {
+	for _, x := range dec.next(n) {
 		v = v<<8 | uint64(x)
 	}
 	return v
 }
 
-func (frame *decoder) u8() uint8   { return uint8(frame.number(1)) }
-func (frame *decoder) u16() uint16 { return uint16(frame.number(2)) }
-func (frame *decoder) u32() uint32 { return uint32(frame.number(4)) }
-func (frame *decoder) u64() uint64 { return frame.number(8) }
+func (dec *decoder) u8() uint8   { return uint8(dec.number(1)) }
+func (dec *decoder) u16() uint16 { return uint16(dec.number(2)) }
+func (dec *decoder) u32() uint32 { return uint32(dec.number(4)) }
+func (dec *decoder) u64() uint64 { return dec.number(8) }
 
-func (frame *decoder) f32() float64 {
-	v := float64(math.Float32frombits(frame.u32()))
+func (dec *decoder) f32() float64 {
+	v := float64(math.Float32frombits(dec.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		frame.fail("not a finite number")
+		dec.fail("not a finite number")
 		return 0
 	}
 	return v
 }
 
-func (frame *decoder) count() int {
-	v := frame.f32()
+func (dec *decoder) count() int {
+	v := dec.f32()
 	if v < 0 || v > math.MaxInt32 {
-		frame.fail("count %v out of range", v)
+		dec.fail("count %v out of range", v)
 		return 0
 	}
 	return int(v)
 }
 
-func (frame *decoder) time() session.Time {
-	v := math.Float64frombits(frame.u64())
+func (dec *decoder) time() session.Time {
+	v := math.Float64frombits(dec.u64())
 	if math.IsNaN(v) || math.Abs(v) > 1e12 {
-		frame.fail("time out of range")
+		dec.fail("time out of range")
 		return 0
 	}
 	return micros(v)
 }
 
-func (frame *decoder) server() (s Server) {
-	copy(s[:], frame.next(len(s)))
+func (dec *decoder) server() (s Server) {
+	copy(s[:], dec.next(len(s)))
 	return s
 }
 
-func (frame *decoder) outcome() session.Outcome {
-	o := session.Outcome(frame.u16())
+func (dec *decoder) outcome() session.Outcome {
+	o := session.Outcome(dec.u16())
 	if o > session.NotSent {
-		frame.fail("unknown outcome %d", o)
+		dec.fail("unknown outcome %d", o)
 	}
 	return o
 }
 
-func (frame *decoder) values() []float64 {
+func (dec *decoder) values() []float64 {
 	var out []float64
-	for n := frame.u8(); n > 0 && frame.err == nil; n-- {
-		out = append(out, frame.f32())
+	for n := dec.u8(); n > 0 && dec.err == nil; n-- {
+		out = append(out, dec.f32())
 	}
 	return out
 }
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -13,17 +13,17 @@
 
 // Told is what the object tells: the module's part as Site, the rest for the program round it.
 type Told struct {
-	Site     *session.Site
-	Plans    []string // the names, as positions in the lists below
-	Tenants  []string
-	Zones    []string
-	Kinds    []string
-	Load     []string       // the values of a load report
-	Patience []session.Time // a plan's viewers wait so long for a set-up
-	Connect  session.Time   // a connection that is not up by then is given up
-	Idle     session.Time   // one that carries nothing is closed then
-	Tell     session.Time   // between two notes of how full a link is, 0 for none
-	Shared   int            // set-ups at once on one connection to a server
+	Site      *session.Site
+	Plans     []string // the names, as positions in the lists below
+	Tenants   []string
+	Zones     []string
+	Kinds     []string
+	LoadNames []string       // the values of a load report
+	Patience  []session.Time // a plan's viewers wait so long for a set-up
+	Connect   session.Time   // a connection that is not up by then is given up
+	Idle      session.Time   // one that carries nothing is closed then
+	Tell      session.Time   // between two notes of how full a link is, 0 for none
+	Shared    int            // set-ups at once on one connection to a server
 }
 
 // Read decodes the object.
@@ -36,14 +36,14 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, Load: input.LoadReport.Names, Connect: micros(input.Limits.ConnectTimeout),
+	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, LoadNames: input.LoadReport.Names, Connect: micros(input.Limits.ConnectTimeout),
 		Idle: micros(input.Limits.ConnIdle), Tell: micros(input.Domain.ToldEvery), Shared: input.Limits.StreamsPerConn}
-	for _, entry := range input.Classes {
-		settings.Plans = append(settings.Plans, entry.Name)
-		settings.Patience = append(settings.Patience, micros(entry.GiveUp))
+	for _, class := range input.Classes {
+		settings.Plans = append(settings.Plans, class.Name)
+		settings.Patience = append(settings.Patience, micros(class.GiveUp))
 	}
-	for _, entry := range input.Customers {
-		settings.Tenants = append(settings.Tenants, entry.Name)
+	for _, class := range input.Customers {
+		settings.Tenants = append(settings.Tenants, class.Name)
 	}
 	return settings, nil
 }
@@ -150,26 +150,26 @@
 			site.Terms.TryShare = *rules.RepeatRatio
 		}
 	}
-	for i, entry := range o.Classes {
-		plan := session.Plan{Window: micros(entry.Window), Startup: micros(entry.Promise), Revenue: entry.Worth,
+	for i, class := range o.Classes {
+		plan := session.Plan{Window: micros(class.Window), Startup: micros(class.Promise), Revenue: class.Worth,
 			Live: domain.IsLive[i], RateFactor: domain.RateFactor[i], Floor: domain.LowestRung[i],
 			Top: min(domain.ClassTop[i], len(domain.LadderKb)-1)}
 		if len(domain.Seats) > 0 {
 			plan.Seats = domain.Seats[i]
 		}
-		if plan.Repeat, err = lookUp("effect", entry.Effect, map[string]session.Repeat{"read_like": session.Harmless,
+		if plan.Repeat, err = lookUp("effect", class.Effect, map[string]session.Repeat{"read_like": session.Harmless,
 			"idempotency_key": session.Keyed, "non_idempotent": session.Unsafe}); err != nil {
 			return nil, err
 		}
 		scopes := map[string]session.Scope{"": session.Everywhere, "all": session.Everywhere,
 			"zone": session.SameZone, "cell": session.SameCell}
-		if plan.Scope, err = lookUp("keyScope", entry.KeyScope, scopes); err != nil {
+		if plan.Scope, err = lookUp("keyScope", class.KeyScope, scopes); err != nil {
 			return nil, err
 		}
 		site.Plans = append(site.Plans, plan)
 	}
-	for _, entry := range o.Customers {
-		site.Tenants = append(site.Tenants, session.Tenant{QuotaPerS: entry.QuotaPerS})
+	for _, class := range o.Customers {
+		site.Tenants = append(site.Tenants, session.Tenant{QuotaPerS: class.QuotaPerS})
 	}
 	return site, nil
 }
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	site := settings.Site
-	if len(settings.Load) != 2 || site.Plans[0].Startup != 1500000 || site.Plans[0].Top != 1 ||
+	if len(settings.LoadNames) != 2 || site.Plans[0].Startup != 1500000 || site.Plans[0].Top != 1 ||
 		site.Fleet.NoteDelay != 712078 || site.Terms.Rationed || site.Terms.MaxComeAgain != 500000 {
 		t.Errorf("%+v", site)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -41,7 +41,7 @@
 )
 
 const (
-	answerOwed = iota
+	answerNone = iota
 	answerReject
 	answerAbort
 )
@@ -63,28 +63,28 @@
 
 // fill is what is asked of the link, in parts of what it gives. What the others ask is the latest reading,
 // which fades to what is usual as their playbacks end; of a link not heard of it is the usual.
-func (g *loadEstimate) fill(f *front) float64 {
-	weight := g.freshness(f)
-	return max(g.othersFill*weight+g.typicalOthers(f)*(1-weight), 0) + g.ownKB/g.capacityKB
+func (e *loadEstimate) fill(f *front) float64 {
+	weight := e.freshness(f)
+	return max(e.othersFill*weight+e.typicalOthers(f)*(1-weight), 0) + e.ownKB/e.capacityKB
 }
 
 // others is what other fronts usually ask; of an uplink that no report tells it is what its links are asked.
-func (g *loadEstimate) typicalOthers(f *front) float64 {
-	if !f.Fleet.UplinkUntold || g.typical != &f.typicalUplinks {
-		return g.typical.fill(f)
+func (e *loadEstimate) typicalOthers(f *front) float64 {
+	if !f.Fleet.UplinkUntold || e.typical != &f.typicalUplinks {
+		return e.typical.fill(f)
 	}
-	kb := -g.ownKB
-	for _, i := range g.servers {
+	kb := -e.ownKB
+	for _, i := range e.servers {
 		if server := &f.servers[i]; server.entry.State != session.Gone {
 			kb += server.link.fill(f) * server.link.capacityKB
 		}
 	}
-	return max(kb, 0) / g.capacityKB
+	return max(kb, 0) / e.capacityKB
 }
 
 // fit takes an uplink that no report tells of to give what makes its links' asking come to a fill of x.
-func (g *loadEstimate) fitCapacity(f *front, fill float64) {
-	g.capacityKB = min(max(g.capacityKB*g.fill(f)/fill, f.Fleet.UplinkKB/maxUplinkFactor), f.Fleet.UplinkKB*maxUplinkFactor)
+func (e *loadEstimate) fitCapacity(f *front, fill float64) {
+	e.capacityKB = min(max(e.capacityKB*e.fill(f)/fill, f.Fleet.UplinkKB/maxUplinkFactor), f.Fleet.UplinkKB*maxUplinkFactor)
 }
 
 // widen takes such an uplink for wider while none of this front's playbacks behind it is told to be short.
@@ -97,19 +97,19 @@
 }
 
 // fresh is how much the last reading still tells.
-func (g *loadEstimate) freshness(f *front) float64 {
-	if !g.measured {
+func (e *loadEstimate) freshness(f *front) float64 {
+	if !e.measured {
 		return 0
 	}
-	return f.meanPlaybackTime / (f.meanPlaybackTime + float64(f.now-g.readAt))
+	return f.meanPlaybackTime / (f.meanPlaybackTime + float64(f.now-e.readAt))
 }
 
 // fill is the mean of what others ask; unheard, as this front asks, within limits: it may have few playbacks.
-func (u *typicalDemand) fill(f *front) float64 {
-	if u.readings > 0 {
-		return u.meanFill
+func (d *typicalDemand) fill(f *front) float64 {
+	if d.readings > 0 {
+		return d.meanFill
 	}
-	estimate := u.ownKB * float64(f.Fronts-1) / u.capacityKB
+	estimate := d.ownKB * float64(f.Fronts-1) / d.capacityKB
 	if f.assumeColdUntil != never || estimate > assumedFill {
 		return assumedFill
 	}
@@ -117,14 +117,14 @@
 }
 
 // read takes a reading of the fill as it was at a moment past.
-func (g *loadEstimate) addReading(f *front, fill float64, asOf Time) {
-	oldWeight, typical := (1-newReadingWeight)*g.freshness(f), g.typical
-	fill -= g.ownHistory.At(f.now, asOf) / g.capacityKB
+func (e *loadEstimate) addReading(f *front, fill float64, asOf Time) {
+	oldWeight, typical := (1-newReadingWeight)*e.freshness(f), e.typical
+	fill -= e.ownHistory.At(f.now, asOf) / e.capacityKB
 	dt := float64(f.now - typical.readAt)
 	typical.meanFill = typical.fill(f) + (fill-typical.fill(f))*max(minMeanWeight, dt/(dt+f.meanPlaybackTime/4), 1/(2+typical.readings))
 	typical.readings++
 	typical.readAt = f.now
-	g.othersFill, g.measured, g.readAt = (1-oldWeight)*fill+oldWeight*g.othersFill, true, f.now
+	e.othersFill, e.measured, e.readAt = (1-oldWeight)*fill+oldWeight*e.othersFill, true, f.now
 }
 
 // newsSpan is how old news of a link may be before the next comes.
@@ -139,7 +139,7 @@
 	// late beyond what ended, less a few by chance, the others are taken to have set up too.
 	rungKB := f.Ladder.RateKB[len(f.Ladder.RateKB)/2]
 	expected := f.typicalLinks.ownKB / rungKB * float64(f.maxReadingAge()) / f.meanPlaybackTime
-	excess := f.recentSetupKB.Least(now)/rungKB - expected - surgeDeviations*math.Sqrt(expected+1)
+	excess := f.recentSetupKB.LowerBound(now)/rungKB - expected - surgeDeviations*math.Sqrt(expected+1)
 	f.unreportedFill = max(excess, 0) * rungKB * float64(f.Fronts-1) / f.Fleet.LinksKB
 }
 
@@ -233,7 +233,7 @@
 	if pb.Tenant < len(f.tenantRequests) {
 		requests := &f.tenantRequests[pb.Tenant]
 		seconds := float64(max(min(tenantRateSpan, f.now-f.startedAt), session.Second)) / float64(session.Second)
-		requestRate := requests.Least(f.now) / seconds * float64(f.Fronts)
+		requestRate := requests.LowerBound(f.now) / seconds * float64(f.Fronts)
 		if quota := f.Site.Tenants[pb.Tenant].QuotaPerS; requestRate > quota && quota > 0 {
 			revenue *= quota/requestRate + (1-quota/requestRate)*f.Prices.OverShare
 		}
@@ -263,7 +263,7 @@
 
 // can tells whether the next try of a playback may go to a server.
 func (f *front) mayTry(pb *playback, srv int) bool {
-	return !slices.Contains(pb.triedServers, srv) && f.holdsTitle(pb, &f.servers[srv]) && f.mayRepeatAt(pb, srv) && f.acceptsTry(srv)
+	return !slices.Contains(pb.triedServers, srv) && f.holdsTitle(pb, &f.servers[srv]) && f.mayRepeatOn(pb, srv) && f.acceptsTry(srv)
 }
 
 // place finds a server and a rung: a running stream to join, else the roomiest holder, local ones first.
@@ -345,12 +345,12 @@
 }
 
 // may keeps keyed plans within their scope once a try may have run.
-func (f *front) mayRepeatAt(pb *playback, srv int) bool {
+func (f *front) mayRepeatOn(pb *playback, srv int) bool {
 	plan := &f.Plans[pb.Plan]
-	if plan.Repeat == session.Harmless || pb.mayHaveRunAt < 0 {
+	if plan.Repeat == session.Harmless || pb.mayHaveRunOn < 0 {
 		return true
 	}
-	ranEntry, entry := &f.servers[pb.mayHaveRunAt].entry, &f.servers[srv].entry
+	ranEntry, entry := &f.servers[pb.mayHaveRunOn].entry, &f.servers[srv].entry
 	return plan.Repeat == session.Keyed && f.now-pb.mayHaveRunSince < plan.Window &&
 		(plan.Scope == session.Everywhere || plan.Scope == session.SameZone && ranEntry.Zone == entry.Zone ||
 			plan.Scope == session.SameCell && ranEntry.Cell == entry.Cell)
@@ -397,7 +397,7 @@
 	}
 	pb.wantAnswer = answerReject
 	repeatUnsafe := plan.Repeat == session.Unsafe || plan.Repeat == session.Keyed && plan.Scope != session.Everywhere
-	if pb.mayHaveRunAt >= 0 && repeatUnsafe {
+	if pb.mayHaveRunOn >= 0 && repeatUnsafe {
 		pb.wantAnswer = answerAbort
 	}
 }
@@ -445,7 +445,7 @@
 
 func (f *front) retryBudgetLeft() bool {
 	terms := &f.Terms
-	return !terms.Rationed || f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.Least(f.now)
+	return !terms.Rationed || f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.LowerBound(f.now)
 }
 
 // limit leaves time for another try within the startup target, while there is one to be had.
@@ -544,8 +544,8 @@
 		return
 	}
 	neverRan := result.Outcome == session.Full || result.Outcome == session.NoConnection || result.Outcome == session.NotSent
-	if !neverRan && pb.mayHaveRunAt < 0 {
-		pb.mayHaveRunAt, pb.mayHaveRunSince = result.Server, f.now-result.Took
+	if !neverRan && pb.mayHaveRunOn < 0 {
+		pb.mayHaveRunOn, pb.mayHaveRunSince = result.Server, f.now-result.Took
 	}
 	pb.wantServer = -1
 	pb.triedServers = append(pb.triedServers, result.Server)
@@ -554,7 +554,7 @@
 
 func (f *front) Left(id int) {
 	if pb := f.playbacks[id]; pb != nil && !pb.finished {
-		pb.wantAnswer, pb.finished = answerOwed, true
+		pb.wantAnswer, pb.finished = answerNone, true
 		if !pb.active { // a try may have been decided on and not sent yet
 			if pb.wantServer >= 0 {
 				f.tryFinished(pb.wantServer, false)
@@ -572,11 +572,11 @@
 			load.Link = max(load.Link, server.link.fill(f))
 		}
 		server.link.addReading(f, load.Link, asOf)
-		f.relieveShortage(&server.link, func(x int) bool { return x == srv })
+		f.relieveShortage(&server.link, func(i int) bool { return i == srv })
 	}
 	if load.HasUplink {
 		f.uplinks[server.rack].addReading(f, load.Uplink, asOf)
-		f.relieveShortage(&f.uplinks[server.rack], func(x int) bool { return f.servers[x].rack == server.rack })
+		f.relieveShortage(&f.uplinks[server.rack], func(i int) bool { return f.servers[i].rack == server.rack })
 	}
 }
 
@@ -615,9 +615,9 @@
 // rack's uplink.
 func (f *front) recordDelivery(srv int, share float64, asOf Time) {
 	server := &f.servers[srv]
-	estimate, isBehind := &server.link, func(x int) bool { return x == srv }
+	estimate, isBehind := &server.link, func(i int) bool { return i == srv }
 	if f.uplinks[server.rack].fill(f) > estimate.fill(f) {
-		estimate, isBehind = &f.uplinks[server.rack], func(x int) bool { return f.servers[x].rack == server.rack }
+		estimate, isBehind = &f.uplinks[server.rack], func(i int) bool { return f.servers[i].rack == server.rack }
 	}
 	currentFill, impliedFill := estimate.fill(f), 1/max(share, 0.1)
 	if share >= fullDelivery && (currentFill <= 1 || !f.Fleet.LoadInAnswers) {
@@ -784,7 +784,7 @@
 		case answerAbort:
 			actions.Abort(pb.Playback)
 		}
-		if pb.finished = pb.finished || pb.wantAnswer != answerOwed; pb.finished {
+		if pb.finished = pb.finished || pb.wantAnswer != answerNone; pb.finished {
 			if !pb.active && f.playbacks[pb.Playback] == pb {
 				f.playbacks[pb.Playback] = nil
 				actions.Forget(pb.Playback)
--- a/policy/state.go
+++ b/policy/state.go
@@ -71,7 +71,7 @@
 		stream                       *streamState
 		tries                        int
 		triedServers                 []int
-		mayHaveRunAt                 int // where a keyed or unsafe try may have run, -1 for nowhere
+		mayHaveRunOn                 int // where a keyed or unsafe try may have run, -1 for nowhere
 		mayHaveRunSince              Time
 		active, playing              bool
 		failedBefore                 bool // somewhere
@@ -161,10 +161,10 @@
 	return float64(crc32.ChecksumIEEE(binary.BigEndian.AppendUint16(b, uint16(cell)))) / (1 << 32)
 }
 
-func (g *loadEstimate) add(f *front, kb float64) {
-	g.ownKB += kb
-	g.typical.ownKB += kb
-	g.ownHistory.Set(f.now, g.ownKB)
+func (e *loadEstimate) add(f *front, kb float64) {
+	e.ownKB += kb
+	e.typical.ownKB += kb
+	e.ownHistory.Set(f.now, e.ownKB)
 }
 
 func (f *front) server(i int) *serverState {
@@ -252,7 +252,7 @@
 
 func (f *front) addPlayback(request session.Request) *playback {
 	floor := f.Plans[request.Plan].Floor
-	pb := &playback{Request: request, wantServer: -1, mayHaveRunAt: -1, requestedAt: f.now, currentRung: floor, wantRung: floor}
+	pb := &playback{Request: request, wantServer: -1, mayHaveRunOn: -1, requestedAt: f.now, currentRung: floor, wantRung: floor}
 	pb.Top = min(pb.Top, f.Plans[request.Plan].Top)
 	pb.startupDeadline = f.now + f.Plans[request.Plan].Startup
 	for len(f.playbacks) <= request.Playback {
