--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts decision modules on the simulator's wire, on standard input and output. The
-// instances share nothing.
+// Command adapter runs decision modules for the simulator, whose protocol it speaks on standard input and output.
+// It runs one instance for each manager that the simulator starts; the instances share no state.
 package main
 
 import (
@@ -21,6 +21,7 @@
 	}
 }
 
+// run serves batches of events until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := simwire.NewReader(in), bufio.NewWriter(out)
 	instances, reply := map[uint16]*instance{}, &simwire.Reply{}
@@ -32,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		var active []*instance
+		var active []*instance // the instances with events in this batch
 		for i := range batch.Events {
 			event := &batch.Events[i]
 			inst := instances[event.Manager]
@@ -45,10 +46,11 @@
 				if inst != nil {
 					inst.module = nil
 				}
-				inst = newInstance(event.Manager, settings.LoadNames, policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
+				inst = newInstance(event.Manager, settings.LoadNames,
+					policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
 				instances[event.Manager] = inst
 			case inst == nil:
-				return fmt.Errorf("event %d for unknown instance %d", event.Code, event.Manager)
+				return fmt.Errorf("event with code %d for unknown instance %d", event.Code, event.Manager)
 			case event.Code == simwire.EvStop:
 				inst.module = nil
 				delete(instances, event.Manager)
@@ -78,27 +80,30 @@
 	}
 }
 
-// door maps one instance's wire ids to small numbers and back.
+// instance is one decision module with its host side: it maps the simulator's identifiers to the module's numbers and
+// back, and it carries out the module's actions.
 type instance struct {
 	managerID       uint16
 	module          session.Manager
 	loadNames       []string
 	site            *session.Site
 	reply           *simwire.Reply
-	inTurn          bool
+	inTurn          bool // it has events in the current batch
 	serverNumbers   map[simwire.Server]int
-	serverIDs       []simwire.Server
+	serverIDs       []simwire.Server // by number
 	titleNumbers    map[uint64]int
 	playbackNumbers map[uint32]int
-	playbackIDs     []uint32
-	freePlaybacks   []int
+	playbackIDs     []uint32 // by number
+	freePlaybacks   []int    // numbers that may be reused
 }
 
-func newInstance(managerID uint16, loadNames []string, module session.Manager, site *session.Site, reply *simwire.Reply) *instance {
+func newInstance(managerID uint16, loadNames []string, module session.Manager, site *session.Site,
+	reply *simwire.Reply) *instance {
 	return &instance{managerID: managerID, module: module, loadNames: loadNames, site: site, reply: reply,
 		serverNumbers: map[simwire.Server]int{}, titleNumbers: map[uint64]int{}, playbackNumbers: map[uint32]int{}}
 }
 
+// serverNumber returns the number of a server, and assigns one if the server is new.
 func (inst *instance) serverNumber(id simwire.Server) int {
 	number, ok := inst.serverNumbers[id]
 	if !ok {
@@ -109,10 +114,11 @@
 	return number
 }
 
+// newRequest assigns a number to the event's playback and returns its request.
 func (inst *instance) newRequest(event *simwire.Event) (session.Request, error) {
 	request := event.Request
 	if request.Plan >= len(inst.site.Plans) {
-		return request, fmt.Errorf("request of unknown class %d", request.Plan)
+		return request, fmt.Errorf("request of unknown class %d: the settings have fewer classes", request.Plan)
 	}
 	title, ok := inst.titleNumbers[request.Show]
 	if !ok {
@@ -131,12 +137,13 @@
 	return request, nil
 }
 
+// dispatch reports an event to the module.
 func (inst *instance) dispatch(event *simwire.Event) error {
 	module := inst.module
 	switch event.Code {
 	case simwire.EvRequest, simwire.EvOpen:
 		if _, ok := inst.playbackNumbers[event.ID]; ok {
-			return nil // an id is never used again: a repeat says nothing new
+			return nil // identifiers are never reused, so this is a duplicate
 		}
 		request, err := inst.newRequest(event)
 		if err != nil {
@@ -152,7 +159,7 @@
 		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(), Entries: make([]session.Entry, len(event.Entries))}
 		for i, entry := range event.Entries {
 			if entry.Kind >= len(inst.site.Fleet.Places) {
-				return fmt.Errorf("list entry of unknown kind %d", entry.Kind)
+				return fmt.Errorf("server list entry of unknown kind %d: the settings have fewer kinds", entry.Kind)
 			}
 			entry.Server = inst.serverNumber(entry.ID)
 			list.Entries[i] = entry.Entry
@@ -170,7 +177,7 @@
 	}
 	pb, ok := inst.playbackNumbers[event.ID]
 	if !ok {
-		return nil // finished and forgotten
+		return nil // already finished and forgotten
 	}
 	switch event.Code {
 	case simwire.EvPlaying:
@@ -201,8 +208,8 @@
 	inst.reply.Try(inst.managerID, inst.playbackIDs[pb], inst.serverIDs[server], limit)
 }
 
-func (inst *instance) Reject(pb int, comeAgain session.Time) {
-	inst.reply.Reject(inst.managerID, inst.playbackIDs[pb], comeAgain)
+func (inst *instance) Reject(pb int, retryAfter session.Time) {
+	inst.reply.Reject(inst.managerID, inst.playbackIDs[pb], retryAfter)
 }
 
 func (inst *instance) Forget(pb int) {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -23,10 +23,10 @@
 		var out bytes.Buffer
 		err = run(bytes.NewReader(in), &out)
 		if got := hex.EncodeToString(out.Bytes()); got != c.out {
-			t.Errorf("%s: wrote %s", name, got)
+			t.Errorf("%s: reply %s", name, got)
 		}
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: unexpected error %v", name, err)
 		}
 	}
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,16 +1,16 @@
-// Package meter keeps measurements over time in fixed buckets that are used again in a ring.
+// Package meter keeps counts and values over a sliding time window, in a ring of fixed-width buckets.
 package meter
 
 // Time is a clock value in microseconds.
 type Time = int64
 
-// ring is the common part: buckets of one width, the latest at index at.
+// ring is a ring of buckets of one width in time.
 type ring struct {
-	width, latest Time
+	width, latest Time // latest: number of the latest bucket, counted in widths from time 0
 	buckets       []float64
 }
 
-// turn makes the bucket of now the latest one; those in between begin as first.
+// advance makes the bucket of now the latest one and returns its index. Buckets entered on the way start with first.
 func (r *ring) advance(now Time, first float64) int64 {
 	size := Time(len(r.buckets))
 	index := now / r.width
@@ -21,18 +21,18 @@
 	return r.latest % size
 }
 
-// Count counts events over a span.
+// Count counts events over a sliding span.
 type Count struct{ ring }
 
-// NewCount counts over span in so many buckets, and keeps one bucket more.
+// NewCount returns a count over span in the given number of buckets; it keeps one bucket more than that.
 func NewCount(span Time, buckets int) Count {
 	return Count{ring{width: max(span/Time(buckets), 1), buckets: make([]float64, buckets+1)}}
 }
 
-// Add counts x now.
+// Add adds x to the count at now.
 func (c *Count) Add(now Time, x float64) { c.buckets[c.advance(now, 0)] += x }
 
-// Most is the count over the span and up to a bucket more; Least leaves out up to a bucket of the span.
+// Most returns the count over the span and up to one bucket more: an upper bound.
 func (c *Count) Most(now Time) (sum float64) {
 	c.advance(now, 0)
 	for _, x := range c.buckets {
@@ -41,30 +41,30 @@
 	return sum
 }
 
-// LowerBound is the count over the span less up to a bucket.
+// LowerBound returns the count over the span less up to one bucket: a lower bound.
 func (c *Count) LowerBound(now Time) float64 {
 	sum := c.Most(now)
 	return sum - c.buckets[(c.latest+1)%Time(len(c.buckets))]
 }
 
-// Past remembers how a quantity stood at earlier times.
+// History keeps the earlier values of a quantity.
 type History struct {
 	ring
 	current float64
 }
 
-// NewPast remembers so many buckets of a width.
+// NewHistory returns a history of the given number of buckets of a width.
 func NewHistory(width Time, buckets int) History {
 	return History{ring: ring{width: max(width, 1), buckets: make([]float64, buckets)}}
 }
 
-// Set gives the quantity its value from now on.
+// Set records the quantity's value from now on.
 func (h *History) Set(now Time, x float64) {
 	i := h.advance(now, h.current)
 	h.current, h.buckets[i] = x, x
 }
 
-// At is the value that stood at the end of the bucket of then, or the oldest one remembered.
+// At returns the value at the end of the bucket of then, or the oldest one kept.
 func (h *History) At(now, then Time) float64 {
 	h.advance(now, h.current)
 	size := Time(len(h.buckets))
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,5 @@
-// Package simwire is the simulator's frame codec: bytes to plain records and back. Wire names end here.
+// Package simwire decodes and encodes the simulator's binary protocol: frames of events in, frames of actions out.
+// Names that belong to that protocol are not used outside this package.
 package simwire
 
 import (
@@ -12,7 +13,7 @@
 	"pierlink/session"
 )
 
-// Event and action codes.
+// The codes of the event and action records.
 const (
 	EvStart, EvList, EvRequest, EvPlaying, EvResult               = 1000, 1010, 1020, 1030, 1040
 	EvLeft, EvWake, EvProbed, EvPeer, EvStop, EvOpen              = 1050, 1060, 1070, 1080, 1090, 1100
@@ -27,16 +28,16 @@
 	listNumbers   = 16
 )
 
-// Server is a server's wire id.
+// Server is a server's identifier in the protocol.
 type Server [6]byte
 
-// Entry is one line of a server list.
+// Entry is one entry of a server list.
 type Entry struct {
 	ID Server
 	session.Entry
 }
 
-// Event is one record of a batch; which fields count depends on Code.
+// Event is one record of a batch; Code determines which fields are used.
 type Event struct {
 	Code       int
 	Manager    uint16
@@ -47,11 +48,11 @@
 	Took       session.Time
 	Outcome    session.Outcome
 	Final      bool
-	LoadValues []float64 // load values in the settings' order
+	LoadValues []float64 // load values in the order of the settings' names
 	Request    session.Request
 	Note       session.Note
 	Seed       uint64
-	Settings   []byte
+	Settings   []byte // the JSON settings object of EvStart
 	Entries    []Entry
 	ListKind   int
 }
@@ -63,16 +64,16 @@
 	Events []Event
 }
 
-// Reader reads batches. Lists are kept under their number until another takes it.
+// Reader reads batches. It keeps each server list under its number until another list with that number arrives.
 type Reader struct {
 	in    *bufio.Reader
 	lists [listNumbers][]Entry
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader of batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<20)} }
 
-// Next returns the next batch, or io.EOF at a clean end of the input.
+// Next returns the next batch, or io.EOF if the input ends between two frames.
 func (r *Reader) Next() (Batch, error) {
 	var header [20]byte
 	if _, err := io.ReadFull(r.in, header[:12]); err != nil {
@@ -83,14 +84,14 @@
 	}
 	size := binary.BigEndian.Uint32(header[8:])
 	if size < 8 || size > maxFrameBytes {
-		return Batch{}, fmt.Errorf("frame length %d out of range", size)
+		return Batch{}, fmt.Errorf("frame length %d out of the allowed range", size)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.in, int64(size)))
 	if err != nil {
 		return Batch{}, err
 	}
 	if len(body) != int(size) {
-		return Batch{}, fmt.Errorf("truncated frame: %d of %d bytes", len(body), size)
+		return Batch{}, fmt.Errorf("truncated frame: got %d of %d bytes", len(body), size)
 	}
 	dec := &decoder{rest: body}
 	batch := Batch{Number: binary.BigEndian.Uint32(header[:]), Now: dec.time()}
@@ -100,11 +101,12 @@
 		}
 	}
 	if dec.err == nil && len(dec.rest) > 0 {
-		dec.err = fmt.Errorf("%d bytes after the last record", len(dec.rest))
+		dec.err = fmt.Errorf("%d unexpected bytes after the last record of the frame", len(dec.rest))
 	}
 	return batch, dec.err
 }
 
+// readRecord reads one record. It reports false if the record is no event for a manager, or is malformed.
 func (r *Reader) readRecord(dec *decoder) (Event, bool) {
 	event := Event{Code: int(dec.u16())}
 	if dec.err != nil {
@@ -128,9 +130,9 @@
 			break
 		}
 		if event.ListKind != listFull && event.ListKind != listCached && event.ListKind != listDelta {
-			dec.fail("list kind %d", event.ListKind)
+			dec.fail("unknown server list kind %d", event.ListKind)
 		} else if number >= listNumbers {
-			dec.fail("list number %d", number)
+			dec.fail("server list number %d out of range", number)
 		} else {
 			event.Entries = r.lists[number]
 		}
@@ -176,7 +178,7 @@
 		event.Outcome = dec.outcome()
 		event.LoadValues = dec.values()
 	case EvPeer:
-		dec.u32() // nothing is made of messages between managers yet
+		dec.u32() // messages between managers are not used yet
 		dec.next(int(dec.u16()))
 	case EvNote:
 		event.ID, event.Try, event.Server = dec.u32(), int(dec.u16()), dec.server()
@@ -187,19 +189,20 @@
 	return event, dec.err == nil
 }
 
-// The kinds of list.
+// The kinds of server list.
 const listCached, listFull, listFailed, listDelta = 0, 1, 2, 4
 
-// Whole tells whether an EvList names every server; Failed whether it reports a failed call.
+// Complete reports whether an EvList names every server.
 func (e *Event) Complete() bool { return e.ListKind == listFull || e.ListKind == listCached }
 
-// ListFailed tells whether an EvList reports a failed call.
+// ListFailed reports whether an EvList stands for a failed call.
 func (e *Event) ListFailed() bool { return e.ListKind == listFailed }
 
+// readEntries reads a record with the entries of a server list and keeps them under the list's number.
 func (r *Reader) readEntries(dec *decoder) {
 	number, count := dec.u32(), int(dec.u32())
 	if dec.err == nil && (number >= listNumbers || count > len(dec.rest)/entryBytes) {
-		dec.fail("list %d of %d entries", number, count)
+		dec.fail("server list %d of %d entries exceeds the frame or the list numbers", number, count)
 	}
 	if dec.err != nil {
 		return
@@ -215,13 +218,13 @@
 		entry.Weight = dec.f32()
 		entry.Cell = int(dec.u16())
 		if entry.State > session.Draining {
-			dec.fail("server state %d", entry.State)
+			dec.fail("unknown server state %d", entry.State)
 		}
 	}
 	r.lists[number] = list
 }
 
-// cursor takes fields off a frame; after the first error it yields zeros.
+// decoder reads fields from the rest of a frame; after the first error it returns zeros.
 type decoder struct {
 	rest []byte
 	err  error
@@ -235,7 +238,7 @@
 
 func (dec *decoder) next(n int) []byte {
 	if dec.err == nil && n > len(dec.rest) {
-		dec.err = errors.New("record runs past its frame")
+		dec.err = errors.New("record exceeds the end of its frame")
 	}
 	if dec.err != nil {
 		return nil
@@ -261,7 +264,7 @@
 func (dec *decoder) f32() float64 {
 	v := float64(math.Float32frombits(dec.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		dec.fail("not a finite number")
+		dec.fail("expected a finite number, found NaN or infinity")
 		return 0
 	}
 	return v
@@ -270,7 +273,7 @@
 func (dec *decoder) count() int {
 	v := dec.f32()
 	if v < 0 || v > math.MaxInt32 {
-		dec.fail("count %v out of range", v)
+		dec.fail("count %v out of the range of a non-negative 32-bit integer", v)
 		return 0
 	}
 	return int(v)
@@ -279,7 +282,7 @@
 func (dec *decoder) time() session.Time {
 	v := math.Float64frombits(dec.u64())
 	if math.IsNaN(v) || math.Abs(v) > 1e12 {
-		dec.fail("time out of range")
+		dec.fail("time is not a number or exceeds 1e12 s")
 		return 0
 	}
 	return micros(v)
@@ -293,7 +296,7 @@
 func (dec *decoder) outcome() session.Outcome {
 	o := session.Outcome(dec.u16())
 	if o > session.NotSent {
-		dec.fail("unknown outcome %d", o)
+		dec.fail("unknown outcome code %d", o)
 	}
 	return o
 }
@@ -308,10 +311,10 @@
 
 func micros(seconds float64) session.Time { return session.Time(math.Round(seconds * 1e6)) }
 
-// Reply collects the actions of one batch.
+// Reply collects the actions in response to one batch.
 type Reply struct{ buf []byte }
 
-// WriteTo frames the reply to batch number, and empties it.
+// WriteTo writes the reply to the batch of that number as one frame, and empties the reply.
 func (r *Reply) WriteTo(w io.Writer, number uint32) error {
 	header := binary.BigEndian.AppendUint32(nil, number)
 	header = binary.BigEndian.AppendUint32(header, uint32(len(r.buf)))
@@ -337,45 +340,45 @@
 	r.buf = binary.BigEndian.AppendUint64(r.buf, math.Float64bits(float64(t)/1e6))
 }
 
-// Try sends a playback to a server.
+// Try appends a setup try of a playback at a server, with its time limit.
 func (r *Reply) Try(manager uint16, id uint32, server Server, limit session.Time) {
 	r.beginPlaybackRecord(actionTry, manager, id)
 	r.buf = append(r.buf, server[:]...)
 	r.appendTime(limit)
 }
 
-// SetRung sets a playback's rung.
+// SetRung appends the rung of a playback.
 func (r *Reply) SetRung(manager uint16, id uint32, rung int) {
 	r.beginPlaybackRecord(actionSetRung, manager, id)
 	r.buf = append(r.buf, byte(rung))
 }
 
-// Reject refuses a playback.
-func (r *Reply) Reject(manager uint16, id uint32, comeAgain session.Time) {
+// Reject appends the rejection of a playback, with the time after which its client may retry.
+func (r *Reply) Reject(manager uint16, id uint32, retryAfter session.Time) {
 	r.beginPlaybackRecord(actionReject, manager, id)
-	r.appendTime(comeAgain)
+	r.appendTime(retryAfter)
 }
 
-// Abort answers a playback as failed.
+// Abort appends the failure of a playback.
 func (r *Reply) Abort(manager uint16, id uint32) { r.beginPlaybackRecord(actionAbort, manager, id) }
 
-// Move takes a playback off its server.
+// Move appends the removal of a playback from its server.
 func (r *Reply) Move(manager uint16, id uint32) { r.beginPlaybackRecord(actionMove, manager, id) }
 
-// Probe probes a server.
+// Probe appends a probe of a server.
 func (r *Reply) Probe(manager uint16, server Server) {
 	r.beginRecord(actionProbe, manager)
 	r.buf = append(r.buf, server[:]...)
 }
 
-// Wake asks for a wake-up.
+// Wake appends a timer; its expiry arrives as EvWake with the token.
 func (r *Reply) Wake(manager uint16, at session.Time, token uint64) {
 	r.beginRecord(actionWake, manager)
 	r.appendTime(at)
 	r.buf = binary.BigEndian.AppendUint64(r.buf, token)
 }
 
-// Watch subscribes to the list of servers.
+// Watch appends a subscription to the server list.
 func (r *Reply) Watch(manager uint16) {
 	r.beginRecord(actionWatch, manager)
 	r.buf = append(r.buf, 1)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,6 +10,7 @@
 	"pierlink/session"
 )
 
+// frame returns one frame of the given records, which are in hexadecimal.
 func frame(t *testing.T, parts ...string) []byte {
 	t.Helper()
 	body, err := hex.DecodeString(strings.ReplaceAll("4020d3126e978d50"+strings.Join(parts, ""), " ", ""))
@@ -39,20 +40,20 @@
 	r := b.Events[0].Request
 	if b.Events[0].ID != 0x5d3a91c4 || r.Abandon != 8652250 || r.Top != 2 || r.Span != 3 ||
 		r.Show != 0x2b8e6401d9f37c10 {
-		t.Errorf("request %+v", b.Events[0])
+		t.Errorf("unexpected request: %+v", b.Events[0])
 	}
 	e := b.Events[1].Entries
 	if len(e) != 1 || e[0].Zone != 1 || e[0].Started != 6100000 || e[0].Weight != 1.5 || e[0].Cell != 7 {
-		t.Errorf("list %+v", e)
+		t.Errorf("unexpected server list: %+v", e)
 	}
 	if v := b.Events[2].LoadValues; !b.Events[2].Final || len(v) != 3 || v[2] != 1.25 {
-		t.Errorf("result %+v", b.Events[2])
+		t.Errorf("unexpected result: %+v", b.Events[2])
 	}
 	if n := b.Events[3].Note; n.Kind != session.Delivered || n.Value != 0.5 {
-		t.Errorf("note %+v", n)
+		t.Errorf("unexpected note: %+v", n)
 	}
 	if b.Events[4].Token != 0x4d {
-		t.Errorf("wake-up %+v", b.Events[4])
+		t.Errorf("unexpected timer expiry: %+v", b.Events[4])
 	}
 }
 
@@ -91,11 +92,11 @@
 		"not a finite time": frame(t, strings.Replace(request, "40214df3b645a1cb", "7ff8000000000000", 1)),
 	} {
 		if _, err := NewReader(bytes.NewReader(in)).Next(); err == nil || err == io.EOF {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: expected an error other than io.EOF, got %v", name, err)
 		}
 	}
 	if _, err := NewReader(bytes.NewReader(nil)).Next(); err != io.EOF {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: expected io.EOF, got %v", err)
 	}
 }
 
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -1,5 +1,5 @@
-// Package start reads the settings object that a session manager is given at its start, by the simulator's first
-// message or by the platform's configuration, and load reports by the names that it tells.
+// Package start decodes the settings object that a session manager gets at its start, from the simulator's first
+// message or from the platform's configuration. It also decodes load reports, whose values that object names.
 package start
 
 import (
@@ -11,22 +11,22 @@
 	"pierlink/session"
 )
 
-// Told is what the object tells: the module's part as Site, the rest for the program round it.
+// Told is the decoded object: Site is for the decision module, the rest for its host.
 type Told struct {
 	Site      *session.Site
-	Plans     []string // the names, as positions in the lists below
+	Plans     []string // the names of the plans in the order of their numbers; so are the lists below
 	Tenants   []string
 	Zones     []string
 	Kinds     []string
-	LoadNames []string       // the values of a load report
-	Patience  []session.Time // a plan's viewers wait so long for a set-up
-	Connect   session.Time   // a connection that is not up by then is given up
-	Idle      session.Time   // one that carries nothing is closed then
-	Tell      session.Time   // between two notes of how full a link is, 0 for none
-	Shared    int            // set-ups at once on one connection to a server
+	LoadNames []string       // the names of a load report's values
+	Patience  []session.Time // by plan: how long a viewer waits for a setup
+	Connect   session.Time   // timeout for opening a connection
+	Idle      session.Time   // timeout after which an idle connection is closed
+	Tell      session.Time   // interval of the notes on a link's load, 0 for none
+	Shared    int            // limit on concurrent setups on one connection to a server
 }
 
-// Read decodes the object.
+// Read decodes the settings object.
 func Read(text []byte) (*Told, error) {
 	var input object
 	if err := json.Unmarshal(text, &input); err != nil {
@@ -36,21 +36,22 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, LoadNames: input.LoadReport.Names, Connect: micros(input.Limits.ConnectTimeout),
-		Idle: micros(input.Limits.ConnIdle), Tell: micros(input.Domain.ToldEvery), Shared: input.Limits.StreamsPerConn}
+	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, LoadNames: input.LoadReport.Names,
+		Connect: micros(input.Limits.ConnectTimeout), Idle: micros(input.Limits.ConnIdle),
+		Tell: micros(input.Domain.ToldEvery), Shared: input.Limits.StreamsPerConn}
 	for _, class := range input.Classes {
 		settings.Plans = append(settings.Plans, class.Name)
 		settings.Patience = append(settings.Patience, micros(class.GiveUp))
 	}
-	for _, class := range input.Customers {
-		settings.Tenants = append(settings.Tenants, class.Name)
+	for _, customer := range input.Customers {
+		settings.Tenants = append(settings.Tenants, customer.Name)
 	}
 	return settings, nil
 }
 
 func micros(seconds float64) session.Time { return session.Time(math.Round(seconds * 1e6)) }
 
-// object is the settings object as far as it is read.
+// object is the part of the settings object that Read uses. Its field names are those of the JSON object.
 type object struct {
 	Balancers int
 	SlotNo    int
@@ -100,6 +101,7 @@
 	WeightKind string
 }
 
+// lookUp returns the value of a word in the settings object, or an error that names the key.
 func lookUp[T any](kind, word string, words map[string]T) (T, error) {
 	value, ok := words[word]
 	if !ok {
@@ -110,13 +112,13 @@
 
 func (o *object) site() (*session.Site, error) {
 	domain, classes := &o.Domain, len(o.Classes)
-	if classes == 0 || len(domain.LadderKb) == 0 || len(domain.LevelWorth) != len(domain.LadderKb) || domain.Positions < 1 ||
-		domain.Cabinets < 1 || o.Balancers < 1 {
-		return nil, fmt.Errorf("start information: classes, ladder, positions, cabinets or balancers missing")
+	if classes == 0 || len(domain.LadderKb) == 0 || len(domain.LevelWorth) != len(domain.LadderKb) ||
+		domain.Positions < 1 || domain.Cabinets < 1 || o.Balancers < 1 {
+		return nil, fmt.Errorf("start information: classes, ladder, positions, cabinets or balancers missing, or level worths that do not match the ladder")
 	}
-	if len(domain.ClassTop) != classes || len(domain.LowestRung) != classes || len(domain.IsLive) != classes || len(domain.RateFactor) != classes ||
-		(len(domain.Seats) != classes && len(domain.Seats) != 0) {
-		return nil, fmt.Errorf("start information: domain tables do not fit %d classes", classes)
+	if len(domain.ClassTop) != classes || len(domain.LowestRung) != classes || len(domain.IsLive) != classes ||
+		len(domain.RateFactor) != classes || (len(domain.Seats) != classes && len(domain.Seats) != 0) {
+		return nil, fmt.Errorf("start information: the domain's tables do not have one entry for each of %d classes", classes)
 	}
 	onRequest, err := lookUp("registryMode", o.RegistryMode, map[string]bool{"pushed": false, "on_request": true})
 	if err != nil {
@@ -126,8 +128,8 @@
 		Fronts: o.Balancers, Front: o.SlotNo, Zone: o.Locality, ListOnRequest: onRequest,
 		Ladder: session.Ladder{RateKB: domain.LadderKb, Worth: domain.LevelWorth, Join: domain.Join,
 			Change: micros(domain.ChangeCostsS)},
-		Fleet: session.Fleet{Cells: domain.Positions, Racks: domain.Cabinets, LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb,
-			KBPerWeight: domain.KBPerWeight, WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots,
+		Fleet: session.Fleet{Cells: domain.Positions, Racks: domain.Cabinets,
+			LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb, KBPerWeight: domain.KBPerWeight, WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots,
 			FullFrom: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteEvery: micros(domain.ToldEvery),
 			LoadInAnswers: o.LoadReport.Source == "piggyback", LoadInProbes: o.LoadReport.Source != "silent",
 			UplinkUntold: o.LoadReport.Source == "silent" || !slices.Contains(o.LoadReport.Names, "x1")},
@@ -168,13 +170,14 @@
 		}
 		site.Plans = append(site.Plans, plan)
 	}
-	for _, class := range o.Customers {
-		site.Tenants = append(site.Tenants, session.Tenant{QuotaPerS: class.QuotaPerS})
+	for _, customer := range o.Customers {
+		site.Tenants = append(site.Tenants, session.Tenant{QuotaPerS: customer.QuotaPerS})
 	}
 	return site, nil
 }
 
-// Load reads a report's values by their names.
+// Load decodes a load report from its values and their names. Names other than x0, x1 and util are ignored; util, which
+// never exceeds 1, is used only where the report has no x0.
 func Load(names []string, values []float64) (load session.Load) {
 	for i, value := range values[:min(len(values), len(names))] {
 		switch names[i] {
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -19,19 +19,19 @@
 	site := settings.Site
 	if len(settings.LoadNames) != 2 || site.Plans[0].Startup != 1500000 || site.Plans[0].Top != 1 ||
 		site.Fleet.NoteDelay != 712078 || site.Terms.Rationed || site.Terms.MaxComeAgain != 500000 {
-		t.Errorf("%+v", site)
+		t.Errorf("unexpected settings: %+v", site)
 	}
 	for _, bad := range []string{"{", "[]", "{}", strings.Replace(startInfo, "read_like", "odd", 1),
 		strings.Replace(startInfo, `"rateFactor":[1.4]`, `"rateFactor":[]`, 1),
 		strings.Replace(startInfo, `"pushed"`, `"carried"`, 1)} {
 		if _, err := Read([]byte(bad)); err == nil {
-			t.Errorf("no error for %.40s", bad)
+			t.Errorf("Read accepted invalid settings %.40s", bad)
 		}
 	}
 }
 
 func TestLoad(t *testing.T) {
 	if l := Load([]string{"inflight", "x0", "x1"}, []float64{7, 0.4, 1.25}); !l.HasLink || l.Link != 0.4 || l.Uplink != 1.25 {
-		t.Errorf("%+v", l)
+		t.Errorf("unexpected load: %+v", l)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,11 +8,11 @@
 	"pierlink/session"
 )
 
-// door is one of many managers' in a test of what all of them send together.
+// testHost is the host of one manager in a test of the setups of all managers together.
 type testHost struct {
 	manager       session.Manager
 	wakeAt        Time
-	newTries      []int // playbacks whose try has just begun
+	newTries      []int // playbacks whose try has just been started
 	freePlaybacks []int
 	playbackCount int
 }
@@ -27,15 +27,16 @@
 func (host *testHost) Watch()                 {}
 func (host *testHost) Forget(pb int)          { host.freePlaybacks = append(host.freePlaybacks, pb) }
 
-// Thirty managers with more to place than it can take, some of which restart and forget, stay together under what a
-// server that has just started bears: N and what chance may add to it, in each span, from its start until it is warm.
+// Guards against overloading a server that has just started. Thirty managers, some of which restart and lose their
+// state, have more requests than the server can take. In each span of the rule, from the server's start until it is
+// warm, their setups together must stay within the cold budget plus a margin for chance.
 func TestAllFrontsStayWithinColdBudget(t *testing.T) {
 	const fronts, tick = 30, 20_000
 	for _, places := range []float64{24, 90, 600, 3000} {
 		for seed := range uint64(3) {
 			site := scenarioSite()
 			site.Fronts, site.StartsTold, site.Fleet.Places = fronts, true, []float64{places}
-			site.Fleet.LinksKB, site.Fleet.KBPerWeight, site.Fleet.UplinkKB = 1e9, 1e9, 1e9 // room is not what binds
+			site.Fleet.LinksKB, site.Fleet.KBPerWeight, site.Fleet.UplinkKB = 1e9, 1e9, 1e9 // capacity is not the limit
 			random := rand.New(rand.NewPCG(seed, uint64(places)))
 			begin := 1000 * session.Second
 			list := session.List{Whole: true, Entries: []session.Entry{{Server: 0, State: session.Ready, Weight: 1, Started: begin}}}
@@ -90,12 +91,12 @@
 				maxUse = max(maxUse, float64(recent)/(budget+2*math.Sqrt(budget)+2))
 			}
 			if maxUse > 1 {
-				t.Errorf("%.0f places, seed %d: %.2f of what a cold server bears", places, seed, maxUse)
+				t.Errorf("%.0f places, seed %d: setups reach %.2f of a cold server's limit, at most 1 is expected", places, seed, maxUse)
 			}
 			if maxUse < 0.2 {
-				t.Errorf("%.0f places, seed %d: only %.2f of what a cold server bears is used", places, seed, maxUse)
+				t.Errorf("%.0f places, seed %d: setups use only %.2f of a cold server's limit, at least 0.2 is expected", places, seed, maxUse)
 			}
-			t.Logf("%.0f places, seed %d: %d tries, at most %.2f of what it bears", places, seed, len(tryTimes), maxUse)
+			t.Logf("%.0f places, seed %d: %d tries, at most %.2f of the limit", places, seed, len(tryTimes), maxUse)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy decides for one session manager where each playback goes, at which rung it plays, when it
-// is rejected, moved or stepped. A door (cmd/adapter today) calls it: At, the event methods, then Settle.
-// session/session.go defines that interface. docs/design.md says which rule comes from which source.
+// Package policy is the decision module of one front. It chooses the server and the rung of each playback and
+// decides when a playback is rejected, moved to another server or stepped to another rung. Its host, such as
+// cmd/adapter, drives it through the interface in session/session.go: in each turn it first sets the time, then
+// reports the events and then calls Settle. docs/design.md names the source of each rule.
 package policy
 
 import (
@@ -10,36 +11,37 @@
 	"pierlink/session"
 )
 
-// Tuned values; each is a share or a multiple of something that the site tells.
+// Tuned constants. Each is a share or a multiple of a value from the site's configuration.
 const (
-	maxOpenFill        = 0.90                // the design's mark: a stream opens where it leaves the link under this
-	maxFloorFill       = 0.86                // at the lowest rung a playback is still taken up to here
-	markReduction      = 0.50                // how much lower the mark lies for the rungs that earn least for their rate
-	shortageFill       = 1.03                // from here on streams step down
-	reliefFill         = 0.97                // and go on until the link is asked so much
-	stepUpMargin       = 0.04                // stepping up leaves so much more free than opening does
-	newReadingWeight   = 0.50                // weight of a new reading against what was expected of it
-	minMeanWeight      = 0.05                // weight of one reading in what is usual of such links, at the least
-	fillJitter         = 0.08                // chance added to the fill, so that fronts do not all pick the same server
-	titleJitter        = 0.30                // the same for live titles, but equal at all fronts
-	probeBudget        = 0.01                // probes may cost this part of the whole result
-	coldBudgetShare    = 0.75                // of the cold budget, for the unknown shape of the ramp
-	stepUpPayback      = 2.0                 // a step up must earn its cost so many times
-	bucketsPerSpan     = 8                   // of a ring's span
-	historyBuckets     = 32                  // buckets of a gauge's own past
-	tenantRateSpan     = 10 * session.Second // over which a tenant's rate is held against its share
-	minPriceShare      = 0.50                // the price of room stays over this part of what the densest floor earns
-	priceSmoothing     = 0.03                // and follows the best step left untaken so fast, a tick
-	surpriseFill       = 0.25                // a short note that tells of so much more than was known counts at once
-	assumedFill        = 0.60                // fill of a link not heard of, to a manager just back, at the least
+	maxOpenFill        = 0.90                // the design's mark: a stream opens only if the link's fill stays below this
+	maxFloorFill       = 0.86                // a playback is still accepted at its plan's lowest rung up to this fill
+	markReduction      = 0.50                // how much lower the mark is for the rungs with the least revenue per rate
+	shortageFill       = 1.03                // streams step down above this fill
+	reliefFill         = 0.97                // and continue to until the fill is down to this
+	stepUpMargin       = 0.04                // a step up leaves this much more capacity free than opening a stream does
+	newReadingWeight   = 0.50                // weight of a new reading against a previous one that is still fresh
+	minMeanWeight      = 0.05                // minimum weight of one reading in the mean fill of all links
+	fillJitter         = 0.08                // random addition to the fill, so that the fronts do not all choose the same server
+	titleJitter        = 0.30                // the same for live titles, but equal at all fronts, so that viewers share streams
+	probeBudget        = 0.01                // share of the whole result that probes may cost
+	coldBudgetShare    = 0.75                // share of the cold budget to use, as the shape of the warm-up ramp is unknown
+	stepUpPayback      = 2.0                 // multiple of its cost that a step up must earn
+	bucketsPerSpan     = 8                   // buckets of a counter over its span, and of a load estimate's history per note delay
+	historyBuckets     = 32                  // buckets of a load estimate's own history
+	tenantRateSpan     = 10 * session.Second // over which a tenant's request rate is compared with its quota
+	minPriceShare      = 0.50                // lower limit of the capacity price, as a share of maxFloorDensity
+	priceSmoothing     = 0.03                // weight per tick at which the capacity price follows the best step not taken
+	surpriseFill       = 0.25                // a delivery note that implies a fill higher by this much counts at once
+	assumedFill        = 0.60                // fill of links without a reading, after a restart or as an upper limit of the extrapolation
 	feedbackNoteDelays = 2                   // note delays until a step, or the end of a shortage, shows in the readings
-	fullDelivery       = 0.98                // share of its rate from which a playback loses nothing
-	maxPlanGap         = 0.30                // so far behind the others a plan counts as the worst in full
-	surgeDeviations    = 2                   // times what one front's set-ups differ by chance
-	maxUplinkFactor    = 2                   // an untold uplink is taken to give so many times the mean at most
-	never              = math.MinInt64 / 4   // a moment long before any clock
+	fullDelivery       = 0.98                // share of its rate from which a playback counts as served in full
+	maxPlanGap         = 0.30                // a plan this far behind the others gets the full weight of the worst plan
+	surgeDeviations    = 2                   // standard deviations of one front's setup count that are treated as chance
+	maxUplinkFactor    = 2                   // an unreported uplink's estimated capacity stays within this factor of the mean
+	never              = math.MinInt64 / 4   // earlier than any clock value
 )
 
+// The answers that a playback may be due.
 const (
 	answerNone = iota
 	answerReject
@@ -61,14 +63,15 @@
 	return f
 }
 
-// fill is what is asked of the link, in parts of what it gives. What the others ask is the latest reading,
-// which fades to what is usual as their playbacks end; of a link not heard of it is the usual.
+// fill returns the demand on the link as a share of its capacity. The other fronts' demand is the latest reading,
+// which gives way to their typical demand as playbacks end; without a reading it is the typical demand.
 func (e *loadEstimate) fill(f *front) float64 {
 	weight := e.freshness(f)
 	return max(e.othersFill*weight+e.typicalOthers(f)*(1-weight), 0) + e.ownKB/e.capacityKB
 }
 
-// others is what other fronts usually ask; of an uplink that no report tells it is what its links are asked.
+// typicalOthers returns the fill that the other fronts usually cause. For an uplink that no report covers it is
+// derived from the demand on the links behind it.
 func (e *loadEstimate) typicalOthers(f *front) float64 {
 	if !f.Fleet.UplinkUntold || e.typical != &f.typicalUplinks {
 		return e.typical.fill(f)
@@ -82,12 +85,14 @@
 	return max(kb, 0) / e.capacityKB
 }
 
-// fit takes an uplink that no report tells of to give what makes its links' asking come to a fill of x.
+// fitCapacity sets the estimated capacity of an uplink that no report covers so that the demand on the links behind
+// it results in the given fill.
 func (e *loadEstimate) fitCapacity(f *front, fill float64) {
 	e.capacityKB = min(max(e.capacityKB*e.fill(f)/fill, f.Fleet.UplinkKB/maxUplinkFactor), f.Fleet.UplinkKB*maxUplinkFactor)
 }
 
-// widen takes such an uplink for wider while none of this front's playbacks behind it is told to be short.
+// widenUplink raises the estimated capacity of an unreported uplink while none of this front's playbacks behind it
+// is reported short.
 func (f *front) widenUplink(uplink *loadEstimate, tick Time) {
 	if !f.Fleet.UplinkUntold || uplink.ownKB == 0 || f.now-uplink.shortageAt < feedbackNoteDelays*f.Fleet.NoteDelay+session.Second {
 		return
@@ -96,7 +101,7 @@
 	uplink.fitCapacity(f, min(fill, 1)/(1+float64(tick)/f.meanPlaybackTime))
 }
 
-// fresh is how much the last reading still tells.
+// freshness returns the weight of the last reading, from 1 down to 0 as it ages.
 func (e *loadEstimate) freshness(f *front) float64 {
 	if !e.measured {
 		return 0
@@ -104,7 +109,8 @@
 	return f.meanPlaybackTime / (f.meanPlaybackTime + float64(f.now-e.readAt))
 }
 
-// fill is the mean of what others ask; unheard, as this front asks, within limits: it may have few playbacks.
+// fill returns the mean fill that the other fronts cause. Without a reading it is extrapolated from this front's own
+// demand, with a limit, as this front may have few playbacks.
 func (d *typicalDemand) fill(f *front) float64 {
 	if d.readings > 0 {
 		return d.meanFill
@@ -116,34 +122,36 @@
 	return estimate
 }
 
-// read takes a reading of the fill as it was at a moment past.
+// addReading takes in a reading of the fill as of an earlier moment.
 func (e *loadEstimate) addReading(f *front, fill float64, asOf Time) {
 	oldWeight, typical := (1-newReadingWeight)*e.freshness(f), e.typical
 	fill -= e.ownHistory.At(f.now, asOf) / e.capacityKB
 	dt := float64(f.now - typical.readAt)
-	typical.meanFill = typical.fill(f) + (fill-typical.fill(f))*max(minMeanWeight, dt/(dt+f.meanPlaybackTime/4), 1/(2+typical.readings))
+	typical.meanFill = typical.fill(f) +
+		(fill-typical.fill(f))*max(minMeanWeight, dt/(dt+f.meanPlaybackTime/4), 1/(2+typical.readings))
 	typical.readings++
 	typical.readAt = f.now
 	e.othersFill, e.measured, e.readAt = (1-oldWeight)*fill+oldWeight*e.othersFill, true, f.now
 }
 
-// newsSpan is how old news of a link may be before the next comes.
+// maxReadingAge returns how old the last reading of a link may become before the next one arrives.
 func (f *front) maxReadingAge() Time {
 	return f.Fleet.NoteDelay + max(f.Fleet.NoteEvery, feedbackNoteDelays*f.Fleet.NoteDelay)
 }
 
-// At begins a turn. One that comes late finds news that is older than it looks.
+// At begins a turn. Readings that reach a late turn are older than usual by the delay.
 func (f *front) At(now Time) {
 	f.now, f.turnDelay = now, max(now-f.wakeAt, 0)
-	// A rush meets all fronts at once, whatever its cause, before a reading shows it: what this front set up of
-	// late beyond what ended, less a few by chance, the others are taken to have set up too.
+	// A surge of requests reaches all fronts at once, whatever its cause, and before any reading shows it. This
+	// front's recent setups beyond the playbacks that ended, less a margin for chance, are therefore assumed for
+	// each of the other fronts too.
 	rungKB := f.Ladder.RateKB[len(f.Ladder.RateKB)/2]
 	expected := f.typicalLinks.ownKB / rungKB * float64(f.maxReadingAge()) / f.meanPlaybackTime
 	excess := f.recentSetupKB.LowerBound(now)/rungKB - expected - surgeDeviations*math.Sqrt(expected+1)
 	f.unreportedFill = max(excess, 0) * rungKB * float64(f.Fronts-1) / f.Fleet.LinksKB
 }
 
-// Listed follows the list of servers.
+// Listed applies an update of the server list.
 func (f *front) Listed(list session.List) {
 	if list.Failed {
 		if f.ListOnRequest {
@@ -151,7 +159,7 @@
 		}
 		return
 	}
-	if list.Whole && f.StartsTold { // which servers are cold is known from here on
+	if list.Whole && f.StartsTold { // the list shows which servers are cold
 		f.assumeColdUntil = min(f.assumeColdUntil, f.now)
 	}
 	for i := 0; list.Whole && i < len(f.servers); i++ {
@@ -162,12 +170,12 @@
 		previous := server.entry
 		f.setEntry(server, entry)
 		if entry.Started > 0 && entry.Started != previous.Started && entry.Started+f.Terms.WarmUp > f.now {
-			// a restart: what was known of the process is void, and all managers hear of it at once
+			// a restart: the old process's state is void, and all managers learn of it at the same time
 			server.coldUntil, server.coldListed = entry.Started+f.Terms.WarmUp, true
 			server.suspendedUntil, server.suspensions, server.halfOpen = 0, 0, false
-			server.link.othersFill, server.link.measured, server.link.readAt = 0, true, f.now // it comes back empty
+			server.link.othersFill, server.link.measured, server.link.readAt = 0, true, f.now // it restarts without playbacks
 			if f.now-f.startedAt < f.Terms.FallSpan {
-				server.recentTries.Add(f.now, f.coldBudget(server)) // just back: what it sent before is forgotten
+				server.recentTries.Add(f.now, f.coldBudget(server)) // this front has restarted too and lost the count of what it sent
 			}
 		}
 	}
@@ -184,34 +192,38 @@
 	}
 }
 
-// coldBudget is this front's share of what a cold server takes within the span of the rule. Under one
-// set-up the fronts take turns, counted from its start, and use half a turn: no span sees more than are due.
+// coldBudget returns this front's share of the setups that a cold server may get within the rule's span. If the share
+// is below one setup, the fronts take turns, counted from the server's start, and each uses only half of its turn, so
+// that no span sees more setups than allowed.
 func (f *front) coldBudget(server *serverState) float64 {
 	terms := &f.Terms
-	capacityShare := 1 - (1-terms.ColdFrom)*float64(max(server.coldUntil, f.assumeColdUntil)-f.now)/float64(terms.WarmUp)
-	fleetBudget := coldBudgetShare * f.Fleet.Places[server.entry.Kind] / float64(terms.WarmUp) * float64(terms.FallSpan) * terms.FallMultiple
+	capacityShare := 1 - (1-terms.ColdFrom)*
+		float64(max(server.coldUntil, f.assumeColdUntil)-f.now)/float64(terms.WarmUp)
+	fleetBudget := coldBudgetShare * f.Fleet.Places[server.entry.Kind] / float64(terms.WarmUp) *
+		float64(terms.FallSpan) * terms.FallMultiple
 	budget := fleetBudget * min(max(capacityShare, terms.ColdFrom), 1) / float64(f.Fronts)
 	if budget >= 1 || !server.coldListed {
 		return max(budget, 1)
 	}
-	turn := float64(f.now-server.entry.Started) / float64(terms.FallSpan) * (max(math.Floor(fleetBudget*terms.ColdFrom), 1) - 0.5)
+	turn := float64(f.now-server.entry.Started) / float64(terms.FallSpan) *
+		(max(math.Floor(fleetBudget*terms.ColdFrom), 1) - 0.5)
 	if turnNumber := int(turn); turn-float64(turnNumber) < 0.5 && (turnNumber+server.entry.Cell)%f.Fronts == f.Front {
 		return 1
 	}
 	return budget
 }
 
-// usable tells whether a set-up may go to the server now.
+// acceptsTry reports whether a setup try may go to the server now.
 func (f *front) acceptsTry(srv int) bool {
 	server := &f.servers[srv]
 	if server.entry.State != session.Ready || f.now < server.suspendedUntil || server.halfOpen && server.pendingTries > 0 {
 		return false
 	}
-	// A manager that has just come back cannot know which servers are cold, unless it was handed playbacks.
+	// After a restart a manager does not know which servers are cold, unless it took over playbacks.
 	return f.now >= max(server.coldUntil, f.assumeColdUntil) || server.recentTries.Most(f.now)+1 <= f.coldBudget(server)
 }
 
-// fullness is the tighter of link and uplink once kb more are asked.
+// fillWith returns the fill of the link or of the uplink, whichever is higher, with kb of additional demand.
 func (f *front) fillWith(server *serverState, kb float64) float64 {
 	uplink, link := &f.uplinks[server.rack], server.link.capacityKB
 	if f.now < server.coldUntil {
@@ -221,13 +233,13 @@
 	return max(server.link.fill(f)+kb/link, uplink.fill(f)+kb/uplink.capacityKB) + f.unreportedFill*unreportedShare
 }
 
-// mark is how full a link may get by a step that earns so much for the rate it adds: it leaves room for steps
-// that earn more and for viewers still to come.
+// fillMark returns the highest fill that a step may cause, by the step's revenue per added kB. It leaves room for
+// steps that earn more and for later viewers.
 func (f *front) fillMark(density float64) float64 {
 	return maxOpenFill * (1 - markReduction*(1-min(1, density/f.capacityPrice)))
 }
 
-// revenue is a plan's, less what the tenant's traffic beyond its share is not worth.
+// revenue returns the plan's weighted revenue, reduced for the tenant's traffic beyond its quota.
 func (f *front) revenue(pb *playback) float64 {
 	revenue := f.Plans[pb.Plan].Revenue * f.planStats[pb.Plan].weight
 	if pb.Tenant < len(f.tenantRequests) {
@@ -241,14 +253,14 @@
 	return revenue
 }
 
-// openRung is the best rung for opening at a server, -1 if none fits.
+// openRung returns the highest rung at which a stream may open on the server, or -1 if none fits.
 func (f *front) openRung(pb *playback, server *serverState) int {
 	plan := &f.Plans[pb.Plan]
-	viewers := max(float64(f.liveViewers+1)/float64(f.liveStreams+1), 2) // it is opened for one more at least
+	viewers := max(float64(f.liveViewers+1)/float64(f.liveStreams+1), 2) // at least one more viewer is expected to join
 	for rung := pb.Top; rung > plan.Floor; rung-- {
 		kb := f.rateKB(pb.Plan, rung)
 		addedKB := kb - f.rateKB(pb.Plan, rung-1)
-		if plan.Live { // others are still to join it, as many as this front has seen come together
+		if plan.Live { // its cost is shared with later viewers, as many as this front's live streams have
 			addedKB *= (1 + f.Ladder.Join*(viewers-1)) / viewers
 		}
 		if f.fillWith(server, kb) <= f.fillMark((f.rungRevenue(rung)-f.rungRevenue(rung-1))*f.revenue(pb)/addedKB) {
@@ -261,12 +273,14 @@
 	return -1
 }
 
-// can tells whether the next try of a playback may go to a server.
+// mayTry reports whether the playback's next try may go to the server.
 func (f *front) mayTry(pb *playback, srv int) bool {
-	return !slices.Contains(pb.triedServers, srv) && f.holdsTitle(pb, &f.servers[srv]) && f.mayRepeatOn(pb, srv) && f.acceptsTry(srv)
+	return !slices.Contains(pb.triedServers, srv) && f.holdsTitle(pb, &f.servers[srv]) &&
+		f.mayRepeatOn(pb, srv) && f.acceptsTry(srv)
 }
 
-// place finds a server and a rung: a running stream to join, else the roomiest holder, local ones first.
+// place chooses a server and a rung: a running stream to join, or else the least filled server that holds the title,
+// with servers of the own zone first.
 func (f *front) place(pb *playback) (srv, rung int, remote bool) {
 	var joinable *streamState
 	var lowestFill float64
@@ -276,14 +290,16 @@
 			continue
 		}
 		for _, stream := range server.streams {
-			if stream.title != pb.Title || stream.plan != pb.Plan || stream.rung > pb.Top || server.entry.Zone != f.Zone && !stream.openedRemote {
+			if stream.title != pb.Title || stream.plan != pb.Plan || stream.rung > pb.Top ||
+				server.entry.Zone != f.Zone && !stream.openedRemote {
 				continue
 			}
 			kb := f.rateKB(pb.Plan, stream.rung) * f.Ladder.Join
 			fill := f.fillWith(server, kb)
-			if fill <= reliefFill && // it asks a part of what one more stream would
-				(joinable == nil || joinable.openedRemote && !stream.openedRemote || joinable.openedRemote == stream.openedRemote &&
-					(stream.rung > joinable.rung || stream.rung == joinable.rung && fill < lowestFill)) {
+			if fill <= reliefFill && // joining takes only a part of a new stream's rate
+				(joinable == nil || joinable.openedRemote && !stream.openedRemote ||
+					joinable.openedRemote == stream.openedRemote &&
+						(stream.rung > joinable.rung || stream.rung == joinable.rung && fill < lowestFill)) {
 				joinable, lowestFill = stream, fill
 			}
 		}
@@ -296,8 +312,8 @@
 	}
 	if srv, rung = f.findServer(pb, true); rung >= 0 {
 		if joinable != nil && f.Prices.CrossZone > f.Prices.Move {
-			for _, member := range joinable.members { // they come back as requests and join the local stream
-				member.wantMove = member.playing && f.Plans[member.Plan].Repeat != session.Unsafe // it would be paid again
+			for _, member := range joinable.members { // moved viewers request again and join the local stream
+				member.wantMove = member.playing && f.Plans[member.Plan].Repeat != session.Unsafe // a repeated setup would be charged again
 				f.markDirty(member)
 			}
 		}
@@ -312,14 +328,16 @@
 	return srv, rung, false
 }
 
-// goHome is the paper's mark 2(1-c)/c. Its c is the price of crossing zones against that and what the room
-// of one more stream would earn at the lowest rung.
+// maxRemoteViewers returns the number of viewers from which a remote stream's title is opened in the own zone: the
+// paper's mark 2(1-c)/c. Its c is the price of crossing zones as a share of the sum of that price and the revenue
+// share of the lowest rung, which the capacity for one more stream would earn.
 func (f *front) maxRemoteViewers() float64 {
-	c := f.Prices.CrossZone / (f.Prices.CrossZone + f.rungRevenue(0)) // 0 without a price: never
+	c := f.Prices.CrossZone / (f.Prices.CrossZone + f.rungRevenue(0)) // 0 without a price: the mark is infinite
 	return 2 * (1 - c) / c
 }
 
-// open finds the roomiest holder of the zone, or of the others, and a new stream's rung, -1 if none fits.
+// findServer returns the least filled server that holds the title, in the own zone or outside it, and the rung of a
+// new stream there, or -1 if none fits.
 func (f *front) findServer(pb *playback, local bool) (srv, rung int) {
 	srv = -1
 	var lowestFill float64
@@ -329,7 +347,7 @@
 			continue
 		}
 		fill := f.fillWith(server, f.rateKB(pb.Plan, f.Plans[pb.Plan].Floor))
-		if f.Plans[pb.Plan].Live { // all fronts lean to the same holders, where their viewers share
+		if f.Plans[pb.Plan].Live { // all fronts prefer the same servers, where their viewers share streams
 			fill += titleJitter * titleCellHash(pb.Show, server.entry.Cell)
 		} else {
 			fill += fillJitter * f.random()
@@ -344,7 +362,8 @@
 	return srv, f.openRung(pb, &f.servers[srv])
 }
 
-// may keeps keyed plans within their scope once a try may have run.
+// mayRepeatOn reports whether a try may go to the server in view of the earlier ones: once a try may have run, an
+// unsafe playback is not tried again, and a keyed one only within the key's window and scope.
 func (f *front) mayRepeatOn(pb *playback, srv int) bool {
 	plan := &f.Plans[pb.Plan]
 	if plan.Repeat == session.Harmless || pb.mayHaveRunOn < 0 {
@@ -356,6 +375,7 @@
 			plan.Scope == session.SameCell && ranEntry.Cell == entry.Cell)
 }
 
+// Requested takes a new playback and decides on it.
 func (f *front) Requested(request session.Request) {
 	pb := f.addPlayback(request)
 	f.recentRequests.Add(f.now, 1)
@@ -365,7 +385,7 @@
 	f.decide(pb)
 }
 
-// decide sends a playback that has no try out, or answers it.
+// decide chooses the next try of a playback that has none pending, or answers the playback.
 func (f *front) decide(pb *playback) {
 	f.markDirty(pb)
 	plan := &f.Plans[pb.Plan]
@@ -375,7 +395,7 @@
 	triesLeft := pb.tries == 0 || pb.tries < f.Terms.MaxTries && f.retryBudgetLeft()
 	if pb.Top >= plan.Floor && seatFree && triesLeft && float64(timeLeft) > 2*f.meanSetupTime && timeLeft > 0 {
 		srv, rung, remote := f.place(pb)
-		if srv >= 0 && f.delayForProbe(pb, srv) { // before a rejection too
+		if srv >= 0 && f.delayForProbe(pb, srv) { // also before a rejection
 			return
 		}
 		if rung >= 0 {
@@ -402,7 +422,8 @@
 	}
 }
 
-// look holds a playback back for a probe of the server chosen, as its rung depends on load not heard of.
+// delayForProbe holds a playback back for a probe of the chosen server if the server's load, on which the rung depends,
+// is not known well enough. It reports whether it did so.
 func (f *front) delayForProbe(pb *playback, srv int) bool {
 	server := &f.servers[srv]
 	if f.loadIsRecent(server) || pb.probeAwaited || !f.mayProbe() || f.now+f.longestStartup > pb.Abandon {
@@ -414,11 +435,12 @@
 	return true
 }
 
-// heard tells whether the server's load was told lately enough to decide by.
+// loadIsRecent reports whether the server's load was reported recently enough to decide by.
 func (f *front) loadIsRecent(server *serverState) bool {
 	return f.now-server.link.readAt < f.Fleet.NoteDelay || f.Fleet.LoadInAnswers && 2*server.link.freshness(f) > 1
 }
 
+// resumeWaiting decides on the playbacks that waited for a probe of the server.
 func (f *front) resumeWaiting(server *serverState) {
 	waiting := server.awaitingProbe
 	server.awaitingProbe = nil
@@ -429,12 +451,13 @@
 	}
 }
 
-// probing tells whether probes tell load, and another one is within the playbacks' part for them.
+// mayProbe reports whether probes return the load and the probe budget allows another one.
 func (f *front) mayProbe() bool {
 	return f.Terms.Probes && f.Fleet.LoadInProbes &&
 		f.probeCount < math.Floor(f.playbackCount*probeBudget/max(f.Prices.Probe, probeBudget/2))
 }
 
+// requestProbe has a probe sent to the server unless one is pending.
 func (f *front) requestProbe(srv int) {
 	if server := &f.servers[srv]; !server.probePending {
 		server.probePending, server.probeSentAt = true, f.now
@@ -443,14 +466,17 @@
 	}
 }
 
+// retryBudgetLeft reports whether the limit on retries allows another one now.
 func (f *front) retryBudgetLeft() bool {
 	terms := &f.Terms
-	return !terms.Rationed || f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.LowerBound(f.now)
+	return !terms.Rationed ||
+		f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.LowerBound(f.now)
 }
 
-// limit leaves time for another try within the startup target, while there is one to be had.
+// tryTimeout returns the time limit of the next try. It leaves time for another try within the startup target, or
+// before the abandon time once the target is too close, as long as another try is allowed.
 func (f *front) tryTimeout(pb *playback) Time {
-	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe { // the only one; its viewer hears when it is lost
+	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe { // it is not repeated; the viewer gets an answer when it times out
 		return plan.Startup
 	}
 	timeout := pb.Abandon - f.now
@@ -463,7 +489,7 @@
 	return timeout
 }
 
-// Opened takes over a playback that plays already.
+// Opened takes over a playback that is already running.
 func (f *front) Opened(request session.Request, srv int) {
 	pb := f.addPlayback(request)
 	pb.tries, pb.active, pb.playing = 1, true, true
@@ -473,6 +499,7 @@
 	f.tryFinished(srv, true)
 }
 
+// Playing handles the success of a setup try.
 func (f *front) Playing(id, try, srv int, took Time) {
 	pb := f.playbacks[id]
 	if pb == nil || !pb.active || try != pb.tries-1 || pb.playing {
@@ -483,33 +510,34 @@
 	f.meanSetupTime += (float64(took) - f.meanSetupTime) / 16
 }
 
-// answered notes that a setup try at a server has come to an end, well or not.
+// tryFinished records that a setup try at a server has ended.
 func (f *front) tryFinished(srv int, succeeded bool) {
 	server := f.server(srv)
 	server.pendingTries = max(server.pendingTries-1, 0)
 	if !succeeded {
 		return
 	}
-	if server.halfOpen && f.now >= server.coldUntil { // it may have restarted unseen; its list entry may be on the way
+	if server.halfOpen && f.now >= server.coldUntil { // it may have restarted, with its list entry still to come
 		server.coldUntil, server.coldListed = f.now+f.Terms.WarmUp, false
 	}
 	server.halfOpen, server.lastFailed = false, false
 	server.suspensions /= 2
 }
 
-// strike keeps new work off a server that fails, resets or keeps silent, twice as long each time.
-// It guards against whatever makes set-ups end badly there; it harms where single errors are common.
+// suspend keeps new tries off a server after an error, a reset, a refused connection or a timeout, for twice as long
+// each time. It guards against any cause that makes setups fail there; it does harm where single errors are common.
 func (f *front) suspend(srv int, outcome session.Outcome) {
 	server := f.server(srv)
-	fault := outcome != session.TimedOut || f.turnDelay < f.longestStartup/4                 // or this late front was at fault
-	if server.halfOpen = server.halfOpen || fault; fault && f.now >= server.suspendedUntil { // else the same trouble, told again
+	fault := outcome != session.TimedOut || f.turnDelay < f.longestStartup/4                 // in a late turn this front may have caused it
+	if server.halfOpen = server.halfOpen || fault; fault && f.now >= server.suspendedUntil { // otherwise another report of the same fault
 		server.suspendedUntil = f.now + f.longestStartup/2<<min(server.suspensions, 3)
 		server.suspensions++
 	}
 }
 
-// err strikes a server for an error only when it errs on two playbacks running, the second of which erred
-// nowhere else: it guards against requests that no server can use. One that errs on all costs a try more.
+// recordError suspends a server for an error only if two playbacks in succession fail there and the second one has
+// failed on no other server. This guards against requests that fail on every server; the cost is one more try on a
+// server that fails all requests.
 func (f *front) recordError(pb *playback, srv int) {
 	server := f.server(srv)
 	if server.lastFailed && !pb.failedBefore {
@@ -518,7 +546,7 @@
 	server.lastFailed, pb.failedBefore = true, true
 }
 
-// Ended takes the end of a setup try or of a playback.
+// Ended handles the end of a setup try or of a playback.
 func (f *front) Ended(result session.Result) {
 	pb := f.playbacks[result.Playback]
 	if pb == nil || !pb.active || result.Try != pb.tries-1 {
@@ -531,7 +559,7 @@
 		f.recordError(pb, result.Server)
 	case session.TimedOut, session.NoConnection, session.Reset:
 		f.suspend(result.Server, result.Outcome)
-	case session.Full: // at least as full as it was thought to be, guard told or not
+	case session.Full: // at least as full as estimated, whether or not its refusal threshold is known
 		f.server(result.Server).link.addReading(f, max(f.Fleet.FullFrom, f.server(result.Server).link.fill(f)), f.now)
 	}
 	if !pb.playing {
@@ -543,7 +571,8 @@
 		f.finish(pb)
 		return
 	}
-	neverRan := result.Outcome == session.Full || result.Outcome == session.NoConnection || result.Outcome == session.NotSent
+	neverRan := result.Outcome == session.Full || result.Outcome == session.NoConnection ||
+		result.Outcome == session.NotSent
 	if !neverRan && pb.mayHaveRunOn < 0 {
 		pb.mayHaveRunOn, pb.mayHaveRunSince = result.Server, f.now-result.Took
 	}
@@ -552,10 +581,11 @@
 	f.decide(pb)
 }
 
+// Left handles a client that has gone; its playback needs no answer.
 func (f *front) Left(id int) {
 	if pb := f.playbacks[id]; pb != nil && !pb.finished {
 		pb.wantAnswer, pb.finished = answerNone, true
-		if !pb.active { // a try may have been decided on and not sent yet
+		if !pb.active { // a try may be chosen but not sent yet
 			if pb.wantServer >= 0 {
 				f.tryFinished(pb.wantServer, false)
 			}
@@ -565,6 +595,7 @@
 	}
 }
 
+// recordLoad takes in a server's load report as of an earlier moment.
 func (f *front) recordLoad(srv int, load session.Load, asOf Time) {
 	server := f.server(srv)
 	if load.HasLink {
@@ -580,7 +611,7 @@
 	}
 }
 
-// Probed takes the answer to a probe.
+// Probed handles the answer to a probe.
 func (f *front) Probed(srv int, outcome session.Outcome, load session.Load) {
 	server := f.server(srv)
 	server.probePending = false
@@ -592,7 +623,7 @@
 	f.resumeWaiting(server)
 }
 
-// Noted takes news on a playback.
+// Noted handles a note on a playback.
 func (f *front) Noted(note session.Note) {
 	pb := f.playbacks[note.Playback]
 	if pb == nil {
@@ -611,8 +642,8 @@
 	}
 }
 
-// delivered takes the share of their rates that playbacks at a server get for the fuller of its link and its
-// rack's uplink.
+// recordDelivery takes the share of their rates that a server's playbacks receive as a reading of the server's link
+// or of its rack's uplink, whichever has the higher fill.
 func (f *front) recordDelivery(srv int, share float64, asOf Time) {
 	server := &f.servers[srv]
 	estimate, isBehind := &server.link, func(i int) bool { return i == srv }
@@ -621,13 +652,14 @@
 	}
 	currentFill, impliedFill := estimate.fill(f), 1/max(share, 0.1)
 	if share >= fullDelivery && (currentFill <= 1 || !f.Fleet.LoadInAnswers) {
-		return // where no notes follow, an end would be taken for brimful for long
+		return // the end of a shortage would count as a fill of 1 for long where no load reports follow
 	}
 	if estimate != &server.link && f.Fleet.UplinkUntold {
 		estimate.fitCapacity(f, impliedFill)
 	} else {
-		currentIsRecent := f.now-estimate.readAt < f.Fleet.NoteEvery && currentFill > impliedFill-surpriseFill // this one is smoothed
-		if currentIsRecent || share < fullDelivery && currentFill >= impliedFill {
+		// The delivered share is smoothed, so that a recent reading is closer unless the difference is large.
+		currentIsCloser := f.now-estimate.readAt < f.Fleet.NoteEvery && currentFill > impliedFill-surpriseFill
+		if currentIsCloser || share < fullDelivery && currentFill >= impliedFill {
 			return
 		}
 		estimate.addReading(f, impliedFill, asOf)
@@ -635,15 +667,15 @@
 	f.relieveShortage(estimate, isBehind)
 }
 
-// relieve answers a shortage: of the streams behind the gauge those go one rung down that lose least for
-// the rate they free, until this front's part of what is too much is gone; the other fronts do the same.
+// relieveShortage steps streams down if the link or uplink is short: those that lose the least revenue per freed kB
+// go first, until this front's part of the excess is gone. The other fronts do the same.
 func (f *front) relieveShortage(estimate *loadEstimate, isBehind func(srv int) bool) {
 	fill := estimate.fill(f)
 	if fill > shortageFill {
 		estimate.shortageAt = f.now
 	}
-	if fill <= shortageFill || f.now-estimate.steppedAt < feedbackNoteDelays*f.Fleet.NoteDelay { // a step taken is not in the readings yet
-		return
+	if fill <= shortageFill || f.now-estimate.steppedAt < feedbackNoteDelays*f.Fleet.NoteDelay {
+		return // no shortage, or the last step does not show in the readings yet
 	}
 	for excessKB := (fill - reliefFill) / fill * estimate.ownKB; excessKB > 0; {
 		var cheapest *streamState
@@ -653,26 +685,29 @@
 				continue
 			}
 			for _, stream := range f.servers[i].streams {
-				if stream.rung <= f.Plans[stream.plan].Floor || f.now-stream.rungChangedAt < feedbackNoteDelays*f.Fleet.NoteDelay {
+				if stream.rung <= f.Plans[stream.plan].Floor ||
+					f.now-stream.rungChangedAt < feedbackNoteDelays*f.Fleet.NoteDelay {
 					continue
 				}
 				revenue := f.Plans[stream.plan].Revenue * f.planStats[stream.plan].weight * float64(len(stream.members))
 				lostRevenue := (f.rungRevenue(stream.rung) - f.rungRevenue(stream.rung-1)) * revenue
-				freedKB := f.streamKB(stream, len(stream.members)) * (1 - f.rateKB(stream.plan, stream.rung-1)/f.rateKB(stream.plan, stream.rung))
+				freedKB := f.streamKB(stream, len(stream.members)) *
+					(1 - f.rateKB(stream.plan, stream.rung-1)/f.rateKB(stream.plan, stream.rung))
 				if lostRevenue/freedKB < lowestLoss {
 					cheapest, lowestLoss, cheapestKB = stream, lostRevenue/freedKB, freedKB
 				}
 			}
 		}
 		if estimate.steppedAt = f.now; cheapest == nil || excessKB < cheapestKB*f.random() {
-			return // where a part of the stream would do, some of the fronts step theirs
+			return // the excess is less than one stream: by chance, only some of the fronts step theirs
 		}
 		f.setStreamRung(cheapest, cheapest.rung-1)
 		excessKB -= cheapestKB
 	}
 }
 
-// stepUp is what a stream's next rung earns and asks more; nothing unless all its viewers can take it.
+// stepUpValue returns the revenue and the demand that a stream's next rung adds. The revenue is 0 unless all viewers
+// of the stream can use that rung.
 func (f *front) stepUpValue(stream *streamState) (gain, kb float64) {
 	for _, pb := range stream.members {
 		if pb.Top == stream.rung || !pb.playing || pb.moving {
@@ -680,19 +715,22 @@
 		}
 		gain += f.revenue(pb) * (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
 	}
-	return gain, f.streamKB(stream, len(stream.members)) * (f.rateKB(stream.plan, stream.rung+1)/f.rateKB(stream.plan, stream.rung) - 1)
+	return gain, f.streamKB(stream, len(stream.members)) *
+		(f.rateKB(stream.plan, stream.rung+1)/f.rateKB(stream.plan, stream.rung) - 1)
 }
 
-// raise takes streams one rung up where there is room and no shortage was heard of.
+// stepUpStreams steps a server's streams up by one rung each, as far as capacity allows and if no shortage was
+// found lately.
 func (f *front) stepUpStreams(srv int) {
 	server := &f.servers[srv]
 	uplink := &f.uplinks[server.rack]
 	if server.entry.State != session.Ready || f.now < max(server.suspendedUntil, server.coldUntil) ||
 		!server.link.measured && f.Fleet.LoadInAnswers ||
-		f.now-max(server.link.shortageAt, uplink.shortageAt, server.link.steppedAt, uplink.steppedAt) < feedbackNoteDelays*f.Fleet.NoteDelay {
+		f.now-max(server.link.shortageAt, uplink.shortageAt, server.link.steppedAt, uplink.steppedAt) <
+			feedbackNoteDelays*f.Fleet.NoteDelay {
 		return
 	}
-	for fronts := 1.0; ; fronts = float64(f.Fronts) { // more steps than one leave the other fronts their room
+	for fronts := 1.0; ; fronts = float64(f.Fronts) { // steps after the first leave capacity for the other fronts
 		var best *streamState
 		bestDensity := 0.0
 		for _, stream := range server.streams {
@@ -701,14 +739,14 @@
 				continue
 			}
 			payback := stepUpPayback * float64(f.Ladder.Change) / (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
-			if float64(f.now-stream.rungChangedAt) >= payback { // the last one has earned its cost
+			if float64(f.now-stream.rungChangedAt) >= payback { // the last change has earned its cost
 				best, bestDensity = stream, gain/kb
 			}
 		}
 		if best == nil {
 			return
 		}
-		if !f.Fleet.LoadInAnswers && !f.loadIsRecent(server) && f.mayProbe() { // the answer decides
+		if !f.Fleet.LoadInAnswers && !f.loadIsRecent(server) && f.mayProbe() { // the probe's answer decides
 			f.requestProbe(srv)
 			return
 		}
@@ -717,9 +755,10 @@
 	}
 }
 
-// weighPlans gives the plan served worst the weight that the site counts it with beside the whole.
+// updatePlanWeights raises the weight of the plans that are served worse than the others, up to the weight with which
+// the site counts its worst-served plan next to the total.
 func (f *front) updatePlanWeights(tick Time) {
-	weight := float64(tick) / (float64(tick) + f.meanPlaybackTime) // under 1, however short playbacks are against a tick
+	weight := float64(tick) / (float64(tick) + f.meanPlaybackTime) // below 1, even if playbacks are shorter than a tick
 	for i := range f.planStats {
 		f.planStats[i].requested *= 1 - weight
 		f.planStats[i].earned *= 1 - weight
@@ -747,7 +786,7 @@
 	}
 }
 
-// Woken runs what comes with time.
+// Woken does the periodic work.
 func (f *front) Woken(uint64) {
 	if f.now < f.wakeAt {
 		return
@@ -768,12 +807,12 @@
 	for i := range f.servers {
 		f.stepUpStreams(i)
 		if server := &f.servers[i]; len(server.awaitingProbe) > 0 && f.now-server.probeSentAt > f.longestStartup/4 {
-			f.resumeWaiting(server) // the look takes too long
+			f.resumeWaiting(server) // the probe takes too long
 		}
 	}
 }
 
-// Settle emits the difference between what is wanted and what is out.
+// Settle emits the actions that lead from the present state to the wanted one.
 func (f *front) Settle(actions session.Actions) {
 	for i := 0; i < len(f.dirty); i++ {
 		pb := f.dirty[i]
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -11,12 +11,12 @@
 	"pierlink/session"
 )
 
-// stage plays one scenario file. A line `T event ...` lets time pass to T seconds (timers due on the way
-// fire) and tells the module an event; `> action` wants an action of that start since then, `! action`
-// wants none, `= N action` exactly N; `T late event` comes in a late turn;
-// `|` parts what stands on one line. `set key value` and
-// `server key=value ...` come first.
-// Whatever the scenario, no playback may have two tries out, two answers, or a try at a server not ready.
+// scenario runs one scenario file against a decision module. The file starts with its configuration, in lines
+// `set key value` and `server key=value ...`. A line `T event ...` advances the time to T seconds, firing the timers
+// due until then, and reports an event; in `T late event ...` the timers have not fired yet. Checks refer to the
+// actions since the last event: `> action` expects at least one that begins with these words, `! action` none, and
+// `= N action` exactly N. `|` separates several entries of one line.
+// In every scenario, no playback may have two pending tries, two answers, or a try at a server that is not ready.
 type scenario struct {
 	t                    *testing.T
 	line                 string
@@ -31,7 +31,7 @@
 }
 
 func (s *scenario) fail(format string, a ...any) {
-	s.t.Errorf("%s: %s (since the event: %s)", s.line, fmt.Sprintf(format, a...), strings.Join(s.actions, "; "))
+	s.t.Errorf("%s: %s (actions since the event: %s)", s.line, fmt.Sprintf(format, a...), strings.Join(s.actions, "; "))
 }
 
 func (s *scenario) record(format string, a ...any) {
@@ -40,7 +40,7 @@
 
 func (s *scenario) recordAnswer(pb int) {
 	if s.answered[pb] || s.pending[pb] {
-		s.fail("second answer, or answer with a try out, for %d", pb)
+		s.fail("second answer, or answer while a try is pending, for playback %d", pb)
 	}
 	s.answered[pb] = true
 }
@@ -48,10 +48,10 @@
 func (s *scenario) SetRung(pb, rung int) { s.record("rung %d %d", pb, rung) }
 func (s *scenario) Try(pb, server int, limit Time) {
 	if s.pending[pb] || s.answered[pb] {
-		s.fail("try for %d, which has one out or is answered", pb)
+		s.fail("try for playback %d, which has a pending try or is answered", pb)
 	}
 	if s.entries[server].State != session.Ready {
-		s.fail("try at server %d, which is not ready", server)
+		s.fail("try at server %d, whose state is not ready", server)
 	}
 	if n, ok := s.tryNumber[pb]; ok {
 		s.tryNumber[pb] = n + 1
@@ -86,7 +86,7 @@
 		Prices: session.Prices{Move: .05, Probe: .01}}
 }
 
-// set changes a told figure.
+// set changes a value of the site's configuration.
 func (s *scenario) set(key, value string) {
 	number, _ := strconv.ParseFloat(value, 64)
 	plan := &s.site.Plans[1]
@@ -113,14 +113,14 @@
 			return
 		}
 	}
-	s.t.Fatalf("%s: unknown figure", s.line)
+	s.t.Fatalf("%s: unknown configuration key", s.line)
 }
 
 var outcomes = map[string]session.Outcome{"ok": session.OK, "error": session.Failed, "full": session.Full,
 	"timeout": session.TimedOut, "noconnection": session.NoConnection, "reset": session.Reset,
 	"cancelled": session.Cancelled}
 
-// event tells one event of the words after the time.
+// event reports the event that the words after the time describe.
 func (s *scenario) event(words []string) {
 	named := map[string]float64{}
 	var numbers []int
@@ -205,7 +205,7 @@
 	}
 }
 
-// pass lets the timers fire that are due before a moment.
+// advance fires the timers that are due by a moment, and begins a turn at that moment.
 func (s *scenario) advance(until Time) {
 	for {
 		next := -1
@@ -259,27 +259,27 @@
 		s.entries = append(s.entries, entry)
 	case ">":
 		if matches == 0 {
-			s.fail("missing")
+			s.fail("expected action is missing")
 		}
 	case "!":
 		if matches > 0 {
-			s.fail("unwanted")
+			s.fail("unexpected action")
 		}
 	case "=":
 		if strconv.Itoa(matches) != words[1] {
-			s.fail("%d of them", matches)
+			s.fail("found %d such actions", matches)
 		}
 	default:
 		seconds, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
-			s.t.Fatalf("%s: not understood", line)
+			s.t.Fatalf("%s: expected a time, `>`, `!`, `=`, `set` or `server` at the start of the line", line)
 		}
 		moment := Time(seconds * 1e6)
 		if s.manager == nil {
 			s.now, s.manager = moment, New(&s.site, 7, moment)
 		}
 		s.actions = nil
-		if words[1] == "late" { // the turn comes late: timers due before have not fired yet
+		if words[1] == "late" { // the turn is late: timers that are due have not fired yet
 			s.now, words = moment, words[1:]
 			s.manager.At(moment)
 		} else {
@@ -293,7 +293,7 @@
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("no scenario files found", err)
 	}
 	for _, name := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(name), ".txt"), func(t *testing.T) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,25 +9,25 @@
 	"pierlink/session"
 )
 
-// What this front knows and holds. Nothing in this file decides.
+// The state of a front. This file makes no decisions.
 type (
 	// Time is session.Time.
 	Time = session.Time
 
-	// gauge tells how full a link or an uplink is: the latest reading, corrected by what this front changed
-	// since the moment that the reading is of.
+	// loadEstimate estimates the fill of a link or an uplink: the latest reading, corrected by this front's own
+	// changes since the moment of that reading.
 	loadEstimate struct {
-		capacityKB, ownKB, othersFill float64
+		capacityKB, ownKB, othersFill float64 // ownKB: demand of this front; othersFill: that of the others, as last read
 		typical                       *typicalDemand
-		measured                      bool
+		measured                      bool // a reading has been taken
 		readAt                        Time
-		shortageAt                    Time  // last found short
-		steppedAt                     Time  // this front last stepped streams here
-		servers                       []int // the servers of an uplink
-		ownHistory                    meter.History
+		shortageAt                    Time          // when a shortage was last found
+		steppedAt                     Time          // when this front last stepped streams here
+		servers                       []int         // the servers behind an uplink
+		ownHistory                    meter.History // of ownKB
 	}
 
-	// usual is what others ask of links, or uplinks, as a rule.
+	// typicalDemand is the demand that the other fronts usually place on links, or on uplinks.
 	typicalDemand struct {
 		capacityKB, ownKB, meanFill, readings float64
 		readAt                                Time
@@ -38,31 +38,32 @@
 		rack           int
 		link           loadEstimate
 		streams        []*streamState
-		pendingTries   int // setup tries out
-		suspensions    int
+		pendingTries   int // setup tries sent and not finished
+		suspensions    int // how often suspended in succession; halved by each success
 		suspendedUntil Time
-		halfOpen       bool // one try at a time until one succeeds
-		lastFailed     bool // on the last playback that it set up
+		halfOpen       bool // after a suspension: one try at a time until one succeeds
+		lastFailed     bool // the last playback that it set up ended with an error
 		coldUntil      Time
-		coldListed     bool // by the list; otherwise only feared
+		coldListed     bool // its restart is in the server list, not only assumed
 		recentTries    meter.Count
 		probePending   bool
-		awaitingProbe  []*playback // for the probe's answer
+		awaitingProbe  []*playback // playbacks held back until the probe's answer
 		probeSentAt    Time
 	}
 
-	// stream is one title at one server, plan and rung, as far as this front's playbacks make it up.
+	// streamState is one title at one server, plan and rung, with this front's playbacks of it.
 	streamState struct {
 		title, plan, server, rung int
 		members                   []*playback
 		rungChangedAt             Time
-		openedRemote              bool // by this front, remote, for want of local room
+		openedRemote              bool // by this front, in another zone, as the own zone had no capacity
 	}
 
-	// service is a plan's revenue asked for and earned of late, as the rungs of this front's playbacks tell it.
+	// planStats holds a plan's recent revenue at the rungs that viewers could use and at the rungs that they got, over
+	// this front's playbacks.
 	planStats struct {
 		requested, earned float64
-		weight            float64 // of its revenue, beside that of other plans
+		weight            float64 // factor on the plan's revenue in decisions
 	}
 
 	playback struct {
@@ -71,15 +72,15 @@
 		stream                       *streamState
 		tries                        int
 		triedServers                 []int
-		mayHaveRunOn                 int // where a keyed or unsafe try may have run, -1 for nowhere
+		mayHaveRunOn                 int // server on which an earlier try may have run, -1 for none
 		mayHaveRunSince              Time
-		active, playing              bool
-		failedBefore                 bool // somewhere
+		active, playing              bool // active: a try is pending or the playback runs
+		failedBefore                 bool // with an error, on any server
 		holdsSeat                    bool
-		finished                     bool
-		dirty                        bool
-		probeAwaited                 bool
-		// wanted against present
+		finished                     bool // answered or given up by its client
+		dirty                        bool // in front.dirty
+		probeAwaited                 bool // was held back for a probe once
+		// wanted and present state, which Settle brings into line
 		wantServer, wantRung, currentRung int
 		tryTimeout                        Time
 		wantAnswer                        int
@@ -88,32 +89,32 @@
 
 	front struct {
 		*session.Site
-		now, turnDelay                Time // late: by how much this turn is
+		now, turnDelay                Time // turnDelay: how late this turn started
 		seed                          uint64
 		randomDraws                   uint32
 		startedAt                     Time
-		assumeColdUntil               Time // any server may be cold
+		assumeColdUntil               Time // any server may be cold until then; set to never by a takeover
 		servers                       []serverState
-		uplinks                       []loadEstimate
+		uplinks                       []loadEstimate // one per rack
 		typicalLinks, typicalUplinks  typicalDemand
 		playbacks                     []*playback
-		dirty                         []*playback
-		seats                         map[[2]int]int
+		dirty                         []*playback    // with changes for Settle
+		seats                         map[[2]int]int // taken seats by plan and title
 		tenantRequests                []meter.Count
 		planStats                     []planStats
 		recentRequests, recentRetries meter.Count
-		recentSetupKB                 meter.Count // kB of set-ups since news of links could last show them
-		unreportedFill                float64     // fill that the others are taken to have added meanwhile
-		meanSetupTime                 float64     // setup time
-		meanPlaybackTime              float64     // of a playback
-		capacityPrice                 float64     // of room: what the best step left untaken earns for a kB
-		longestStartup                Time        // longest startup target
-		maxFloorDensity               float64     // revenue for a kB at the densest floor
+		recentSetupKB                 meter.Count // rate of the setups that readings may not show yet
+		unreportedFill                float64     // assumed fill that other fronts added meanwhile
+		meanSetupTime                 float64
+		meanPlaybackTime              float64
+		capacityPrice                 float64 // revenue per kB of the best step not taken
+		longestStartup                Time    // of all plans' startup targets
+		maxFloorDensity               float64 // highest revenue per kB of a plan at its lowest rung
 		wakeAt, wakeRequestedAt       Time
-		watchAt                       Time    // when to subscribe
-		playbackCount, probeCount     float64 // playbacks taken, probes sent
-		liveViewers                   int     // of live streams
-		liveStreams                   int     // live streams
+		watchAt                       Time    // when to subscribe to the server list
+		playbackCount, probeCount     float64 // playbacks taken on and probes sent since the start
+		liveViewers                   int     // viewers of live streams
+		liveStreams                   int
 		wantProbes                    []int
 	}
 )
@@ -142,11 +143,12 @@
 }
 
 func (f *front) rungRevenue(rung int) float64 { return f.Ladder.Worth[rung] }
+
 func (f *front) rateKB(plan, rung int) float64 {
 	return f.Ladder.RateKB[rung] * f.Plans[plan].RateFactor
 }
 
-// chance is the next number in [0,1).
+// random returns the next pseudo-random number in [0,1).
 func (f *front) random() float64 {
 	var b [12]byte
 	binary.BigEndian.PutUint64(b[:], f.seed)
@@ -155,18 +157,20 @@
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
-// meet is a number in [0,1) of a title and a cell, the same at every front.
+// titleCellHash maps a title and a cell to a number in [0,1), the same at every front.
 func titleCellHash(show uint64, cell int) float64 {
 	b := binary.BigEndian.AppendUint64(nil, show)
 	return float64(crc32.ChecksumIEEE(binary.BigEndian.AppendUint16(b, uint16(cell)))) / (1 << 32)
 }
 
+// add changes this front's own demand by kb.
 func (e *loadEstimate) add(f *front, kb float64) {
 	e.ownKB += kb
 	e.typical.ownKB += kb
 	e.ownHistory.Set(f.now, e.ownKB)
 }
 
+// server returns the state of a server and creates it if the number is new.
 func (f *front) server(i int) *serverState {
 	for len(f.servers) <= i {
 		f.servers = append(f.servers, serverState{recentTries: meter.NewCount(f.Terms.FallSpan, bucketsPerSpan),
@@ -175,11 +179,13 @@
 	return &f.servers[i]
 }
 
+// holdsTitle reports whether the playback's title is stored in the server's cell.
 func (f *front) holdsTitle(pb *playback, server *serverState) bool {
 	cells := f.Fleet.Cells
 	return pb.Span <= 0 || pb.Span >= cells || ((server.entry.Cell-pb.Base)%cells+cells)%cells < pb.Span
 }
 
+// markDirty has Settle look at the playback.
 func (f *front) markDirty(pb *playback) {
 	if !pb.dirty {
 		pb.dirty = true
@@ -187,6 +193,7 @@
 	}
 }
 
+// streamKB returns the demand of a stream with the given number of members.
 func (f *front) streamKB(stream *streamState, members int) float64 {
 	if members == 0 {
 		return 0
@@ -194,6 +201,7 @@
 	return f.rateKB(stream.plan, stream.rung) * (1 + f.Ladder.Join*float64(members-1))
 }
 
+// attach adds a playback to a stream at the server and rung: a running one if the plan is live, or else a new one.
 func (f *front) attach(pb *playback, srv, rung int) {
 	server := f.server(srv)
 	var stream *streamState
@@ -217,7 +225,7 @@
 	pb.stream = stream
 }
 
-// weigh books what a stream asks once it has n members.
+// resizeStream updates the demand on link and uplink for a stream that will have the given number of members.
 func (f *front) resizeStream(stream *streamState, members int) {
 	kb := f.streamKB(stream, members) - f.streamKB(stream, len(stream.members))
 	server := f.server(stream.server)
@@ -225,6 +233,7 @@
 	f.uplinks[server.rack].add(f, kb)
 }
 
+// detach takes a playback off its stream, and removes the stream with its last member.
 func (f *front) detach(pb *playback) {
 	stream := pb.stream
 	if stream == nil {
@@ -245,11 +254,13 @@
 	}
 }
 
+// finish has Settle release the playback's number.
 func (f *front) finish(pb *playback) {
 	pb.finished = true
 	f.markDirty(pb)
 }
 
+// addPlayback creates the state of a playback, with its plan's lowest rung.
 func (f *front) addPlayback(request session.Request) *playback {
 	floor := f.Plans[request.Plan].Floor
 	pb := &playback{Request: request, wantServer: -1, mayHaveRunOn: -1, requestedAt: f.now, currentRung: floor, wantRung: floor}
@@ -263,7 +274,7 @@
 	return pb
 }
 
-// step takes a stream's members to another rung, as far as they can use it.
+// setStreamRung takes those members of a stream to another rung that can use it.
 func (f *front) setStreamRung(stream *streamState, rung int) {
 	for _, pb := range slices.Clone(stream.members) {
 		if rung > pb.Top {
@@ -277,7 +288,7 @@
 	}
 }
 
-// hold books a setup try, with its seat.
+// reserve counts a setup try at the server and takes a seat for it.
 func (f *front) reserve(pb *playback, srv int) {
 	server := f.server(srv)
 	server.pendingTries++
@@ -285,7 +296,7 @@
 	f.seats[[2]int{pb.Plan, pb.Title}]++
 }
 
-// release takes a playback off its stream and its seat.
+// release takes a playback off its stream and gives its seat back.
 func (f *front) release(pb *playback) {
 	pb.active = false
 	f.detach(pb)
@@ -295,7 +306,7 @@
 	}
 }
 
-// enter books a server's list entry, and what it carries at its rack.
+// setEntry sets a server's list entry, and moves its demand to the uplink of its rack if the rack has changed.
 func (f *front) setEntry(server *serverState, entry session.Entry) {
 	server.entry = entry
 	rack := entry.Cell % f.Fleet.Racks
@@ -311,7 +322,7 @@
 	}
 }
 
-// playsAt books the rung of a playback taken over.
+// setKnownRung sets the rung at which a taken-over playback already runs.
 func (f *front) setKnownRung(pb *playback, rung int) {
 	if rung < 0 || rung >= len(f.Ladder.RateKB) {
 		return
--- a/session/session.go
+++ b/session/session.go
@@ -1,58 +1,59 @@
-// Package session defines what a session manager's decision module sees and does. It holds neither
-// decisions nor any wire: a door (today the simulator's adapter, later the daemon) translates.
+// Package session defines the interface between a session manager's decision module and its host: the events that
+// the module receives and the actions that it may take. It contains neither decisions nor wire formats. The host,
+// which is the simulator's adapter or a front, translates between this interface and its protocols.
 //
-// Playbacks, servers and titles are small numbers handed out by the door, the same number for the same
-// thing. A playback's number is free for another one once the module has called Forget.
+// Playbacks, servers and titles are small numbers that the host assigns; the same thing always has the same number.
+// The host may reuse a playback's number once the module has called Forget for it.
 package session
 
-// Time is a clock value or a span in whole microseconds.
+// Time is a clock value or a duration in whole microseconds.
 type Time = int64
 
 // Second is one second of Time.
 const Second Time = 1_000_000
 
-// Manager is the decision module of one front. Within one moment the door calls At, then an event method
-// for each event in its order, then Settle once.
+// Manager is the decision module of one front. In each turn the host calls At with the clock time, then one event
+// method for each event in their order, and then Settle once.
 type Manager interface {
 	At(now Time)
-	Listed(l List)
-	Opened(r Request, server int) // plays already at the start; its rung comes in a RungNow note
-	Requested(r Request)
+	Listed(list List)
+	Opened(request Request, server int) // already running when the front starts; a note reports its rung
+	Requested(request Request)
 	Playing(pb, try, server int, took Time)
-	Ended(r Result)
-	Left(pb int) // the client has gone; nothing more is owed
+	Ended(result Result)
+	Left(pb int) // the client has gone and needs no answer
 	Woken(token uint64)
-	Probed(server int, o Outcome, load Load)
-	Noted(n Note)
-	Settle(a Actions)
+	Probed(server int, outcome Outcome, load Load)
+	Noted(note Note)
+	Settle(actions Actions) // end of the turn: emits the actions
 }
 
-// Actions is what the module may do; the door carries it out in the order of the calls.
+// Actions is what the module may do. The host carries the actions out in the order of the calls.
 type Actions interface {
 	SetRung(pb, rung int)
-	Try(pb, server int, limit Time) // a setup try; limit 0 lasts until the abandon time
-	Reject(pb int, comeAgain Time)  // final; 0 advises nothing
-	Abort(pb int)                   // final
-	Move(pb int)
+	Try(pb, server int, limit Time) // starts a setup try; a limit of 0 extends it to the abandon time
+	Reject(pb int, retryAfter Time) // final; a retryAfter of 0 gives no advice
+	Abort(pb int)                   // final; answers the playback as failed
+	Move(pb int)                    // takes a running playback off its server
 	Probe(server int)
-	Wake(at Time, token uint64)
-	Watch() // subscribe to the server list
-	Forget(pb int)
+	Wake(at Time, token uint64) // sets a timer, whose expiry is reported to Woken
+	Watch()                     // subscribes to the server list
+	Forget(pb int)              // releases the playback's number
 }
 
 // Request is a playback to be set up.
 type Request struct {
 	Playback, Plan, Tenant, Title int
-	Show                          uint64 // the title's own id, the same at every front
-	Abandon                       Time   // clock time at which the client gives up this try
+	Show                          uint64 // the title's identifier, the same at every front
+	Abandon                       Time   // clock time at which the client gives up this request
 	Top                           int    // highest rung that the viewer can use
-	Base, Span                    int    // the cells that hold the title: Span of them from Base on
+	Base, Span                    int    // the title is stored in Span cells, from cell Base on
 }
 
 // Outcome is how a setup try, a playback or a probe ended.
 type Outcome int
 
-// The outcomes. Full, NoConnection and NotSent prove that nothing ran.
+// The outcomes. After Full, NoConnection and NotSent it is certain that no playback was set up.
 const (
 	OK Outcome = iota
 	Failed
@@ -64,41 +65,41 @@
 	NotSent
 )
 
-// Result ends a setup try or the playback that came of it.
+// Result reports the end of a setup try, or of the playback that it set up.
 type Result struct {
 	Playback, Try, Server int
 	Outcome               Outcome
 	Took                  Time
-	Final                 bool // the playback is finished; otherwise an answer is still owed
+	Final                 bool // the playback is finished; otherwise it still needs an answer
 	Load                  Load
 }
 
-// Load is a server's own report, in parts of what its link or its rack's uplink gives.
+// Load is a server's own load report, as shares of the capacity of its link and of its rack's uplink.
 type Load struct {
 	Link, Uplink       float64
 	HasLink, HasUplink bool
 	Capped             bool // Link never shows more than 1
 }
 
-// NoteKind is the kind of a note on a playback.
+// NoteKind is the kind of a note.
 type NoteKind int
 
-// The notes.
+// The kinds of notes, by what their value is.
 const (
-	Delivered   NoteKind = iota + 1 // share of their rates that playbacks at the server get
-	RungNow                         // the rung in force
-	LinkAsked                       // asked of the link over what it gives
-	UplinkAsked                     // the same for the rack's uplink
+	Delivered   NoteKind = iota + 1 // share of their rates that the server's playbacks receive
+	RungNow                         // rung at which the playback runs
+	LinkAsked                       // demand on the server's link as a share of its capacity
+	UplinkAsked                     // the same for its rack's uplink
 )
 
-// Note is news on a playback.
+// Note reports a change of a playback or of its server's load.
 type Note struct {
 	Playback, Server int
 	Kind             NoteKind
 	Value            float64
 }
 
-// ServerState is what the list says of a server.
+// ServerState is a server's state in the server list.
 type ServerState int
 
 // The states.
@@ -108,32 +109,32 @@
 	Draining
 )
 
-// Entry is one line of the server list.
+// Entry is one entry of the server list.
 type Entry struct {
 	Server, Zone, Kind, Cell int
 	State                    ServerState
-	Started                  Time // its latest start, 0 for long ago
-	Weight                   float64
+	Started                  Time    // time of the latest start, 0 if long ago
+	Weight                   float64 // link capacity in units of Fleet.KBPerWeight
 }
 
-// List is news of the server list.
+// List is an update of the server list.
 type List struct {
 	Entries []Entry
-	Whole   bool // servers that it does not name are gone
-	Failed  bool // a call or the subscription failed; no entries
+	Whole   bool // servers that are not in it are gone
+	Failed  bool // a call or the subscription failed; there are no entries
 }
 
-// Repeat tells what a second set-up of a playback does.
+// Repeat is the effect of setting up a playback a second time.
 type Repeat int
 
-// The kinds of plan.
+// The effects of a second setup.
 const (
-	Harmless Repeat = iota // may be set up again
-	Keyed                  // again only within the key's scope and window
-	Unsafe                 // never again once a try may have run
+	Harmless Repeat = iota // none: may be set up again
+	Keyed                  // none within the scope and the window of an idempotency key
+	Unsafe                 // not to be set up again once a try may have run
 )
 
-// Scope is where a key holds.
+// Scope is the set of servers among which an idempotency key is valid.
 type Scope int
 
 // The scopes.
@@ -147,74 +148,74 @@
 type Plan struct {
 	Repeat     Repeat
 	Scope      Scope
-	Window     Time
+	Window     Time // validity of an idempotency key
 	Startup    Time // startup target
 	Revenue    float64
-	Live       bool
-	RateFactor float64
-	Floor, Top int
-	Seats      int // playbacks of one title, 0 for no cap
+	Live       bool    // viewers of a title can share a stream
+	RateFactor float64 // on the ladder's rates
+	Floor, Top int     // lowest and highest rung
+	Seats      int     // limit on concurrent playbacks of one title, 0 for none
 }
 
-// Tenant is a customer with its share of the service.
+// Tenant is a customer with its quota.
 type Tenant struct {
-	QuotaPerS float64
+	QuotaPerS float64 // requests per second at all fronts, 0 for no quota
 }
 
-// Ladder is the rates and revenues of the rungs.
+// Ladder holds the rates and revenues of the rungs.
 type Ladder struct {
-	RateKB, Worth []float64
-	Join          float64 // what a further viewer of a stream adds, in parts of its rate
-	Change        Time    // revenue time that a change of rung costs
+	RateKB, Worth []float64 // per rung: rate in kB, revenue as a share of the plan's
+	Join          float64   // demand of each further viewer of a stream, as a share of the stream's rate
+	Change        Time      // cost of a change of rung, as a time without revenue
 }
 
-// Fleet is what is told of servers and racks.
+// Fleet is the configuration of servers and racks.
 type Fleet struct {
 	Cells, Racks         int
-	LinksKB, UplinkKB    float64 // all links; a mean uplink
+	LinksKB, UplinkKB    float64 // capacity of all links together; mean capacity of an uplink
 	KBPerWeight          float64
-	WeightsTold          bool
-	Places               []float64 // for each kind: streams at most
-	FullFrom             float64   // refuses set-ups while its link is asked so much, 0 for never
-	NoteDelay, NoteEvery Time
-	LoadInAnswers        bool
-	LoadInProbes         bool
-	UplinkUntold         bool // load tells of links alone
+	WeightsTold          bool      // the server list has weights
+	Places               []float64 // maximum number of streams of a server, by kind
+	FullFrom             float64   // fill from which a server refuses setups, 0 for never
+	NoteDelay, NoteEvery Time      // delay and interval of notes
+	LoadInAnswers        bool      // answers to setup tries contain the load
+	LoadInProbes         bool      // answers to probes contain the load
+	UplinkUntold         bool      // load reports do not cover uplinks
 }
 
-// Terms are the figures of the six rules.
+// Terms are the parameters of the six rules.
 type Terms struct {
-	ColdFrom     float64
-	WarmUp       Time
-	FallMultiple float64
-	FallSpan     Time
-	AskWithin    Time
-	Rationed     bool // further tries are rationed
-	FreeTries    float64
-	TryShare     float64
+	ColdFrom     float64 // share of its capacity that a server has at its start
+	WarmUp       Time    // time from a server's start to full capacity
+	FallMultiple float64 // a cold server fails above this multiple of Places per WarmUp
+	FallSpan     Time    // span over which its setups are counted
+	AskWithin    Time    // time within which a front must request the server list
+	Rationed     bool    // retries are limited over TrySpan
+	FreeTries    float64 // retries allowed in any case
+	TryShare     float64 // further retries, as a share of the requests
 	TrySpan      Time
-	MaxTries     int
-	Probes       bool
-	MaxComeAgain Time // 0 where no advice is carried
+	MaxTries     int  // per playback
+	Probes       bool // probes may be sent
+	MaxComeAgain Time // longest advice in a rejection, 0 where none can be given
 }
 
-// Prices are parts of the whole result.
+// Prices are shares of the whole result.
 type Prices struct {
 	CrossZone, Move, Probe float64
-	WorstPlan              float64 // what the worst-served plan's service counts beside the whole, of 1
-	OverShare              float64 // worth of traffic beyond a tenant's share
+	WorstPlan              float64 // weight of the worst-served plan in the result, as a share of 1
+	OverShare              float64 // value of traffic beyond a tenant's quota, as a share of its full value
 }
 
-// Site is what a front is told at its start.
+// Site is the configuration that a front gets at its start.
 type Site struct {
 	Fronts, Zone  int
-	Front         int // its own number among them
+	Front         int // its own number, from 0
 	Plans         []Plan
 	Tenants       []Tenant
 	Ladder        Ladder
 	Fleet         Fleet
 	Terms         Terms
 	Prices        Prices
-	ListOnRequest bool
-	StartsTold    bool // a whole list tells each server's latest start, also those that a manager just back has missed
+	ListOnRequest bool // the server list is sent only after Watch
+	StartsTold    bool // a whole list has each server's latest start, also one during a restart of the front
 }
