--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -156,7 +156,8 @@
 		}
 		return nil
 	case simwire.EvList:
-		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(), Entries: make([]session.Entry, len(event.Entries))}
+		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(),
+			Entries: make([]session.Entry, len(event.Entries))}
 		for i, entry := range event.Entries {
 			if entry.Kind >= len(inst.site.Fleet.Places) {
 				return fmt.Errorf("server list entry of unknown kind %d: the settings have fewer kinds", entry.Kind)
@@ -183,8 +184,8 @@
 	case simwire.EvPlaying:
 		module.Playing(pb, event.Try, inst.serverNumber(event.Server), event.Took)
 	case simwire.EvResult:
-		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: inst.serverNumber(event.Server), Outcome: event.Outcome,
-			Took: event.Took, Final: event.Final, Load: start.Load(inst.loadNames, event.LoadValues)})
+		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: inst.serverNumber(event.Server),
+			Outcome: event.Outcome, Took: event.Took, Final: event.Final, Load: start.Load(inst.loadNames, event.LoadValues)})
 	case simwire.EvLeft:
 		module.Left(pb)
 	case simwire.EvNote:
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -114,7 +114,7 @@
 	domain, classes := &o.Domain, len(o.Classes)
 	if classes == 0 || len(domain.LadderKb) == 0 || len(domain.LevelWorth) != len(domain.LadderKb) ||
 		domain.Positions < 1 || domain.Cabinets < 1 || o.Balancers < 1 {
-		return nil, fmt.Errorf("start information: classes, ladder, positions, cabinets or balancers missing, or level worths that do not match the ladder")
+		return nil, fmt.Errorf("start information: classes, ladder, its level worths, positions, cabinets or balancers missing")
 	}
 	if len(domain.ClassTop) != classes || len(domain.LowestRung) != classes || len(domain.IsLive) != classes ||
 		len(domain.RateFactor) != classes || (len(domain.Seats) != classes && len(domain.Seats) != 0) {
@@ -129,8 +129,8 @@
 		Ladder: session.Ladder{RateKB: domain.LadderKb, Worth: domain.LevelWorth, Join: domain.Join,
 			Change: micros(domain.ChangeCostsS)},
 		Fleet: session.Fleet{Cells: domain.Positions, Racks: domain.Cabinets,
-			LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb, KBPerWeight: domain.KBPerWeight, WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots,
-			FullFrom: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteEvery: micros(domain.ToldEvery),
+			LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb, KBPerWeight: domain.KBPerWeight,
+			WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots, FullFrom: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteEvery: micros(domain.ToldEvery),
 			LoadInAnswers: o.LoadReport.Source == "piggyback", LoadInProbes: o.LoadReport.Source != "silent",
 			UplinkUntold: o.LoadReport.Source == "silent" || !slices.Contains(o.LoadReport.Names, "x1")},
 		Terms: session.Terms{ColdFrom: o.Rules.ColdFrom, WarmUp: micros(o.Rules.WarmUp),
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -39,7 +39,8 @@
 			site.Fleet.LinksKB, site.Fleet.KBPerWeight, site.Fleet.UplinkKB = 1e9, 1e9, 1e9 // capacity is not the limit
 			random := rand.New(rand.NewPCG(seed, uint64(places)))
 			begin := 1000 * session.Second
-			list := session.List{Whole: true, Entries: []session.Entry{{Server: 0, State: session.Ready, Weight: 1, Started: begin}}}
+			list := session.List{Whole: true,
+				Entries: []session.Entry{{Server: 0, State: session.Ready, Weight: 1, Started: begin}}}
 			hosts := make([]*testHost, fronts)
 			startFront := func(i int, now Time) {
 				ownSite := site
@@ -71,7 +72,8 @@
 						} else {
 							host.playbackCount++
 						}
-						host.manager.Requested(session.Request{Playback: pb, Plan: 1, Abandon: now + 4*session.Second, Top: 3, Base: 0, Span: 1})
+						host.manager.Requested(session.Request{Playback: pb, Plan: 1,
+							Abandon: now + 4*session.Second, Top: 3, Base: 0, Span: 1})
 					}
 					host.manager.Settle(host)
 					for _, pb := range host.newTries {
@@ -86,15 +88,19 @@
 				for k := len(tryTimes) - 1; k >= 0 && tryTimes[k] > now-site.Terms.FallSpan; k-- {
 					recent++
 				}
-				capacityShare := 1 - (1-site.Terms.ColdFrom)*float64(begin+site.Terms.WarmUp-now)/float64(site.Terms.WarmUp)
-				budget := places / float64(site.Terms.WarmUp) * float64(site.Terms.FallSpan) * site.Terms.FallMultiple * capacityShare
+				capacityShare := 1 - (1-site.Terms.ColdFrom)*
+					float64(begin+site.Terms.WarmUp-now)/float64(site.Terms.WarmUp)
+				budget := places / float64(site.Terms.WarmUp) * float64(site.Terms.FallSpan) *
+					site.Terms.FallMultiple * capacityShare
 				maxUse = max(maxUse, float64(recent)/(budget+2*math.Sqrt(budget)+2))
 			}
 			if maxUse > 1 {
-				t.Errorf("%.0f places, seed %d: setups reach %.2f of a cold server's limit, at most 1 is expected", places, seed, maxUse)
+				t.Errorf("%.0f places, seed %d: setups reach %.2f of a cold server's limit, at most 1 is expected",
+					places, seed, maxUse)
 			}
 			if maxUse < 0.2 {
-				t.Errorf("%.0f places, seed %d: setups use only %.2f of a cold server's limit, at least 0.2 is expected", places, seed, maxUse)
+				t.Errorf("%.0f places, seed %d: setups use only %.2f of a cold server's limit, at least 0.2 is expected",
+					places, seed, maxUse)
 			}
 			t.Logf("%.0f places, seed %d: %d tries, at most %.2f of the limit", places, seed, len(tryTimes), maxUse)
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -13,31 +13,31 @@
 
 // Tuned constants. Each is a share or a multiple of a value from the site's configuration.
 const (
-	maxOpenFill        = 0.90                // the design's mark: a stream opens only if the link's fill stays below this
+	maxOpenFill        = 0.90                // the design's mark: a stream opens only if the fill stays below this
 	maxFloorFill       = 0.86                // a playback is still accepted at its plan's lowest rung up to this fill
 	markReduction      = 0.50                // how much lower the mark is for the rungs with the least revenue per rate
 	shortageFill       = 1.03                // streams step down above this fill
 	reliefFill         = 0.97                // and continue to until the fill is down to this
-	stepUpMargin       = 0.04                // a step up leaves this much more capacity free than opening a stream does
+	stepUpMargin       = 0.04                // a step up leaves this much more free than opening a stream does
 	newReadingWeight   = 0.50                // weight of a new reading against a previous one that is still fresh
 	minMeanWeight      = 0.05                // minimum weight of one reading in the mean fill of all links
-	fillJitter         = 0.08                // random addition to the fill, so that the fronts do not all choose the same server
-	titleJitter        = 0.30                // the same for live titles, but equal at all fronts, so that viewers share streams
+	fillJitter         = 0.08                // random addition to the fill, so that the fronts choose different servers
+	titleJitter        = 0.30                // the same for live titles, but equal at all fronts
 	probeBudget        = 0.01                // share of the whole result that probes may cost
-	coldBudgetShare    = 0.75                // share of the cold budget to use, as the shape of the warm-up ramp is unknown
+	coldBudgetShare    = 0.75                // share of the cold budget in use, as the ramp's shape is unknown
 	stepUpPayback      = 2.0                 // multiple of its cost that a step up must earn
-	bucketsPerSpan     = 8                   // buckets of a counter over its span, and of a load estimate's history per note delay
-	historyBuckets     = 32                  // buckets of a load estimate's own history
+	bucketsPerSpan     = 8                   // of a counter over its span, of a load estimate's history per note delay
+	historyBuckets     = 32                  // of a load estimate's own history
 	tenantRateSpan     = 10 * session.Second // over which a tenant's request rate is compared with its quota
 	minPriceShare      = 0.50                // lower limit of the capacity price, as a share of maxFloorDensity
 	priceSmoothing     = 0.03                // weight per tick at which the capacity price follows the best step not taken
 	surpriseFill       = 0.25                // a delivery note that implies a fill higher by this much counts at once
-	assumedFill        = 0.60                // fill of links without a reading, after a restart or as an upper limit of the extrapolation
+	assumedFill        = 0.60                // fill of links without a reading: after a restart, or at most
 	feedbackNoteDelays = 2                   // note delays until a step, or the end of a shortage, shows in the readings
 	fullDelivery       = 0.98                // share of its rate from which a playback counts as served in full
 	maxPlanGap         = 0.30                // a plan this far behind the others gets the full weight of the worst plan
 	surgeDeviations    = 2                   // standard deviations of one front's setup count that are treated as chance
-	maxUplinkFactor    = 2                   // an unreported uplink's estimated capacity stays within this factor of the mean
+	maxUplinkFactor    = 2                   // limits the estimate of an unreported uplink, as a factor of the mean
 	never              = math.MinInt64 / 4   // earlier than any clock value
 )
 
@@ -94,7 +94,8 @@
 // widenUplink raises the estimated capacity of an unreported uplink while none of this front's playbacks behind it
 // is reported short.
 func (f *front) widenUplink(uplink *loadEstimate, tick Time) {
-	if !f.Fleet.UplinkUntold || uplink.ownKB == 0 || f.now-uplink.shortageAt < feedbackNoteDelays*f.Fleet.NoteDelay+session.Second {
+	if !f.Fleet.UplinkUntold || uplink.ownKB == 0 ||
+		f.now-uplink.shortageAt < feedbackNoteDelays*f.Fleet.NoteDelay+session.Second {
 		return
 	}
 	fill := uplink.fill(f)
@@ -313,7 +314,8 @@
 	if srv, rung = f.findServer(pb, true); rung >= 0 {
 		if joinable != nil && f.Prices.CrossZone > f.Prices.Move {
 			for _, member := range joinable.members { // moved viewers request again and join the local stream
-				member.wantMove = member.playing && f.Plans[member.Plan].Repeat != session.Unsafe // a repeated setup would be charged again
+				// An unsafe playback is not moved: its repeated setup would be charged again.
+				member.wantMove = member.playing && f.Plans[member.Plan].Repeat != session.Unsafe
 				f.markDirty(member)
 			}
 		}
@@ -476,8 +478,8 @@
 // tryTimeout returns the time limit of the next try. It leaves time for another try within the startup target, or
 // before the abandon time once the target is too close, as long as another try is allowed.
 func (f *front) tryTimeout(pb *playback) Time {
-	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe { // it is not repeated; the viewer gets an answer when it times out
-		return plan.Startup
+	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe {
+		return plan.Startup // its only try; when it times out, the viewer gets an answer
 	}
 	timeout := pb.Abandon - f.now
 	if untilDeadline := pb.startupDeadline - f.now; float64(untilDeadline) > 4*f.meanSetupTime && untilDeadline > 0 {
@@ -528,8 +530,10 @@
 // each time. It guards against any cause that makes setups fail there; it does harm where single errors are common.
 func (f *front) suspend(srv int, outcome session.Outcome) {
 	server := f.server(srv)
-	fault := outcome != session.TimedOut || f.turnDelay < f.longestStartup/4                 // in a late turn this front may have caused it
-	if server.halfOpen = server.halfOpen || fault; fault && f.now >= server.suspendedUntil { // otherwise another report of the same fault
+	// A timeout seen in a late turn may be this front's own fault.
+	fault := outcome != session.TimedOut || f.turnDelay < f.longestStartup/4
+	// While the server is suspended, another failure counts as the same fault.
+	if server.halfOpen = server.halfOpen || fault; fault && f.now >= server.suspendedUntil {
 		server.suspendedUntil = f.now + f.longestStartup/2<<min(server.suspensions, 3)
 		server.suspensions++
 	}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -61,9 +61,9 @@
 	s.pending[pb], s.tryServer[pb] = true, server
 	s.record("try %d %d limit %.2f", pb, server, float64(limit)/1e6)
 }
-func (s *scenario) Reject(pb int, comeAgain Time) {
+func (s *scenario) Reject(pb int, retryAfter Time) {
 	s.recordAnswer(pb)
-	s.record("reject %d %.2f", pb, float64(comeAgain)/1e6)
+	s.record("reject %d %.2f", pb, float64(retryAfter)/1e6)
 }
 func (s *scenario) Abort(pb int)           { s.recordAnswer(pb); s.record("abort %d", pb) }
 func (s *scenario) Move(pb int)            { s.record("move %d", pb) }
--- a/policy/state.go
+++ b/policy/state.go
@@ -29,7 +29,7 @@
 
 	// typicalDemand is the demand that the other fronts usually place on links, or on uplinks.
 	typicalDemand struct {
-		capacityKB, ownKB, meanFill, readings float64
+		capacityKB, ownKB, meanFill, readings float64 // capacityKB, ownKB: sums; readings: number taken so far
 		readAt                                Time
 	}
 
@@ -124,7 +124,8 @@
 		seats: map[[2]int]int{}, tenantRequests: make([]meter.Count, len(site.Tenants)),
 		planStats: slices.Repeat([]planStats{{weight: 1}}, len(site.Plans))}
 	f.typicalLinks.readAt, f.typicalUplinks.readAt = now, now
-	f.typicalLinks.capacityKB, f.typicalUplinks.capacityKB = site.Fleet.LinksKB, site.Fleet.UplinkKB*float64(site.Fleet.Racks)
+	f.typicalLinks.capacityKB, f.typicalUplinks.capacityKB =
+		site.Fleet.LinksKB, site.Fleet.UplinkKB*float64(site.Fleet.Racks)
 	for i := range f.uplinks {
 		f.uplinks[i] = f.newLoadEstimate(site.Fleet.UplinkKB, &f.typicalUplinks)
 	}
