--- a/policy/policy.go
+++ b/policy/policy.go
@@ -23,7 +23,7 @@
 	minMeanWeight      = 0.05                // minimum weight of one reading in the mean fill of all links
 	fillJitter         = 0.08                // random addition to the fill, so that the fronts choose different servers
 	titleJitter        = 0.30                // the same for live titles, but equal at all fronts
-	probeBudget        = 0.01                // share of the whole result that probes may cost
+	probeBudget        = 0.01                // share of the total result that probes may cost
 	coldBudgetShare    = 0.75                // share of the cold budget in use, as the ramp's shape is unknown
 	stepUpPayback      = 2.0                 // multiple of its cost that a step up must earn
 	bucketsPerSpan     = 8                   // of a counter over its span, of a load estimate's history per note delay
@@ -32,7 +32,7 @@
 	minPriceShare      = 0.50                // lower limit of the capacity price, as a share of maxFloorDensity
 	priceSmoothing     = 0.03                // weight per tick at which the capacity price follows the best step not taken
 	surpriseFill       = 0.25                // a delivery note that implies a fill higher by this much counts at once
-	assumedFill        = 0.60                // fill of links without a reading: after a restart, or at most
+	assumedFill        = 0.60                // fill of links without a reading after a restart; its upper limit otherwise
 	feedbackNoteDelays = 2                   // note delays until a step, or the end of a shortage, shows in the readings
 	fullDelivery       = 0.98                // share of its rate from which a playback counts as served in full
 	maxPlanGap         = 0.30                // a plan this far behind the others gets the full weight of the worst plan
--- a/policy/state.go
+++ b/policy/state.go
@@ -186,7 +186,7 @@
 	return pb.Span <= 0 || pb.Span >= cells || ((server.entry.Cell-pb.Base)%cells+cells)%cells < pb.Span
 }
 
-// markDirty has Settle look at the playback.
+// markDirty marks a playback for the next Settle.
 func (f *front) markDirty(pb *playback) {
 	if !pb.dirty {
 		pb.dirty = true
@@ -255,7 +255,7 @@
 	}
 }
 
-// finish has Settle release the playback's number.
+// finish marks a playback as finished, so that Settle releases its number.
 func (f *front) finish(pb *playback) {
 	pb.finished = true
 	f.markDirty(pb)
--- a/session/session.go
+++ b/session/session.go
@@ -17,12 +17,12 @@
 type Manager interface {
 	At(now Time)
 	Listed(list List)
-	Opened(request Request, server int) // already running when the front starts; a note reports its rung
-	Requested(request Request)
-	Playing(pb, try, server int, took Time)
-	Ended(result Result)
-	Left(pb int) // the client has gone and needs no answer
-	Woken(token uint64)
+	Opened(request Request, server int)     // already running when the front starts; a note reports its rung
+	Requested(request Request)              // a new playback
+	Playing(pb, try, server int, took Time) // the setup try has succeeded
+	Ended(result Result)                    // the end of a setup try or of a playback
+	Left(pb int)                            // the client has gone and needs no answer
+	Woken(token uint64)                     // a timer set by Wake has expired
 	Probed(server int, outcome Outcome, load Load)
 	Noted(note Note)
 	Settle(actions Actions) // end of the turn: emits the actions
@@ -164,7 +164,7 @@
 
 // Ladder holds the rates and revenues of the rungs.
 type Ladder struct {
-	RateKB, Worth []float64 // per rung: rate in kB, revenue as a share of the plan's
+	RateKB, Worth []float64 // per rung: rate in kB/s, revenue as a share of the plan's
 	Join          float64   // demand of each further viewer of a stream, as a share of the stream's rate
 	Change        Time      // cost of a change of rung, as a time without revenue
 }
@@ -199,7 +199,7 @@
 	MaxComeAgain Time // longest advice in a rejection, 0 where none can be given
 }
 
-// Prices are shares of the whole result.
+// Prices are shares of the total result.
 type Prices struct {
 	CrossZone, Move, Probe float64
 	WorstPlan              float64 // weight of the worst-served plan in the result, as a share of 1
