--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -48,7 +48,7 @@
 	Took       session.Time
 	Outcome    session.Outcome
 	Final      bool
-	LoadValues []float64 // load values in the order of the settings' names
+	LoadValues []float64 // of a load report, in the order of the names in the settings
 	Request    session.Request
 	Note       session.Note
 	Seed       uint64
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -23,9 +23,9 @@
 	site                 session.Site
 	manager              session.Manager
 	now                  Time
-	entries              []session.Entry
+	entries              []session.Entry // the server list
 	actions              []string
-	wakes                []Time
+	timers               []Time
 	tryServer, tryNumber map[int]int // server and number of the latest try
 	pending, answered    map[int]bool
 }
@@ -68,7 +68,7 @@
 func (s *scenario) Abort(pb int)           { s.recordAnswer(pb); s.record("abort %d", pb) }
 func (s *scenario) Move(pb int)            { s.record("move %d", pb) }
 func (s *scenario) Probe(server int)       { s.record("probe %d", server) }
-func (s *scenario) Wake(at Time, _ uint64) { s.wakes = append(s.wakes, at) }
+func (s *scenario) Wake(at Time, _ uint64) { s.timers = append(s.timers, at) }
 func (s *scenario) Watch()                 { s.record("watch") }
 func (s *scenario) Forget(pb int)          { s.record("forget %d", pb) }
 
@@ -165,7 +165,8 @@
 	case "open": // open PB SERVER RUNG
 		s.tryServer[numbers[0]], s.tryNumber[numbers[0]], s.pending[numbers[0]] = numbers[1], 0, false
 		s.manager.Opened(request(numbers[0]), numbers[1])
-		s.manager.Noted(session.Note{Playback: numbers[0], Server: numbers[1], Kind: session.RungNow, Value: float64(numbers[2])})
+		s.manager.Noted(session.Note{Playback: numbers[0], Server: numbers[1], Kind: session.RungNow,
+			Value: float64(numbers[2])})
 	case "plays":
 		for pb := numbers[0]; pb <= numbers[len(numbers)-1]; pb++ {
 			s.pending[pb], s.answered[pb] = false, true
@@ -175,8 +176,8 @@
 		pb := numbers[0]
 		final := s.answered[pb]
 		s.pending[pb] = false
-		s.manager.Ended(session.Result{Playback: pb, Try: s.tryNumber[pb], Server: s.tryServer[pb], Outcome: outcomes[words[2]],
-			Took: 50_000, Final: final, Load: load})
+		s.manager.Ended(session.Result{Playback: pb, Try: s.tryNumber[pb], Server: s.tryServer[pb],
+			Outcome: outcomes[words[2]], Took: 50_000, Final: final, Load: load})
 		if len(words) > 3 { // `then left` at the same moment
 			s.answered[pb] = true
 			s.manager.Left(pb)
@@ -209,16 +210,16 @@
 func (s *scenario) advance(until Time) {
 	for {
 		next := -1
-		for i, at := range s.wakes {
-			if at <= until && (next < 0 || at < s.wakes[next]) {
+		for i, at := range s.timers {
+			if at <= until && (next < 0 || at < s.timers[next]) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		s.now = max(s.now, s.wakes[next])
-		s.wakes = append(s.wakes[:next], s.wakes[next+1:]...)
+		s.now = max(s.now, s.timers[next])
+		s.timers = append(s.timers[:next], s.timers[next+1:]...)
 		s.manager.At(s.now)
 		s.manager.Woken(0)
 		s.manager.Settle(s)
@@ -227,6 +228,7 @@
 	s.manager.At(until)
 }
 
+// runLine runs one entry of the scenario file.
 func (s *scenario) runLine(line string) {
 	words := strings.Fields(line)
 	matches := 0
@@ -301,8 +303,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &scenario{t: t, site: scenarioSite(), tryServer: map[int]int{}, tryNumber: map[int]int{}, pending: map[int]bool{},
-				answered: map[int]bool{}}
+			s := &scenario{t: t, site: scenarioSite(), tryServer: map[int]int{}, tryNumber: map[int]int{},
+				pending: map[int]bool{}, answered: map[int]bool{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
 				for part := range strings.SplitSeq(line, "|") {
