--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts decision modules on the simulator's wire, on standard input and output. The
-// instances share nothing.
+// Command adapter runs decision modules for the simulator, whose protocol it speaks on standard input and output.
+// It runs one instance for each manager that the simulator starts; the instances share no state.
 package main
 
 import (
@@ -21,189 +21,199 @@
 	}
 }
 
+// run serves batches of events until the end of the input.
 func run(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), bufio.NewWriter(out)
-	doors, reply := map[uint16]*door{}, &simwire.Reply{}
+	reader, writer := simwire.NewReader(in), bufio.NewWriter(out)
+	instances, reply := map[uint16]*instance{}, &simwire.Reply{}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var busy []*door
-		for i := range b.Events {
-			e := &b.Events[i]
-			d := doors[e.Manager]
+		var active []*instance // the instances with events in this batch
+		for i := range batch.Events {
+			event := &batch.Events[i]
+			inst := instances[event.Manager]
 			switch {
-			case e.Code == simwire.EvStart:
-				told, err := start.Read(e.Info)
+			case event.Code == simwire.EvStart:
+				settings, err := start.Read(event.Settings)
 				if err != nil {
 					return err
 				}
-				if d != nil {
-					d.module = nil
+				if inst != nil {
+					inst.module = nil
 				}
-				d = newDoor(e.Manager, told.Load, policy.New(told.Site, e.Seed, b.Now), told.Site, reply)
-				doors[e.Manager] = d
-			case d == nil:
-				return fmt.Errorf("event %d for unknown instance %d", e.Code, e.Manager)
-			case e.Code == simwire.EvStop:
-				d.module = nil
-				delete(doors, e.Manager)
+				inst = newInstance(event.Manager, settings.LoadNames,
+					policy.New(settings.Site, event.Seed, batch.Now), settings.Site, reply)
+				instances[event.Manager] = inst
+			case inst == nil:
+				return fmt.Errorf("event with code %d for unknown instance %d", event.Code, event.Manager)
+			case event.Code == simwire.EvStop:
+				inst.module = nil
+				delete(instances, event.Manager)
 				continue
 			}
-			if !d.busy {
-				d.busy = true
-				busy = append(busy, d)
-				d.module.At(b.Now)
+			if !inst.inTurn {
+				inst.inTurn = true
+				active = append(active, inst)
+				inst.module.At(batch.Now)
 			}
-			if err := d.event(e); err != nil {
+			if err := inst.dispatch(event); err != nil {
 				return err
 			}
 		}
-		for _, d := range busy {
-			d.busy = false
-			if d.module != nil {
-				d.module.Settle(d)
+		for _, inst := range active {
+			inst.inTurn = false
+			if inst.module != nil {
+				inst.module.Settle(inst)
 			}
 		}
-		if err := reply.WriteTo(w, b.Number); err != nil {
+		if err := reply.WriteTo(writer, batch.Number); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// door maps one instance's wire ids to small numbers and back.
-type door struct {
-	manager   uint16
-	module    session.Manager
-	names     []string
-	site      *session.Site
-	reply     *simwire.Reply
-	busy      bool
-	servers   map[simwire.Server]int
-	serverIDs []simwire.Server
-	titles    map[uint64]int
-	playbacks map[uint32]int
-	ids       []uint32
-	free      []int
+// instance is one decision module with its host side: it maps the simulator's identifiers to the module's numbers and
+// back, and it carries out the module's actions.
+type instance struct {
+	managerID       uint16
+	module          session.Manager
+	loadNames       []string
+	site            *session.Site
+	reply           *simwire.Reply
+	inTurn          bool // it has events in the current batch
+	serverNumbers   map[simwire.Server]int
+	serverIDs       []simwire.Server // by number
+	titleNumbers    map[uint64]int
+	playbackNumbers map[uint32]int
+	playbackIDs     []uint32 // by number
+	freePlaybacks   []int    // numbers that may be reused
 }
 
-func newDoor(manager uint16, names []string, m session.Manager, site *session.Site, reply *simwire.Reply) *door {
-	return &door{manager: manager, module: m, names: names, site: site, reply: reply,
-		servers: map[simwire.Server]int{}, titles: map[uint64]int{}, playbacks: map[uint32]int{}}
+func newInstance(managerID uint16, loadNames []string, module session.Manager, site *session.Site,
+	reply *simwire.Reply) *instance {
+	return &instance{managerID: managerID, module: module, loadNames: loadNames, site: site, reply: reply,
+		serverNumbers: map[simwire.Server]int{}, titleNumbers: map[uint64]int{}, playbackNumbers: map[uint32]int{}}
 }
 
-func (d *door) server(s simwire.Server) int {
-	i, ok := d.servers[s]
+// serverNumber returns the number of a server, and assigns one if the server is new.
+func (inst *instance) serverNumber(id simwire.Server) int {
+	number, ok := inst.serverNumbers[id]
 	if !ok {
-		i = len(d.serverIDs)
-		d.servers[s] = i
-		d.serverIDs = append(d.serverIDs, s)
+		number = len(inst.serverIDs)
+		inst.serverNumbers[id] = number
+		inst.serverIDs = append(inst.serverIDs, id)
 	}
-	return i
+	return number
 }
 
-func (d *door) request(e *simwire.Event) (session.Request, error) {
-	r := e.Request
-	if r.Plan >= len(d.site.Plans) {
-		return r, fmt.Errorf("request of unknown class %d", r.Plan)
+// newRequest assigns a number to the event's playback and returns its request.
+func (inst *instance) newRequest(event *simwire.Event) (session.Request, error) {
+	request := event.Request
+	if request.Plan >= len(inst.site.Plans) {
+		return request, fmt.Errorf("request of unknown class %d: the settings have fewer classes", request.Plan)
 	}
-	i, ok := d.titles[r.Show]
+	title, ok := inst.titleNumbers[request.Show]
 	if !ok {
-		i = len(d.titles)
-		d.titles[r.Show] = i
+		title = len(inst.titleNumbers)
+		inst.titleNumbers[request.Show] = title
 	}
-	r.Title = i
-	r.Playback = len(d.ids)
-	if n := len(d.free); n > 0 {
-		r.Playback, d.free = d.free[n-1], d.free[:n-1]
-		d.ids[r.Playback] = e.ID
+	request.Title = title
+	request.Playback = len(inst.playbackIDs)
+	if n := len(inst.freePlaybacks); n > 0 {
+		request.Playback, inst.freePlaybacks = inst.freePlaybacks[n-1], inst.freePlaybacks[:n-1]
+		inst.playbackIDs[request.Playback] = event.ID
 	} else {
-		d.ids = append(d.ids, e.ID)
+		inst.playbackIDs = append(inst.playbackIDs, event.ID)
 	}
-	d.playbacks[e.ID] = r.Playback
-	return r, nil
+	inst.playbackNumbers[event.ID] = request.Playback
+	return request, nil
 }
 
-func (d *door) event(e *simwire.Event) error {
-	m := d.module
-	switch e.Code {
+// dispatch reports an event to the module.
+func (inst *instance) dispatch(event *simwire.Event) error {
+	module := inst.module
+	switch event.Code {
 	case simwire.EvRequest, simwire.EvOpen:
-		if _, ok := d.playbacks[e.ID]; ok {
-			return nil // an id is never used again: a repeat says nothing new
+		if _, ok := inst.playbackNumbers[event.ID]; ok {
+			return nil // identifiers are never reused, so this is a duplicate
 		}
-		r, err := d.request(e)
+		request, err := inst.newRequest(event)
 		if err != nil {
 			return err
 		}
-		if e.Code == simwire.EvOpen {
-			m.Opened(r, d.server(e.Server))
+		if event.Code == simwire.EvOpen {
+			module.Opened(request, inst.serverNumber(event.Server))
 		} else {
-			m.Requested(r)
+			module.Requested(request)
 		}
 		return nil
 	case simwire.EvList:
-		l := session.List{Whole: e.Whole(), Failed: e.Failed(), Entries: make([]session.Entry, len(e.Entries))}
-		for i, x := range e.Entries {
-			if x.Kind >= len(d.site.Fleet.Places) {
-				return fmt.Errorf("list entry of unknown kind %d", x.Kind)
+		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(),
+			Entries: make([]session.Entry, len(event.Entries))}
+		for i, entry := range event.Entries {
+			if entry.Kind >= len(inst.site.Fleet.Places) {
+				return fmt.Errorf("server list entry of unknown kind %d: the settings have fewer kinds", entry.Kind)
 			}
-			x.Server = d.server(x.ID)
-			l.Entries[i] = x.Entry
+			entry.Server = inst.serverNumber(entry.ID)
+			list.Entries[i] = entry.Entry
 		}
-		m.Listed(l)
+		module.Listed(list)
 		return nil
 	case simwire.EvWake:
-		m.Woken(e.Token)
+		module.Woken(event.Token)
 		return nil
 	case simwire.EvProbed:
-		m.Probed(d.server(e.Server), e.Outcome, start.Load(d.names, e.Values))
+		module.Probed(inst.serverNumber(event.Server), event.Outcome, start.Load(inst.loadNames, event.LoadValues))
 		return nil
 	case simwire.EvPeer:
 		return nil
 	}
-	pb, ok := d.playbacks[e.ID]
+	pb, ok := inst.playbackNumbers[event.ID]
 	if !ok {
-		return nil // finished and forgotten
+		return nil // already finished and forgotten
 	}
-	switch e.Code {
+	switch event.Code {
 	case simwire.EvPlaying:
-		m.Playing(pb, e.Try, d.server(e.Server), e.Took)
+		module.Playing(pb, event.Try, inst.serverNumber(event.Server), event.Took)
 	case simwire.EvResult:
-		m.Ended(session.Result{Playback: pb, Try: e.Try, Server: d.server(e.Server), Outcome: e.Outcome,
-			Took: e.Took, Final: e.Final, Load: start.Load(d.names, e.Values)})
+		module.Ended(session.Result{Playback: pb, Try: event.Try, Server: inst.serverNumber(event.Server),
+			Outcome: event.Outcome, Took: event.Took, Final: event.Final, Load: start.Load(inst.loadNames, event.LoadValues)})
 	case simwire.EvLeft:
-		m.Left(pb)
+		module.Left(pb)
 	case simwire.EvNote:
-		n := e.Note
-		n.Playback, n.Server = pb, d.server(e.Server)
-		m.Noted(n)
+		note := event.Note
+		note.Playback, note.Server = pb, inst.serverNumber(event.Server)
+		module.Noted(note)
 	}
 	return nil
 }
 
-func (d *door) SetRung(pb, rung int)    { d.reply.SetRung(d.manager, d.ids[pb], rung) }
-func (d *door) Abort(pb int)            { d.reply.Abort(d.manager, d.ids[pb]) }
-func (d *door) Move(pb int)             { d.reply.Move(d.manager, d.ids[pb]) }
-func (d *door) Probe(server int)        { d.reply.Probe(d.manager, d.serverIDs[server]) }
-func (d *door) Watch()                  { d.reply.Watch(d.manager) }
-func (d *door) Wake(at int64, t uint64) { d.reply.Wake(d.manager, at, t) }
+func (inst *instance) SetRung(pb, rung int) {
+	inst.reply.SetRung(inst.managerID, inst.playbackIDs[pb], rung)
+}
+func (inst *instance) Abort(pb int)                { inst.reply.Abort(inst.managerID, inst.playbackIDs[pb]) }
+func (inst *instance) Move(pb int)                 { inst.reply.Move(inst.managerID, inst.playbackIDs[pb]) }
+func (inst *instance) Probe(server int)            { inst.reply.Probe(inst.managerID, inst.serverIDs[server]) }
+func (inst *instance) Watch()                      { inst.reply.Watch(inst.managerID) }
+func (inst *instance) Wake(at int64, token uint64) { inst.reply.Wake(inst.managerID, at, token) }
 
-func (d *door) Try(pb, server int, limit session.Time) {
-	d.reply.Try(d.manager, d.ids[pb], d.serverIDs[server], limit)
+func (inst *instance) Try(pb, server int, limit session.Time) {
+	inst.reply.Try(inst.managerID, inst.playbackIDs[pb], inst.serverIDs[server], limit)
 }
 
-func (d *door) Reject(pb int, comeAgain session.Time) {
-	d.reply.Reject(d.manager, d.ids[pb], comeAgain)
+func (inst *instance) Reject(pb int, retryAfter session.Time) {
+	inst.reply.Reject(inst.managerID, inst.playbackIDs[pb], retryAfter)
 }
 
-func (d *door) Forget(pb int) {
-	delete(d.playbacks, d.ids[pb])
-	d.free = append(d.free, pb)
+func (inst *instance) Forget(pb int) {
+	delete(inst.playbackNumbers, inst.playbackIDs[pb])
+	inst.freePlaybacks = append(inst.freePlaybacks, pb)
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,5 @@
-// Package simwire is the simulator's frame codec: bytes to plain records and back. Wire names end here.
+// Package simwire decodes and encodes the simulator's binary protocol: frames of events in, frames of actions out.
+// Names that belong to that protocol are not used outside this package.
 package simwire
 
 import (
@@ -12,48 +13,48 @@
 	"pierlink/session"
 )
 
-// Event and action codes.
+// The codes of the event and action records.
 const (
-	EvStart, EvList, EvRequest, EvPlaying, EvResult  = 1000, 1010, 1020, 1030, 1040
-	EvLeft, EvWake, EvProbed, EvPeer, EvStop, EvOpen = 1050, 1060, 1070, 1080, 1090, 1100
-	EvNote, evEntries                                = 1110, 1120
-	acWake, acRung, acAbort                          = 1020, 1030, 1050
-	acProbe, acReject, acMove, acWatch, acTry        = 1060, 1070, 1080, 1090, 1100
+	EvStart, EvList, EvRequest, EvPlaying, EvResult               = 1000, 1010, 1020, 1030, 1040
+	EvLeft, EvWake, EvProbed, EvPeer, EvStop, EvOpen              = 1050, 1060, 1070, 1080, 1090, 1100
+	EvNote, evListEntries                                         = 1110, 1120
+	actionWake, actionSetRung, actionAbort                        = 1020, 1030, 1050
+	actionProbe, actionReject, actionMove, actionWatch, actionTry = 1060, 1070, 1080, 1090, 1100
 )
 
 const (
-	maxFrame    = 1 << 28
-	entrySize   = 24
-	listNumbers = 16
+	maxFrameBytes = 1 << 28
+	entryBytes    = 24
+	listNumbers   = 16
 )
 
-// Server is a server's wire id.
+// Server is a server's identifier in the protocol.
 type Server [6]byte
 
-// Entry is one line of a server list.
+// Entry is one entry of a server list.
 type Entry struct {
 	ID Server
 	session.Entry
 }
 
-// Event is one record of a batch; which fields count depends on Code.
+// Event is one record of a batch; Code determines which fields are used.
 type Event struct {
-	Code     int
-	Manager  uint16
-	ID       uint32
-	Server   Server
-	Token    uint64
-	Try      int
-	Took     session.Time
-	Outcome  session.Outcome
-	Final    bool
-	Values   []float64 // load values in the settings' order
-	Request  session.Request
-	Note     session.Note
-	Seed     uint64
-	Info     []byte
-	Entries  []Entry
-	ListKind int
+	Code       int
+	Manager    uint16
+	ID         uint32
+	Server     Server
+	Token      uint64
+	Try        int
+	Took       session.Time
+	Outcome    session.Outcome
+	Final      bool
+	LoadValues []float64 // of a load report, in the order of the names in the settings
+	Request    session.Request
+	Note       session.Note
+	Seed       uint64
+	Settings   []byte // the JSON settings object of EvStart
+	Entries    []Entry
+	ListKind   int
 }
 
 // Batch is one frame of events.
@@ -63,259 +64,261 @@
 	Events []Event
 }
 
-// Reader reads batches. Lists are kept under their number until another takes it.
+// Reader reads batches. It keeps each server list under its number until another list with that number arrives.
 type Reader struct {
 	in    *bufio.Reader
 	lists [listNumbers][]Entry
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader of batches from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<20)} }
 
-// Next returns the next batch, or io.EOF at a clean end of the input.
+// Next returns the next batch, or io.EOF if the input ends between two frames.
 func (r *Reader) Next() (Batch, error) {
-	var head [20]byte
-	if _, err := io.ReadFull(r.in, head[:12]); err != nil {
+	var header [20]byte
+	if _, err := io.ReadFull(r.in, header[:12]); err != nil {
 		if err == io.EOF {
 			return Batch{}, io.EOF
 		}
 		return Batch{}, fmt.Errorf("truncated frame header: %w", err)
 	}
-	size := binary.BigEndian.Uint32(head[8:])
-	if size < 8 || size > maxFrame {
-		return Batch{}, fmt.Errorf("frame length %d out of range", size)
+	size := binary.BigEndian.Uint32(header[8:])
+	if size < 8 || size > maxFrameBytes {
+		return Batch{}, fmt.Errorf("frame length %d out of the allowed range", size)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.in, int64(size)))
 	if err != nil {
 		return Batch{}, err
 	}
 	if len(body) != int(size) {
-		return Batch{}, fmt.Errorf("truncated frame: %d of %d bytes", len(body), size)
+		return Batch{}, fmt.Errorf("truncated frame: got %d of %d bytes", len(body), size)
 	}
-	c := &cursor{b: body}
-	b := Batch{Number: binary.BigEndian.Uint32(head[:]), Now: c.time()}
-	for n := binary.BigEndian.Uint32(head[4:]); n > 0 && c.err == nil; n-- {
-		if e, ok := r.record(c); ok {
-			b.Events = append(b.Events, e)
+	dec := &decoder{rest: body}
+	batch := Batch{Number: binary.BigEndian.Uint32(header[:]), Now: dec.time()}
+	for n := binary.BigEndian.Uint32(header[4:]); n > 0 && dec.err == nil; n-- {
+		if event, ok := r.readRecord(dec); ok {
+			batch.Events = append(batch.Events, event)
 		}
 	}
-	if c.err == nil && len(c.b) > 0 {
-		c.err = fmt.Errorf("%d bytes after the last record", len(c.b))
+	if dec.err == nil && len(dec.rest) > 0 {
+		dec.err = fmt.Errorf("%d unexpected bytes after the last record of the frame", len(dec.rest))
 	}
-	return b, c.err
+	return batch, dec.err
 }
 
-func (r *Reader) record(c *cursor) (Event, bool) {
-	e := Event{Code: int(c.u16())}
-	if c.err != nil {
-		return e, false
+// readRecord reads one record. It reports false if the record is no event for a manager, or is malformed.
+func (r *Reader) readRecord(dec *decoder) (Event, bool) {
+	event := Event{Code: int(dec.u16())}
+	if dec.err != nil {
+		return event, false
 	}
-	if e.Code == evEntries {
-		r.entries(c)
-		return e, false
+	if event.Code == evListEntries {
+		r.readEntries(dec)
+		return event, false
 	}
-	e.Manager = c.u16()
-	switch e.Code {
+	event.Manager = dec.u16()
+	switch event.Code {
 	case EvStart:
-		e.Seed = c.u64()
-		e.Info = c.take(int(c.u32()))
+		event.Seed = dec.u64()
+		event.Settings = dec.next(int(dec.u32()))
 	case EvStop:
 	case EvList:
-		e.ListKind = int(c.u8())
-		c.u64()
-		number := c.u32()
-		if e.ListKind == listFailed {
+		event.ListKind = int(dec.u8())
+		dec.u64()
+		number := dec.u32()
+		if event.ListKind == listFailed {
 			break
 		}
-		if e.ListKind != listFull && e.ListKind != listCached && e.ListKind != listDelta {
-			c.fail("list kind %d", e.ListKind)
+		if event.ListKind != listFull && event.ListKind != listCached && event.ListKind != listDelta {
+			dec.fail("unknown server list kind %d", event.ListKind)
 		} else if number >= listNumbers {
-			c.fail("list number %d", number)
+			dec.fail("server list number %d out of range", number)
 		} else {
-			e.Entries = r.lists[number]
+			event.Entries = r.lists[number]
 		}
 	case EvRequest:
-		e.ID = c.u32()
-		e.Request.Abandon = c.time()
-		e.Request.Tenant = int(c.u32())
-		e.Request.Plan = int(c.u8())
-		e.Request.Top = c.whole()
-		c.time()
-		c.u8()
-		c.u64()
-		e.Request.Span = c.whole()
-		e.Request.Show = c.u64()
-		e.Request.Base = c.whole()
+		event.ID = dec.u32()
+		event.Request.Abandon = dec.time()
+		event.Request.Tenant = int(dec.u32())
+		event.Request.Plan = int(dec.u8())
+		event.Request.Top = dec.count()
+		dec.time()
+		dec.u8()
+		dec.u64()
+		event.Request.Span = dec.count()
+		event.Request.Show = dec.u64()
+		event.Request.Base = dec.count()
 	case EvOpen:
-		e.ID = c.u32()
-		e.Request.Top = c.whole()
-		c.u8()
-		c.u64()
-		e.Request.Span = c.whole()
-		e.Request.Show = c.u64()
-		e.Request.Plan = int(c.u8())
-		e.Request.Base = c.whole()
-		e.Server = c.server()
-		c.time()
-		e.Request.Abandon = c.time()
-		e.Request.Tenant = int(c.u32())
+		event.ID = dec.u32()
+		event.Request.Top = dec.count()
+		dec.u8()
+		dec.u64()
+		event.Request.Span = dec.count()
+		event.Request.Show = dec.u64()
+		event.Request.Plan = int(dec.u8())
+		event.Request.Base = dec.count()
+		event.Server = dec.server()
+		dec.time()
+		event.Request.Abandon = dec.time()
+		event.Request.Tenant = int(dec.u32())
 	case EvPlaying:
-		e.ID, e.Try, e.Server, e.Took = c.u32(), int(c.u16()), c.server(), c.time()
+		event.ID, event.Try, event.Server, event.Took = dec.u32(), int(dec.u16()), dec.server(), dec.time()
 	case EvResult:
-		e.ID, e.Try, e.Server = c.u32(), int(c.u16()), c.server()
-		e.Outcome = c.outcome()
-		e.Took = c.time()
-		e.Final = c.u8() != 0
-		e.Values = c.values()
+		event.ID, event.Try, event.Server = dec.u32(), int(dec.u16()), dec.server()
+		event.Outcome = dec.outcome()
+		event.Took = dec.time()
+		event.Final = dec.u8() != 0
+		event.LoadValues = dec.values()
 	case EvLeft:
-		e.ID = c.u32()
+		event.ID = dec.u32()
 	case EvWake:
-		e.Token = c.u64()
+		event.Token = dec.u64()
 	case EvProbed:
-		e.Server, e.Took = c.server(), c.time()
-		e.Outcome = c.outcome()
-		e.Values = c.values()
+		event.Server, event.Took = dec.server(), dec.time()
+		event.Outcome = dec.outcome()
+		event.LoadValues = dec.values()
 	case EvPeer:
-		c.u32() // nothing is made of messages between managers yet
-		c.take(int(c.u16()))
+		dec.u32() // messages between managers are not used yet
+		dec.next(int(dec.u16()))
 	case EvNote:
-		e.ID, e.Try, e.Server = c.u32(), int(c.u16()), c.server()
-		e.Note.Kind, e.Note.Value = session.NoteKind(c.u8()), c.f32()
+		event.ID, event.Try, event.Server = dec.u32(), int(dec.u16()), dec.server()
+		event.Note.Kind, event.Note.Value = session.NoteKind(dec.u8()), dec.f32()
 	default:
-		c.fail("unknown record code %d", e.Code)
+		dec.fail("unknown record code %d", event.Code)
 	}
-	return e, c.err == nil
+	return event, dec.err == nil
 }
 
-// The kinds of list.
+// The kinds of server list.
 const listCached, listFull, listFailed, listDelta = 0, 1, 2, 4
 
-// Whole tells whether an EvList names every server; Failed whether it reports a failed call.
-func (e *Event) Whole() bool { return e.ListKind == listFull || e.ListKind == listCached }
+// Complete reports whether an EvList names every server.
+func (e *Event) Complete() bool { return e.ListKind == listFull || e.ListKind == listCached }
 
-// Failed tells whether an EvList reports a failed call.
-func (e *Event) Failed() bool { return e.ListKind == listFailed }
+// ListFailed reports whether an EvList stands for a failed call.
+func (e *Event) ListFailed() bool { return e.ListKind == listFailed }
 
-func (r *Reader) entries(c *cursor) {
-	number, n := c.u32(), int(c.u32())
-	if c.err == nil && (number >= listNumbers || n > len(c.b)/entrySize) {
-		c.fail("list %d of %d entries", number, n)
+// readEntries reads a record with the entries of a server list and keeps them under the list's number.
+func (r *Reader) readEntries(dec *decoder) {
+	number, count := dec.u32(), int(dec.u32())
+	if dec.err == nil && (number >= listNumbers || count > len(dec.rest)/entryBytes) {
+		dec.fail("server list %d of %d entries exceeds the frame or the list numbers", number, count)
 	}
-	if c.err != nil {
+	if dec.err != nil {
 		return
 	}
-	list := make([]Entry, n)
+	list := make([]Entry, count)
 	for i := range list {
-		x := &list[i]
-		x.State = session.ServerState(c.u8())
-		x.Zone = int(c.u8())
-		x.ID = c.server()
-		x.Kind = int(c.u16())
-		x.Started = c.time()
-		x.Weight = c.f32()
-		x.Cell = int(c.u16())
-		if x.State > session.Draining {
-			c.fail("server state %d", x.State)
+		entry := &list[i]
+		entry.State = session.ServerState(dec.u8())
+		entry.Zone = int(dec.u8())
+		entry.ID = dec.server()
+		entry.Kind = int(dec.u16())
+		entry.Started = dec.time()
+		entry.Weight = dec.f32()
+		entry.Cell = int(dec.u16())
+		if entry.State > session.Draining {
+			dec.fail("unknown server state %d", entry.State)
 		}
 	}
 	r.lists[number] = list
 }
 
-// cursor takes fields off a frame; after the first error it yields zeros.
-type cursor struct {
-	b   []byte
-	err error
+// decoder reads fields from the rest of a frame; after the first error it returns zeros.
+type decoder struct {
+	rest []byte
+	err  error
 }
 
-func (c *cursor) fail(format string, args ...any) {
-	if c.err == nil {
-		c.err = fmt.Errorf(format, args...)
+func (dec *decoder) fail(format string, args ...any) {
+	if dec.err == nil {
+		dec.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (c *cursor) take(n int) []byte {
-	if c.err == nil && n > len(c.b) {
-		c.err = errors.New("record runs past its frame")
+func (dec *decoder) next(n int) []byte {
+	if dec.err == nil && n > len(dec.rest) {
+		dec.err = errors.New("record exceeds the end of its frame")
 	}
-	if c.err != nil {
+	if dec.err != nil {
 		return nil
 	}
-	out := c.b[:n]
-	c.b = c.b[n:]
+	out := dec.rest[:n]
+	dec.rest = dec.rest[n:]
 	return out
 }
 
-func (c *cursor) number(n int) uint64 {
+func (dec *decoder) number(n int) uint64 {
 	var v uint64
-	for _, x := range c.take(n) {
+	for _, x := range dec.next(n) {
 		v = v<<8 | uint64(x)
 	}
 	return v
 }
 
-func (c *cursor) u8() uint8   { return uint8(c.number(1)) }
-func (c *cursor) u16() uint16 { return uint16(c.number(2)) }
-func (c *cursor) u32() uint32 { return uint32(c.number(4)) }
-func (c *cursor) u64() uint64 { return c.number(8) }
+func (dec *decoder) u8() uint8   { return uint8(dec.number(1)) }
+func (dec *decoder) u16() uint16 { return uint16(dec.number(2)) }
+func (dec *decoder) u32() uint32 { return uint32(dec.number(4)) }
+func (dec *decoder) u64() uint64 { return dec.number(8) }
 
-func (c *cursor) f32() float64 {
-	v := float64(math.Float32frombits(c.u32()))
+func (dec *decoder) f32() float64 {
+	v := float64(math.Float32frombits(dec.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		c.fail("not a finite number")
+		dec.fail("expected a finite number, found NaN or infinity")
 		return 0
 	}
 	return v
 }
 
-func (c *cursor) whole() int {
-	v := c.f32()
+func (dec *decoder) count() int {
+	v := dec.f32()
 	if v < 0 || v > math.MaxInt32 {
-		c.fail("count %v out of range", v)
+		dec.fail("count %v out of the range of a non-negative 32-bit integer", v)
 		return 0
 	}
 	return int(v)
 }
 
-func (c *cursor) time() session.Time {
-	v := math.Float64frombits(c.u64())
+func (dec *decoder) time() session.Time {
+	v := math.Float64frombits(dec.u64())
 	if math.IsNaN(v) || math.Abs(v) > 1e12 {
-		c.fail("time out of range")
+		dec.fail("time is not a number or exceeds 1e12 s")
 		return 0
 	}
 	return micros(v)
 }
 
-func (c *cursor) server() (s Server) {
-	copy(s[:], c.take(len(s)))
+func (dec *decoder) server() (s Server) {
+	copy(s[:], dec.next(len(s)))
 	return s
 }
 
-func (c *cursor) outcome() session.Outcome {
-	o := session.Outcome(c.u16())
+func (dec *decoder) outcome() session.Outcome {
+	o := session.Outcome(dec.u16())
 	if o > session.NotSent {
-		c.fail("unknown outcome %d", o)
+		dec.fail("unknown outcome code %d", o)
 	}
 	return o
 }
 
-func (c *cursor) values() []float64 {
+func (dec *decoder) values() []float64 {
 	var out []float64
-	for n := c.u8(); n > 0 && c.err == nil; n-- {
-		out = append(out, c.f32())
+	for n := dec.u8(); n > 0 && dec.err == nil; n-- {
+		out = append(out, dec.f32())
 	}
 	return out
 }
 
 func micros(seconds float64) session.Time { return session.Time(math.Round(seconds * 1e6)) }
 
-// Reply collects the actions of one batch.
+// Reply collects the actions in response to one batch.
 type Reply struct{ buf []byte }
 
-// WriteTo frames the reply to batch number, and empties it.
+// WriteTo writes the reply to the batch of that number as one frame, and empties the reply.
 func (r *Reply) WriteTo(w io.Writer, number uint32) error {
-	head := binary.BigEndian.AppendUint32(nil, number)
-	head = binary.BigEndian.AppendUint32(head, uint32(len(r.buf)))
-	_, err := w.Write(head)
+	header := binary.BigEndian.AppendUint32(nil, number)
+	header = binary.BigEndian.AppendUint32(header, uint32(len(r.buf)))
+	_, err := w.Write(header)
 	if err == nil {
 		_, err = w.Write(r.buf)
 	}
@@ -323,60 +326,60 @@
 	return err
 }
 
-func (r *Reply) open(code, manager uint16) {
+func (r *Reply) beginRecord(code, manager uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, manager)
 }
 
-func (r *Reply) id(code, manager uint16, id uint32) {
-	r.open(code, manager)
+func (r *Reply) beginPlaybackRecord(code, manager uint16, id uint32) {
+	r.beginRecord(code, manager)
 	r.buf = binary.BigEndian.AppendUint32(r.buf, id)
 }
 
-func (r *Reply) seconds(t session.Time) {
+func (r *Reply) appendTime(t session.Time) {
 	r.buf = binary.BigEndian.AppendUint64(r.buf, math.Float64bits(float64(t)/1e6))
 }
 
-// Try sends a playback to a server.
-func (r *Reply) Try(manager uint16, id uint32, s Server, limit session.Time) {
-	r.id(acTry, manager, id)
-	r.buf = append(r.buf, s[:]...)
-	r.seconds(limit)
+// Try appends a setup try of a playback at a server, with its time limit.
+func (r *Reply) Try(manager uint16, id uint32, server Server, limit session.Time) {
+	r.beginPlaybackRecord(actionTry, manager, id)
+	r.buf = append(r.buf, server[:]...)
+	r.appendTime(limit)
 }
 
-// SetRung sets a playback's rung.
+// SetRung appends the rung of a playback.
 func (r *Reply) SetRung(manager uint16, id uint32, rung int) {
-	r.id(acRung, manager, id)
+	r.beginPlaybackRecord(actionSetRung, manager, id)
 	r.buf = append(r.buf, byte(rung))
 }
 
-// Reject refuses a playback.
-func (r *Reply) Reject(manager uint16, id uint32, comeAgain session.Time) {
-	r.id(acReject, manager, id)
-	r.seconds(comeAgain)
+// Reject appends the rejection of a playback, with the time after which its client may retry.
+func (r *Reply) Reject(manager uint16, id uint32, retryAfter session.Time) {
+	r.beginPlaybackRecord(actionReject, manager, id)
+	r.appendTime(retryAfter)
 }
 
-// Abort answers a playback as failed.
-func (r *Reply) Abort(manager uint16, id uint32) { r.id(acAbort, manager, id) }
+// Abort appends the failure of a playback.
+func (r *Reply) Abort(manager uint16, id uint32) { r.beginPlaybackRecord(actionAbort, manager, id) }
 
-// Move takes a playback off its server.
-func (r *Reply) Move(manager uint16, id uint32) { r.id(acMove, manager, id) }
+// Move appends the removal of a playback from its server.
+func (r *Reply) Move(manager uint16, id uint32) { r.beginPlaybackRecord(actionMove, manager, id) }
 
-// Probe probes a server.
-func (r *Reply) Probe(manager uint16, s Server) {
-	r.open(acProbe, manager)
-	r.buf = append(r.buf, s[:]...)
+// Probe appends a probe of a server.
+func (r *Reply) Probe(manager uint16, server Server) {
+	r.beginRecord(actionProbe, manager)
+	r.buf = append(r.buf, server[:]...)
 }
 
-// Wake asks for a wake-up.
+// Wake appends a timer; its expiry arrives as EvWake with the token.
 func (r *Reply) Wake(manager uint16, at session.Time, token uint64) {
-	r.open(acWake, manager)
-	r.seconds(at)
+	r.beginRecord(actionWake, manager)
+	r.appendTime(at)
 	r.buf = binary.BigEndian.AppendUint64(r.buf, token)
 }
 
-// Watch subscribes to the list of servers.
+// Watch appends a subscription to the server list.
 func (r *Reply) Watch(manager uint16) {
-	r.open(acWatch, manager)
+	r.beginRecord(actionWatch, manager)
 	r.buf = append(r.buf, 1)
 }
