--- a/cmd/pierlink/main.go
+++ b/cmd/pierlink/main.go
@@ -28,32 +28,32 @@
 		}}
 	serve.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform, by GW_CONFIG")
 	serve.Flags().BoolVar(&traced, "trace", false, "with --platform: write what passes to standard error")
-	serve.Flags().StringVarP(&p.file, "config", "c", "deploy/pierlink.toml", "settings file")
+	serve.Flags().StringVarP(&p.settingsFile, "config", "c", "deploy/pierlink.toml", "settings file")
 	serve.Flags().BoolVar(&p.takeover, "takeover", false, "take the place of the session manager that runs with these settings; it drains")
 	check := &cobra.Command{Use: "check FILE", Short: "Check a settings file and its server list", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			s, l, err := read(args[0])
+			site, list, err := readSettings(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%s: %d plans, %d tenants, %d servers, %d titles\n", args[0], len(s.Plans), len(s.Tenants),
-				len(l.Servers), len(l.Titles))
+			fmt.Printf("%s: %d plans, %d tenants, %d servers, %d titles\n", args[0], len(site.Plans), len(site.Tenants),
+				len(list.Servers), len(list.Titles))
 			return nil
 		}}
 	version := &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(*cobra.Command, []string) {
-			v := "(unknown)"
-			if b, ok := debug.ReadBuildInfo(); ok {
-				v = b.Main.Version + " " + b.GoVersion
+			text := "(unknown)"
+			if info, ok := debug.ReadBuildInfo(); ok {
+				text = info.Main.Version + " " + info.GoVersion
 			}
-			fmt.Println("pierlink", v)
+			fmt.Println("pierlink", text)
 		}}
 	root.AddCommand(serve, check, version, statusCommand())
 	if err := root.Execute(); err != nil {
-		var bad settings.Mistakes
-		if errors.As(err, &bad) {
-			for _, m := range bad {
-				fmt.Fprintln(os.Stderr, m)
+		var mistakes settings.Mistakes
+		if errors.As(err, &mistakes) {
+			for _, mistake := range mistakes {
+				fmt.Fprintln(os.Stderr, mistake)
 			}
 			os.Exit(1)
 		}
@@ -63,24 +63,24 @@
 }
 
 // read reads the settings and the server list that they name.
-func read(file string) (*settings.Site, front.List, error) {
-	s, err := settings.Read(file)
+func readSettings(file string) (*settings.Site, front.List, error) {
+	site, err := settings.Read(file)
 	if err != nil {
 		return nil, front.List{}, fmt.Errorf("%s: %w", file, err)
 	}
-	if s.Registry != nil {
-		return s, front.List{}, nil
+	if site.Registry != nil {
+		return site, front.List{}, nil
 	}
-	l, err := settings.ReadServers(serversPath(file, s), s)
+	list, err := settings.ReadServers(serversPath(file, site), site)
 	if err != nil {
-		return nil, l, fmt.Errorf("%s: %w", serversPath(file, s), err)
+		return nil, list, fmt.Errorf("%s: %w", serversPath(file, site), err)
 	}
-	return s, l, nil
+	return site, list, nil
 }
 
-func serversPath(file string, s *settings.Site) string {
-	if filepath.IsAbs(s.Servers) {
-		return s.Servers
+func serversPath(file string, site *settings.Site) string {
+	if filepath.IsAbs(site.Servers) {
+		return site.Servers
 	}
-	return filepath.Join(filepath.Dir(file), s.Servers)
+	return filepath.Join(filepath.Dir(file), site.Servers)
 }
--- a/cmd/pierlink/platform.go
+++ b/cmd/pierlink/platform.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	pieceRead = 4 << 10 // of a message of 16 KiB at most
-	mailShare = 8       // one part in so many of the memory is for what has come and is not looked at
-	heapShare = 0.6     // of the memory is Go's to fill before it collects harder
+	readBufferSize     = 4 << 10 // of a message of 16 KiB at most
+	inboxMemoryDivisor = 8       // one part in so many of the memory is for what has come and is not looked at
+	heapMemoryShare    = 0.6     // of the memory is Go's to fill before it collects harder
 )
 
 // given reads what the platform tells at the start.
-func given() (*platform.Given, error) {
+func platformConfig() (*platform.Config, error) {
 	path := os.Getenv("GW_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG: the path of the configuration is expected")
@@ -33,29 +33,29 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	g, err := platform.Read(text)
+	config, err := platform.ParseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if name := os.Getenv("GW_NAME"); name != "" {
-		g.Name = name
+		config.Name = name
 	}
 	if listen := os.Getenv("GW_LISTEN"); listen != "" {
-		g.Listen = listen
+		config.Listen = listen
 	}
-	return g, nil
+	return config, nil
 }
 
 // servePlatform runs one session manager on the operators' platform.
 func servePlatform(traced bool) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	g, err := given()
+	config, err := platformConfig()
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(2, int(g.Cores+0.99))) // one more than computes: the poller's wait holds one
-	debug.SetMemoryLimit(int64(float64(g.Memory) * heapShare))
+	runtime.GOMAXPROCS(max(2, int(config.Cores+0.99))) // one more than computes: the poller's wait holds one
+	debug.SetMemoryLimit(int64(float64(config.MemoryBytes) * heapMemoryShare))
 	logs := zap.NewProductionConfig()
 	logs.DisableStacktrace = true
 	logs.Sampling = nil
@@ -63,28 +63,28 @@
 	if err != nil {
 		return err
 	}
-	log = log.With(zap.String("manager", g.Name))
+	log = log.With(zap.String("manager", config.Name))
 	exit := make(chan struct{})
-	var m *platform.Manager
+	var manager *platform.Manager
 	var loop *edge.Loop
-	room := edge.Room{Read: pieceRead, Mail: int(g.Memory / mailShare), Dials: time.Duration(g.Told.Connect)*time.Microsecond + time.Second,
-		Doors: platform.Viewers(g) + platform.Coming(g)}
-	loop, err = edge.NewIn(room, "", func(n core.Net) core.Core {
-		m = platform.New(n, g, edge.Now(), policy.New)
-		m.Exit = func() { close(exit) }
-		m.Hush = func() { go loop.Hush() }
+	room := edge.Room{Read: readBufferSize, Mail: int(config.MemoryBytes / inboxMemoryDivisor), Dials: time.Duration(config.Settings.Connect)*time.Microsecond + time.Second,
+		Doors: platform.MaxViewers(config) + platform.MaxArriving(config)}
+	loop, err = edge.NewIn(room, "", func(network core.Net) core.Core {
+		manager = platform.New(network, config, edge.Now(), policy.New)
+		manager.Exit = func() { close(exit) }
+		manager.StopAccepting = func() { go loop.Hush() }
 		if traced {
-			m.Trace = func(format string, a ...any) { fmt.Fprintf(os.Stderr, format+"\n", a...) }
+			manager.Trace = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 		}
-		return m
+		return manager
 	})
 	if err != nil {
 		return err
 	}
-	if err := loop.Listen(g.Listen, nil); err != nil {
+	if err := loop.Listen(config.Listen, nil); err != nil {
 		return fmt.Errorf("GW_LISTEN: %w", err)
 	}
-	log.Info("it serves", zap.String("address", g.Listen), zap.Int("sockets", g.Sockets), zap.Int64("memory", g.Memory))
+	log.Info("it serves", zap.String("address", config.Listen), zap.Int("sockets", config.Sockets), zap.Int64("memory", config.MemoryBytes))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -94,23 +94,23 @@
 			loop.Stop(false)
 			return nil
 		case <-tick.C:
-			var f platform.Figures
-			loop.Do(func() { f = m.Figures() })
+			var stats platform.Stats
+			loop.Do(func() { stats = manager.Stats() })
 			var mem runtime.MemStats
 			runtime.ReadMemStats(&mem)
-			log.Info("stands", zap.Any("figures", f), zap.Uint64("heap", mem.HeapAlloc), zap.Uint64("from_system", mem.Sys))
-		case s := <-signals:
-			if s != syscall.SIGHUP {
+			log.Info("stands", zap.Any("figures", stats), zap.Uint64("heap", mem.HeapAlloc), zap.Uint64("from_system", mem.Sys))
+		case received := <-signals:
+			if received != syscall.SIGHUP {
 				log.Info("it is to end")
-				loop.Post(m.Stop)
+				loop.Post(manager.Stop)
 				continue
 			}
-			next, err := given()
+			next, err := platformConfig()
 			if err != nil {
 				log.Error("the new configuration is not taken", zap.Error(err))
 				continue
 			}
-			loop.Do(func() { err = m.Renew(next) })
+			loop.Do(func() { err = manager.Reconfigure(next) })
 			log.Info("configuration taken", zap.String("bus", next.Bus), zap.Error(err))
 		}
 	}
--- a/cmd/pierlink/platform_test.go
+++ b/cmd/pierlink/platform_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	asProgram = "PIERLINK_TEST_AS_PROGRAM"
-	awaited   = 20 * time.Second
+	runAsProgramEnv = "PIERLINK_TEST_AS_PROGRAM"
+	testTimeout     = 20 * time.Second
 )
 
 // TestMain is the program itself where a test starts it as one.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		os.Args = []string{"pierlink", "serve", "--platform"}
 		main()
 		os.Exit(0)
@@ -35,34 +35,34 @@
 }
 
 // log is what a process has written, line by line.
-type log struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
-func (l *log) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(b)
+	return l.text.Write(data)
 }
 
-func (l *log) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.all.String(), text)
+	return strings.Contains(l.text.String(), text)
 }
 
 // manager is a session manager in a process of its own.
-type manager struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	log    *log
-	config string
-	listen string
-	within int // descriptors
+type managerProcess struct {
+	t           *testing.T
+	cmd         *exec.Cmd
+	log         *logBuffer
+	config      string
+	listen      string
+	descriptors int // descriptors
 }
 
-func free(t *testing.T) net.Listener {
+func listenLocal(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,52 +73,52 @@
 }
 
 // bus tells on hellos the place in it that a manager asks from; it says nothing and keeps the connection.
-func bus(t *testing.T) (addr string, hellos chan uint64) {
+func startBus(t *testing.T) (addr string, offsets chan uint64) {
 	t.Helper()
-	ln := free(t)
-	hellos = make(chan uint64, 100)
+	ln := listenLocal(t)
+	offsets = make(chan uint64, 100)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			var b [8]byte
-			if _, err := io.ReadFull(c, b[:]); err == nil {
-				hellos <- binary.BigEndian.Uint64(b[:])
+			var request [8]byte
+			if _, err := io.ReadFull(conn, request[:]); err == nil {
+				offsets <- binary.BigEndian.Uint64(request[:])
 			}
 		}
 	}()
-	return ln.Addr().String(), hellos
+	return ln.Addr().String(), offsets
 }
 
-func (m *manager) write(bus string) {
+func (m *managerProcess) writeConfig(bus string) {
 	m.t.Helper()
 	text, err := os.ReadFile("../../internal/platform/testdata/configuration.json")
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	full := strings.NewReplacer("MEMORY", "64", "SOCKETS", strconv.Itoa(m.within), "PROBES", "false", "EFFECT", "read_like", "IDLE", "15", "TENANTS", "[]",
+	full := strings.NewReplacer("MEMORY", "64", "SOCKETS", strconv.Itoa(m.descriptors), "PROBES", "false", "EFFECT", "read_like", "IDLE", "15", "TENANTS", "[]",
 		"127.0.0.1:1", m.listen, "10.2.0.1:8500", bus, "10.1.0.", "127.0.0.", `"giveUp":4`, `"giveUp":0.3`).Replace(string(text))
 	if err := os.WriteFile(m.config, []byte(full), 0o600); err != nil {
 		m.t.Fatal(err)
 	}
 }
 
-func start(t *testing.T, bus string) *manager {
+func startManager(t *testing.T, bus string) *managerProcess {
 	t.Helper()
-	return startWithin(t, bus, 256)
+	return startManagerWith(t, bus, 256)
 }
 
 // startWithin starts one that gets so many descriptors from the system, and is told so.
-func startWithin(t *testing.T, bus string, descriptors int) *manager {
+func startManagerWith(t *testing.T, bus string, descriptors int) *managerProcess {
 	t.Helper()
-	ln := free(t)
-	m := &manager{t: t, log: &log{}, config: filepath.Join(t.TempDir(), "config.json"), listen: ln.Addr().String(), within: descriptors}
+	ln := listenLocal(t)
+	m := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: ln.Addr().String(), descriptors: descriptors}
 	_ = ln.Close()
-	m.write(bus)
+	m.writeConfig(bus)
 	m.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0])
-	m.cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+m.config, "GW_NAME=n0", "GW_LISTEN="+m.listen)
+	m.cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+m.config, "GW_NAME=n0", "GW_LISTEN="+m.listen)
 	m.cmd.Stdout, m.cmd.Stderr = m.log, m.log
 	if err := m.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -127,16 +127,16 @@
 	return m
 }
 
-func (m *manager) signal(s os.Signal) {
+func (m *managerProcess) signal(s os.Signal) {
 	m.t.Helper()
 	if err := m.cmd.Process.Signal(s); err != nil {
 		m.t.Fatal(err)
 	}
 }
 
-func (m *manager) await(text string) {
+func (m *managerProcess) waitForLog(text string) {
 	m.t.Helper()
-	for end := time.Now().Add(awaited); !m.log.has(text); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !m.log.contains(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			m.t.Fatalf("no %q in the log", text)
 		}
@@ -144,20 +144,20 @@
 }
 
 // ready tells what a test of the manager's answers, once something listens.
-func (m *manager) ready() string {
+func (m *managerProcess) optionsStatus() string {
 	m.t.Helper()
-	for end := time.Now().Add(awaited); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("tcp", m.listen)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		conn, err := net.Dial("tcp", m.listen)
 		if err != nil {
 			if time.Now().After(end) {
 				m.t.Fatal(err)
 			}
 			continue
 		}
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(awaited))
-		fmt.Fprint(c, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: 0000000000000000\r\nContent-Length: 0\r\n\r\n")
-		line, err := bufio.NewReader(c).ReadString('\n')
+		defer conn.Close()
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		fmt.Fprint(conn, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: 0000000000000000\r\nContent-Length: 0\r\n\r\n")
+		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil {
 			m.t.Fatal(err)
 		}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (m *manager) ends() {
+func (m *managerProcess) waitForExit() {
 	m.t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- m.cmd.Wait() }()
@@ -174,133 +174,133 @@
 		if err != nil {
 			m.t.Fatal(err)
 		}
-	case <-time.After(awaited):
+	case <-time.After(testTimeout):
 		m.t.Fatal("it does not end")
 	}
 }
 
-func hello(t *testing.T, hellos chan uint64) {
+func expectSubscription(t *testing.T, offsets chan uint64) {
 	t.Helper()
 	select {
-	case n := <-hellos:
-		if n != 1 {
-			t.Errorf("asked from %d", n)
+	case offset := <-offsets:
+		if offset != 1 {
+			t.Errorf("asked from %d", offset)
 		}
-	case <-time.After(awaited):
+	case <-time.After(testTimeout):
 		t.Fatal("the bus is not asked")
 	}
 }
 
 // SIGHUP takes the configuration anew, twice in a row and with a broken file between; a SIGTERM right after ends it well.
-func TestSignals(t *testing.T) {
-	first, asked := bus(t)
-	m := start(t, first)
-	if status := m.ready(); status != "200" {
+func TestReloadAndStopBySignals(t *testing.T) {
+	first, offsets := startBus(t)
+	m := startManager(t, first)
+	if status := m.optionsStatus(); status != "200" {
 		t.Fatal(status)
 	}
-	hello(t, asked)
+	expectSubscription(t, offsets)
 	if err := os.WriteFile(m.config, []byte(`{"name":"n0","settings":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	m.signal(syscall.SIGHUP)
-	m.await("the new configuration is not taken")
-	if status := m.ready(); status != "200" {
+	m.waitForLog("the new configuration is not taken")
+	if status := m.optionsStatus(); status != "200" {
 		t.Error("after a broken file", status)
 	}
-	second, asked := bus(t)
-	m.write(second)
+	second, offsets := startBus(t)
+	m.writeConfig(second)
 	m.signal(syscall.SIGHUP)
-	hello(t, asked)
-	silent := free(t) // lets connections come up and never answers: the next SIGHUP comes while it is asked
-	m.write(silent.Addr().String())
+	expectSubscription(t, offsets)
+	silent := listenLocal(t) // lets connections come up and never answers: the next SIGHUP comes while it is asked
+	m.writeConfig(silent.Addr().String())
 	m.signal(syscall.SIGHUP)
-	m.await(silent.Addr().String())
-	third, asked := bus(t)
-	m.write(third)
+	m.waitForLog(silent.Addr().String())
+	third, offsets := startBus(t)
+	m.writeConfig(third)
 	m.signal(syscall.SIGHUP)
-	hello(t, asked)
+	expectSubscription(t, offsets)
 	m.signal(syscall.SIGHUP)
 	m.signal(syscall.SIGTERM)
-	m.ends()
+	m.waitForExit()
 }
 
 // A SIGTERM that comes before it is ready, or as soon as it is, ends it well too.
-func TestStopAtTheStart(t *testing.T) {
-	addr, _ := bus(t)
-	m := start(t, addr)
-	m.await("it serves")
+func TestStopDuringStart(t *testing.T) {
+	addr, _ := startBus(t)
+	m := startManager(t, addr)
+	m.waitForLog("it serves")
 	m.signal(syscall.SIGTERM)
-	m.ends()
+	m.waitForExit()
 }
 
 // What makes no sense is told in one line, and it does not start.
-func TestBrokenStart(t *testing.T) {
-	m := &manager{t: t, log: &log{}, config: filepath.Join(t.TempDir(), "config.json"), listen: "127.0.0.1:1", within: 256}
-	m.write("nowhere")
+func TestStartWithInvalidConfiguration(t *testing.T) {
+	m := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: "127.0.0.1:1", descriptors: 256}
+	m.writeConfig("nowhere")
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+m.config, "GW_LISTEN=127.0.0.1:1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+m.config, "GW_LISTEN=127.0.0.1:1")
 	cmd.Stdout, cmd.Stderr = m.log, m.log
 	err := cmd.Run()
-	if cmd.ProcessState.ExitCode() != 1 || !m.log.has("bus: address:port is expected") || strings.Count(m.log.all.String(), "\n") != 1 {
-		t.Errorf("%v: %s", err, m.log.all.String())
+	if cmd.ProcessState.ExitCode() != 1 || !m.log.contains("bus: address:port is expected") || strings.Count(m.log.text.String(), "\n") != 1 {
+		t.Errorf("%v: %s", err, m.log.text.String())
 	}
 }
 
 // While clients that say nothing take all connections that they can get and sessions stand at more servers than may be
 // kept connected, the descriptors suffice, and the bus is found again when it breaks off.
-func TestTheBusIsFoundWhileAllElseIsFull(t *testing.T) {
+func TestBusReconnectsWithinDescriptorLimit(t *testing.T) {
 	const (
-		within  = 64 // the least
-		servers = 20 // more than a quarter of them
-		others  = 80 // and more idle clients than all
+		descriptorLimit = 64 // the least
+		servers         = 20 // more than a quarter of them
+		idleClients     = 80 // and more idle clients than all
 	)
-	bus, boxes := free(t), free(t)
-	m := startWithin(t, bus.Addr().String(), within)
-	if status := m.ready(); status != "200" {
+	busListener, serverListener := listenLocal(t), listenLocal(t)
+	m := startManagerWith(t, busListener.Addr().String(), descriptorLimit)
+	if status := m.optionsStatus(); status != "200" {
 		t.Fatal(status)
 	}
-	accepted := func() net.Conn {
+	acceptBus := func() net.Conn {
 		t.Helper()
-		_ = bus.(*net.TCPListener).SetDeadline(time.Now().Add(awaited))
-		c, err := bus.Accept()
+		_ = busListener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+		conn, err := busListener.Accept()
 		if err != nil {
 			t.Fatal("the bus is not found:", err)
 		}
-		_ = c.SetDeadline(time.Now().Add(awaited))
-		var hello [8]byte
-		if _, err := io.ReadFull(c, hello[:]); err != nil {
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		var request [8]byte
+		if _, err := io.ReadFull(conn, request[:]); err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return conn
 	}
-	c := accepted()
+	conn := acceptBus()
 	event := binary.BigEndian.AppendUint32(nil, 9+27*servers)
 	event = append(binary.BigEndian.AppendUint64(event, 2), 2)
 	for i := range servers {
 		event = append(binary.BigEndian.AppendUint32(event, uint32(100+i)), 127, 0, 0, 1)
-		event = binary.BigEndian.AppendUint16(event, uint16(boxes.Addr().(*net.TCPAddr).Port))
+		event = binary.BigEndian.AppendUint16(event, uint16(serverListener.Addr().(*net.TCPAddr).Port))
 		event = append(event, 0, 0, 0, 0, 0, 0, 0, 3, 0xe8)
 		event = binary.BigEndian.AppendUint64(event, 0)
 	}
-	if _, err := c.Write(event); err != nil {
+	if _, err := conn.Write(event); err != nil {
 		t.Fatal(err)
 	}
-	var up, tried atomic.Int64
+	var connected, attempts atomic.Int64
 	go func() {
 		for {
-			c, err := boxes.Accept()
+			conn, err := serverListener.Accept()
 			if err != nil {
 				return
 			}
-			up.Add(1)
-			go func() { _, _ = io.Copy(io.Discard, c); up.Add(-1) }()
+			connected.Add(1)
+			go func() { _, _ = io.Copy(io.Discard, conn); connected.Add(-1) }()
 		}
 	}()
-	await := func(what string, is func() bool) {
+	waitFor := func(failure string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(awaited); !is(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
@@ -313,41 +313,41 @@
 		fmt.Fprintf(viewer, "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: %016x\r\nCall-Kind: live\r\n"+
 			"Routing-Data: home:0;copies:2;top:1;viewer:00000000b4d65521;at:s-%08x\r\nContent-Length: 3\r\n\r\nsdp", i+1, 100+i)
 	}
-	await("no connections to servers", func() bool { return up.Load() >= within/4 })
-	over := make(chan struct{})
+	waitFor("no connections to servers", func() bool { return connected.Load() >= descriptorLimit/4 })
+	stop := make(chan struct{})
 	var idle sync.WaitGroup
 	defer idle.Wait()
-	defer close(over)
-	for range others {
+	defer close(stop)
+	for range idleClients {
 		idle.Go(func() {
 			for {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				default:
 				}
-				tried.Add(1)
-				if c, err := net.Dial("tcp", m.listen); err == nil {
-					_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-					_, _ = c.Read(make([]byte, 1))
-					_ = c.Close()
+				attempts.Add(1)
+				if conn, err := net.Dial("tcp", m.listen); err == nil {
+					_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+					_, _ = conn.Read(make([]byte, 1))
+					_ = conn.Close()
 				}
 			}
 		})
 	}
-	most := 0
-	await("few idle clients were sent away", func() bool {
-		held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", m.cmd.Process.Pid))
+	peak := 0
+	waitFor("few idle clients were sent away", func() bool {
+		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", m.cmd.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, len(held))
-		return tried.Load() > 5*others
+		peak = max(peak, len(open))
+		return attempts.Load() > 5*idleClients
 	})
-	t.Log(most, "descriptors at most")
-	if most >= within {
-		t.Errorf("%d of %d descriptors were held", most, within)
+	t.Log(peak, "descriptors at most")
+	if peak >= descriptorLimit {
+		t.Errorf("%d of %d descriptors were held", peak, descriptorLimit)
 	}
-	_ = c.Close()
-	_ = accepted().Close()
+	_ = conn.Close()
+	_ = acceptBus().Close()
 }
--- a/cmd/pierlink/serve.go
+++ b/cmd/pierlink/serve.go
@@ -30,67 +30,67 @@
 )
 
 const (
-	watchEvery = 250 * time.Millisecond // the server list's file is looked at
-	keepEvery  = time.Second            // the tenants' standing is kept
-	standing   = "tenants standing 1"
+	fileWatchInterval = 250 * time.Millisecond // the server list's file is looked at
+	saveInterval      = time.Second            // the tenants' standing is kept
+	standingKind      = "tenants standing 1"
 )
 
 // process is the daemon round one front: it carries out what the front's life wants.
 type process struct {
-	file     string
-	takeover bool
+	settingsFile string
+	takeover     bool
 
-	site       *settings.Site // the main goroutine's: a reload replaces it
-	listen     string
-	advertised string
-	socket     string // the control socket's path
-	log        *zap.Logger
-	secret     []byte
-	loop       *edge.Loop
-	f          *front.Front
-	reg        *client.Client
-	control    *edge.Control
-	journal    *kept.Journal
-	state      atomic.Int64
-	again      chan struct{} // the registry's key is to be written anew
-	registered sync.WaitGroup
-	failed     error
-	exit       chan struct{}
-	directory  *gate
-	keys       *edge.Keys         // of the door under TLS, nil without one
-	heir       atomic.Bool        // another process has this one's place
-	leave      context.CancelFunc // the registry
+	site                *settings.Site // the main goroutine's: a reload replaces it
+	listen              string
+	advertised          string
+	controlPath         string // the control socket's path
+	log                 *zap.Logger
+	secret              []byte
+	loop                *edge.Loop
+	front               *front.Front
+	registryClient      *client.Client
+	control             *edge.Control
+	journal             *kept.Journal
+	state               atomic.Int64
+	registrationChanged chan struct{} // the registry's key is to be written anew
+	registration        sync.WaitGroup
+	failure             error
+	exit                chan struct{}
+	authorizer          *authorizer
+	tlsKeys             *edge.Keys         // of the door under TLS, nil without one
+	handedOver          atomic.Bool        // another process has this one's place
+	deregister          context.CancelFunc // the registry
 }
 
 // journal is what the front writes its dialogues to.
-type journal struct{ *kept.Journal }
+type dialogueJournal struct{ *kept.Journal }
 
-func (j journal) Opened(o life.Orphan) { j.Journal.Opened(kept.Open(o)) }
+func (j dialogueJournal) Opened(orphan life.Orphan) { j.Journal.Opened(kept.Open(orphan)) }
 
 // near is a path beside the settings file.
-func (p *process) near(path string) string {
+func (p *process) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
-	return filepath.Join(filepath.Dir(p.file), path)
+	return filepath.Join(filepath.Dir(p.settingsFile), path)
 }
 
 // serve is the whole wiring: settings, module, front, loop, what was kept, list, signals.
 func (p *process) serve() error {
-	site, list, err := read(p.file)
+	site, list, err := readSettings(p.settingsFile)
 	if err != nil {
 		return err
 	}
-	p.site, p.exit, p.again, p.secret = site, make(chan struct{}), make(chan struct{}, 1), make([]byte, 40)
+	p.site, p.exit, p.registrationChanged, p.secret = site, make(chan struct{}), make(chan struct{}, 1), make([]byte, 40)
 	logs := zap.NewProductionConfig()
 	logs.DisableStacktrace = true // what operators can mend has no line in the program
 	if p.log, err = logs.Build(); err != nil {
 		return err
 	}
 	defer func() { _ = p.log.Sync() }()
-	p.listen, p.advertised, p.socket = site.Listen, site.Life.Address, p.near(site.Life.Control)
-	if p.socket != "" && !p.takeover && edge.Running(p.socket) {
-		return fmt.Errorf("a session manager runs with these settings (%s answers): stop it, or take its place with --takeover", p.socket)
+	p.listen, p.advertised, p.controlPath = site.Listen, site.Life.Address, p.resolvePath(site.Life.Control)
+	if p.controlPath != "" && !p.takeover && edge.Running(p.controlPath) {
+		return fmt.Errorf("a session manager runs with these settings (%s answers): stop it, or take its place with --takeover", p.controlPath)
 	}
 	if p.takeover && site.Life.Control == "" {
 		return errors.New("life.control: a path is expected for --takeover")
@@ -101,130 +101,130 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	service := site.Service(p.secret[8:])
-	left := p.found()
-	if dir := p.near(site.Life.Kept); dir != "" {
-		j, err := kept.NewJournal(dir, func(err error) { p.log.Error("what is open at boxes cannot be kept", zap.Error(err)) })
+	orphans := p.readOrphans()
+	if dir := p.resolvePath(site.Life.Kept); dir != "" {
+		dialogues, err := kept.NewJournal(dir, func(err error) { p.log.Error("what is open at boxes cannot be kept", zap.Error(err)) })
 		if err != nil {
 			p.log.Error("what is open at boxes is not kept", zap.Error(err))
 		} else {
-			p.journal = j
-			service.Journal = journal{j}
-			defer j.Close()
+			p.journal = dialogues
+			service.Journal = dialogueJournal{dialogues}
+			defer dialogues.Close()
 		}
 	}
-	if t := site.Trace; t != nil {
-		w, err := trace.NewFile(p.near(t.File), t.Part)
+	if options := site.Trace; options != nil {
+		writer, err := trace.NewFile(p.resolvePath(options.File), options.Part)
 		if err != nil {
 			return err
 		}
 		defer func() {
-			if err := w.Close(); err != nil {
+			if err := writer.Close(); err != nil {
 				p.log.Error("the trace file is not whole", zap.Error(err))
 			}
-			if n := w.Lost.Load(); n > 0 {
-				p.log.Warn("stories that the trace file was too slow for", zap.Int64("stories", n))
+			if lost := writer.Lost.Load(); lost > 0 {
+				p.log.Warn("stories that the trace file was too slow for", zap.Int64("stories", lost))
 			}
 		}()
-		service.Told = w.Tell
+		service.Told = writer.Tell
 	}
-	if t := site.TLS; t != nil {
-		if p.keys, err = edge.ReadKeys(p.near(t.Cert), p.near(t.Key)); err != nil {
+	if options := site.TLS; options != nil {
+		if p.tlsKeys, err = edge.ReadKeys(p.resolvePath(options.Cert), p.resolvePath(options.Key)); err != nil {
 			return fmt.Errorf("tls: %w", err)
 		}
 	}
 	if site.Directory != nil {
-		if err := p.gate(service); err != nil {
+		if err := p.openDirectory(service); err != nil {
 			return err
 		}
-		defer p.closeGate()
+		defer p.closeDirectory()
 	}
-	l := life.New(site.Lifetimes(), edge.Now())
-	p.loop, err = edge.New("", func(n core.Net) core.Core {
+	lifecycle := life.New(site.Lifetimes(), edge.Now())
+	p.loop, err = edge.New("", func(network core.Net) core.Core {
 		now := edge.Now()
 		module := policy.New(&service.Site, binary.BigEndian.Uint64(p.secret), now)
-		p.f = front.New(service, module, n, p.log, now)
-		p.f.Others().Set(site.Life.Others)
-		p.resume(now)
-		return p.f
+		p.front = front.New(service, module, network, p.log, now)
+		p.front.Others().Set(site.Life.Others)
+		p.restoreStanding(now)
+		return p.front
 	})
 	if err != nil {
 		return err
 	}
 	defer p.loop.Stop(false)
 	ctx, cancel := context.WithCancel(context.Background())
-	defer p.registered.Wait()
+	defer p.registration.Wait()
 	defer cancel()
-	p.leave = cancel
-	if p.directory != nil {
-		p.directory.loop.To(p.loop)
+	p.deregister = cancel
+	if p.authorizer != nil {
+		p.authorizer.loop.To(p.loop)
 	}
 	p.loop.Do(func() {
-		p.adopt(left)
+		p.adoptOrphans(orphans)
 		if site.Registry == nil {
-			p.f.Listed(list)
-			l.Has(life.List)
+			p.front.Listed(list)
+			lifecycle.Has(life.List)
 		}
-		l.Has(life.Settings)
-		l.Has(life.Module)
-		p.f.Live(l, p)
+		lifecycle.Has(life.Settings)
+		lifecycle.Has(life.Module)
+		p.front.Live(lifecycle, p)
 	})
-	p.descriptors()
+	p.warnDescriptorLimit()
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
-	if p.keys != nil {
-		p.keys.Follow(watchEvery, stopped.Done(), p.log)
+	if p.tlsKeys != nil {
+		p.tlsKeys.Follow(fileWatchInterval, stopped.Done(), p.log)
 	}
 	if site.Registry != nil {
-		if p.reg, err = p.follow(ctx); err != nil {
+		if p.registryClient, err = p.followRegistry(ctx); err != nil {
 			return err
 		}
-		defer p.reg.Close()
+		defer p.registryClient.Close()
 	} else {
-		go p.watch(stopped.Done())
+		go p.watchServerList(stopped.Done())
 	}
 	if site.Metrics != "" {
 		labels := 0
 		if site.Door != nil {
 			labels = site.Door.Labels
 		}
-		m, err := p.metrics(labels)
+		metrics, err := p.serveMetrics(labels)
 		if err != nil {
 			return err
 		}
-		if m != nil {
-			defer m.Close()
+		if metrics != nil {
+			defer metrics.Close()
 		}
 	}
-	p.run(signals)
+	p.waitForSignals(signals)
 	if p.control != nil {
 		p.control.Close()
 	}
-	if p.failed != nil {
-		return p.failed
+	if p.failure != nil {
+		return p.failure
 	}
-	p.keep()
+	p.saveStanding()
 	var figures front.Figures
-	p.loop.Do(func() { figures = p.f.Figures })
+	p.loop.Do(func() { figures = p.front.Figures })
 	p.log.Info("stopped", zap.Any("figures", figures))
 	return nil
 }
 
 // metrics serves the figures. A port that the process whose place this one takes still has is waited for.
-func (p *process) metrics(labels int) (*edge.Metrics, error) {
-	m, err := edge.NewMetrics(p.site.Metrics, p.loop, p.f, p.reg, labels)
+func (p *process) serveMetrics(labels int) (*edge.Metrics, error) {
+	metrics, err := edge.NewMetrics(p.site.Metrics, p.loop, p.front, p.registryClient, labels)
 	if err == nil || !p.takeover {
-		return m, err
+		return metrics, err
 	}
 	go func() {
 		for {
 			select {
 			case <-p.exit:
 				return
-			case <-time.After(keepEvery):
+			case <-time.After(saveInterval):
 			}
-			if m, err := edge.NewMetrics(p.site.Metrics, p.loop, p.f, p.reg, labels); err == nil {
+			if metrics, err := edge.NewMetrics(p.site.Metrics, p.loop, p.front, p.registryClient, labels); err == nil {
 				<-p.exit
-				m.Close()
+				metrics.Close()
 				return
 			}
 		}
@@ -233,37 +233,37 @@
 }
 
 // run follows signals until the life is over.
-func (p *process) run(signals <-chan os.Signal) {
-	tick := time.NewTicker(keepEvery)
+func (p *process) waitForSignals(signals <-chan os.Signal) {
+	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
-	alive := make(<-chan time.Time)
-	if every, err := daemon.SdWatchdogEnabled(false); err == nil && every > 0 {
-		t := time.NewTicker(every / 2)
-		defer t.Stop()
-		alive = t.C
+	watchdog := make(<-chan time.Time)
+	if interval, err := daemon.SdWatchdogEnabled(false); err == nil && interval > 0 {
+		ticker := time.NewTicker(interval / 2)
+		defer ticker.Stop()
+		watchdog = ticker.C
 	}
 	for {
 		select {
 		case <-p.exit:
 			return
-		case s := <-signals:
-			if s == syscall.SIGHUP {
+		case received := <-signals:
+			if received == syscall.SIGHUP {
 				p.reload()
 				continue
 			}
-			p.log.Info("told to stop", zap.String("signal", s.String()))
-			p.loop.Post(func() { p.f.Life().Stop() })
+			p.log.Info("told to stop", zap.String("signal", received.String()))
+			p.loop.Post(func() { p.front.Life().Stop() })
 		case <-tick.C:
-			p.keep()
-			p.keepGate()
-		case <-alive:
+			p.saveStanding()
+			p.saveDirectoryView()
+		case <-watchdog:
 			p.loop.Do(func() {}) // a loop that stands still does not say that it lives
-			p.notify(daemon.SdNotifyWatchdog)
+			p.notifySupervisor(daemon.SdNotifyWatchdog)
 		}
 	}
 }
 
-func (p *process) notify(state string) {
+func (p *process) notifySupervisor(state string) {
 	if _, err := daemon.SdNotify(false, state); err != nil {
 		p.log.Warn("the supervisor cannot be told", zap.Error(err))
 	}
@@ -271,96 +271,96 @@
 
 // fail ends the process with an error.
 func (p *process) fail(err error) {
-	p.failed = err
+	p.failure = err
 	p.Exit()
 }
 
 // Listen accepts connections, on a listener of its own or on that of the process whose place it takes.
 func (p *process) Listen() {
 	if p.takeover {
-		h, err := edge.TakeOver(p.socket)
+		handover, err := edge.TakeOver(p.controlPath)
 		if err != nil {
 			p.fail(err)
 			return
 		}
-		p.f.Succeed()
-		for i, ln := range h.Listeners { // the first is that without TLS
+		p.front.Succeed()
+		for i, listener := range handover.Listeners { // the first is that without TLS
 			switch {
 			case i == 0:
-				p.loop.Accept(ln, nil)
-			case p.keys != nil:
-				p.loop.Accept(ln, p.keys.Door())
+				p.loop.Accept(listener, nil)
+			case p.tlsKeys != nil:
+				p.loop.Accept(listener, p.tlsKeys.Door())
 			default:
-				_ = ln.Close()
+				_ = listener.Close()
 			}
 		}
-		if p.keys != nil && len(h.Listeners) == 1 { // a door that the other did not have
-			if err := p.loop.Listen(p.site.TLS.Listen, p.keys.Door()); err != nil {
+		if p.tlsKeys != nil && len(handover.Listeners) == 1 { // a door that the other did not have
+			if err := p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.Door()); err != nil {
 				p.fail(err)
 				return
 			}
 		}
-		err = h.Serving(func(seats map[life.Seat]int) { p.loop.Post(func() { p.f.Heir().Hold(seats) }) })
+		err = handover.Serving(func(seats map[life.Seat]int) { p.loop.Post(func() { p.front.Heir().Hold(seats) }) })
 		if err != nil {
 			p.fail(err)
 			return
 		}
-		p.log.Info("took over", zap.Int("from", h.From.PID), zap.Int("playing there", h.From.Playing))
+		p.log.Info("took over", zap.Int("from", handover.From.PID), zap.Int("playing there", handover.From.Playing))
 	} else {
 		err := p.loop.Listen(p.listen, nil)
-		if err == nil && p.keys != nil {
-			err = p.loop.Listen(p.site.TLS.Listen, p.keys.Door())
+		if err == nil && p.tlsKeys != nil {
+			err = p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.Door())
 		}
 		if err != nil {
 			p.fail(err)
 			return
 		}
 	}
-	if p.socket == "" {
+	if p.controlPath == "" {
 		return
 	}
-	c, err := edge.NewControl(p.socket, p.loop, p.f, p.status)
+	control, err := edge.NewControl(p.controlPath, p.loop, p.front, p.status)
 	if err != nil {
 		p.log.Error("no control socket", zap.Error(err))
 		return
 	}
-	p.control = c
+	p.control = control
 }
 
 // Hush accepts no more.
 func (p *process) Hush() {
-	if l := p.f.Life(); l.Handed() {
-		p.heir.Store(true)
-		p.leave()                   // the key is the other's
-		to := []string{p.address()} // the process that took over has the same address
-		if s := p.secureAddress(); s != "" {
-			to = append(to, life.SecureMark+s)
+	if lifecycle := p.front.Life(); lifecycle.Handed() {
+		p.handedOver.Store(true)
+		p.deregister()                           // the key is the other's
+		addresses := []string{p.playerAddress()} // the process that took over has the same address
+		if secure := p.secureAddress(); secure != "" {
+			addresses = append(addresses, life.SecureMark+secure)
 		}
-		p.f.Others().Set(to)
+		p.front.Others().Set(addresses)
 	}
 	go func() {
 		p.loop.Hush()
-		p.loop.Post(p.f.Life().Hushed)
+		p.loop.Post(p.front.Life().Hushed)
 	}()
 }
 
 // News tells the supervisor, the registry and the log.
-func (p *process) News(s life.State) {
-	p.state.Store(int64(s))
-	if !p.heir.Load() { // the key is the other's by now
-		p.tellRegistry()
+func (p *process) News(state life.State) {
+	p.state.Store(int64(state))
+	if !p.handedOver.Load() { // the key is the other's by now
+		p.refreshRegistration()
 	}
 	address := p.loop.Addr()
 	servers := 0
-	p.f.Each(func() { servers++ })
-	switch s {
+	p.front.Each(func() { servers++ })
+	switch state {
 	case life.Ready:
-		p.log.Info("ready", zap.String("name", p.f.Name), zap.String("address", address), zap.String("secure", p.loop.SecureAddr()), zap.Int("servers", servers))
-		p.notify(daemon.SdNotifyReady + "\nMAINPID=" + fmt.Sprint(os.Getpid()) + "\nSTATUS=ready at " + address)
+		p.log.Info("ready", zap.String("name", p.front.Name), zap.String("address", address), zap.String("secure", p.loop.SecureAddr()), zap.Int("servers", servers))
+		p.notifySupervisor(daemon.SdNotifyReady + "\nMAINPID=" + fmt.Sprint(os.Getpid()) + "\nSTATUS=ready at " + address)
 	case life.Draining, life.Stopping:
-		p.log.Info(s.String(), zap.Bool("taken over", p.heir.Load()))
-		if !p.heir.Load() {
-			p.notify(daemon.SdNotifyStopping + "\nSTATUS=" + s.String())
+		p.log.Info(state.String(), zap.Bool("taken over", p.handedOver.Load()))
+		if !p.handedOver.Load() {
+			p.notifySupervisor(daemon.SdNotifyStopping + "\nSTATUS=" + state.String())
 		}
 	}
 }
@@ -375,7 +375,7 @@
 }
 
 // address is where players reach this process.
-func (p *process) address() string {
+func (p *process) playerAddress() string {
 	if p.advertised != "" {
 		return p.advertised
 	}
@@ -384,137 +384,137 @@
 
 // secureAddress is where they reach its door under TLS; empty without one.
 func (p *process) secureAddress() string {
-	if t := p.site.TLS; t != nil && t.Address != "" {
-		return t.Address
+	if options := p.site.TLS; options != nil && options.Address != "" {
+		return options.Address
 	}
 	return p.loop.SecureAddr()
 }
 
 // status is what the control socket tells.
 func (p *process) status() edge.Status {
-	s := edge.Status{Name: p.f.Name, PID: os.Getpid(), Address: p.loop.Addr(), Starved: p.loop.Starved(), ListAge: -1, Directory: -1,
+	status := edge.Status{Name: p.front.Name, PID: os.Getpid(), Address: p.loop.Addr(), Starved: p.loop.Starved(), ListAge: -1, Directory: -1,
 		Secure: p.loop.SecureAddr(), Unshaken: p.loop.Unshaken()}
-	if p.keys != nil {
-		s.KeysEnd = p.keys.Until()
+	if p.tlsKeys != nil {
+		status.KeysEnd = p.tlsKeys.Until()
 	}
 	p.loop.Do(func() {
-		state, since := p.f.Life().State()
-		x := p.f.Carried()
+		state, since := p.front.Life().State()
+		carried := p.front.Carried()
 		now := edge.Now()
-		s.State, s.For = state.String(), float64(now-since)/1e6
-		s.Waiting, s.Playing, s.SentOn, s.Orphans = x.Waiting, x.Playing, x.Sent, p.f.Orphans().Left()
-		s.BehindMS = float64(p.f.Behind().Late(now)) / 1e3
-		s.Figures = p.f.Figures
-		if g := p.f.Gate; g != nil {
-			s.Directory, s.Entries = float64(g.Core.Age())/1e6, g.Core.Size()
+		status.State, status.For = state.String(), float64(now-since)/1e6
+		status.Waiting, status.Playing, status.SentOn, status.Orphans = carried.Waiting, carried.Playing, carried.Sent, p.front.Orphans().Left()
+		status.BehindMS = float64(p.front.Behind().Late(now)) / 1e3
+		status.Figures = p.front.Figures
+		if gate := p.front.Gate; gate != nil {
+			status.Directory, status.Entries = float64(gate.Core.Age())/1e6, gate.Core.Size()
 		}
 	})
-	if p.reg != nil {
-		s.ListAge = p.reg.Age().Seconds()
+	if p.registryClient != nil {
+		status.ListAge = p.registryClient.Age().Seconds()
 	}
-	return s
+	return status
 }
 
 // descriptors says at the start what the bounds need and the system does not allow.
-func (p *process) descriptors() {
-	var r syscall.Rlimit
-	need := uint64(p.site.Bounds.Connections + p.site.Bounds.Playbacks)
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r) == nil && r.Cur < need {
-		p.log.Warn("the system allows fewer descriptors than the bounds may need", zap.Uint64("allowed", r.Cur), zap.Uint64("needed", need))
+func (p *process) warnDescriptorLimit() {
+	var limit syscall.Rlimit
+	needed := uint64(p.site.Bounds.Connections + p.site.Bounds.Playbacks)
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < needed {
+		p.log.Warn("the system allows fewer descriptors than the bounds may need", zap.Uint64("allowed", limit.Cur), zap.Uint64("needed", needed))
 	}
 }
 
 // found is what dead processes left behind.
-func (p *process) found() []*kept.Left {
-	dir := p.near(p.site.Life.Kept)
+func (p *process) readOrphans() []*kept.Left {
+	dir := p.resolvePath(p.site.Life.Kept)
 	if dir == "" {
 		return nil
 	}
-	all, err := kept.Behind(dir)
+	orphans, err := kept.Behind(dir)
 	if err != nil {
 		p.log.Error("what was kept cannot be read, it is done without", zap.Error(err))
 	}
-	return all
+	return orphans
 }
 
 // adopt has the front end what dead processes left at boxes; their files go once that is done.
-func (p *process) adopt(left []*kept.Left) {
-	var all []life.Orphan
-	bad := 0
-	for _, l := range left {
-		bad += l.Bad
-		for _, o := range l.Open {
-			all = append(all, life.Orphan(o))
+func (p *process) adoptOrphans(files []*kept.Left) {
+	var orphans []life.Orphan
+	unreadable := 0
+	for _, file := range files {
+		unreadable += file.Bad
+		for _, orphan := range file.Open {
+			orphans = append(orphans, life.Orphan(orphan))
 		}
 	}
-	if bad > 0 {
-		p.log.Warn("lines of an earlier process's journal cannot be read, they are done without", zap.Int("lines", bad))
+	if unreadable > 0 {
+		p.log.Warn("lines of an earlier process's journal cannot be read, they are done without", zap.Int("lines", unreadable))
 	}
-	if len(all) > 0 {
-		p.log.Info("an earlier process left dialogues at boxes, they are ended", zap.Int("dialogues", len(all)))
+	if len(orphans) > 0 {
+		p.log.Info("an earlier process left dialogues at boxes, they are ended", zap.Int("dialogues", len(orphans)))
 	}
-	p.f.Adopt(all, func() {
-		for _, l := range left {
-			l.Done()
+	p.front.Adopt(orphans, func() {
+		for _, file := range files {
+			file.Done()
 		}
 	})
 }
 
 // kept standing of the door's tenants
-type stood struct {
-	At  core.Time       `json:"at"`
-	All []fair.Standing `json:"all"`
+type savedStanding struct {
+	SavedAt core.Time       `json:"at"`
+	Tenants []fair.Standing `json:"all"`
 }
 
-func (p *process) standing() string {
-	if dir := p.near(p.site.Life.Kept); dir != "" && p.site.Door != nil {
+func (p *process) standingPath() string {
+	if dir := p.resolvePath(p.site.Life.Kept); dir != "" && p.site.Door != nil {
 		return filepath.Join(dir, "standing")
 	}
 	return ""
 }
 
 // resume takes up the tenants' standing where one is kept that still means something.
-func (p *process) resume(now core.Time) {
-	path := p.standing()
-	q, _ := p.f.Door()
-	if path == "" || q == nil {
+func (p *process) restoreStanding(now core.Time) {
+	path := p.standingPath()
+	scheduler, _ := p.front.Door()
+	if path == "" || scheduler == nil {
 		return
 	}
-	var s stood
-	switch err := kept.Load(path, standing, &s); {
+	var saved savedStanding
+	switch err := kept.Load(path, standingKind, &saved); {
 	case errors.Is(err, kept.ErrNone):
 	case err != nil:
 		p.log.Warn("the tenants' standing is not taken up", zap.Error(err))
-	case !p.f.Behind().Fresh(s.At, now):
+	case !p.front.Behind().Fresh(saved.SavedAt, now):
 		p.log.Info("the tenants' standing is too old to be taken up")
 	default:
-		q.Resume(s.All)
-		p.log.Info("tenants' standing taken up", zap.Int("tenants", len(s.All)), zap.Duration("age", time.Duration(now-s.At)*time.Microsecond))
+		scheduler.Resume(saved.Tenants)
+		p.log.Info("tenants' standing taken up", zap.Int("tenants", len(saved.Tenants)), zap.Duration("age", time.Duration(now-saved.SavedAt)*time.Microsecond))
 	}
 }
 
 // keep writes the tenants' standing down.
-func (p *process) keep() {
-	path := p.standing()
-	if path == "" || p.heir.Load() {
+func (p *process) saveStanding() {
+	path := p.standingPath()
+	if path == "" || p.handedOver.Load() {
 		return
 	}
-	s := stood{At: edge.Now()}
+	saved := savedStanding{SavedAt: edge.Now()}
 	p.loop.Do(func() {
-		if q, _ := p.f.Door(); q != nil {
-			s.All = q.Standing()
+		if scheduler, _ := p.front.Door(); scheduler != nil {
+			saved.Tenants = scheduler.Standing()
 		}
 	})
-	if err := kept.Save(path, standing, s); err != nil {
+	if err := kept.Save(path, standingKind, saved); err != nil {
 		p.log.Error("the tenants' standing cannot be kept", zap.Error(err))
 	}
 }
 
 // reload takes new settings as a whole, or refuses them as a whole and says why.
 func (p *process) reload() {
-	p.notify(daemon.SdNotifyReloading)
-	defer p.notify(daemon.SdNotifyReady)
-	next, err := settings.Read(p.file)
+	p.notifySupervisor(daemon.SdNotifyReloading)
+	defer p.notifySupervisor(daemon.SdNotifyReady)
+	next, err := settings.Read(p.settingsFile)
 	if err != nil {
 		p.log.Error("settings refused, the old ones are kept", zap.Error(err))
 		return
@@ -523,11 +523,11 @@
 		p.log.Error("settings refused, the old ones are kept: these keys need a restart", zap.Strings("keys", fixed))
 		return
 	}
-	n := next.Next(p.secret[8:])
+	reloaded := next.Next(p.secret[8:])
 	p.loop.Do(func() {
-		p.f.Reload(n)
+		p.front.Reload(reloaded)
 		if next.Registry == nil {
-			p.f.Others().Set(next.Life.Others)
+			p.front.Others().Set(next.Life.Others)
 		}
 	})
 	p.site = next
@@ -535,16 +535,16 @@
 }
 
 // watch follows the server list's file.
-func (p *process) watch(stop <-chan struct{}) {
-	path := serversPath(p.file, p.site)
-	edge.Watch(path, watchEvery, stop, func(text []byte) {
-		l, err := settings.ParseServers(text, p.site)
+func (p *process) watchServerList(stop <-chan struct{}) {
+	path := serversPath(p.settingsFile, p.site)
+	edge.Watch(path, fileWatchInterval, stop, func(text []byte) {
+		list, err := settings.ParseServers(text, p.site)
 		if err != nil {
 			p.log.Error("server list refused, the old one is kept", zap.String("file", path), zap.Error(err))
 			return
 		}
-		p.loop.Post(func() { p.f.Listed(l) })
-		p.log.Info("server list taken", zap.Int("servers", len(l.Servers)))
+		p.loop.Post(func() { p.front.Listed(list) })
+		p.log.Info("server list taken", zap.Int("servers", len(list.Servers)))
 	}, func(err error) {
 		p.log.Error("server list cannot be read, the old one is kept", zap.String("file", path), zap.Error(err))
 	})
--- a/cmd/pierlink/status.go
+++ b/cmd/pierlink/status.go
@@ -18,31 +18,31 @@
 // statusCommand prints how a running session manager stands, from its figures.
 func statusCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "status", Short: "Print how the running session manager stands", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "status", Short: "Print how the running session manager stands", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			s, err := settings.Read(file)
+			site, err := settings.Read(file)
 			if err != nil {
 				return fmt.Errorf("%s: %w", file, err)
 			}
-			if s.Life.Control != "" {
-				p := &process{file: file}
-				x, err := edge.Ask(p.near(s.Life.Control))
+			if site.Life.Control != "" {
+				p := &process{settingsFile: file}
+				status, err := edge.Ask(p.resolvePath(site.Life.Control))
 				if err != nil {
-					return fmt.Errorf("%s does not run, or does not answer: %w", s.Name, err)
+					return fmt.Errorf("%s does not run, or does not answer: %w", site.Name, err)
 				}
-				return tell(x)
+				return printStatus(status)
 			}
-			if s.Metrics == "" {
+			if site.Metrics == "" {
 				return errors.New("the settings have neither life.control nor a metrics address to ask")
 			}
-			h := &http.Client{Timeout: 5 * time.Second}
-			r, err := h.Get("http://" + s.Metrics + "/metrics")
+			httpClient := &http.Client{Timeout: 5 * time.Second}
+			response, err := httpClient.Get("http://" + site.Metrics + "/metrics")
 			if err != nil {
-				return fmt.Errorf("%s does not answer: %w", s.Name, err)
+				return fmt.Errorf("%s does not answer: %w", site.Name, err)
 			}
-			defer r.Body.Close()
-			fmt.Println(s.Name, "runs")
-			for lines := bufio.NewScanner(r.Body); lines.Scan(); {
+			defer response.Body.Close()
+			fmt.Println(site.Name, "runs")
+			for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 				name, value, ok := strings.Cut(strings.TrimPrefix(lines.Text(), "pierlink_"), " ")
 				if ok && !strings.HasPrefix(name, "#") && !strings.Contains(name, "{") { // the plain figures; the others are for graphs
 					fmt.Printf("%-24s %s\n", strings.ReplaceAll(name, "_", " "), value)
@@ -50,28 +50,28 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVarP(&file, "config", "c", "deploy/pierlink.toml", "settings file")
-	return c
+	command.Flags().StringVarP(&file, "config", "c", "deploy/pierlink.toml", "settings file")
+	return command
 }
 
 // tell prints a status in words.
-func tell(x *edge.Status) error {
-	fmt.Printf("%s: %s for %.0f s at %s (process %d)\n", x.Name, x.State, x.For, x.Address, x.PID)
-	if x.Secure != "" {
-		fmt.Printf("under TLS at %s, certificate until %s; %d connections ended before their handshake\n", x.Secure, x.KeysEnd.Format(time.RFC3339), x.Unshaken)
+func printStatus(status *edge.Status) error {
+	fmt.Printf("%s: %s for %.0f s at %s (process %d)\n", status.Name, status.State, status.For, status.Address, status.PID)
+	if status.Secure != "" {
+		fmt.Printf("under TLS at %s, certificate until %s; %d connections ended before their handshake\n", status.Secure, status.KeysEnd.Format(time.RFC3339), status.Unshaken)
 	}
-	fmt.Printf("playbacks: %d play, %d wait for an answer, %d were told to go elsewhere\n", x.Playing, x.Waiting, x.SentOn)
-	if x.ListAge >= 0 {
-		fmt.Printf("server list: the registry's %.1f s ago\n", x.ListAge)
+	fmt.Printf("playbacks: %d play, %d wait for an answer, %d were told to go elsewhere\n", status.Playing, status.Waiting, status.SentOn)
+	if status.ListAge >= 0 {
+		fmt.Printf("server list: the registry's %.1f s ago\n", status.ListAge)
 	}
-	if x.Directory >= 0 {
-		fmt.Printf("directory: %d entries, its state %.1f s ago\n", x.Entries, x.Directory)
+	if status.Directory >= 0 {
+		fmt.Printf("directory: %d entries, its state %.1f s ago\n", status.Entries, status.Directory)
 	}
 	fmt.Printf("late with its work by %.1f ms of late; %d connections closed for want of descriptors; %d dialogues of dead processes left to end\n",
-		x.BehindMS, x.Starved, x.Orphans)
-	b, err := json.Marshal(x.Figures)
+		status.BehindMS, status.Starved, status.Orphans)
+	text, err := json.Marshal(status.Figures)
 	if err == nil {
-		fmt.Println(string(b))
+		fmt.Println(string(text))
 	}
 	return err
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -4,54 +4,54 @@
 
 // Timer is one moment at which something is to be done.
 type Timer struct {
-	at    Time
-	order uint64
-	index int // in the heap, -1 when not set
-	fire  func()
+	deadline  Time
+	seq       uint64
+	heapIndex int // in the heap, -1 when not set
+	callback  func()
 }
 
 // Timers are a core's, in the order of their moments; equal moments fire in the order of setting.
 type Timers struct {
-	heap  timerHeap
-	count uint64
+	heap    timerHeap
+	lastSeq uint64
 }
 
 // At is the moment that it was last set to.
-func (t *Timer) At() Time { return t.at }
+func (t *Timer) At() Time { return t.deadline }
 
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].deadline < h[j].deadline || h[i].deadline == h[j].deadline && h[i].seq < h[j].seq
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *timerHeap) Push(x any) {
-	t := x.(*Timer)
-	t.index = len(*h)
-	*h = append(*h, t)
+	timer := x.(*Timer)
+	timer.heapIndex = len(*h)
+	*h = append(*h, timer)
 }
 func (h *timerHeap) Pop() any {
 	old := *h
-	t := old[len(old)-1]
+	timer := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.index = -1
-	return t
+	timer.heapIndex = -1
+	return timer
 }
 
 // Set has fire called at a moment; the timer given is moved, or made if nil.
-func (ts *Timers) Set(t *Timer, at Time, fire func()) *Timer {
+func (ts *Timers) Set(t *Timer, deadline Time, callback func()) *Timer {
 	if t == nil {
-		t = &Timer{index: -1}
+		t = &Timer{heapIndex: -1}
 	}
-	ts.count++
-	t.at, t.order, t.fire = at, ts.count, fire
-	if t.index >= 0 {
-		heap.Fix(&ts.heap, t.index)
+	ts.lastSeq++
+	t.deadline, t.seq, t.callback = deadline, ts.lastSeq, callback
+	if t.heapIndex >= 0 {
+		heap.Fix(&ts.heap, t.heapIndex)
 	} else {
 		heap.Push(&ts.heap, t)
 	}
@@ -60,16 +60,16 @@
 
 // Stop takes a timer out; nil and stopped ones are let be.
 func (ts *Timers) Stop(t *Timer) {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&ts.heap, t.index)
-		t.fire = nil
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&ts.heap, t.heapIndex)
+		t.callback = nil
 	}
 }
 
 // Run fires what is due.
 func (ts *Timers) Run(now Time) {
-	for len(ts.heap) > 0 && ts.heap[0].at <= now {
-		heap.Pop(&ts.heap).(*Timer).fire()
+	for len(ts.heap) > 0 && ts.heap[0].deadline <= now {
+		heap.Pop(&ts.heap).(*Timer).callback()
 	}
 }
 
@@ -78,7 +78,7 @@
 	if len(ts.heap) == 0 {
 		return Never
 	}
-	return ts.heap[0].at
+	return ts.heap[0].deadline
 }
 
 // Len is how many are set.
--- a/internal/platform/boxes/boxes.go
+++ b/internal/platform/boxes/boxes.go
@@ -13,7 +13,7 @@
 )
 
 // Longest is how many bytes a message holds at most.
-const Longest = 16 << 10
+const MaxMessageSize = 16 << 10
 
 // The types of message.
 const (
@@ -31,35 +31,35 @@
 
 // Message is one line.
 type Message struct {
-	Op   string
-	Call string            // 16 hex digits
-	With map[string]string // fields, numbers as they were written
-	Why  int               // the cause, 0 where there is none
-	Desc string
+	Op          string
+	SessionID   string            // 16 hex digits
+	Fields      map[string]string // fields, numbers as they were written
+	Cause       int               // the cause, 0 where there is none
+	Description string
 }
 
-type written struct {
-	Op   string            `json:"op"`
-	Call string            `json:"call"`
-	With map[string]string `json:"with"`
-	Why  *int              `json:"why,omitempty"`
-	Desc string            `json:"desc,omitempty"`
+type wireMessage struct {
+	Op          string            `json:"op"`
+	SessionID   string            `json:"call"`
+	Fields      map[string]string `json:"with"`
+	Cause       *int              `json:"why,omitempty"`
+	Description string            `json:"desc,omitempty"`
 }
 
 // Append writes the message with its line feed behind dst. The cause goes with the types that have one.
 func (m *Message) Append(dst []byte) []byte {
-	w := written{Op: m.Op, Call: m.Call, With: m.With, Desc: m.Desc}
-	if w.With == nil {
-		w.With = map[string]string{}
+	wire := wireMessage{Op: m.Op, SessionID: m.SessionID, Fields: m.Fields, Description: m.Description}
+	if wire.Fields == nil {
+		wire.Fields = map[string]string{}
 	}
 	if m.Op == End || m.Op == Test || m.Op == Tested {
-		w.Why = &m.Why
+		wire.Cause = &m.Cause
 	}
-	var b bytes.Buffer
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	_ = e.Encode(w) // strings and numbers always can be
-	return append(dst, b.Bytes()...)
+	var buf bytes.Buffer
+	encoder := json.NewEncoder(&buf)
+	encoder.SetEscapeHTML(false)
+	_ = encoder.Encode(wire) // strings and numbers always can be
+	return append(dst, buf.Bytes()...)
 }
 
 // Parse reads one line.
@@ -67,44 +67,44 @@
 	if !utf8.Valid(line) {
 		return nil, errors.New("not UTF-8")
 	}
-	var r struct {
+	var raw struct {
 		Op, Call, Desc string
 		With           map[string]json.RawMessage
 		Why            json.Number
 	}
-	if err := json.Unmarshal(line, &r); err != nil {
+	if err := json.Unmarshal(line, &raw); err != nil {
 		return nil, err
 	}
-	if r.Op == "" || !ID(r.Call) {
-		return nil, fmt.Errorf("type %.20q, id %.20q", r.Op, r.Call)
+	if raw.Op == "" || !ValidID(raw.Call) {
+		return nil, fmt.Errorf("type %.20q, id %.20q", raw.Op, raw.Call)
 	}
-	m := &Message{Op: r.Op, Call: r.Call, Desc: r.Desc}
-	if r.Why != "" {
-		n, err := strconv.ParseInt(r.Why.String(), 10, 32)
-		if err != nil || n < 0 {
-			return nil, fmt.Errorf("cause %.20q", r.Why)
+	msg := &Message{Op: raw.Op, SessionID: raw.Call, Description: raw.Desc}
+	if raw.Why != "" {
+		cause, err := strconv.ParseInt(raw.Why.String(), 10, 32)
+		if err != nil || cause < 0 {
+			return nil, fmt.Errorf("cause %.20q", raw.Why)
 		}
-		m.Why = int(n)
+		msg.Cause = int(cause)
 	}
-	for k, v := range r.With {
-		s := string(v)
-		if v[0] == '"' {
-			if err := json.Unmarshal(v, &s); err != nil {
+	for name, value := range raw.With {
+		text := string(value)
+		if value[0] == '"' {
+			if err := json.Unmarshal(value, &text); err != nil {
 				return nil, err
 			}
-		} else if c := v[0]; c != '-' && (c < '0' || c > '9') {
-			return nil, fmt.Errorf("field %.20q is no string or number", k)
+		} else if first := value[0]; first != '-' && (first < '0' || first > '9') {
+			return nil, fmt.Errorf("field %.20q is no string or number", name)
 		}
-		if m.With == nil {
-			m.With = make(map[string]string, len(r.With))
+		if msg.Fields == nil {
+			msg.Fields = make(map[string]string, len(raw.With))
 		}
-		m.With[k] = s
+		msg.Fields[name] = text
 	}
-	return m, nil
+	return msg, nil
 }
 
 // ID tells whether s is 16 hex digits.
-func ID(s string) bool {
+func ValidID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -117,50 +117,50 @@
 }
 
 // ErrLong is a line beyond the bound.
-var ErrLong = errors.New("line too long")
+var ErrTooLong = errors.New("line too long")
 
 // Reader reads one direction of a connection.
 type Reader struct {
-	rest []byte
-	dead bool
+	partial []byte
+	stopped bool
 }
 
 // Held is how many bytes of a line that is not whole are kept.
-func (r *Reader) Held() int { return len(r.rest) }
+func (r *Reader) Buffered() int { return len(r.partial) }
 
 // Stop makes the reader pass over what is still to come.
-func (r *Reader) Stop() { r.dead, r.rest = true, nil }
+func (r *Reader) Stop() { r.stopped, r.partial = true, nil }
 
 // Feed reads on. After an error nothing more can be made of the connection.
-func (r *Reader) Feed(b []byte, each func(*Message)) error {
-	for len(b) > 0 && !r.dead {
-		i := bytes.IndexByte(b, '\n')
-		line := b
-		if i >= 0 {
-			line = b[:i]
+func (r *Reader) Feed(data []byte, handle func(*Message)) error {
+	for len(data) > 0 && !r.stopped {
+		newline := bytes.IndexByte(data, '\n')
+		line := data
+		if newline >= 0 {
+			line = data[:newline]
 		}
-		if len(r.rest)+len(line) > Longest {
+		if len(r.partial)+len(line) > MaxMessageSize {
 			r.Stop()
-			return ErrLong
+			return ErrTooLong
 		}
-		if i < 0 {
-			r.rest = append(r.rest, b...)
+		if newline < 0 {
+			r.partial = append(r.partial, data...)
 			return nil
 		}
-		if len(r.rest) > 0 {
-			line = append(r.rest, line...)
-			r.rest = nil
+		if len(r.partial) > 0 {
+			line = append(r.partial, line...)
+			r.partial = nil
 		}
-		b = b[i+1:]
+		data = data[newline+1:]
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		m, err := Parse(line)
+		msg, err := Parse(line)
 		if err != nil {
 			r.Stop()
 			return err
 		}
-		each(m)
+		handle(msg)
 	}
 	return nil
 }
--- a/internal/platform/boxes/boxes_test.go
+++ b/internal/platform/boxes/boxes_test.go
@@ -6,66 +6,66 @@
 	"testing"
 )
 
-const accept = `{"op":"accept","call":"9b1f03aa5c7e2d41","with":{"load":"x0:0.4","n":7},"desc":"9d41\r\nc=é\r\n"}` + "\n"
+const acceptLine = `{"op":"accept","call":"9b1f03aa5c7e2d41","with":{"load":"x0:0.4","n":7},"desc":"9d41\r\nc=é\r\n"}` + "\n"
 
-func TestLinesAtAnySplit(t *testing.T) {
-	text := accept + "\r\n" + `{"op":"end","call":"9b1f03aa5c7e2d41","with":{},"why":34}` + "\n"
-	want := []*Message{{Op: Accept, Call: "9b1f03aa5c7e2d41", With: map[string]string{"load": "x0:0.4", "n": "7"}, Desc: "9d41\r\nc=é\r\n"},
-		{Op: End, Call: "9b1f03aa5c7e2d41", Why: 34}}
+func TestFeedSplitAnywhere(t *testing.T) {
+	text := acceptLine + "\r\n" + `{"op":"end","call":"9b1f03aa5c7e2d41","with":{},"why":34}` + "\n"
+	want := []*Message{{Op: Accept, SessionID: "9b1f03aa5c7e2d41", Fields: map[string]string{"load": "x0:0.4", "n": "7"}, Description: "9d41\r\nc=é\r\n"},
+		{Op: End, SessionID: "9b1f03aa5c7e2d41", Cause: 34}}
 	for cut := range len(text) {
 		var got []*Message
-		r := &Reader{}
+		reader := &Reader{}
 		for _, part := range []string{text[:cut], text[cut:]} {
-			if err := r.Feed([]byte(part), func(m *Message) { got = append(got, m) }); err != nil {
+			if err := reader.Feed([]byte(part), func(m *Message) { got = append(got, m) }); err != nil {
 				t.Fatal(cut, err)
 			}
 		}
-		if !reflect.DeepEqual(got, want) || r.Held() > 0 {
+		if !reflect.DeepEqual(got, want) || reader.Buffered() > 0 {
 			t.Fatalf("cut at %d: %+v", cut, got)
 		}
 	}
 }
 
-func TestWritten(t *testing.T) {
-	m := &Message{Op: Offer, Call: "9b1f03aa5c7e2d41", With: map[string]string{"class": "a<b"}, Desc: "x\r\n"}
+func TestAppend(t *testing.T) {
+	m := &Message{Op: Offer, SessionID: "9b1f03aa5c7e2d41", Fields: map[string]string{"class": "a<b"}, Description: "x\r\n"}
 	if got := string(m.Append(nil)); got != `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"a<b"},"desc":"x\r\n"}`+"\n" {
 		t.Error(got)
 	}
-	m = &Message{Op: Test, Call: "9b1f03aa5c7e2d41"}
+	m = &Message{Op: Test, SessionID: "9b1f03aa5c7e2d41"}
 	if got := string(m.Append(nil)); got != `{"op":"test","call":"9b1f03aa5c7e2d41","with":{},"why":0}`+"\n" {
 		t.Error(got)
 	}
 }
 
-func TestUnreadable(t *testing.T) {
-	for _, bad := range []string{"noise\n", "{}\n", strings.Replace(accept, "9b1f", "9B1F", 1), strings.Replace(accept, "7}", "[7]}", 1),
-		strings.Replace(accept, "9d41", "\xff", 1), strings.Repeat("x", Longest+1), `{"op":"end","call":"9b1f03aa5c7e2d41","why":-1}` + "\n"} {
-		r := &Reader{}
-		n := 0
-		if err := r.Feed([]byte(bad), func(*Message) { n++ }); err == nil || n > 0 {
-			t.Errorf("no error for %.40q", bad)
+func TestFeedRejectsMalformedLines(t *testing.T) {
+	for _, input := range []string{"noise\n", "{}\n", strings.Replace(acceptLine, "9b1f", "9B1F", 1), strings.Replace(acceptLine, "7}", "[7]}", 1),
+		strings.Replace(acceptLine, "9d41", "\xff", 1), strings.Repeat("x", MaxMessageSize+1), `{"op":"end","call":"9b1f03aa5c7e2d41","why":-1}` + "\n"} {
+		reader := &Reader{}
+		count := 0
+		if err := reader.Feed([]byte(input), func(*Message) { count++ }); err == nil || count > 0 {
+			t.Errorf("no error for %.40q", input)
 		}
-		if err := r.Feed([]byte(accept), func(*Message) { n++ }); err != nil || n > 0 || r.Held() > 0 {
-			t.Errorf("%.40q is read on", bad)
+		if err := reader.Feed([]byte(acceptLine), func(*Message) { count++ }); err != nil || count > 0 || reader.Buffered() > 0 {
+			t.Errorf("%.40q is read on", input)
 		}
 	}
 }
 
 func FuzzFeed(f *testing.F) {
-	f.Add([]byte(accept), 3)
-	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		r := &Reader{}
-		cut = min(max(cut, 0), len(b))
-		for _, part := range [][]byte{b[:cut], b[cut:]} {
-			_ = r.Feed(part, func(m *Message) {
-				again, err := Parse(m.Append(nil))
-				if err != nil || again.Desc != m.Desc || !reflect.DeepEqual(again.With, m.With) && len(m.With) > 0 {
-					t.Errorf("%+v became %+v, %v", m, again, err)
+	f.Add([]byte(acceptLine), 3)
+	f.Fuzz(func(t *testing.T, data []byte, cut int) {
+		reader := &Reader{}
+		cut = min(max(cut, 0), len(data))
+		for _, part := range [][]byte{data[:cut], data[cut:]} {
+			_ = reader.Feed(part, func(m *Message) {
+				decoded, err := Parse(m.Append(nil))
+				if err != nil || decoded.Description != m.Description || !reflect.DeepEqual(decoded.Fields, m.Fields) && len(m.Fields) > 0 {
+					t.Errorf("%+v became %+v, %v", m, decoded, err)
 				}
 			})
 		}
-		if r.Held() > Longest {
-			t.Error(r.Held())
+		if reader.Buffered() > MaxMessageSize {
+			t.Error(reader.Buffered())
 		}
 	})
 }
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -8,125 +8,125 @@
 )
 
 // bus is the connection to the event bus.
-type bus struct {
-	address string
-	reader  feed.Reader
-	conn    *core.Conn
-	up      bool
-	heard   core.Time
-	again   core.Time // when to connect next
-	wait    core.Time
-	former  former
+type busConn struct {
+	address     string
+	reader      feed.Reader
+	transport   *core.Conn
+	up          bool
+	lastHeardAt core.Time
+	reconnectAt core.Time // when to connect next
+	backoff     core.Time
+	previous    previousBus
 }
 
 // former is the connection to the address that the configuration named before: what it tells counts until the new one
 // speaks.
-type former struct {
-	reader feed.Reader
-	conn   *core.Conn
-	heard  core.Time
+type previousBus struct {
+	reader      feed.Reader
+	transport   *core.Conn
+	lastHeardAt core.Time
 }
 
-func (b *bus) at(g *Given) {
-	b.address, b.wait = g.Bus, busWait
-	b.reader.Zones, b.reader.Kinds = len(g.Told.Zones), len(g.Told.Kinds)
+func (bus *busConn) configure(config *Config) {
+	bus.address, bus.backoff = config.Bus, busBackoffMin
+	bus.reader.ZoneCount, bus.reader.KindCount = len(config.Settings.Zones), len(config.Settings.Kinds)
 }
 
 func (m *Manager) connectBus() {
-	b := &m.bus
-	b.conn, b.up, b.heard, b.again = &core.Conn{Owner: b}, false, m.now, core.Never
-	m.net.Dial(b.conn, b.address)
+	bus := &m.bus
+	bus.transport, bus.up, bus.lastHeardAt, bus.reconnectAt = &core.Conn{Owner: bus}, false, m.now, core.Never
+	m.network.Dial(bus.transport, bus.address)
 }
 
 func (m *Manager) busUp(err error) {
-	b := &m.bus
+	bus := &m.bus
 	if err != nil {
-		m.breakBus()
+		m.reconnectBus()
 		return
 	}
-	b.up, b.heard = true, m.now
-	m.net.Send(b.conn, b.reader.Hello())
+	bus.up, bus.lastHeardAt = true, m.now
+	m.network.Send(bus.transport, bus.reader.ResumeRequest())
 }
 
-func (m *Manager) busSays(c *core.Conn, p []byte) {
-	b := &m.bus
+func (m *Manager) busData(conn *core.Conn, data []byte) {
+	bus := &m.bus
 	switch {
-	case c == b.conn:
-		b.heard, b.wait = m.now, busWait
-		if err := b.reader.Feed(p, m.listed); err != nil {
+	case conn == bus.transport:
+		bus.lastHeardAt, bus.backoff = m.now, busBackoffMin
+		if err := bus.reader.Feed(data, m.applyEvent); err != nil {
 			m.trace("bus: %v", err)
-			m.breakBus()
+			m.reconnectBus()
 			return
 		}
-		m.leaveBus()
-	case c == b.former.conn:
-		b.former.heard, b.former.reader.Last = m.now, b.reader.Last
-		err := b.former.reader.Feed(p, m.listed)
-		b.reader.Last = b.former.reader.Last
+		m.closePreviousBus()
+	case conn == bus.previous.transport:
+		bus.previous.lastHeardAt, bus.previous.reader.LastOffset = m.now, bus.reader.LastOffset
+		err := bus.previous.reader.Feed(data, m.applyEvent)
+		bus.reader.LastOffset = bus.previous.reader.LastOffset
 		if err != nil {
-			m.leaveBus()
+			m.closePreviousBus()
 		}
 	}
 }
 
-func (m *Manager) busGone(c *core.Conn) {
-	switch c {
-	case m.bus.conn:
-		m.breakBus()
-	case m.bus.former.conn:
-		m.leaveBus()
+func (m *Manager) busClosed(conn *core.Conn) {
+	switch conn {
+	case m.bus.transport:
+		m.reconnectBus()
+	case m.bus.previous.transport:
+		m.closePreviousBus()
 	}
 }
 
 // leaveBus gives up the connection to the former address.
-func (m *Manager) leaveBus() {
-	if c := m.bus.former.conn; c != nil {
-		m.net.Close(c)
+func (m *Manager) closePreviousBus() {
+	if conn := m.bus.previous.transport; conn != nil {
+		m.network.Close(conn)
 	}
-	m.bus.former = former{}
+	m.bus.previous = previousBus{}
 }
 
 // breakBus gives the connection up; the next one is made at once, and where that fails after a growing wait.
-func (m *Manager) breakBus() {
-	b := &m.bus
-	if b.conn != nil {
-		m.net.Close(b.conn)
+func (m *Manager) reconnectBus() {
+	bus := &m.bus
+	if bus.transport != nil {
+		m.network.Close(bus.transport)
 	}
-	b.conn, b.up = nil, false
-	b.again = m.now + b.wait/2 + core.Time(m.chance()*float64(b.wait/2)) // all lost it at once; they do not ask at once
-	b.wait = min(2*b.wait, busMost)
-	m.timers.Set(nil, b.again, m.lookAfterBus)
+	bus.transport, bus.up = nil, false
+	bus.reconnectAt = m.now + bus.backoff/2 + core.Time(m.randomFraction()*float64(bus.backoff/2)) // all lost it at once; they do not ask at once
+	bus.backoff = min(2*bus.backoff, busBackoffMax)
+	m.timers.Set(nil, bus.reconnectAt, m.checkBus)
 }
 
-func (m *Manager) lookAfterBus() {
-	b := &m.bus
+func (m *Manager) checkBus() {
+	bus := &m.bus
 	switch {
-	case b.conn == nil && m.now >= b.again:
+	case bus.transport == nil && m.now >= bus.reconnectAt:
 		m.connectBus()
-	case b.conn != nil && !b.up && m.now-b.heard > m.given.Told.Connect, b.conn != nil && m.now-b.heard > busBeat:
-		m.breakBus()
+	case bus.transport != nil && !bus.up && m.now-bus.lastHeardAt > m.config.Settings.Connect, bus.transport != nil && m.now-bus.lastHeardAt > busHeartbeatTimeout:
+		m.reconnectBus()
 	}
-	if b.former.conn != nil && m.now-b.former.heard > busBeat {
-		m.leaveBus()
+	if bus.previous.transport != nil && m.now-bus.previous.lastHeardAt > busHeartbeatTimeout {
+		m.closePreviousBus()
 	}
 }
 
 // Renew takes a new configuration: the bus is where that says. The connection that is up goes on until the new one
 // speaks, so that nothing is missed meanwhile.
-func (m *Manager) Renew(g *Given) error {
-	if g.Bus == "" {
+func (m *Manager) Reconfigure(config *Config) error {
+	if config.Bus == "" {
 		return errors.New("bus: an address is expected")
 	}
-	if g.Bus == m.bus.address {
+	if config.Bus == m.bus.address {
 		return nil
 	}
-	b := &m.bus
-	b.address, b.wait = g.Bus, busWait
+	bus := &m.bus
+	bus.address, bus.backoff = config.Bus, busBackoffMin
 	switch {
-	case b.up && b.former.conn == nil:
-		b.former = former{b.reader, b.conn, b.heard}
-	case b.conn != nil:
-		m.net.Close(b.conn)
+	case bus.up && bus.previous.transport == nil:
+		bus.previous = previousBus{bus.reader, bus.transport, bus.lastHeardAt}
+	case bus.transport != nil:
+		m.network.Close(bus.transport)
 	}
 	m.connectBus()
 	return nil
--- a/internal/platform/given.go
+++ b/internal/platform/config.go
@@ -11,19 +11,19 @@
 )
 
 // Given is what a session manager is told at its start.
-type Given struct {
+type Config struct {
 	Name, Listen, Bus string
 	Seed              uint64
 	Cores             float64
-	Memory            int64 // bytes
+	MemoryBytes       int64 // bytes
 	Sockets           int
-	Told              *start.Told
-	Known             []feed.Event
+	Settings          *start.Told
+	KnownEvents       []feed.Event
 }
 
 // Read reads the platform's configuration. An error names the key.
-func Read(text []byte) (*Given, error) {
-	var w struct {
+func ParseConfig(text []byte) (*Config, error) {
+	var raw struct {
 		Name, Listen, Seed, Bus string
 		Limits                  struct {
 			Cores    float64
@@ -32,37 +32,37 @@
 		}
 		Known, Settings json.RawMessage
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, err
 	}
-	g := &Given{Name: w.Name, Listen: w.Listen, Bus: w.Bus, Cores: w.Limits.Cores, Memory: int64(w.Limits.MemoryMB * (1 << 20)),
-		Sockets: w.Limits.Sockets}
+	config := &Config{Name: raw.Name, Listen: raw.Listen, Bus: raw.Bus, Cores: raw.Limits.Cores, MemoryBytes: int64(raw.Limits.MemoryMB * (1 << 20)),
+		Sockets: raw.Limits.Sockets}
 	var err error
-	if g.Seed, err = strconv.ParseUint(w.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: 16 hex digits are expected, not %.20q", w.Seed)
+	if config.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed: 16 hex digits are expected, not %.20q", raw.Seed)
 	}
-	for key, addr := range map[string]string{"listen": g.Listen, "bus": g.Bus} {
+	for key, addr := range map[string]string{"listen": config.Listen, "bus": config.Bus} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return nil, fmt.Errorf("%s: address:port is expected, not %.40q", key, addr)
 		}
 	}
-	if g.Cores <= 0 || g.Memory <= 0 || g.Sockets < leastSockets {
+	if config.Cores <= 0 || config.MemoryBytes <= 0 || config.Sockets < minSockets {
 		return nil, fmt.Errorf("limits: cores and memory_mb over 0 and sockets of %d or more are expected, not %v, %v and %d",
-			leastSockets, g.Cores, w.Limits.MemoryMB, g.Sockets)
+			minSockets, config.Cores, raw.Limits.MemoryMB, config.Sockets)
 	}
-	if g.Told, err = start.Read(w.Settings); err != nil {
+	if config.Settings, err = start.Read(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	for i, p := range g.Told.Patience {
-		if p <= 0 {
+	for i, patience := range config.Settings.Patience {
+		if patience <= 0 {
 			return nil, fmt.Errorf("settings: classes[%d].giveUp: a time over 0 is expected", i)
 		}
 	}
-	if g.Told.Connect <= 0 || g.Told.Idle <= 0 {
+	if config.Settings.Connect <= 0 || config.Settings.Idle <= 0 {
 		return nil, fmt.Errorf("settings: limits.connectTimeout and limits.connIdle: times over 0 are expected")
 	}
-	if g.Known, err = feed.Known(w.Known, g.Told.Zones, g.Told.Kinds); err != nil {
+	if config.KnownEvents, err = feed.ParseEvents(raw.Known, config.Settings.Zones, config.Settings.Kinds); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	return g, nil
+	return config, nil
 }
--- a/internal/platform/feed/feed.go
+++ b/internal/platform/feed/feed.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	longest = 1 << 20 // of a frame: a list of 38,000 servers
-	record  = 27
-	head    = 9 // number and kind, counted in a frame's length
+	maxFrameLength = 1 << 20 // of a frame: a list of 38,000 servers
+	recordLength   = 27
+	headerLength   = 9 // number and kind, counted in a frame's length
 )
 
 // Server is what an event tells of one.
@@ -33,28 +33,28 @@
 }
 
 // Name is the id as text has it.
-func Name(id uint32) string { return fmt.Sprintf("s-%08x", id) }
+func ServerName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
 // ID reads such a name.
-func ID(name string) (uint32, error) {
+func ParseServerID(name string) (uint32, error) {
 	hex, ok := strings.CutPrefix(name, "s-")
-	n, err := strconv.ParseUint(hex, 16, 32)
+	id, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
 		return 0, fmt.Errorf("server id %.20q", name)
 	}
-	return uint32(n), nil
+	return uint32(id), nil
 }
 
 // Event is one change of the list.
 type Event struct {
-	Number  uint64
-	Whole   bool
-	Servers []Server
+	Offset   uint64
+	Snapshot bool
+	Servers  []Server
 }
 
 // Known reads the events that a configuration holds. The names of zones and kinds are places in the lists given.
-func Known(text []byte, zones, kinds []string) ([]Event, error) {
-	var k struct {
+func ParseEvents(text []byte, zones, kinds []string) ([]Event, error) {
+	var decoded struct {
 		Offset uint64
 		Batch  []struct {
 			Offset   uint64
@@ -69,110 +69,110 @@
 			}
 		}
 	}
-	if err := json.Unmarshal(text, &k); err != nil {
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, err
 	}
-	var all []Event
-	for _, b := range k.Batch {
-		e := Event{Number: b.Offset, Whole: b.Topology.All}
-		for _, x := range b.Topology.Targets {
-			id, err := ID(x.UID)
+	var events []Event
+	for _, entry := range decoded.Batch {
+		event := Event{Offset: entry.Offset, Snapshot: entry.Topology.All}
+		for _, target := range entry.Topology.Targets {
+			id, err := ParseServerID(target.UID)
 			if err != nil {
 				return nil, err
 			}
-			if _, err := netip.ParseAddrPort(x.Endpoint); err != nil {
+			if _, err := netip.ParseAddrPort(target.Endpoint); err != nil {
 				return nil, err
 			}
-			s := Server{ID: id, Address: x.Endpoint, Zone: slices.Index(zones, x.AZ), Kind: slices.Index(kinds, x.Model),
-				Cell: x.Cell, Weight: x.Weight, Started: x.BootMS * 1000}
-			switch x.State {
+			server := Server{ID: id, Address: target.Endpoint, Zone: slices.Index(zones, target.AZ), Kind: slices.Index(kinds, target.Model),
+				Cell: target.Cell, Weight: target.Weight, Started: target.BootMS * 1000}
+			switch target.State {
 			case "Ready":
-				s.State = session.Ready
+				server.State = session.Ready
 			case "Terminating":
-				s.State = session.Draining
+				server.State = session.Draining
 			case "Gone":
-				s.State = session.Gone
+				server.State = session.Gone
 			default:
-				return nil, fmt.Errorf("server %s: state %.20q", x.UID, x.State)
+				return nil, fmt.Errorf("server %s: state %.20q", target.UID, target.State)
 			}
-			if s.State != session.Gone && (s.Zone < 0 || s.Kind < 0) {
-				return nil, fmt.Errorf("server %s: zone %.20q or kind %.20q is not in the settings", x.UID, x.AZ, x.Model)
+			if server.State != session.Gone && (server.Zone < 0 || server.Kind < 0) {
+				return nil, fmt.Errorf("server %s: zone %.20q or kind %.20q is not in the settings", target.UID, target.AZ, target.Model)
 			}
-			s.Zone, s.Kind = max(s.Zone, 0), max(s.Kind, 0)
-			e.Servers = append(e.Servers, s)
+			server.Zone, server.Kind = max(server.Zone, 0), max(server.Kind, 0)
+			event.Servers = append(event.Servers, server)
 		}
-		all = append(all, e)
+		events = append(events, event)
 	}
-	if n := len(all); n > 0 && all[n-1].Number != k.Offset {
-		return nil, fmt.Errorf("the last event is %d, not %d", all[n-1].Number, k.Offset)
+	if count := len(events); count > 0 && events[count-1].Offset != decoded.Offset {
+		return nil, fmt.Errorf("the last event is %d, not %d", events[count-1].Offset, decoded.Offset)
 	}
-	return all, nil
+	return events, nil
 }
 
 // Reader reads what one connection to the bus brings. Last is the number of the last event had.
 type Reader struct {
-	Last         uint64
-	Zones, Kinds int // how many there are
-	rest         []byte
+	LastOffset           uint64
+	ZoneCount, KindCount int // how many there are
+	buffered             []byte
 }
 
 // Hello is what is written first on a connection.
-func (r *Reader) Hello() []byte {
-	r.rest = nil
-	return binary.BigEndian.AppendUint64(nil, r.Last)
+func (r *Reader) ResumeRequest() []byte {
+	r.buffered = nil
+	return binary.BigEndian.AppendUint64(nil, r.LastOffset)
 }
 
 // ErrGap is an event that does not follow the last one.
 var ErrGap = errors.New("events are missing")
 
 // Feed reads on. After an error the connection is of no more use; what was told till then counts.
-func (r *Reader) Feed(b []byte, each func(Event)) error {
-	r.rest = append(r.rest, b...)
-	for len(r.rest) >= 4 {
-		n := int(binary.BigEndian.Uint32(r.rest))
-		if n < head || n > longest || (n-head)%record != 0 {
-			return fmt.Errorf("frame of %d bytes", n)
+func (r *Reader) Feed(data []byte, handle func(Event)) error {
+	r.buffered = append(r.buffered, data...)
+	for len(r.buffered) >= 4 {
+		length := int(binary.BigEndian.Uint32(r.buffered))
+		if length < headerLength || length > maxFrameLength || (length-headerLength)%recordLength != 0 {
+			return fmt.Errorf("frame of %d bytes", length)
 		}
-		if len(r.rest) < 4+n {
+		if len(r.buffered) < 4+length {
 			break
 		}
-		if err := r.frame(r.rest[4:4+n], each); err != nil {
+		if err := r.parseFrame(r.buffered[4:4+length], handle); err != nil {
 			return err
 		}
-		r.rest = r.rest[4+n:]
+		r.buffered = r.buffered[4+length:]
 	}
-	if len(r.rest) == 0 {
-		r.rest = nil
+	if len(r.buffered) == 0 {
+		r.buffered = nil
 	}
 	return nil
 }
 
-func (r *Reader) frame(b []byte, each func(Event)) error {
-	e := Event{Number: binary.BigEndian.Uint64(b), Whole: b[8] == 1}
-	if b[8] > 2 || b[8] == 0 && len(b) > head {
-		return fmt.Errorf("frame of kind %d", b[8])
+func (r *Reader) parseFrame(frame []byte, handle func(Event)) error {
+	event := Event{Offset: binary.BigEndian.Uint64(frame), Snapshot: frame[8] == 1}
+	if frame[8] > 2 || frame[8] == 0 && len(frame) > headerLength {
+		return fmt.Errorf("frame of kind %d", frame[8])
 	}
-	if b[8] == 0 || e.Number <= r.Last {
-		if b[8] == 0 && e.Number > r.Last {
+	if frame[8] == 0 || event.Offset <= r.LastOffset {
+		if frame[8] == 0 && event.Offset > r.LastOffset {
 			return ErrGap
 		}
 		return nil
 	}
-	if e.Number != r.Last+1 && !e.Whole {
+	if event.Offset != r.LastOffset+1 && !event.Snapshot {
 		return ErrGap
 	}
-	for b = b[head:]; len(b) > 0; b = b[record:] {
-		s := Server{ID: binary.BigEndian.Uint32(b), Zone: int(b[11]), Kind: int(b[12]),
-			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
-			Cell:    int(binary.BigEndian.Uint16(b[13:])), Weight: float64(binary.BigEndian.Uint32(b[15:])) / 1000}
-		ms := binary.BigEndian.Uint64(b[19:])
-		if b[10] > 2 || s.Zone >= r.Zones || s.Kind >= r.Kinds || ms > math.MaxInt64/1000 {
-			return fmt.Errorf("server %s: state %d, zone %d, kind %d, start %d", Name(s.ID), b[10], s.Zone, s.Kind, ms)
+	for frame = frame[headerLength:]; len(frame) > 0; frame = frame[recordLength:] {
+		server := Server{ID: binary.BigEndian.Uint32(frame), Zone: int(frame[11]), Kind: int(frame[12]),
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte(frame[4:8])), binary.BigEndian.Uint16(frame[8:])).String(),
+			Cell:    int(binary.BigEndian.Uint16(frame[13:])), Weight: float64(binary.BigEndian.Uint32(frame[15:])) / 1000}
+		startedMS := binary.BigEndian.Uint64(frame[19:])
+		if frame[10] > 2 || server.Zone >= r.ZoneCount || server.Kind >= r.KindCount || startedMS > math.MaxInt64/1000 {
+			return fmt.Errorf("server %s: state %d, zone %d, kind %d, start %d", ServerName(server.ID), frame[10], server.Zone, server.Kind, startedMS)
 		}
-		s.State, s.Started = [...]session.ServerState{session.Ready, session.Draining, session.Gone}[b[10]], session.Time(ms)*1000
-		e.Servers = append(e.Servers, s)
+		server.State, server.Started = [...]session.ServerState{session.Ready, session.Draining, session.Gone}[frame[10]], session.Time(startedMS)*1000
+		event.Servers = append(event.Servers, server)
 	}
-	r.Last = e.Number
-	each(e)
+	r.LastOffset = event.Offset
+	handle(event)
 	return nil
 }
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -31,331 +31,335 @@
 // wants an action of that start since then, `! action` wants none, `= N action` exactly N; `|` parts what stands on one
 // line, `set KEY VALUE` comes first. v, w, ... are viewers' connections, d1, d2, ... those to servers in the order of
 // their dials, b1, ... those to the bus. A session is named by one hex digit.
-type stage struct {
-	t       *testing.T
-	line    string
-	given   *strings.Replacer
-	m       *platform.Manager
-	now     core.Time
-	next    core.Time
-	conns   map[string]*core.Conn
-	names   map[*core.Conn]string
-	dials   int
-	buses   int
-	actions []string
-	readers map[string]*rtsp.Parser
-	lines   map[string]*boxes.Reader
-	test    string
-	stuck   map[string]int // bytes that a connection does not take
+type scenario struct {
+	t           *testing.T
+	step        string
+	settings    *strings.Replacer
+	manager     *platform.Manager
+	now         core.Time
+	next        core.Time
+	conns       map[string]*core.Conn
+	names       map[*core.Conn]string
+	dials       int
+	busDials    int
+	actions     []string
+	parsers     map[string]*rtsp.Parser
+	lineReaders map[string]*boxes.Reader
+	probeID     string
+	unsent      map[string]int // bytes that a connection does not take
 }
 
-func (s *stage) act(format string, a ...any) {
-	s.actions = append(s.actions, fmt.Sprintf(format, a...))
+func (s *scenario) record(format string, args ...any) {
+	s.actions = append(s.actions, fmt.Sprintf(format, args...))
 }
 
-func (s *stage) Dial(c *core.Conn, addr string) {
+func (s *scenario) Dial(conn *core.Conn, addr string) {
 	var name string
 	if strings.HasSuffix(addr, ":5060") {
 		s.dials++
 		name = "d" + strconv.Itoa(s.dials)
-		s.lines[name] = &boxes.Reader{}
+		s.lineReaders[name] = &boxes.Reader{}
 	} else {
-		s.buses++
-		name = "b" + strconv.Itoa(s.buses)
+		s.busDials++
+		name = "b" + strconv.Itoa(s.busDials)
 	}
-	s.conns[name], s.names[c] = c, name
-	s.act("%s dial %s", name, addr)
+	s.conns[name], s.names[conn] = conn, name
+	s.record("%s dial %s", name, addr)
 }
 
-func (s *stage) Send(c *core.Conn, b []byte) {
-	name := s.names[c]
+func (s *scenario) Send(conn *core.Conn, data []byte) {
+	name := s.names[conn]
 	switch {
 	case name[0] == 'b':
-		s.act("%s hello %d", name, binary.BigEndian.Uint64(b))
-	case s.lines[name] != nil:
-		err := s.lines[name].Feed(b, func(m *boxes.Message) {
-			if m.Op == boxes.Test {
-				s.test = m.Call
-				s.act("%s test", name)
+		s.record("%s hello %d", name, binary.BigEndian.Uint64(data))
+	case s.lineReaders[name] != nil:
+		err := s.lineReaders[name].Feed(data, func(msg *boxes.Message) {
+			if msg.Op == boxes.Test {
+				s.probeID = msg.SessionID
+				s.record("%s test", name)
 				return
 			}
-			text := name + " " + m.Op + " " + m.Call[:1]
-			if r := m.With["rung"]; r != "" {
-				text += " rung=" + r
+			text := name + " " + msg.Op + " " + msg.SessionID[:1]
+			if rung := msg.Fields["rung"]; rung != "" {
+				text += " rung=" + rung
 			}
-			if m.Why > 0 {
-				text += " " + strconv.Itoa(m.Why)
+			if msg.Cause > 0 {
+				text += " " + strconv.Itoa(msg.Cause)
 			}
-			s.act("%s", text)
+			s.record("%s", text)
 		})
 		if err != nil {
-			s.t.Errorf("%s: %v", s.line, err)
+			s.t.Errorf("%s: %v", s.step, err)
 		}
 	default:
-		if err := s.readers[name].Feed(b, &hearer{s, name}); err != nil {
-			s.t.Errorf("%s: %v", s.line, err)
+		if err := s.parsers[name].Feed(data, &viewerReader{s, name}); err != nil {
+			s.t.Errorf("%s: %v", s.step, err)
 		}
 	}
 }
 
-type hearer struct {
-	s    *stage
-	name string
+type viewerReader struct {
+	scenario *scenario
+	name     string
 }
 
-func (h *hearer) Frame(byte, []byte)    {}
-func (h *hearer) Bad(e *rtsp.Malformed) { h.s.t.Errorf("%s: %v", h.s.line, e) }
-func (h *hearer) Message(m *rtsp.Message) {
-	text := h.name + " " + m.Method
-	if !m.IsRequest() {
-		text += strconv.Itoa(m.Status)
+func (h *viewerReader) Frame(byte, []byte) {}
+func (h *viewerReader) Bad(malformed *rtsp.Malformed) {
+	h.scenario.t.Errorf("%s: %v", h.scenario.step, malformed)
+}
+func (h *viewerReader) Message(msg *rtsp.Message) {
+	text := h.name + " " + msg.Method
+	if !msg.IsRequest() {
+		text += strconv.Itoa(msg.Status)
 	}
-	if id := m.Get("Session"); id != "" {
+	if id := msg.Get("Session"); id != "" {
 		text += " " + id[:1]
 	}
-	for _, k := range []string{"Reason", "Come-Back-Ms"} {
-		if v := m.Get(k); v != "" {
-			text += " " + strings.TrimPrefix(v, "cause=")
+	for _, header := range []string{"Reason", "Come-Back-Ms"} {
+		if value := msg.Get(header); value != "" {
+			text += " " + strings.TrimPrefix(value, "cause=")
 		}
 	}
-	if len(m.Body) > 0 {
-		text += " " + string(m.Body)
+	if len(msg.Body) > 0 {
+		text += " " + string(msg.Body)
 	}
-	h.s.act("%s", text)
+	h.scenario.record("%s", text)
 }
 
-func (s *stage) Pending(c *core.Conn) int { return s.stuck[s.names[c]] }
-func (s *stage) Close(c *core.Conn)       { s.act("%s closed", s.names[c]) }
-func (s *stage) CloseWrite(c *core.Conn)  { s.act("%s left", s.names[c]) }
+func (s *scenario) Pending(conn *core.Conn) int { return s.unsent[s.names[conn]] }
+func (s *scenario) Close(conn *core.Conn)       { s.record("%s closed", s.names[conn]) }
+func (s *scenario) CloseWrite(conn *core.Conn)  { s.record("%s left", s.names[conn]) }
 
 func id(name string) string { return strings.Repeat(name, 16) }
 
-func options(words []string) map[string]string {
-	m := map[string]string{}
-	for _, w := range words {
-		k, v, _ := strings.Cut(w, "=")
-		m[k] = v
+func parseOptions(words []string) map[string]string {
+	options := map[string]string{}
+	for _, word := range words {
+		name, value, _ := strings.Cut(word, "=")
+		options[name] = value
 	}
-	return m
+	return options
 }
 
-func or(v, otherwise string) string {
-	if v == "" {
-		return otherwise
+func orDefault(value, fallback string) string {
+	if value == "" {
+		return fallback
 	}
-	return v
+	return value
 }
 
-func (s *stage) event(words []string) {
-	who, what := words[0], words[1:]
-	if len(what) > 2 && what[0] == "late" { // it came so many milliseconds before its turn
-		ms, _ := strconv.Atoi(what[1])
-		s.m.Came(s.now - core.Time(ms)*core.Millisecond)
-		what = what[2:]
+func (s *scenario) deliver(words []string) {
+	connName, args := words[0], words[1:]
+	if len(args) > 2 && args[0] == "late" { // it came so many milliseconds before its turn
+		startedMS, _ := strconv.Atoi(args[1])
+		s.manager.Came(s.now - core.Time(startedMS)*core.Millisecond)
+		args = args[2:]
+	}
+	conn := s.conns[connName]
+	if conn == nil && connName != "stop" && connName != "wait" && connName != "renew" {
+		conn = &core.Conn{}
+		s.conns[connName], s.names[conn], s.parsers[connName] = conn, connName, &rtsp.Parser{Bounds: rtsp.Usual}
 	}
-	c := s.conns[who]
-	if c == nil && who != "stop" && who != "wait" && who != "renew" {
-		c = &core.Conn{}
-		s.conns[who], s.names[c], s.readers[who] = c, who, &rtsp.Parser{Bounds: rtsp.Usual}
+	receive := func(text string) { s.manager.Received(conn, []byte(text)) }
+	serverLine := func(op, call string, rest string) {
+		receive(`{"op":"` + op + `","call":"` + call + `",` + rest + "}\n")
 	}
-	say := func(text string) { s.m.Received(c, []byte(text)) }
-	box := func(op, call string, rest string) { say(`{"op":"` + op + `","call":"` + call + `",` + rest + "}\n") }
 	switch {
-	case who == "wait":
-	case who == "stop":
-		s.m.Stop()
-	case who == "renew":
-		g := s.read()
-		g.Bus = what[0]
-		if err := s.m.Renew(g); err != nil {
-			s.t.Errorf("%s: %v", s.line, err)
+	case connName == "wait":
+	case connName == "stop":
+		s.manager.Stop()
+	case connName == "renew":
+		config := s.config()
+		config.Bus = args[0]
+		if err := s.manager.Reconfigure(config); err != nil {
+			s.t.Errorf("%s: %v", s.step, err)
 		}
-	case what[0] == "open":
-		s.m.Accepted(c, "10.0.0.1:1")
-	case what[0] == "close":
-		s.m.Closed(c, core.ErrEnded)
-	case what[0] == "up":
-		s.m.Dialed(c, nil)
-	case what[0] == "refused":
-		s.m.Dialed(c, core.ErrRefused)
-	case what[0] == "broken":
-		s.m.Closed(c, errors.New("connection reset by peer"))
-	case what[0] == "raw":
-		text, err := strconv.Unquote(strings.Join(what[1:], " "))
+	case args[0] == "open":
+		s.manager.Accepted(conn, "10.0.0.1:1")
+	case args[0] == "close":
+		s.manager.Closed(conn, core.ErrEnded)
+	case args[0] == "up":
+		s.manager.Dialed(conn, nil)
+	case args[0] == "refused":
+		s.manager.Dialed(conn, core.ErrRefused)
+	case args[0] == "broken":
+		s.manager.Closed(conn, errors.New("connection reset by peer"))
+	case args[0] == "raw":
+		text, err := strconv.Unquote(strings.Join(args[1:], " "))
 		if err != nil {
-			s.t.Fatalf("%s: %v", s.line, err)
+			s.t.Fatalf("%s: %v", s.step, err)
 		}
-		say(text)
-	case what[0] == "stuck":
-		s.stuck[who], _ = strconv.Atoi(what[1])
-	case what[0] == "fill":
-		n, _ := strconv.Atoi(what[1])
-		say(strings.Repeat("x", n))
-	case what[0] == "SETUP":
-		o := options(what[2:])
-		r := rtsp.Request(rtsp.Setup, "rtsp://media/"+or(o["title"], "7f3a9c21e0b4d655"), 1).With("Session", id(what[1]))
-		r.With("Call-Kind", or(o["plan"], "live")).With("Answer-Within", or(o["within"], "4000"))
-		if o["for"] != "" {
-			r.With("Charged-Party", o["for"])
+		receive(text)
+	case args[0] == "stuck":
+		s.unsent[connName], _ = strconv.Atoi(args[1])
+	case args[0] == "fill":
+		count, _ := strconv.Atoi(args[1])
+		receive(strings.Repeat("x", count))
+	case args[0] == "SETUP":
+		opts := parseOptions(args[2:])
+		request := rtsp.Request(rtsp.Setup, "rtsp://media/"+orDefault(opts["title"], "7f3a9c21e0b4d655"), 1).With("Session", id(args[1]))
+		request.With("Call-Kind", orDefault(opts["plan"], "live")).With("Answer-Within", orDefault(opts["within"], "4000"))
+		if opts["for"] != "" {
+			request.With("Charged-Party", opts["for"])
 		}
-		routing := "home:" + or(o["home"], "0") + ";copies:2;top:" + or(o["top"], "1") + ";viewer:00000000b4d65521"
-		if o["at"] != "" {
-			routing += ";at:" + o["at"]
+		routing := "home:" + orDefault(opts["home"], "0") + ";copies:2;top:" + orDefault(opts["top"], "1") + ";viewer:00000000b4d65521"
+		if opts["at"] != "" {
+			routing += ";at:" + opts["at"]
 		}
-		r.With("Routing-Data", routing)
-		if r.Body = []byte(or(o["desc"], "sdp")); o["desc"] == "-" {
-			r.Body = nil
+		request.With("Routing-Data", routing)
+		if request.Body = []byte(orDefault(opts["desc"], "sdp")); opts["desc"] == "-" {
+			request.Body = nil
 		}
-		s.m.Received(c, r.Append(nil))
-	case what[0] == "TEARDOWN":
-		r := rtsp.Request(rtsp.Teardown, "rtsp://media/x", 2).With("Session", id(what[1]))
-		if len(what) > 2 {
-			r.With("Reason", "cause="+what[2])
+		s.manager.Received(conn, request.Append(nil))
+	case args[0] == "TEARDOWN":
+		request := rtsp.Request(rtsp.Teardown, "rtsp://media/x", 2).With("Session", id(args[1]))
+		if len(args) > 2 {
+			request.With("Reason", "cause="+args[2])
 		}
-		s.m.Received(c, r.Append(nil))
-	case what[0] == "OPTIONS":
-		s.m.Received(c, rtsp.Request(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")).Append(nil))
-	case what[0] == "accept":
-		box("accept", id(what[1]), `"with":{},"desc":"`+what[2]+`"`)
-	case what[0] == "end":
-		box("end", id(what[1]), `"with":{"load":"x0:0.2"},"why":`+what[2])
-	case what[0] == "info":
-		box("info", id(what[1]), `"with":{"note":"`+what[2]+`","value":"`+what[3]+`"}`)
-	case what[0] == "tested":
-		box("tested", s.test, `"with":{"load":"x0:0.2"},"why":1`)
-	case what[0] == "event": // NUMBER whole|part id=state@started^host ...
-		n, _ := strconv.ParseUint(what[1], 10, 64)
-		b := binary.BigEndian.AppendUint32(nil, uint32(9+27*len(what[3:])))
+		s.manager.Received(conn, request.Append(nil))
+	case args[0] == "OPTIONS":
+		s.manager.Received(conn, rtsp.Request(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")).Append(nil))
+	case args[0] == "accept":
+		serverLine("accept", id(args[1]), `"with":{},"desc":"`+args[2]+`"`)
+	case args[0] == "end":
+		serverLine("end", id(args[1]), `"with":{"load":"x0:0.2"},"why":`+args[2])
+	case args[0] == "info":
+		serverLine("info", id(args[1]), `"with":{"note":"`+args[2]+`","value":"`+args[3]+`"}`)
+	case args[0] == "tested":
+		serverLine("tested", s.probeID, `"with":{"load":"x0:0.2"},"why":1`)
+	case args[0] == "event": // NUMBER whole|part id=state@started^host ...
+		offset, _ := strconv.ParseUint(args[1], 10, 64)
+		frame := binary.BigEndian.AppendUint32(nil, uint32(9+27*len(args[3:])))
 		kind := byte(2)
-		if what[2] == "whole" {
+		if args[2] == "whole" {
 			kind = 1
 		}
-		b = append(binary.BigEndian.AppendUint64(b, n), kind)
-		for _, w := range what[3:] {
-			name, state, _ := strings.Cut(w, "=")
-			k, _ := strconv.Atoi(name)
-			state, host, moved := strings.Cut(state, "^")
-			at, _ := strconv.Atoi(host)
-			if !moved {
-				at = k
+		frame = append(binary.BigEndian.AppendUint64(frame, offset), kind)
+		for _, target := range args[3:] {
+			name, state, _ := strings.Cut(target, "=")
+			serverID, _ := strconv.Atoi(name)
+			state, host, hasHost := strings.Cut(state, "^")
+			hostByte, _ := strconv.Atoi(host)
+			if !hasHost {
+				hostByte = serverID
 			}
 			state, started, _ := strings.Cut(state, "@")
-			ms, _ := strconv.ParseUint(started, 10, 64)
-			b = append(binary.BigEndian.AppendUint32(b, uint32(k)), 10, 1, 0, byte(at), 0x13, 0xc4,
-				map[string]byte{"ready": 0, "drains": 1, "gone": 2}[state], byte(k-1)%2, 0, 0, byte(k-1)%2, 0, 0, 3, 0xe8)
-			b = binary.BigEndian.AppendUint64(b, ms)
+			startedMS, _ := strconv.ParseUint(started, 10, 64)
+			frame = append(binary.BigEndian.AppendUint32(frame, uint32(serverID)), 10, 1, 0, byte(hostByte), 0x13, 0xc4,
+				map[string]byte{"ready": 0, "drains": 1, "gone": 2}[state], byte(serverID-1)%2, 0, 0, byte(serverID-1)%2, 0, 0, 3, 0xe8)
+			frame = binary.BigEndian.AppendUint64(frame, startedMS)
 		}
-		s.m.Received(c, b)
+		s.manager.Received(conn, frame)
 	default:
-		s.t.Fatalf("%s: unknown event %v", s.line, words)
+		s.t.Fatalf("%s: unknown event %v", s.step, words)
 	}
 }
 
-func (s *stage) read() *platform.Given {
-	g, err := platform.Read([]byte(s.given.Replace(configuration)))
+func (s *scenario) config() *platform.Config {
+	config, err := platform.ParseConfig([]byte(s.settings.Replace(configuration)))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return g
+	return config
 }
 
 // pass lets time go on to a moment, with the turns that the manager wants.
-func (s *stage) pass(to core.Time) {
+func (s *scenario) advance(to core.Time) {
 	for s.next < to {
 		s.now = max(s.now, s.next)
-		s.m.At(s.now)
-		s.next = s.m.Settle()
+		s.manager.At(s.now)
+		s.next = s.manager.Settle()
 	}
 	s.now = to
 }
 
-func (s *stage) count(want string) (n int) {
-	for _, a := range s.actions {
-		if a == want || strings.HasPrefix(a, want+" ") {
+func (s *scenario) count(want string) (n int) {
+	for _, action := range s.actions {
+		if action == want || strings.HasPrefix(action, want+" ") {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *stage) play(text string) {
+func (s *scenario) run(text string) {
 	set := map[string]string{"MEMORY": "64", "SOCKETS": "256", "PROBES": "false", "EFFECT": "read_like", "IDLE": "15", "TENANTS": "[]"}
 	const begin = 1000 * core.Second
 	for _, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		for part := range strings.SplitSeq(line, " | ") {
 			words := strings.Fields(part)
-			if s.line = strings.TrimSpace(part); len(words) == 0 {
+			if s.step = strings.TrimSpace(part); len(words) == 0 {
 				continue
 			}
 			if words[0] == "set" {
 				set[strings.ToUpper(words[1])] = words[2]
 				continue
 			}
-			if s.m == nil {
+			if s.manager == nil {
 				var pairs []string
-				for k, v := range set {
-					pairs = append(pairs, k, v)
+				for name, value := range set {
+					pairs = append(pairs, name, value)
 				}
-				s.given, s.now = strings.NewReplacer(pairs...), begin
-				s.m = platform.New(s, s.read(), s.now, policy.New)
-				s.m.Exit = func() { s.act("exit") }
-				s.m.Hush = func() { s.act("hush") }
+				s.settings, s.now = strings.NewReplacer(pairs...), begin
+				s.manager = platform.New(s, s.config(), s.now, policy.New)
+				s.manager.Exit = func() { s.record("exit") }
+				s.manager.StopAccepting = func() { s.record("hush") }
 				s.next = s.now
-				s.pass(begin + core.Millisecond)
+				s.advance(begin + core.Millisecond)
 			}
 			switch want := strings.Join(words[1:], " "); words[0] {
 			case ">":
 				if s.count(want) == 0 {
-					s.t.Errorf("%s: %s: not among %q", line, s.line, s.actions)
+					s.t.Errorf("%s: %s: not among %q", line, s.step, s.actions)
 				}
 			case "!":
 				if s.count(want) > 0 {
-					s.t.Errorf("%s: %s: is among %q", line, s.line, s.actions)
+					s.t.Errorf("%s: %s: is among %q", line, s.step, s.actions)
 				}
 			case "=":
 				want = strings.Join(words[2:], " ")
 				if n, _ := strconv.Atoi(words[1]); s.count(want) != n {
-					s.t.Errorf("%s: %d among %q", s.line, s.count(want), s.actions)
+					s.t.Errorf("%s: %d among %q", s.step, s.count(want), s.actions)
 				}
 			default:
 				at, err := strconv.ParseFloat(words[0], 64)
 				if err != nil {
-					s.t.Fatalf("%s: %v", s.line, err)
+					s.t.Fatalf("%s: %v", s.step, err)
 				}
 				s.actions = nil
-				s.pass(begin + core.Time(at*1e6))
-				s.m.At(s.now)
-				s.event(words[1:])
-				s.next = s.m.Settle()
+				s.advance(begin + core.Time(at*1e6))
+				s.manager.At(s.now)
+				s.deliver(words[1:])
+				s.next = s.manager.Settle()
 			}
 		}
 	}
 }
 
-func newStage(t *testing.T) *stage {
-	return &stage{t: t, conns: map[string]*core.Conn{}, names: map[*core.Conn]string{}, readers: map[string]*rtsp.Parser{},
-		lines: map[string]*boxes.Reader{}, stuck: map[string]int{}}
+func newScenario(t *testing.T) *scenario {
+	return &scenario{t: t, conns: map[string]*core.Conn{}, names: map[*core.Conn]string{}, parsers: map[string]*rtsp.Parser{},
+		lineReaders: map[string]*boxes.Reader{}, unsent: map[string]int{}}
 }
 
 // What waits for a connection to a server is bounded: beyond it nothing more is kept.
-func TestWhatIsOwedToAServer(t *testing.T) {
-	s := newStage(t)
-	s.play("1 v open" + strings.Repeat(" | 1 v SETUP a at=s-00000001 | 1 v TEARDOWN a 16", 1025) + " | 1.1 d1 up | = 1024 d1 end a 16")
+func TestQueuedServerMessagesAreBounded(t *testing.T) {
+	scenario := newScenario(t)
+	scenario.run("1 v open" + strings.Repeat(" | 1 v SETUP a at=s-00000001 | 1 v TEARDOWN a 16", 1025) + " | 1.1 d1 up | = 1024 d1 end a 16")
 }
 
 // A set-up that comes in two pieces, wherever it is split, is served though a second lies between them; one of which no
 // more comes is closed within 3 s, and nothing of it reaches a server.
-func TestSetUpsInPieces(t *testing.T) {
+func TestSetupSplitAnywhere(t *testing.T) {
 	whole := rtsp.Request(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id("a")).With("Call-Kind", "live").
 		With("Answer-Within", "4000").With("Routing-Data", "home:0;copies:2;top:1;viewer:00000000b4d65521")
 	whole.Body = []byte("sdp")
 	text := string(whole.Append(nil))
 	for n := 1; n < len(text); n++ {
 		first, rest := strconv.Quote(text[:n]), strconv.Quote(text[n:])
-		newStage(t).play("1 v open | 1 v raw " + first + " | ! d | 2 v raw " + rest + " | > d1 dial | 2 d1 up | > d1 offer a | 2 d1 accept a x | > v 200 a")
-		newStage(t).play("1 v open | 1 v raw " + first + " | ! v | ! d | 4 wait | > v closed | ! d1 offer")
-		newStage(t).play("1 v open | 1 v OPTIONS | > v 200 | 1.2 v raw " + first + " | ! v | 4.2 wait | > v closed | ! d1 offer")
+		newScenario(t).run("1 v open | 1 v raw " + first + " | ! d | 2 v raw " + rest + " | > d1 dial | 2 d1 up | > d1 offer a | 2 d1 accept a x | > v 200 a")
+		newScenario(t).run("1 v open | 1 v raw " + first + " | ! v | ! d | 4 wait | > v closed | ! d1 offer")
+		newScenario(t).run("1 v open | 1 v OPTIONS | > v 200 | 1.2 v raw " + first + " | ! v | 4.2 wait | > v closed | ! d1 offer")
 	}
 }
 
@@ -364,14 +368,14 @@
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
-			text, err := os.ReadFile(f)
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
+			text, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for part := range strings.SplitSeq(string(text), "\n---\n") { // each with a manager of its own
-				newStage(t).play(part)
+				newScenario(t).run(part)
 			}
 		})
 	}
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -15,500 +15,500 @@
 )
 
 // box is a video server, known by its id.
-type box struct {
-	id        uint32
-	name      string
-	index     int // the module's number
-	address   string
-	state     session.ServerState
-	started   core.Time
-	links     []*link
-	standing  map[*call]struct{}
-	tries     int
-	tests     map[string]*core.Timer
-	heard     core.Time // it let a connection come up, or sent something
-	said      core.Time // it sent something of what stands there
-	dialledAt core.Time
-	brokenAt  core.Time // its last connection was reset, 0 once another is up
-	refusedAt core.Time // the first of its refusals since then
-	goneAt    core.Time
-	owed      []owing // withdrawals and the like that no connection has taken yet
+type server struct {
+	id                   uint32
+	name                 string
+	index                int // the module's number
+	address              string
+	state                session.ServerState
+	started              core.Time
+	conns                []*serverConn
+	playing              map[*playback]struct{}
+	tries                int
+	probes               map[string]*core.Timer
+	lastHeardAt          core.Time // it let a connection come up, or sent something
+	lastSessionMessageAt core.Time // it sent something of what stands there
+	lastDialAt           core.Time
+	resetAt              core.Time // its last connection was reset, 0 once another is up
+	firstRefusedAt       core.Time // the first of its refusals since then
+	goneAt               core.Time
+	outbox               []queuedMessage // withdrawals and the like that no connection has taken yet
 }
 
 // owing is a message for a server that belongs to no connection.
-type owing struct {
-	line []byte
-	by   core.Time // it matters until then
+type queuedMessage struct {
+	line    []byte
+	expires core.Time // it matters until then
 }
 
 // link is one connection to a server. Set-ups of many playbacks share it.
-type link struct {
-	box     *box
-	conn    *core.Conn
-	reader  boxes.Reader
-	up      bool
-	closing bool
-	leaving bool    // we send nothing more, and read on until the server ends it
-	stale   bool    // something on it went unanswered: it takes nothing new
-	tries   []*call // whose set-up is on it, or waits for it
-	timer   *core.Timer
-	upAt    core.Time
-	used    core.Time // something passed on it
+type serverConn struct {
+	server     *server
+	transport  *core.Conn
+	reader     boxes.Reader
+	up         bool
+	closing    bool
+	draining   bool        // we send nothing more, and read on until the server ends it
+	stale      bool        // something on it went unanswered: it takes nothing new
+	setups     []*playback // whose set-up is on it, or waits for it
+	timer      *core.Timer
+	upAt       core.Time
+	lastUsedAt core.Time // something passed on it
 }
 
 // listed takes an event of the list.
-func (m *Manager) listed(e feed.Event) {
-	l := session.List{Whole: e.Whole}
+func (m *Manager) applyEvent(event feed.Event) {
+	list := session.List{Whole: event.Snapshot}
 	named := map[uint32]bool{}
-	for _, s := range e.Servers {
-		named[s.ID] = true
-		b := m.boxes[s.ID]
-		if b == nil {
-			if s.State == session.Gone {
+	for _, entry := range event.Servers {
+		named[entry.ID] = true
+		srv := m.servers[entry.ID]
+		if srv == nil {
+			if entry.State == session.Gone {
 				continue
 			}
-			b = &box{id: s.ID, name: feed.Name(s.ID), standing: map[*call]struct{}{}, tests: map[string]*core.Timer{}, heard: m.now}
-			b.index = len(m.byIndex)
-			if n := len(m.unused); n > 0 {
-				b.index, m.unused = m.unused[n-1], m.unused[:n-1]
-				m.byIndex[b.index] = b
+			srv = &server{id: entry.ID, name: feed.ServerName(entry.ID), playing: map[*playback]struct{}{}, probes: map[string]*core.Timer{}, lastHeardAt: m.now}
+			srv.index = len(m.serverByIndex)
+			if count := len(m.freeServerIndexes); count > 0 {
+				srv.index, m.freeServerIndexes = m.freeServerIndexes[count-1], m.freeServerIndexes[:count-1]
+				m.serverByIndex[srv.index] = srv
 			} else {
-				m.byIndex = append(m.byIndex, b)
+				m.serverByIndex = append(m.serverByIndex, srv)
 			}
-			m.boxes[s.ID] = b
+			m.servers[entry.ID] = srv
 		}
-		moved := b.address != s.Address
-		b.state, b.address = s.State, s.Address
-		if b.started != s.Started {
-			b.started = s.Started
-			m.cut(b, "it has started anew", func(c *call) bool { return c.since < b.started })
+		addressChanged := srv.address != entry.Address
+		srv.state, srv.address = entry.State, entry.Address
+		if srv.started != entry.Started {
+			srv.started = entry.Started
+			m.endPlaybacks(srv, "it has started anew", func(pb *playback) bool { return pb.phaseSince < srv.started })
 		}
-		for _, l := range slices.Clone(b.links) { // a machine that was away has not reset them
-			if moved || l.up && l.upAt < b.started-core.Millisecond {
-				m.linkGone(l, errors.New("it led to an earlier process"))
+		for _, conn := range slices.Clone(srv.conns) { // a machine that was away has not reset them
+			if addressChanged || conn.up && conn.upAt < srv.started-core.Millisecond {
+				m.serverConnLost(conn, errors.New("it led to an earlier process"))
 			}
 		}
-		l.Entries = append(l.Entries, session.Entry{Server: b.index, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, State: s.State,
-			Started: s.Started, Weight: s.Weight})
+		list.Entries = append(list.Entries, session.Entry{Server: srv.index, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, State: entry.State,
+			Started: entry.Started, Weight: entry.Weight})
 	}
-	ready := 0
-	for id, b := range m.boxes {
-		if e.Whole && !named[id] {
-			b.state = session.Gone
+	readyCount := 0
+	for id, srv := range m.servers {
+		if event.Snapshot && !named[id] {
+			srv.state = session.Gone
 		}
-		if b.state == session.Gone && b.goneAt == 0 {
-			b.goneAt = m.now
-		} else if b.state != session.Gone {
-			b.goneAt = 0
-			ready++
+		if srv.state == session.Gone && srv.goneAt == 0 {
+			srv.goneAt = m.now
+		} else if srv.state != session.Gone {
+			srv.goneAt = 0
+			readyCount++
 		}
 	}
-	m.perBox = perServer(m.given, ready)
-	m.module.Listed(l)
-	m.trace("list %d whole %v %+v", e.Number, e.Whole, e.Servers)
+	m.connsPerServer = connsPerServer(m.config, readyCount)
+	m.module.Listed(list)
+	m.trace("list %d whole %v %+v", event.Offset, event.Snapshot, event.Servers)
 }
 
 // cut ends what stood at a server: its process is another one now, or none.
-func (m *Manager) cut(b *box, why string, which func(*call) bool) {
-	m.trace("cut %s, %d sessions: %s", b.name, len(b.standing), why)
-	for c := range b.standing {
-		if which == nil || which(c) {
-			m.release(c.viewer, c.id, causeReset)
-			m.ended(c, session.Reset, "")
+func (m *Manager) endPlaybacks(srv *server, reason string, match func(*playback) bool) {
+	m.trace("cut %s, %d sessions: %s", srv.name, len(srv.playing), reason)
+	for pb := range srv.playing {
+		if match == nil || match(pb) {
+			m.notifyEnded(pb.viewer, pb.id, causeReset)
+			m.reportEnd(pb, session.Reset, "")
 		}
 	}
 }
 
 // linkTo finds the connection with the fewest set-ups open, or makes one, within the budget.
-func (m *Manager) linkTo(b *box) *link {
-	var best *link
-	for _, l := range b.links {
-		if l.stale || m.idle(l) {
+func (m *Manager) connFor(srv *server) *serverConn {
+	var best *serverConn
+	for _, conn := range srv.conns {
+		if conn.stale || m.nearIdleTimeout(conn) {
 			continue
 		}
-		if best == nil || len(l.tries) < len(best.tries) {
-			best = l
+		if best == nil || len(conn.setups) < len(best.setups) {
+			best = conn
 		}
 	}
-	if best == nil || len(best.tries) > 0 && len(b.links) < m.perBox {
-		if l := m.dial(b); l != nil {
-			return l
+	if best == nil || len(best.setups) > 0 && len(srv.conns) < m.connsPerServer {
+		if conn := m.dial(srv); conn != nil {
+			return conn
 		}
 	}
-	if best != nil && m.given.Told.Shared > 0 && len(best.tries) >= m.given.Told.Shared {
+	if best != nil && m.config.Settings.Shared > 0 && len(best.setups) >= m.config.Settings.Shared {
 		return nil
 	}
 	return best
 }
 
-func (m *Manager) dial(b *box) *link {
-	if m.links >= m.given.Sockets/serverShare && !m.spareLink() || b.state == session.Gone {
+func (m *Manager) dial(srv *server) *serverConn {
+	if m.serverConnCount >= m.config.Sockets/serverSocketsDivisor && !m.evictIdleConn() || srv.state == session.Gone {
 		return nil
 	}
-	l := &link{box: b, conn: &core.Conn{}, used: m.now}
-	l.conn.Owner = l
-	b.links = append(b.links, l)
-	b.dialledAt = m.now
-	m.links++
-	l.timer = m.timers.Set(nil, m.now+m.given.Told.Connect, func() { m.linkUp(l, errors.New("no connection in time")) })
-	m.net.Dial(l.conn, b.address)
-	return l
+	conn := &serverConn{server: srv, transport: &core.Conn{}, lastUsedAt: m.now}
+	conn.transport.Owner = conn
+	srv.conns = append(srv.conns, conn)
+	srv.lastDialAt = m.now
+	m.serverConnCount++
+	conn.timer = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.serverConnUp(conn, errors.New("no connection in time")) })
+	m.network.Dial(conn.transport, srv.address)
+	return conn
 }
 
 // spareLink closes the connection that has carried nothing for longest, where nothing needs it.
-func (m *Manager) spareLink() bool {
-	var pick *link
-	for _, b := range m.boxes {
-		for _, l := range b.links {
-			if len(l.tries) == 0 && (len(b.standing) == 0 || len(b.links) > 1) && len(b.tests) == 0 &&
-				(pick == nil || l.used < pick.used || l.used == pick.used && b.id < pick.box.id) {
-				pick = l
+func (m *Manager) evictIdleConn() bool {
+	var victim *serverConn
+	for _, srv := range m.servers {
+		for _, conn := range srv.conns {
+			if len(conn.setups) == 0 && (len(srv.playing) == 0 || len(srv.conns) > 1) && len(srv.probes) == 0 &&
+				(victim == nil || conn.lastUsedAt < victim.lastUsedAt || conn.lastUsedAt == victim.lastUsedAt && srv.id < victim.server.id) {
+				victim = conn
 			}
 		}
 	}
-	if pick != nil {
-		m.closeLink(pick)
+	if victim != nil {
+		m.closeServerConn(victim)
 	}
-	return pick != nil
+	return victim != nil
 }
 
 // leaveLink closes a connection without losing what the server is just saying of what stands there: it sends that once.
-func (m *Manager) leaveLink(l *link) {
-	if l.closing || l.leaving {
+func (m *Manager) drainConn(conn *serverConn) {
+	if conn.closing || conn.draining {
 		return
 	}
-	if !l.up || len(l.box.standing) == 0 || m.half == nil {
-		m.closeLink(l)
+	if !conn.up || len(conn.server.playing) == 0 || m.halfCloser == nil {
+		m.closeServerConn(conn)
 		return
 	}
-	l.leaving = true
-	l.box.links = slices.DeleteFunc(l.box.links, func(x *link) bool { return x == l })
-	m.half.CloseWrite(l.conn)
-	l.timer = m.timers.Set(l.timer, m.now+linger, func() { m.closeLink(l) })
+	conn.draining = true
+	conn.server.conns = slices.DeleteFunc(conn.server.conns, func(other *serverConn) bool { return other == conn })
+	m.halfCloser.CloseWrite(conn.transport)
+	conn.timer = m.timers.Set(conn.timer, m.now+drainTimeout, func() { m.closeServerConn(conn) })
 }
 
-func (m *Manager) closeLink(l *link) {
-	if l.closing {
+func (m *Manager) closeServerConn(conn *serverConn) {
+	if conn.closing {
 		return
 	}
-	l.closing = true
-	l.reader.Stop()
-	m.timers.Stop(l.timer)
-	l.box.links = slices.DeleteFunc(l.box.links, func(x *link) bool { return x == l })
-	m.links--
-	m.net.Close(l.conn)
+	conn.closing = true
+	conn.reader.Stop()
+	m.timers.Stop(conn.timer)
+	conn.server.conns = slices.DeleteFunc(conn.server.conns, func(other *serverConn) bool { return other == conn })
+	m.serverConnCount--
+	m.network.Close(conn.transport)
 }
 
-func (m *Manager) linkUp(l *link, err error) {
-	if l.closing {
+func (m *Manager) serverConnUp(conn *serverConn, err error) {
+	if conn.closing {
 		return
 	}
-	m.timers.Stop(l.timer)
-	b := l.box
+	m.timers.Stop(conn.timer)
+	srv := conn.server
 	if err != nil {
-		m.trace("no connection to %s %s: %v", b.name, b.address, err)
-		m.closeLink(l)
-		for _, c := range slices.Clone(l.tries) {
-			m.ended(c, session.NoConnection, "")
+		m.trace("no connection to %s %s: %v", srv.name, srv.address, err)
+		m.closeServerConn(conn)
+		for _, pb := range slices.Clone(conn.setups) {
+			m.reportEnd(pb, session.NoConnection, "")
 		}
-		m.untested(b, session.NoConnection)
+		m.failProbes(srv, session.NoConnection)
 		if errors.Is(err, core.ErrRefused) {
-			if slices.ContainsFunc(b.links, func(x *link) bool { return x.up }) {
-				b.heard = m.now // it takes no newcomers, but a process that had died would have reset the others
-			} else if b.refusedAt == 0 {
-				b.refusedAt = m.now
-			} else if m.dead(b) {
-				m.cut(b, "it refuses connections", nil)
+			if slices.ContainsFunc(srv.conns, func(other *serverConn) bool { return other.up }) {
+				srv.lastHeardAt = m.now // it takes no newcomers, but a process that had died would have reset the others
+			} else if srv.firstRefusedAt == 0 {
+				srv.firstRefusedAt = m.now
+			} else if m.hasExited(srv) {
+				m.endPlaybacks(srv, "it refuses connections", nil)
 			}
 		}
 		return
 	}
-	l.up, l.upAt, l.used, b.heard, b.brokenAt, b.refusedAt = true, m.now, m.now, m.now, 0, 0
-	for _, o := range b.owed {
-		if m.now <= o.by {
-			m.net.Send(l.conn, o.line)
+	conn.up, conn.upAt, conn.lastUsedAt, srv.lastHeardAt, srv.resetAt, srv.firstRefusedAt = true, m.now, m.now, m.now, 0, 0
+	for _, queued := range srv.outbox {
+		if m.now <= queued.expires {
+			m.network.Send(conn.transport, queued.line)
 		}
 	}
-	b.owed = nil
-	for _, c := range slices.Clone(l.tries) {
-		if b.state != session.Ready {
-			m.ended(c, session.NotSent, "")
+	srv.outbox = nil
+	for _, pb := range slices.Clone(conn.setups) {
+		if srv.state != session.Ready {
+			m.reportEnd(pb, session.NotSent, "")
 			continue
 		}
-		m.offer(c)
+		m.sendOffer(pb)
 	}
 }
 
 // offer writes a set-up.
-func (m *Manager) offer(c *call) {
-	left := c.timer.At() - m.now
-	c.sent = true
-	m.send(c.link, &boxes.Message{Op: boxes.Offer, Call: c.id, Desc: c.desc, With: map[string]string{"class": c.plan, "key": c.key,
-		"left": strconv.FormatInt(max(left/core.Millisecond, 1), 10), "rung": strconv.Itoa(c.rung)}})
+func (m *Manager) sendOffer(pb *playback) {
+	remaining := pb.timer.At() - m.now
+	pb.offerSent = true
+	m.send(pb.conn, &boxes.Message{Op: boxes.Offer, SessionID: pb.id, Description: pb.description, Fields: map[string]string{"class": pb.plan, "key": pb.titleKey,
+		"left": strconv.FormatInt(max(remaining/core.Millisecond, 1), 10), "rung": strconv.Itoa(pb.rung)}})
 }
 
 // withdraw takes a set-up off its connection: nothing of it is out at the server then.
-func (m *Manager) withdraw(c *call) {
-	l := c.link
-	c.link = nil
-	if l == nil {
+func (m *Manager) withdrawOffer(pb *playback) {
+	conn := pb.conn
+	pb.conn = nil
+	if conn == nil {
 		return
 	}
-	l.tries = slices.DeleteFunc(l.tries, func(x *call) bool { return x == c })
-	if c.sent && l.up && !l.closing && !c.forgotten {
-		m.send(l, &boxes.Message{Op: boxes.End, Call: c.id, Why: causeOver})
+	conn.setups = slices.DeleteFunc(conn.setups, func(other *playback) bool { return other == pb })
+	if pb.offerSent && conn.up && !conn.closing && !pb.endedByServer {
+		m.send(conn, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeNormal})
 	}
-	c.sent = false
-	if l.stale && len(l.tries) == 0 {
-		m.leaveLink(l)
+	pb.offerSent = false
+	if conn.stale && len(conn.setups) == 0 {
+		m.drainConn(conn)
 	}
 }
 
-func (m *Manager) send(l *link, w *boxes.Message) {
-	m.trace("to %s %s", l.box.name, w.Append(nil))
-	l.used = m.now
-	m.net.Send(l.conn, w.Append(nil))
+func (m *Manager) send(conn *serverConn, msg *boxes.Message) {
+	m.trace("to %s %s", conn.server.name, msg.Append(nil))
+	conn.lastUsedAt = m.now
+	m.network.Send(conn.transport, msg.Append(nil))
 }
 
 // tell writes what belongs to no connection of its own.
-func (m *Manager) tell(b *box, w *boxes.Message) {
-	for _, l := range b.links {
-		if l.up && !m.idle(l) {
-			m.send(l, w)
+func (m *Manager) sendToServer(srv *server, msg *boxes.Message) {
+	for _, conn := range srv.conns {
+		if conn.up && !m.nearIdleTimeout(conn) {
+			m.send(conn, msg)
 			return
 		}
 	}
-	if b.state == session.Gone && len(b.links) == 0 {
+	if srv.state == session.Gone && len(srv.conns) == 0 {
 		return // its process has ended, and what stood there with it
 	}
-	if len(b.owed) < waitMost {
-		b.owed = append(b.owed, owing{w.Append(nil), m.now + forgiven})
+	if len(srv.outbox) < maxQueuedMessages {
+		srv.outbox = append(srv.outbox, queuedMessage{msg.Append(nil), m.now + endNoticeDeadline})
 	}
-	if !slices.ContainsFunc(b.links, func(l *link) bool { return !l.up }) {
-		m.dial(b)
+	if !slices.ContainsFunc(srv.conns, func(conn *serverConn) bool { return !conn.up }) {
+		m.dial(srv)
 	}
 }
 
-func (m *Manager) test(b *box) {
-	id := m.number()
-	b.tests[id] = m.timers.Set(nil, m.now+m.given.Told.Connect, func() { m.tested(b, id, session.TimedOut, "") })
-	m.tell(b, &boxes.Message{Op: boxes.Test, Call: id, Why: 1})
-	if len(b.links) == 0 {
-		m.queue = append(m.queue, func() { m.untested(b, session.NoConnection) })
+func (m *Manager) probeServer(srv *server) {
+	id := m.newID()
+	srv.probes[id] = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.probeEnded(srv, id, session.TimedOut, "") })
+	m.sendToServer(srv, &boxes.Message{Op: boxes.Test, SessionID: id, Cause: 1})
+	if len(srv.conns) == 0 {
+		m.deferred = append(m.deferred, func() { m.failProbes(srv, session.NoConnection) })
 	}
 }
 
-func (m *Manager) tested(b *box, id string, o session.Outcome, load string) {
-	if t, ok := b.tests[id]; ok {
-		m.timers.Stop(t)
-		delete(b.tests, id)
-		m.module.Probed(b.index, o, m.load(load))
+func (m *Manager) probeEnded(srv *server, id string, outcome session.Outcome, load string) {
+	if timer, ok := srv.probes[id]; ok {
+		m.timers.Stop(timer)
+		delete(srv.probes, id)
+		m.module.Probed(srv.index, outcome, m.parseLoad(load))
 	}
 }
 
-func (m *Manager) untested(b *box, o session.Outcome) {
-	if len(b.links) > 0 {
+func (m *Manager) failProbes(srv *server, outcome session.Outcome) {
+	if len(srv.conns) > 0 {
 		return
 	}
-	for id := range b.tests {
-		m.tested(b, id, o, "")
+	for id := range srv.probes {
+		m.probeEnded(srv, id, outcome, "")
 	}
 }
 
 // load reads a report: name:value;name:value.
-func (m *Manager) load(text string) session.Load {
+func (m *Manager) parseLoad(text string) session.Load {
 	if text == "" {
 		return session.Load{}
 	}
 	var names []string
 	var values []float64
-	for _, f := range rtsp.Pairs(strings.ReplaceAll(text, ":", "=")) {
-		if v, err := strconv.ParseFloat(f.Value, 64); err == nil && v >= 0 && v < 1e6 {
-			names, values = append(names, f.Name), append(values, v)
+	for _, field := range rtsp.Pairs(strings.ReplaceAll(text, ":", "=")) {
+		if value, err := strconv.ParseFloat(field.Value, 64); err == nil && value >= 0 && value < 1e6 {
+			names, values = append(names, field.Name), append(values, value)
 		}
 	}
 	return start.Load(names, values)
 }
 
-func (m *Manager) linkSays(l *link, b []byte) {
-	if l.closing {
+func (m *Manager) serverData(conn *serverConn, data []byte) {
+	if conn.closing {
 		return
 	}
-	l.box.heard, l.used = m.now, m.now
-	err := l.reader.Feed(b, func(w *boxes.Message) { m.message(l, w) })
-	if err == nil || l.closing {
+	conn.server.lastHeardAt, conn.lastUsedAt = m.now, m.now
+	err := conn.reader.Feed(data, func(msg *boxes.Message) { m.serverMessage(conn, msg) })
+	if err == nil || conn.closing {
 		return
 	}
 	// Where messages begin is not known any more. What ran may stand there: it is taken back on another connection.
-	m.fig.Spoilt++
-	m.trace("spoilt by %s: %v", l.box.name, err)
-	m.linkGone(l, err)
+	m.stats.Spoilt++
+	m.trace("spoilt by %s: %v", conn.server.name, err)
+	m.serverConnLost(conn, err)
 }
 
-func (m *Manager) linkGone(l *link, err error) {
-	if l.closing {
+func (m *Manager) serverConnLost(conn *serverConn, err error) {
+	if conn.closing {
 		return
 	}
-	if l.leaving {
-		m.closeLink(l)
+	if conn.draining {
+		m.closeServerConn(conn)
 		return
 	}
-	b := l.box
-	m.trace("connection to %s gone: %v", b.name, err)
-	m.closeLink(l)
-	b.brokenAt = m.now
-	for _, c := range slices.Clone(l.tries) {
-		sent := c.sent
-		m.ended(c, session.Reset, "")
-		if sent && b.state != session.Gone {
-			m.tell(b, &boxes.Message{Op: boxes.End, Call: c.id, Why: causeOver})
+	srv := conn.server
+	m.trace("connection to %s gone: %v", srv.name, err)
+	m.closeServerConn(conn)
+	srv.resetAt = m.now
+	for _, pb := range slices.Clone(conn.setups) {
+		offerSent := pb.offerSent
+		m.reportEnd(pb, session.Reset, "")
+		if offerSent && srv.state != session.Gone {
+			m.sendToServer(srv, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeNormal})
 		}
 	}
-	m.untested(b, session.Reset)
-	if len(b.links) == 0 && len(b.standing) > 0 {
-		if b.state == session.Gone {
-			m.cut(b, "gone from the list, and its connections with it", nil)
+	m.failProbes(srv, session.Reset)
+	if len(srv.conns) == 0 && len(srv.playing) > 0 {
+		if srv.state == session.Gone {
+			m.endPlaybacks(srv, "gone from the list, and its connections with it", nil)
 		} else {
-			m.dial(b)
+			m.dial(srv)
 		}
 	}
 }
 
-func (m *Manager) message(l *link, w *boxes.Message) {
-	b := l.box
+func (m *Manager) serverMessage(conn *serverConn, msg *boxes.Message) {
+	srv := conn.server
 	if m.Trace != nil {
-		m.trace("from %s %s", b.name, w.Append(nil))
+		m.trace("from %s %s", srv.name, msg.Append(nil))
 	}
-	load := w.With["load"]
-	if w.Op == boxes.Tested {
-		o := session.Failed
-		if w.Why == 1 {
-			o = session.OK
+	load := msg.Fields["load"]
+	if msg.Op == boxes.Tested {
+		outcome := session.Failed
+		if msg.Cause == 1 {
+			outcome = session.OK
 		}
-		m.tested(b, w.Call, o, load)
+		m.probeEnded(srv, msg.SessionID, outcome, load)
 		return
 	}
-	c := m.calls[w.Call]
-	if c == nil || c.box != b || c.phase == asked || c.phase == trying && c.link != l {
+	pb := m.playbacks[msg.SessionID]
+	if pb == nil || pb.server != srv || pb.phase == phasePending || pb.phase == phaseTrying && pb.conn != conn {
 		return // over by now, not this manager's, or the answer to an earlier try
 	}
-	b.said = m.now
-	switch w.Op {
+	srv.lastSessionMessageAt = m.now
+	switch msg.Op {
 	case boxes.Accept:
-		if c.phase != trying || !c.sent || w.Desc == "" {
+		if pb.phase != phaseTrying || !pb.offerSent || msg.Description == "" {
 			return
 		}
-		m.accepted(c, w) // the notes of a set-up tell its load
+		m.offerAccepted(pb, msg) // the notes of a set-up tell its load
 	case boxes.End:
-		m.endedBy(c, w.Why, load)
+		m.serverEnded(pb, msg.Cause, load)
 	case boxes.Info:
-		if c.phase == standing {
-			m.noted(c, w)
+		if pb.phase == phasePlaying {
+			m.serverNote(pb, msg)
 		}
 	}
 }
 
-func (m *Manager) accepted(c *call, w *boxes.Message) {
-	m.timers.Stop(c.timer)
-	l := c.link
-	l.tries = slices.DeleteFunc(l.tries, func(x *call) bool { return x == c })
-	c.link = nil
-	c.box.tries--
-	c.viewer.open--
-	took := m.now - c.since
-	m.stands(c)
-	for _, r := range slices.Clone(m.owed) {
-		if r.sent == 0 {
-			m.sendRelease(r)
+func (m *Manager) offerAccepted(pb *playback, msg *boxes.Message) {
+	m.timers.Stop(pb.timer)
+	conn := pb.conn
+	conn.setups = slices.DeleteFunc(conn.setups, func(other *playback) bool { return other == pb })
+	pb.conn = nil
+	pb.server.tries--
+	pb.viewer.pendingSetups--
+	took := m.now - pb.phaseSince
+	m.markPlaying(pb)
+	for _, notice := range slices.Clone(m.teardowns) {
+		if notice.sendCount == 0 {
+			m.resendTeardown(notice)
 		}
 	}
-	m.held -= len(c.desc)
-	c.desc = ""
-	m.fig.Served++
-	m.fig.Tries[session.OK]++
-	a := rtsp.Answer(rtsp.StatusOK, setupSeq).With("Session", c.id)
-	a.Body = []byte(w.Desc)
-	m.say(c.viewer, a)
-	m.module.Playing(c.request.Playback, c.try, c.box.index, took)
+	m.bufferedBytes -= len(pb.description)
+	pb.description = ""
+	m.stats.Served++
+	m.stats.Tries[session.OK]++
+	reply := rtsp.Answer(rtsp.StatusOK, setupCSeq).With("Session", pb.id)
+	reply.Body = []byte(msg.Description)
+	m.sendToViewer(pb.viewer, reply)
+	m.module.Playing(pb.request.Playback, pb.try, pb.server.index, took)
 }
 
-func (m *Manager) endedBy(c *call, cause int, load string) {
-	if c.phase == trying {
-		o := session.Reset
+func (m *Manager) serverEnded(pb *playback, cause int, load string) {
+	if pb.phase == phaseTrying {
+		outcome := session.Reset
 		switch cause {
 		case causeFull:
-			o = session.Full
+			outcome = session.Full
 		case causeError:
-			o = session.Failed
-		case causeMoot:
-			o = session.NotSent
+			outcome = session.Failed
+		case causeExpired:
+			outcome = session.NotSent
 		}
-		c.forgotten = true // nothing is left to be withdrawn
-		m.ended(c, o, load)
-		c.forgotten = false
+		pb.endedByServer = true // nothing is left to be withdrawn
+		m.reportEnd(pb, outcome, load)
+		pb.endedByServer = false
 		return
 	}
-	o := session.Reset
+	outcome := session.Reset
 	switch cause {
-	case causeOver:
-		o = session.OK
+	case causeNormal:
+		outcome = session.OK
 	case causeMoved:
-		o = session.Cancelled
+		outcome = session.Cancelled
 	}
 	if cause != causeMoved {
-		m.release(c.viewer, c.id, cause)
+		m.notifyEnded(pb.viewer, pb.id, cause)
 	}
-	m.ended(c, o, load)
+	m.reportEnd(pb, outcome, load)
 }
 
-var notes = map[string]session.NoteKind{"got": session.Delivered, "level": session.RungNow, "port": session.LinkAsked,
+var noteKinds = map[string]session.NoteKind{"got": session.Delivered, "level": session.RungNow, "port": session.LinkAsked,
 	"spine": session.UplinkAsked}
 
-func (m *Manager) noted(c *call, w *boxes.Message) {
-	kind, ok := notes[w.With["note"]]
-	v, err := strconv.ParseFloat(w.With["value"], 64)
-	if !ok || err != nil || v < 0 || v > 1e6 {
+func (m *Manager) serverNote(pb *playback, msg *boxes.Message) {
+	kind, ok := noteKinds[msg.Fields["note"]]
+	value, err := strconv.ParseFloat(msg.Fields["value"], 64)
+	if !ok || err != nil || value < 0 || value > 1e6 {
 		return
 	}
-	m.module.Noted(session.Note{Playback: c.request.Playback, Server: c.box.index, Kind: kind, Value: v})
+	m.module.Noted(session.Note{Playback: pb.request.Playback, Server: pb.server.index, Kind: kind, Value: value})
 }
 
 // lookAfter looks for servers that have sessions and say nothing, retires connections before the servers close them for
 // idleness, and forgets servers that are gone.
-func (m *Manager) lookAfter() {
-	for id, b := range m.boxes {
-		for _, l := range slices.Clone(b.links) {
-			if l.up && len(l.tries) == 0 && len(b.tests) == 0 && m.idle(l) && (len(b.standing) == 0 || len(b.links) > 1) {
-				m.leaveLink(l)
+func (m *Manager) checkServers() {
+	for id, srv := range m.servers {
+		for _, conn := range slices.Clone(srv.conns) {
+			if conn.up && len(conn.setups) == 0 && len(srv.probes) == 0 && m.nearIdleTimeout(conn) && (len(srv.playing) == 0 || len(srv.conns) > 1) {
+				m.drainConn(conn)
 			}
 		}
-		b.owed = slices.DeleteFunc(b.owed, func(o owing) bool { return m.now > o.by })
-		if len(b.links) == 0 && b.state != session.Gone && len(b.owed)+len(b.standing) > 0 && m.now-b.dialledAt > sweep/2 {
-			m.dial(b)
+		srv.outbox = slices.DeleteFunc(srv.outbox, func(queued queuedMessage) bool { return m.now > queued.expires })
+		if len(srv.conns) == 0 && srv.state != session.Gone && len(srv.outbox)+len(srv.playing) > 0 && m.now-srv.lastDialAt > sweepInterval/2 {
+			m.dial(srv)
 		}
-		switch quiet := m.now - b.heard; {
-		case len(b.standing) == 0:
-		case m.tells() && m.now-b.said > forgotten:
-			m.cut(b, "nothing is heard of what stands there", nil)
-		case b.state == session.Gone && (len(b.links) == 0 || quiet > lost), quiet > lost:
-			m.cut(b, "not heard of for "+strconv.FormatInt(quiet/core.Millisecond, 10)+" ms", nil)
-		case quiet > silence && m.now-b.dialledAt > silence/4:
-			if n := len(b.links); n >= m.perBox {
-				for _, l := range b.links {
-					if len(l.tries) == 0 && l.up {
-						m.leaveLink(l)
+		switch silentFor := m.now - srv.lastHeardAt; {
+		case len(srv.playing) == 0:
+		case m.notesExpected() && m.now-srv.lastSessionMessageAt > noteTimeout:
+			m.endPlaybacks(srv, "nothing is heard of what stands there", nil)
+		case srv.state == session.Gone && (len(srv.conns) == 0 || silentFor > serverLostTimeout), silentFor > serverLostTimeout:
+			m.endPlaybacks(srv, "not heard of for "+strconv.FormatInt(silentFor/core.Millisecond, 10)+" ms", nil)
+		case silentFor > silenceBeforeRedial && m.now-srv.lastDialAt > silenceBeforeRedial/4:
+			if count := len(srv.conns); count >= m.connsPerServer {
+				for _, conn := range srv.conns {
+					if len(conn.setups) == 0 && conn.up {
+						m.drainConn(conn)
 						break
 					}
 				}
 			}
-			m.dial(b)
+			m.dial(srv)
 		}
-		if b.state == session.Gone && len(b.standing) == 0 && b.tries == 0 && len(b.tests) == 0 && m.now-b.goneAt > forgiven {
-			for _, l := range slices.Clone(b.links) {
-				m.closeLink(l)
+		if srv.state == session.Gone && len(srv.playing) == 0 && srv.tries == 0 && len(srv.probes) == 0 && m.now-srv.goneAt > endNoticeDeadline {
+			for _, conn := range slices.Clone(srv.conns) {
+				m.closeServerConn(conn)
 			}
-			delete(m.boxes, id)
-			m.unused = append(m.unused, b.index)
+			delete(m.servers, id)
+			m.freeServerIndexes = append(m.freeServerIndexes, srv.index)
 		}
 	}
 }
--- /dev/null
+++ b/internal/platform/shutdown.go
@@ -0,0 +1,58 @@
+package platform
+
+import (
+	"slices"
+	"strings"
+
+	"pierlink/internal/platform/boxes"
+	"pierlink/internal/rtsp"
+)
+
+// Stop ends the session manager: what comes from here on is refused at once, what has come is decided, and what stands
+// plays on until shortly before the platform kills.
+func (m *Manager) Stop() {
+	if m.stoppingSince > 0 {
+		return
+	}
+	m.stoppingSince = m.now
+	wait := min(slices.Max(m.config.Settings.Patience), maxStopWait)
+	m.timers.Set(nil, m.now+stopAcceptingAfter, func() {
+		if m.StopAccepting != nil {
+			m.StopAccepting()
+		}
+	})
+	m.timers.Set(nil, m.now+wait+finalSendTime, m.finalize)
+}
+
+// close ends all that is left, then the connections, one that still brings a request being closed before the request
+// is read, so that it is sent elsewhere, and then the program.
+func (m *Manager) finalize() {
+	pending := make([]*playback, 0, len(m.playbacks))
+	for _, pb := range m.playbacks {
+		pending = append(pending, pb)
+	}
+	slices.SortFunc(pending, func(a, b *playback) int { return strings.Compare(a.id, b.id) })
+	m.finalized = true
+	for _, pb := range pending {
+		if pb.phase != phasePlaying {
+			if pb.phase == phaseTrying {
+				m.withdrawOffer(pb)
+			}
+			m.answerSetup(pb, rtsp.Answer(rtsp.StatusInternal, setupCSeq))
+			continue
+		}
+		m.notifyEnded(pb.viewer, pb.id, causeReset)
+		m.sendToServer(pb.server, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeNormal})
+		m.removePlayback(pb)
+	}
+	m.timers.Set(nil, m.now+finalSendTime/2, func() {
+		for _, viewer := range slices.Clone(m.viewers) {
+			m.closeViewer(viewer)
+		}
+	})
+	m.timers.Set(nil, m.now+sweepInterval, func() {
+		if m.Exit != nil {
+			m.Exit()
+		}
+	})
+}
--- a/internal/platform/viewers.go
+++ b/internal/platform/viewers.go
@@ -17,452 +17,454 @@
 
 // The CSeq that a message has by its method, and the causes that the platform tells.
 const (
-	setupSeq    = 1
-	teardownSeq = 2
-	optionsSeq  = 3
-
-	causeOver  = 16
-	causeMoved = 31
-	causeFull  = 34
-	causeReset = 41
-	causeError = 47
-	causeMoot  = 102
+	setupCSeq    = 1
+	teardownCSeq = 2
+	optionsCSeq  = 3
+
+	causeNormal  = 16
+	causeMoved   = 31
+	causeFull    = 34
+	causeReset   = 41
+	causeError   = 47
+	causeExpired = 102
 )
 
-const prefix = "rtsp://media/"
+const uriPrefix = "rtsp://media/"
 
 // Messages hold 16 KiB at most.
-var bounds = rtsp.Bounds{Line: 2048, Head: 4096, Fields: 32, Body: boxes.Longest, NoFrames: true}
+var messageBounds = rtsp.Bounds{Line: 2048, Head: 4096, Fields: 32, Body: boxes.MaxMessageSize, NoFrames: true}
 
 // viewer is one connection from viewers, which carries many sessions.
-type viewer struct {
-	m        *Manager
-	conn     *core.Conn
-	parser   rtsp.Parser
-	came     core.Time
-	heard    core.Time // when bytes came last
-	spoke    core.Time // when the last whole message came, 0 for never
-	used     core.Time // when something on it was last heard or over
-	partAt   core.Time // when what is not whole began, 0 while nothing is
-	held     int
-	open     int // set-ups without an answer
-	standing int // sessions set up on it: their ends are told on it
-	served   bool
-	closing  bool
+type viewerConn struct {
+	manager       *Manager
+	transport     *core.Conn
+	parser        rtsp.Parser
+	acceptedAt    core.Time
+	lastReadAt    core.Time // when bytes came last
+	lastMessageAt core.Time // when the last whole message came, 0 for never
+	lastActiveAt  core.Time // when something on it was last heard or over
+	partialSince  core.Time // when what is not whole began, 0 while nothing is
+	bufferedBytes int
+	pendingSetups int // set-ups without an answer
+	playing       int // sessions set up on it: their ends are told on it
+	hasServed     bool
+	closing       bool
 }
 
 // release is owed to a viewer until it has said that it heard it.
-type release struct {
-	id     string
-	cause  int
-	since  core.Time
-	sentAt core.Time
-	on     *viewer // the connection that it was sent on last
-	sent   int
+type teardownNotice struct {
+	id        string
+	cause     int
+	since     core.Time
+	sentAt    core.Time
+	conn      *viewerConn // the connection that it was sent on last
+	sendCount int
 }
 
-func (m *Manager) comes(c *core.Conn, _ string) {
-	v := &viewer{m: m, conn: c, came: m.now, parser: rtsp.Parser{Bounds: bounds}}
-	c.Owner = v
-	m.viewers = append(m.viewers, v)
+func (m *Manager) acceptViewer(conn *core.Conn, _ string) {
+	viewer := &viewerConn{manager: m, transport: conn, acceptedAt: m.now, parser: rtsp.Parser{Bounds: messageBounds}}
+	conn.Owner = viewer
+	m.viewers = append(m.viewers, viewer)
 }
 
 // makeRoom closes connections over the bound, those first that are missed least: ones that have said nothing whole in
 // their grace, then the longest idle, those on which nothing stands before others, then newcomers and ones in the midst
 // of a message, and last ones with a set-up open. It is done at a turn's end, when all that has come is read.
-func (m *Manager) makeRoom() {
-	for len(m.viewers) > Viewers(m.given) {
-		pick := slices.MinFunc(m.viewers, func(a, b *viewer) int {
-			i, s := a.missed(m.now)
-			j, t := b.missed(m.now)
-			return cmp.Or(cmp.Compare(i, j), cmp.Compare(s, t))
+func (m *Manager) evictViewers() {
+	for len(m.viewers) > MaxViewers(m.config) {
+		victim := slices.MinFunc(m.viewers, func(a, b *viewerConn) int {
+			rankA, sinceA := a.evictionRank(m.now)
+			rankB, sinceB := b.evictionRank(m.now)
+			return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(sinceA, sinceB))
 		})
-		m.trace("no room: closing a connection %d us old, last heard %d, %d open", m.now-pick.came, pick.spoke, pick.open)
-		m.shut(pick)
+		m.trace("no room: closing a connection %d us old, last heard %d, %d open", m.now-victim.acceptedAt, victim.lastMessageAt, victim.pendingSetups)
+		m.closeViewer(victim)
 	}
 }
 
 // shut closes a viewer's connection.
-func (m *Manager) shut(v *viewer) {
-	if v.closing {
+func (m *Manager) closeViewer(viewer *viewerConn) {
+	if viewer.closing {
 		return
 	}
-	v.closing = true
-	v.parser.Stop()
-	m.net.Close(v.conn)
-	m.viewerGone(v)
+	viewer.closing = true
+	viewer.parser.Stop()
+	m.network.Close(viewer.transport)
+	m.viewerClosed(viewer)
 }
 
-func (m *Manager) viewerGone(v *viewer) {
-	i := slices.Index(m.viewers, v)
+func (m *Manager) viewerClosed(viewer *viewerConn) {
+	i := slices.Index(m.viewers, viewer)
 	if i < 0 {
 		return
 	}
-	v.closing = true
+	viewer.closing = true
 	m.viewers = slices.Delete(m.viewers, i, i+1)
-	m.held -= v.held
-	v.held = 0
-	if m.front == v {
-		m.front = nil
-	}
-	for _, r := range m.owed {
-		if r.on == v { // what was written may not have been read
-			m.sendRelease(r)
+	m.bufferedBytes -= viewer.bufferedBytes
+	viewer.bufferedBytes = 0
+	if m.lastServed == viewer {
+		m.lastServed = nil
+	}
+	for _, notice := range m.teardowns {
+		if notice.conn == viewer { // what was written may not have been read
+			m.resendTeardown(notice)
 		}
 	}
-	if v.open > 0 || v.served {
-		for _, c := range m.calls {
-			if c.viewer != v {
+	if viewer.pendingSetups > 0 || viewer.hasServed {
+		for _, pb := range m.playbacks {
+			if pb.viewer != viewer {
 				continue
 			}
-			if c.phase == standing {
-				c.viewer = nil
+			if pb.phase == phasePlaying {
+				pb.viewer = nil
 			} else {
-				m.left(c)
+				m.abandonSetup(pb)
 			}
 		}
 	}
 }
 
 // left ends a set-up whose viewer has given it up.
-func (m *Manager) left(c *call) {
-	m.fig.Left++
-	c.viewer.open--
-	c.viewer = nil
-	m.module.Left(c.request.Playback)
-	if c.phase == trying {
-		m.ended(c, session.Cancelled, "")
+func (m *Manager) abandonSetup(pb *playback) {
+	m.stats.Left++
+	pb.viewer.pendingSetups--
+	pb.viewer = nil
+	m.module.Left(pb.request.Playback)
+	if pb.phase == phaseTrying {
+		m.reportEnd(pb, session.Cancelled, "")
 	} else {
-		m.finish(c)
+		m.removePlayback(pb)
 	}
 }
 
-func (m *Manager) viewerSays(v *viewer, b []byte) {
-	if v.closing {
+func (m *Manager) viewerData(viewer *viewerConn, data []byte) {
+	if viewer.closing {
 		return
 	}
-	v.heard = m.now
-	err := v.parser.Feed(b, v)
-	if v.closing {
+	viewer.lastReadAt = m.now
+	err := viewer.parser.Feed(data, viewer)
+	if viewer.closing {
 		return
 	}
 	if err != nil {
-		m.fig.Bad++
+		m.stats.Bad++
 		status := rtsp.StatusBadRequest
-		var bad *rtsp.Malformed
-		if errors.As(err, &bad) {
-			status = bad.Status
+		var malformed *rtsp.Malformed
+		if errors.As(err, &malformed) {
+			status = malformed.Status
 		}
-		m.say(v, rtsp.Answer(status, -1))
-		m.shut(v)
+		m.sendToViewer(viewer, rtsp.Answer(status, -1))
+		m.closeViewer(viewer)
 		return
 	}
-	m.held += v.parser.Held() - v.held
-	v.held = v.parser.Held()
-	if !v.parser.Waiting() {
-		v.partAt = 0
-	} else if v.partAt == 0 {
-		v.partAt = m.now
-	}
-	for int64(m.held) > m.given.Memory/heldShare && v.held > 0 {
-		fullest := v
-		for _, x := range m.viewers {
-			if x.held > fullest.held {
-				fullest = x
+	m.bufferedBytes += viewer.parser.Held() - viewer.bufferedBytes
+	viewer.bufferedBytes = viewer.parser.Held()
+	if !viewer.parser.Waiting() {
+		viewer.partialSince = 0
+	} else if viewer.partialSince == 0 {
+		viewer.partialSince = m.now
+	}
+	for int64(m.bufferedBytes) > m.config.MemoryBytes/bufferedMemoryDivisor && viewer.bufferedBytes > 0 {
+		fullest := viewer
+		for _, other := range m.viewers {
+			if other.bufferedBytes > fullest.bufferedBytes {
+				fullest = other
 			}
 		}
-		m.say(fullest, rtsp.Answer(rtsp.StatusUnavailable, -1))
-		m.shut(fullest)
+		m.sendToViewer(fullest, rtsp.Answer(rtsp.StatusUnavailable, -1))
+		m.closeViewer(fullest)
 	}
 }
 
 // Frame is not let through by the bounds.
-func (v *viewer) Frame(byte, []byte) {}
+func (viewer *viewerConn) Frame(byte, []byte) {}
 
 // Bad is a message that cannot be read, while its end is known.
-func (v *viewer) Bad(e *rtsp.Malformed) {
-	v.m.fig.Bad++
-	v.m.say(v, rtsp.Answer(e.Status, e.CSeq))
-	v.m.shut(v)
+func (viewer *viewerConn) Bad(malformed *rtsp.Malformed) {
+	viewer.manager.stats.Bad++
+	viewer.manager.sendToViewer(viewer, rtsp.Answer(malformed.Status, malformed.CSeq))
+	viewer.manager.closeViewer(viewer)
 }
 
 // Message takes a whole one.
-func (v *viewer) Message(r *rtsp.Message) {
-	m := v.m
-	v.spoke, v.used, v.partAt = m.now, m.now, 0
-	id := r.Get("Session")
-	m.trace("from viewer %s %s %d %s %v %q", id, r.Method, r.Status, r.URI, r.Header, r.Body)
-	if !r.IsRequest() {
-		if i := slices.IndexFunc(m.owed, func(o *release) bool { return o.id == id }); i >= 0 {
-			m.owed = slices.Delete(m.owed, i, i+1)
-		} else if !v.served { // to nothing that was asked
-			m.bad(v, r)
+func (viewer *viewerConn) Message(msg *rtsp.Message) {
+	m := viewer.manager
+	viewer.lastMessageAt, viewer.lastActiveAt, viewer.partialSince = m.now, m.now, 0
+	id := msg.Get("Session")
+	m.trace("from viewer %s %s %d %s %v %q", id, msg.Method, msg.Status, msg.URI, msg.Header, msg.Body)
+	if !msg.IsRequest() {
+		if i := slices.IndexFunc(m.teardowns, func(notice *teardownNotice) bool { return notice.id == id }); i >= 0 {
+			m.teardowns = slices.Delete(m.teardowns, i, i+1)
+		} else if !viewer.hasServed { // to nothing that was asked
+			m.rejectMalformed(viewer, msg)
 		}
 		return
 	}
-	if !boxes.ID(id) || !strings.HasPrefix(r.URI, prefix) {
-		m.bad(v, r)
+	if !boxes.ValidID(id) || !strings.HasPrefix(msg.URI, uriPrefix) {
+		m.rejectMalformed(viewer, msg)
 		return
 	}
-	switch r.Method {
+	switch msg.Method {
 	case rtsp.Setup:
-		m.setup(v, id, r)
+		m.handleSetup(viewer, id, msg)
 	case rtsp.Teardown:
-		m.teardown(v, id, r)
+		m.handleTeardown(viewer, id, msg)
 	case rtsp.Options:
 		status := rtsp.StatusOK
-		if m.stopping > 0 {
+		if m.stoppingSince > 0 {
 			status = rtsp.StatusUnavailable
 		}
-		m.say(v, rtsp.Answer(status, r.CSeq).With("Session", id))
+		m.sendToViewer(viewer, rtsp.Answer(status, msg.CSeq).With("Session", id))
 	default:
-		m.fig.Bad++
-		m.say(v, rtsp.Answer(rtsp.StatusMethodNotAllowed, r.CSeq).With("Session", id))
+		m.stats.Bad++
+		m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusMethodNotAllowed, msg.CSeq).With("Session", id))
 	}
 }
 
 // bad answers what makes no sense, and closes unless others' set-ups are open there.
-func (m *Manager) bad(v *viewer, r *rtsp.Message) {
-	m.fig.Bad++
-	if r.IsRequest() {
-		a := rtsp.Answer(rtsp.StatusBadRequest, r.CSeq)
-		if id := r.Get("Session"); boxes.ID(id) {
-			a.With("Session", id)
+func (m *Manager) rejectMalformed(viewer *viewerConn, msg *rtsp.Message) {
+	m.stats.Bad++
+	if msg.IsRequest() {
+		reply := rtsp.Answer(rtsp.StatusBadRequest, msg.CSeq)
+		if id := msg.Get("Session"); boxes.ValidID(id) {
+			reply.With("Session", id)
 		}
-		m.say(v, a)
+		m.sendToViewer(viewer, reply)
 	}
-	if v.open == 0 {
-		m.shut(v)
+	if viewer.pendingSetups == 0 {
+		m.closeViewer(viewer)
 	}
 }
 
 // number reads a whole number within bounds.
-func number(s string, least, most int64) (int64, bool) {
-	n, err := strconv.ParseInt(s, 10, 64)
-	return n, err == nil && n >= least && n <= most && s[0] != '+'
+func parseNumber(text string, lowest, highest int64) (int64, bool) {
+	n, err := strconv.ParseInt(text, 10, 64)
+	return n, err == nil && n >= lowest && n <= highest && text[0] != '+'
 }
 
 // read makes a call of a set-up; false where it is not one.
-func (m *Manager) read(id string, r *rtsp.Message) (c *call, at string, ok bool) {
-	told := m.given.Told
-	c = &call{id: id, key: strings.TrimPrefix(r.URI, prefix), plan: r.Get("Call-Kind"), desc: string(r.Body), try: -1}
-	q := &c.request
-	if q.Plan = slices.Index(told.Plans, c.plan); q.Plan < 0 || !boxes.ID(c.key) || c.desc == "" || !utf8.ValidString(c.desc) {
+func (m *Manager) parseSetup(id string, msg *rtsp.Message) (pb *playback, serverName string, ok bool) {
+	settings := m.config.Settings
+	pb = &playback{id: id, titleKey: strings.TrimPrefix(msg.URI, uriPrefix), plan: msg.Get("Call-Kind"), description: string(msg.Body), try: -1}
+	request := &pb.request
+	if request.Plan = slices.Index(settings.Plans, pb.plan); request.Plan < 0 || !boxes.ValidID(pb.titleKey) || pb.description == "" || !utf8.ValidString(pb.description) {
 		return nil, "", false
 	}
-	if len(told.Tenants) > 0 {
-		if q.Tenant = slices.Index(told.Tenants, r.Get("Charged-Party")); q.Tenant < 0 {
+	if len(settings.Tenants) > 0 {
+		if request.Tenant = slices.Index(settings.Tenants, msg.Get("Charged-Party")); request.Tenant < 0 {
 			return nil, "", false
 		}
 	}
-	q.Show, _ = strconv.ParseUint(c.key, 16, 64)
+	request.Show, _ = strconv.ParseUint(pb.titleKey, 16, 64)
 	fields := map[string]string{}
-	for _, f := range rtsp.Pairs(strings.ReplaceAll(r.Get("Routing-Data"), ":", "=")) {
-		if _, twice := fields[f.Name]; twice {
+	for _, field := range rtsp.Pairs(strings.ReplaceAll(msg.Get("Routing-Data"), ":", "=")) {
+		if _, duplicate := fields[field.Name]; duplicate {
 			return nil, "", false
 		}
-		fields[f.Name] = f.Value
+		fields[field.Name] = field.Value
 	}
-	base, ok1 := number(fields["home"], 0, int64(told.Site.Fleet.Cells)-1)
-	span, ok2 := number(fields["copies"], 1, int64(told.Site.Fleet.Cells))
-	top, ok3 := number(fields["top"], 0, int64(len(told.Site.Ladder.RateKB))-1)
-	if !ok1 || !ok2 || !ok3 || !boxes.ID(fields["viewer"]) {
+	base, baseOK := parseNumber(fields["home"], 0, int64(settings.Site.Fleet.Cells)-1)
+	span, spanOK := parseNumber(fields["copies"], 1, int64(settings.Site.Fleet.Cells))
+	top, topOK := parseNumber(fields["top"], 0, int64(len(settings.Site.Ladder.RateKB))-1)
+	if !baseOK || !spanOK || !topOK || !boxes.ValidID(fields["viewer"]) {
 		return nil, "", false
 	}
-	q.Base, q.Span, q.Top = int(base), int(span), int(top)
-	at = fields["at"]
-	left, ok4 := number(r.Get("Answer-Within"), 1, told.Patience[q.Plan]/core.Millisecond)
-	if !ok4 && at == "" { // what plays already waits for no answer
+	request.Base, request.Span, request.Top = int(base), int(span), int(top)
+	serverName = fields["at"]
+	answerWithin, answerWithinOK := parseNumber(msg.Get("Answer-Within"), 1, settings.Patience[request.Plan]/core.Millisecond)
+	if !answerWithinOK && serverName == "" { // what plays already waits for no answer
 		return nil, "", false
 	}
-	left *= core.Millisecond
-	q.Abandon = m.came + left - left/wayShare
-	c.rung = told.Site.Plans[q.Plan].Floor
-	return c, at, true
+	answerWithin *= core.Millisecond
+	request.Abandon = m.eventAt + answerWithin - answerWithin/networkMarginDivisor
+	pb.rung = settings.Site.Plans[request.Plan].Floor
+	return pb, serverName, true
 }
 
-func (m *Manager) setup(v *viewer, id string, r *rtsp.Message) {
-	c, at, ok := m.read(id, r)
+func (m *Manager) handleSetup(viewer *viewerConn, id string, msg *rtsp.Message) {
+	pb, serverName, ok := m.parseSetup(id, msg)
 	if !ok {
-		m.bad(v, r)
+		m.rejectMalformed(viewer, msg)
 		return
 	}
-	if at != "" {
-		m.plays(v, c, at)
+	if serverName != "" {
+		m.adoptPlaying(viewer, pb, serverName)
 		return
 	}
-	if old := m.calls[id]; old != nil { // two under one id: none of them is served on this connection
-		if old.viewer == v && old.phase != standing {
-			m.left(old)
+	if existing := m.playbacks[id]; existing != nil { // two under one id: none of them is served on this connection
+		if existing.viewer == viewer && existing.phase != phasePlaying {
+			m.abandonSetup(existing)
 		}
-		m.bad(v, r)
+		m.rejectMalformed(viewer, msg)
 		return
 	}
-	if m.stopping > 0 || int64(m.held+len(c.desc)) > m.given.Memory/heldShare {
-		m.fig.Refused++
-		a := rtsp.Answer(rtsp.StatusUnavailable, setupSeq).With("Session", id)
-		if t := m.given.Told.Site.Terms.MaxComeAgain; t > 0 {
-			a.With("Come-Back-Ms", strconv.FormatInt(t/core.Millisecond, 10))
+	if m.stoppingSince > 0 || int64(m.bufferedBytes+len(pb.description)) > m.config.MemoryBytes/bufferedMemoryDivisor {
+		m.stats.Refused++
+		reply := rtsp.Answer(rtsp.StatusUnavailable, setupCSeq).With("Session", id)
+		if retryAfter := m.config.Settings.Site.Terms.MaxComeAgain; retryAfter > 0 {
+			reply.With("Come-Back-Ms", strconv.FormatInt(retryAfter/core.Millisecond, 10))
 		}
-		m.say(v, a)
+		m.sendToViewer(viewer, reply)
 		return
 	}
-	c.viewer = v
-	v.open++
-	m.fig.Taken++
-	m.take(c)
-	m.module.Requested(c.request)
+	pb.viewer = viewer
+	viewer.pendingSetups++
+	m.stats.Taken++
+	m.register(pb)
+	m.module.Requested(pb.request)
 }
 
 // plays takes over what plays already.
-func (m *Manager) plays(v *viewer, c *call, at string) {
-	if m.calls[c.id] != nil {
+func (m *Manager) adoptPlaying(viewer *viewerConn, pb *playback, serverName string) {
+	if m.playbacks[pb.id] != nil {
 		return
 	}
-	n, err := feed.ID(at)
-	b := m.boxes[n]
-	if err != nil || b == nil || b.state == session.Gone || m.closed {
-		m.release(v, c.id, causeReset)
+	serverID, err := feed.ParseServerID(serverName)
+	srv := m.servers[serverID]
+	if err != nil || srv == nil || srv.state == session.Gone || m.finalized {
+		m.notifyEnded(viewer, pb.id, causeReset)
 		return
 	}
-	c.viewer, c.desc, c.try, c.box = v, "", 0, b
-	m.take(c)
-	m.stands(c)
-	m.module.Opened(c.request, b.index)
-	if len(b.links) == 0 {
-		m.dial(b)
+	pb.viewer, pb.description, pb.try, pb.server = viewer, "", 0, srv
+	m.register(pb)
+	m.markPlaying(pb)
+	m.module.Opened(pb.request, srv.index)
+	if len(srv.conns) == 0 {
+		m.dial(srv)
 	}
 }
 
-func (m *Manager) teardown(v *viewer, id string, r *rtsp.Message) {
-	cause, reasoned := reason(r.Get("Reason"))
-	c := m.calls[id]
-	if c == nil || c.phase != standing && reasoned {
-		m.say(v, rtsp.Answer(rtsp.StatusSessionNotFound, r.CSeq).With("Session", id))
+func (m *Manager) handleTeardown(viewer *viewerConn, id string, msg *rtsp.Message) {
+	cause, hasReason := parseReason(msg.Get("Reason"))
+	pb := m.playbacks[id]
+	if pb == nil || pb.phase != phasePlaying && hasReason {
+		m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusSessionNotFound, msg.CSeq).With("Session", id))
 		return
 	}
-	m.say(v, rtsp.Answer(rtsp.StatusOK, r.CSeq).With("Session", id))
-	if c.phase != standing { // a session belongs to no connection, nor does what gives it up
-		m.left(c)
+	m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusOK, msg.CSeq).With("Session", id))
+	if pb.phase != phasePlaying { // a session belongs to no connection, nor does what gives it up
+		m.abandonSetup(pb)
 		return
 	}
-	m.tell(c.box, &boxes.Message{Op: boxes.End, Call: id, Why: cause})
-	o := session.Cancelled
-	if cause == causeOver && reasoned {
-		o = session.OK
+	m.sendToServer(pb.server, &boxes.Message{Op: boxes.End, SessionID: id, Cause: cause})
+	outcome := session.Cancelled
+	if cause == causeNormal && hasReason {
+		outcome = session.OK
 	}
-	m.ended(c, o, "")
+	m.reportEnd(pb, outcome, "")
 }
 
-func reason(text string) (cause int, ok bool) {
-	s, ok := strings.CutPrefix(text, "cause=")
-	n, good := number(s, 0, 1<<16)
-	if !ok || !good {
-		return causeOver, false
+func parseReason(text string) (cause int, ok bool) {
+	digits, ok := strings.CutPrefix(text, "cause=")
+	number, valid := parseNumber(digits, 0, 1<<16)
+	if !ok || !valid {
+		return causeNormal, false
 	}
-	return int(n), true
+	return int(number), true
 }
 
 // answer is a set-up's final one.
-func (m *Manager) answer(c *call, a *rtsp.Message) {
-	if c.viewer != nil {
-		m.say(c.viewer, a.With("Session", c.id))
+func (m *Manager) answerSetup(pb *playback, reply *rtsp.Message) {
+	if pb.viewer != nil {
+		m.sendToViewer(pb.viewer, reply.With("Session", pb.id))
 	}
-	m.finish(c)
+	m.removePlayback(pb)
 }
 
 // say writes a message to a viewer. One that does not read is not written to for long.
-func (m *Manager) say(v *viewer, a *rtsp.Message) {
-	if v.closing {
+func (m *Manager) sendToViewer(viewer *viewerConn, msg *rtsp.Message) {
+	if viewer.closing {
 		return
 	}
-	if len(a.Body) == 0 {
-		a.With("Content-Length", "0")
+	if len(msg.Body) == 0 {
+		msg.With("Content-Length", "0")
 	}
-	m.trace("to viewer %s %s %d", a.Get("Session"), a.Method, a.Status)
-	m.net.Send(v.conn, a.Append(nil))
-	if m.net.Pending(v.conn) > unreadMost {
-		m.queue = append(m.queue, func() { m.shut(v) })
+	m.trace("to viewer %s %s %d", msg.Get("Session"), msg.Method, msg.Status)
+	m.network.Send(viewer.transport, msg.Append(nil))
+	if m.network.Pending(viewer.transport) > maxUnreadBytes {
+		m.deferred = append(m.deferred, func() { m.closeViewer(viewer) })
 	}
 }
 
 // heir is where a viewer can be told of what stands: its connection or, as what stands belongs to none, another on
 // which something was served. Connections of which nothing of the kind is known may be anybody's.
-func (m *Manager) heir(v, but *viewer) *viewer {
-	if v != nil && !v.closing && v != but {
-		return v
+func (m *Manager) notifyConn(preferred, exclude *viewerConn) *viewerConn {
+	if preferred != nil && !preferred.closing && preferred != exclude {
+		return preferred
 	}
-	if m.front != nil && m.front != but {
-		return m.front
+	if m.lastServed != nil && m.lastServed != exclude {
+		return m.lastServed
 	}
-	for _, x := range m.viewers {
-		if x.served && !x.closing && x != but {
-			return x
+	for _, other := range m.viewers {
+		if other.hasServed && !other.closing && other != exclude {
+			return other
 		}
 	}
 	return nil
 }
 
 // release tells a viewer that what stood is over.
-func (m *Manager) release(v *viewer, id string, cause int) {
-	r := &release{id: id, cause: cause, since: m.now, on: v}
-	if len(m.owed) > owedMost(len(m.pbs)) { // more than ever stood at once: the oldest is not answered any more
-		m.owed = slices.Delete(m.owed, 0, 1)
+func (m *Manager) notifyEnded(viewer *viewerConn, id string, cause int) {
+	notice := &teardownNotice{id: id, cause: cause, since: m.now, conn: viewer}
+	if len(m.teardowns) > maxTeardowns(len(m.byNumber)) { // more than ever stood at once: the oldest is not answered any more
+		m.teardowns = slices.Delete(m.teardowns, 0, 1)
 	}
-	m.owed = append(m.owed, r)
-	if v == nil || v.closing {
-		r.on = nil
+	m.teardowns = append(m.teardowns, notice)
+	if viewer == nil || viewer.closing {
+		notice.conn = nil
 	}
-	m.writeRelease(r, m.heir(r.on, nil))
+	m.writeTeardown(notice, m.notifyConn(notice.conn, nil))
 }
 
 // sendRelease sends one again, elsewhere if that can be.
-func (m *Manager) sendRelease(r *release) {
-	v := m.heir(nil, r.on)
-	if v == nil {
-		v = m.heir(r.on, nil)
+func (m *Manager) resendTeardown(notice *teardownNotice) {
+	viewer := m.notifyConn(nil, notice.conn)
+	if viewer == nil {
+		viewer = m.notifyConn(notice.conn, nil)
 	}
-	if r.sent > 0 && v != nil {
-		m.fig.Unheard++
-		m.trace("release of %s is sent again", r.id)
+	if notice.sendCount > 0 && viewer != nil {
+		m.stats.Unheard++
+		m.trace("release of %s is sent again", notice.id)
 	}
-	m.writeRelease(r, v)
+	m.writeTeardown(notice, viewer)
 }
 
-func (m *Manager) writeRelease(r *release, v *viewer) {
-	if v == nil {
-		r.on = nil
+func (m *Manager) writeTeardown(notice *teardownNotice, viewer *viewerConn) {
+	if viewer == nil {
+		notice.conn = nil
 		return
 	}
-	r.on, r.sentAt = v, m.now
-	r.sent++
-	m.say(v, rtsp.Request(rtsp.Teardown, prefix+r.id, teardownSeq).With("Session", r.id).With("Reason", "cause="+strconv.Itoa(r.cause)))
+	notice.conn, notice.sentAt = viewer, m.now
+	notice.sendCount++
+	m.sendToViewer(viewer, rtsp.Request(rtsp.Teardown, uriPrefix+notice.id, teardownCSeq).With("Session", notice.id).With("Reason", "cause="+strconv.Itoa(notice.cause)))
 }
 
 // remind sends releases again that nobody has answered, as long as they still count.
-func (m *Manager) remind() {
-	m.owed = slices.DeleteFunc(m.owed, func(r *release) bool { return m.now-r.since > forgiven || r.sent >= most && m.now-r.sentAt > unheard })
-	for _, r := range slices.Clone(m.owed) {
-		if r.sent == 0 || m.now-r.sentAt > unheard {
-			m.sendRelease(r)
+func (m *Manager) retryTeardowns() {
+	m.teardowns = slices.DeleteFunc(m.teardowns, func(notice *teardownNotice) bool {
+		return m.now-notice.since > endNoticeDeadline || notice.sendCount >= maxTeardownSends && m.now-notice.sentAt > teardownRetryInterval
+	})
+	for _, notice := range slices.Clone(m.teardowns) {
+		if notice.sendCount == 0 || m.now-notice.sentAt > teardownRetryInterval {
+			m.resendTeardown(notice)
 		}
 	}
 }
 
 // sweep closes connections on which nothing whole comes and looks after servers.
 func (m *Manager) sweep() {
-	for _, v := range slices.Clone(m.viewers) {
+	for _, viewer := range slices.Clone(m.viewers) {
 		switch {
-		case v.overdue(m.now):
-			m.fig.Bad++
-			m.say(v, rtsp.Answer(rtsp.StatusRequestTimeout, -1))
-			m.shut(v)
-		case v.open == 0 && v.standing == 0 && v.partAt == 0 && v.spoke > 0 && m.now-v.used > kept:
-			m.shut(v)
+		case viewer.messageOverdue(m.now):
+			m.stats.Bad++
+			m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusRequestTimeout, -1))
+			m.closeViewer(viewer)
+		case viewer.pendingSetups == 0 && viewer.playing == 0 && viewer.partialSince == 0 && viewer.lastMessageAt > 0 && m.now-viewer.lastActiveAt > viewerIdleTimeout:
+			m.closeViewer(viewer)
 		}
 	}
-	m.remind()
-	m.lookAfter()
-	m.lookAfterBus()
-	m.timers.Set(nil, m.now+sweep, m.sweep)
+	m.retryTeardowns()
+	m.checkServers()
+	m.checkBus()
+	m.timers.Set(nil, m.now+sweepInterval, m.sweep)
 }
