--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -16,8 +16,8 @@
 	lastSeq uint64
 }
 
-// At is the moment that it was last set to.
-func (t *Timer) At() Time { return t.deadline }
+// Deadline is the moment that it was last set to.
+func (t *Timer) Deadline() Time { return t.deadline }
 
 type timerHeap []*Timer
 
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -241,7 +241,7 @@
 
 // offer writes a set-up.
 func (m *Manager) sendOffer(pb *playback) {
-	remaining := pb.timer.At() - m.now
+	remaining := pb.timer.Deadline() - m.now
 	pb.offerSent = true
 	m.send(pb.conn, &boxes.Message{Op: boxes.Offer, SessionID: pb.id, Description: pb.description, Fields: map[string]string{"class": pb.plan, "key": pb.titleKey,
 		"left": strconv.FormatInt(max(remaining/core.Millisecond, 1), 10), "rung": strconv.Itoa(pb.rung)}})
