--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -6,103 +6,110 @@
 	"pierlink/session"
 )
 
-// What the session manager decides by itself: who keeps a connection, how long it waits for what the module does not
-// time, and what it gives up at a bound. Where playbacks go, at which rung, and whether they are taken is the module's.
+// The limits and timeouts that the session manager applies by itself: which connections it keeps, how long it waits where
+// the module sets no time limit, and what it drops at a resource limit. Placement, rungs and admission of playbacks are
+// decided by the module.
 
+// minSockets is the smallest accepted limit of descriptors.
 const minSockets = 64
 
-// The shares of the told limits. What is left of the descriptors is the reserve for connections that come and go.
+// Shares of the configured resource limits. The descriptors that are left are a reserve for connections being opened and
+// closed.
 const (
-	viewerSocketsDivisor   = 2  // one part in so many of the descriptors is for viewers at most
-	serverSocketsDivisor   = 4  // and for servers
-	arrivingSocketsDivisor = 16 // and for viewers that have just come, while room is made for them
-	maxArrivingSockets     = 16 // of these
-	reservedDescriptors    = 20 // descriptors of the process itself: its standard streams, pollers, the listener with its reserve, the
-	// bus at two addresses while it moves, and for a moment a second one of what is accepted or dialled
-	maxConnsPerServer     = 4  // connections to one server
-	bufferedMemoryDivisor = 8  // one part in so many of the memory is for what has come and waits
-	networkMarginDivisor  = 64 // one part in so many of a viewer's patience is left for the way there and back
-
-	maxUnreadBytes    = 4 * boxes.MaxMessageSize // bytes that wait for a viewer that does not read
-	maxQueuedMessages = 1024                     // messages that wait for a connection to a server
+	viewerSocketsDivisor   = 2  // viewers may hold 1/2 of the descriptors
+	serverSocketsDivisor   = 4  // connections to servers may hold 1/4
+	arrivingSocketsDivisor = 16 // 1/16 is for new connections from viewers, until others have been evicted
+	maxArrivingSockets     = 16 // upper bound of that share
+	reservedDescriptors    = 20 // for the process itself: standard streams, pollers, the listener and its spare descriptor,
+	// two bus connections while the bus address changes, and briefly a second one per connection accepted or dialled
+	maxConnsPerServer     = 4
+	bufferedMemoryDivisor = 8  // 1/8 of the memory is for incomplete messages and descriptions of waiting set-ups
+	networkMarginDivisor  = 64 // 1/64 of a viewer's answer time is reserved for network transit
+
+	maxUnreadBytes    = 4 * boxes.MaxMessageSize // unsent bytes per viewer connection before it is closed
+	maxQueuedMessages = 1024                     // messages per server that wait for a connection
 )
 
-// Times that follow from the platform's own.
+// Timeouts, most of which follow from the platform's rules.
 const (
-	endNoticeDeadline     = 8 * core.Second                     // what stood and is over is released by then, or not at all
-	noteTimeout           = endNoticeDeadline - core.Second     // a server that says nothing of what stands there for so long knows of it no more
-	silenceBeforeRedial   = endNoticeDeadline / 4               // one that says nothing at all is looked for after so long
-	serverLostTimeout     = 5 * endNoticeDeadline / 8           // and taken for gone when it could not be found for so long
-	badClientDeadline     = 3 * core.Second                     // a bad client is owed a word or a close by then
-	partialIdleTimeout    = badClientDeadline / 2               // a connection that owes a whole message and brings nothing for so long is closed
-	partialTotalTimeout   = badClientDeadline - 2*sweepInterval // as is one whose message is not whole by then, though more of it keeps coming
-	newcomerGrace         = core.Second / 20                    // what may cross on the way; a newcomer has so long to say something
-	sweepInterval         = core.Second / 4                     // between two looks after all that
-	drainTimeout          = core.Second                         // what a server sent before it knew that a connection is left has come by then
-	refusalTimeout        = core.Second                         // a server that refuses all connections for so long has ended
-	viewerIdleTimeout     = 6 * core.Second                     // viewers close what carries no session for 4 s; one that does not goes then
-	teardownRetryInterval = core.Second / 4                     // a release that is not answered by then is sent again
-	maxTeardownSends      = 4                                   // times at most
+	endNoticeDeadline     = 8 * core.Second                     // the end of a playback has to be reported within this time; later reports do not count
+	noteTimeout           = endNoticeDeadline - core.Second     // a server that sends nothing about its playbacks for this long has lost them
+	silenceBeforeRedial   = endNoticeDeadline / 4               // a new connection is tried to a server that has sent nothing at all for this long
+	serverLostTimeout     = 5 * endNoticeDeadline / 8           // a server that could not be reached for this long is treated as failed
+	badClientDeadline     = 3 * core.Second                     // a misbehaving client must get an answer or a close within this time
+	partialIdleTimeout    = badClientDeadline / 2               // an incomplete message with no further bytes for this long closes the connection
+	partialTotalTimeout   = badClientDeadline - 2*sweepInterval // an incomplete message closes the connection after this time even while bytes arrive
+	newcomerGrace         = core.Second / 20                    // allowance for messages in transit; a new connection may stay silent for this long
+	sweepInterval         = core.Second / 4                     // period of the checks in sweep
+	drainTimeout          = core.Second                         // time to read what a server sent before it saw the half-close
+	refusalTimeout        = core.Second                         // a server that refuses all connections for this long is treated as exited
+	viewerIdleTimeout     = 6 * core.Second                     // viewers close connections without sessions after 4 s; others are closed after this time
+	teardownRetryInterval = core.Second / 4                     // an unacknowledged teardown is sent again after this time
+	maxTeardownSends      = 4                                   // sends of one teardown, including the first
 )
 
+// Timing of the connection to the event bus.
 const (
-	busHeartbeatTimeout = 5 * core.Second / 2 // an empty frame comes each second
-	busBackoffMin       = core.Second / 20    // before the first further connect; it grows to busMost
+	busHeartbeatTimeout = 5 * core.Second / 2 // the bus sends an empty frame each second
+	busBackoffMin       = core.Second / 20    // wait before the first reconnect; doubles up to busBackoffMax
 	busBackoffMax       = core.Second
 )
 
-// The platform kills no sooner than the longest patience of a viewer, counted as mostStop where it is longer, and
-// 0.7 s after its word; part of the latter is for what is sent last.
+// Timing of a stop. The platform kills the process no sooner than 0.7 s plus the longest answer time of any plan (at most
+// maxStopWait) after its stop signal; part of the 0.7 s is needed to send the last messages.
 const (
 	maxStopWait        = 3 * core.Second
-	finalSendTime      = core.Second / 5
-	stopAcceptingAfter = 7 * core.Second / 10 // nothing new comes later than that
+	finalizeMargin     = core.Second / 5      // added to the longest answer time before the remaining playbacks are ended
+	stopAcceptingAfter = 7 * core.Second / 10 // no new connections arrive later than this
 )
 
-// tells is whether a server with sessions of this manager sends notes of one of them often enough to miss them: a
-// machine that was away and is back lets connections come up, and knows nothing of what stood.
+// notesExpected reports whether a server with playbacks of this manager sends notes often enough that their absence shows
+// the loss of the playbacks: a machine that was unreachable and came back accepts connections, but has lost its playbacks.
 func (m *Manager) notesExpected() bool {
 	settings := m.config.Settings
 	return settings.Tell > 0 && settings.Tell+settings.Site.Fleet.NoteDelay < endNoticeDeadline-2*core.Second
 }
 
-// Coming is how many connections from viewers are accepted beyond those held, while the core makes room.
+// MaxArriving returns how many connections from viewers are accepted beyond MaxViewers until others have been evicted.
 func MaxArriving(config *Config) int {
 	return min(config.Sockets/arrivingSocketsDivisor, maxArrivingSockets)
 }
 
-// Viewers is how many connections from viewers are held at most: all kinds together stay within the limit.
+// MaxViewers returns how many connections from viewers are kept, so that all kinds of connections together stay within
+// the limit of descriptors.
 func MaxViewers(config *Config) int {
 	return min(config.Sockets/viewerSocketsDivisor, config.Sockets-config.Sockets/serverSocketsDivisor-MaxArriving(config)-reservedDescriptors)
 }
 
-// perServer is how many connections a server may have while so many are ready.
-func connsPerServer(config *Config, ready int) int {
+// serverConnLimit returns how many connections one server may have while the given number of servers is ready.
+func serverConnLimit(config *Config, ready int) int {
 	return min(max(config.Sockets/serverSocketsDivisor/max(ready, 1), 1), maxConnsPerServer)
 }
 
-// owedMost is how many releases may be owed: as many as ever stood at once, twice.
+// maxTeardowns returns how many unacknowledged teardowns are kept: twice the peak number of concurrent playbacks, plus a
+// constant.
 func maxTeardowns(peakPlaybacks int) int { return 2*peakPlaybacks + minSockets }
 
-// overdue tells that a connection has kept a whole message waiting for too long.
-func (viewer *viewerConn) messageOverdue(now core.Time) bool {
-	startedAt := viewer.partialSince
-	if viewer.lastMessageAt == 0 {
-		startedAt = viewer.acceptedAt
+// messageOverdue reports whether the connection has left a message incomplete, or sent none at all, for too long.
+func (v *viewerConn) messageOverdue(now core.Time) bool {
+	startedAt := v.partialSince
+	if v.lastMessageAt == 0 {
+		startedAt = v.acceptedAt
 	}
-	return startedAt > 0 && (now-max(viewer.lastReadAt, startedAt) > partialIdleTimeout || now-startedAt > partialTotalTimeout)
+	return startedAt > 0 && (now-max(v.lastReadAt, startedAt) > partialIdleTimeout || now-startedAt > partialTotalTimeout)
 }
 
-// idle tells that a connection to a server has carried nothing for so long that the server may close it before what is
-// written now is there, which then may or may not run. What takes longer than a connect may is not waited for anyway.
+// nearIdleTimeout reports whether a connection to a server has been unused for so long that the server may close it before
+// a message written now arrives; it would be unknown whether that message took effect. The margin is the connect timeout,
+// as longer transit times are not waited for either.
 func (m *Manager) nearIdleTimeout(conn *serverConn) bool {
 	settings := m.config.Settings
 	return conn.up && m.now-conn.lastUsedAt > max(settings.Idle-settings.Connect-sweepInterval, settings.Idle/2)
 }
 
-// dead tells whether a server that refuses connections has ended, and all that stood there with it. A process that ends
-// resets its connections and listens no more; one that has no room for newcomers refuses for a while too, one that drains
-// for good. Where none was reset, as none was up, it is waited for longer.
+// hasExited reports whether a server that refuses connections has exited, together with its playbacks. A process that
+// exits resets its connections and stops listening. A server at its connection limit also refuses for a while, and a
+// draining one until it exits. If no connection was reset, because none was up, the wait is longer.
 func (m *Manager) hasExited(srv *server) bool {
 	wait := refusalTimeout
 	if srv.resetAt > 0 {
@@ -111,19 +118,20 @@
 	return srv.state == session.Ready && m.now-srv.firstRefusedAt >= wait
 }
 
-// missed ranks a connection by how much it would be: the lowest goes first, and of equals the one with the least time.
-func (viewer *viewerConn) evictionRank(now core.Time) (int, core.Time) {
+// evictionRank returns the eviction class of a connection and a time: the lowest class is evicted first, and within a
+// class the connection with the earliest time.
+func (v *viewerConn) evictionRank(now core.Time) (int, core.Time) {
 	switch {
-	case viewer.pendingSetups > 0:
-		return 4, -viewer.acceptedAt
-	case viewer.partialSince > 0 && (viewer.lastMessageAt > 0 || now-viewer.lastReadAt <= newcomerGrace):
-		return 3, viewer.partialSince
-	case viewer.lastMessageAt > 0 && viewer.playing > 0: // what stands is told of on another, if there is one
-		return 2, viewer.lastActiveAt
-	case viewer.lastMessageAt > 0:
-		return 1, viewer.lastActiveAt
-	case now-viewer.acceptedAt > newcomerGrace:
-		return 0, viewer.acceptedAt
+	case v.pendingSetups > 0:
+		return 4, -v.acceptedAt
+	case v.partialSince > 0 && (v.lastMessageAt > 0 || now-v.lastReadAt <= newcomerGrace):
+		return 3, v.partialSince
+	case v.lastMessageAt > 0 && v.playing > 0: // its viewer can be notified on another connection, if there is one
+		return 2, v.lastActiveAt
+	case v.lastMessageAt > 0:
+		return 1, v.lastActiveAt
+	case now-v.acceptedAt > newcomerGrace:
+		return 0, v.acceptedAt
 	}
-	return 3, viewer.acceptedAt
+	return 3, v.acceptedAt
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform is one session manager on the operators' platform, free of I/O: viewers speak RTSP, video servers
-// JSON lines, and the event bus tells the list of servers. It carries out what the decision module wants and tells
-// the module what comes of it; it chooses no server, no rung and no rejection of its own.
+// Package platform implements one session manager of a fleet that is run by a hosting platform. It performs no I/O:
+// viewers are served over RTSP, video servers are addressed in JSON lines, and an event bus delivers the server list.
+// The manager carries out the actions of the decision module (package session) and reports their outcomes to it. It
+// chooses no server and no rung, and rejects no playback on its own, except at resource limits and while it stops.
 package platform
 
 import (
@@ -17,7 +18,13 @@
 	"pierlink/session"
 )
 
-// Figures are counts since the start, and levels.
+// Stats holds counters since the start (Taken to Unheard), current levels (Viewers to BusUp) and the longest turn.
+//
+// Taken counts set-ups passed to the module, Served those answered with 200, Refused with 503, Failed with 500 and
+// Left those given up by the viewer; Bad counts protocol errors of viewers. Tries counts set-up tries by outcome.
+// Over counts playbacks that ended, Cut those that ended by a fault, Spoilt unreadable server connections, and Unheard
+// retransmitted teardowns. Open and Standing are playbacks being set up and playing, Links connections to servers, and
+// Position is the offset of the last bus event.
 type Stats struct {
 	Taken, Served, Refused, Failed, Left, Bad       int
 	Tries                                           [session.NotSent + 1]int
@@ -25,76 +32,79 @@
 	Viewers, Links, Open, Standing, Servers, Titles int
 	Position                                        uint64
 	BusUp                                           bool
-	Longest                                         core.Time // turn
+	Longest                                         core.Time // longest turn since the previous call of Stats
 }
 
-// Manager is the core.
+// Manager is the state of the session manager. It implements core.Core, and session.Actions for its module.
 type Manager struct {
-	Trace         func(format string, a ...any) // nil for none
-	Exit          func()
-	StopAccepting func() // accept no more
+	Trace         func(format string, a ...any) // receives protocol traces; nil disables tracing
+	Exit          func()                        // called when the process may exit, after Stop
+	StopAccepting func()                        // called when no further connections should be accepted, after Stop
 
 	config     *Config
 	network    core.Net
-	halfCloser core.HalfCloser // nil where the network cannot
+	halfCloser core.HalfCloser // nil if the network does not support half-closing
 	module     session.Manager
 	now        core.Time
-	eventAt    core.Time // when the event at hand did
+	eventAt    core.Time // arrival time of the event being handled
 	timers     core.Timers
-	deferred   []func() // outcomes that a turn's own actions had
-	wakeups    map[uint64]*core.Timer
-	drawCount  uint32
+	deferred   []func()               // results of the module's actions, delivered after the module returns
+	wakeups    map[uint64]*core.Timer // timers requested by the module, by token
+	drawCount  uint32                 // random numbers drawn so far
 	stats      Stats
 
-	playbacks     map[string]*playback
-	byNumber      []*playback // by the module's numbers
-	freeNumbers   []int
-	titles        map[uint64]*titleEntry
-	freeTitles    []int // numbers of titles that nobody plays
-	bufferedBytes int   // bytes of descriptions and of messages that are not whole
+	playbacks     map[string]*playback   // by session ID
+	byNumber      []*playback            // indexed by the module's playback numbers
+	freeNumbers   []int                  // unused entries of byNumber
+	titles        map[uint64]*titleEntry // by title ID
+	freeTitles    []int                  // title numbers free for reuse
+	bufferedBytes int                    // session descriptions and incomplete messages held in memory
 
 	viewers    []*viewerConn
-	lastServed *viewerConn // the last on which something was served
-	teardowns  []*teardownNotice
+	lastServed *viewerConn       // the connection on which a playback was served last
+	teardowns  []*teardownNotice // end notices that a viewer has not acknowledged
 
-	servers           map[uint32]*server
-	serverByIndex     []*server
-	freeServerIndexes []int
+	servers           map[uint32]*server // by server ID
+	serverByIndex     []*server          // indexed by the module's server numbers
+	freeServerIndexes []int              // unused entries of serverByIndex
 	serverConnCount   int
-	connsPerServer    int
+	connsPerServer    int // maximum number of connections to one server
 	bus               busConn
 
-	stoppingSince core.Time // 0 while it serves
-	finalized     bool      // all is answered and released; the module is not asked any more
+	stoppingSince core.Time // 0 while not stopping
+	finalized     bool      // all playbacks are ended; the module is not called any more
 }
 
+// titleEntry is a title's number in the module, and how many playbacks use it.
 type titleEntry struct{ index, refs int }
 
+// phase is the progress of a playback.
 type phase uint8
 
 const (
-	phasePending phase = iota
+	phasePending phase = iota // no try is running
 	phaseTrying
 	phasePlaying
 	phaseDone
 )
 
-// call is one playback's session.
+// playback is one playback and its session, from the set-up request to its end.
 type playback struct {
 	id, plan, titleKey, description string
 	request                         session.Request
-	viewer                          *viewerConn // which sent it; nil once that is closed
+	viewer                          *viewerConn // connection that sent the set-up; nil once it is closed
 	phase                           phase
 	server                          *server
-	conn                            *serverConn // that the set-up is on
-	offerSent                       bool
+	conn                            *serverConn // connection used by the current try
+	offerSent                       bool        // the offer of the current try has been written
 	try, rung                       int
-	phaseSince                      core.Time
+	phaseSince                      core.Time // start of the current try or of the playing
 	timer                           *core.Timer
-	moving, endedByServer           bool
+	moving, endedByServer           bool // endedByServer: the server ended the try, so there is nothing to withdraw
 }
 
-// New makes a session manager. The module is made with the clock.
+// New returns a session manager that uses the given network. The decision module is created by newModule with the
+// site, the seed and the time.
 func New(network core.Net, config *Config, now core.Time, newModule func(*session.Site, uint64, core.Time) session.Manager) *Manager {
 	m := &Manager{config: config, network: network, now: now, wakeups: map[uint64]*core.Timer{}, playbacks: map[string]*playback{}, titles: map[uint64]*titleEntry{},
 		servers: map[uint32]*server{}}
@@ -108,12 +118,12 @@
 		m.bus.reader.LastOffset = event.Offset
 	}
 	m.settleModule()
-	m.timers.Set(nil, now, m.checkBus) // the network is there from the first turn on
+	m.timers.Set(nil, now, m.checkBus) // the network can be used from the first turn on
 	m.timers.Set(nil, now+sweepInterval, m.sweep)
 	return m
 }
 
-// Figures tells how it stands.
+// Stats returns the counters and the current levels, and restarts the measurement of the longest turn.
 func (m *Manager) Stats() Stats {
 	stats := m.stats
 	stats.Viewers, stats.Links, stats.Servers, stats.Titles = len(m.viewers), m.serverConnCount, len(m.servers), len(m.titles)
@@ -142,14 +152,14 @@
 	m.module.At(now)
 }
 
-// Turned counts how long a turn took.
+// Turned records the duration of a turn.
 func (m *Manager) Turned(_, took core.Time) { m.stats.Longest = max(m.stats.Longest, took) }
 
-// Came is when an event came, which the turn may find late.
+// Came sets the arrival time of the next event, which may precede the turn.
 func (m *Manager) Came(at core.Time) { m.eventAt = min(at, m.now) }
 
-// Settle ends a turn. What has come is looked at before time runs out for anything: a manager that stood still finds
-// both.
+// Settle ends a turn and returns the time at which the next one is due. Received events are handled before timers
+// fire, because after a pause of the process both may be waiting.
 func (m *Manager) Settle() core.Time {
 	m.timers.Run(m.now)
 	m.evictViewers()
@@ -173,12 +183,12 @@
 	}
 }
 
-// Accepted, Dialed, Received, Drained and Closed sort the connections.
+// The following methods pass the events of a connection to its owner.
 
-// Accepted takes a viewer's connection in.
+// Accepted registers a connection from viewers.
 func (m *Manager) Accepted(conn *core.Conn, from string) { m.acceptViewer(conn, from) }
 
-// Dialed tells how a connect came out.
+// Dialed handles the outcome of a connection attempt.
 func (m *Manager) Dialed(conn *core.Conn, err error) {
 	switch owner := conn.Owner.(type) {
 	case *serverConn:
@@ -188,7 +198,7 @@
 	}
 }
 
-// Received takes bytes.
+// Received handles received bytes.
 func (m *Manager) Received(conn *core.Conn, data []byte) {
 	switch owner := conn.Owner.(type) {
 	case *viewerConn:
@@ -200,10 +210,10 @@
 	}
 }
 
-// Drained is of no matter here: what waits for a connection is bounded by closing it.
+// Drained does nothing: a connection with too many unsent bytes is closed instead.
 func (m *Manager) Drained(*core.Conn) {}
 
-// Closed takes the end of a connection.
+// Closed handles the end of a connection.
 func (m *Manager) Closed(conn *core.Conn, err error) {
 	switch owner := conn.Owner.(type) {
 	case *viewerConn:
@@ -215,26 +225,26 @@
 	}
 }
 
-// number is an id of this manager's own making.
+// newID returns a new session ID for probes of this manager.
 func (m *Manager) newID() string {
 	seed := m.nextDraw()
 	return fmt.Sprintf("%08x%08x", crc32.ChecksumIEEE(seed), crc32.ChecksumIEEE(append(seed, 1)))
 }
 
-// chance is the next number in [0,1).
+// randomFraction returns the next pseudo-random number in [0,1).
 func (m *Manager) randomFraction() float64 {
 	return float64(xxhash.Sum64(m.nextDraw())>>11) / (1 << 53)
 }
 
-// draw is the seed and the next place in its row.
+// nextDraw returns the seed followed by the next draw counter.
 func (m *Manager) nextDraw() []byte {
 	m.drawCount++
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, m.config.Seed), m.drawCount)
 }
 
-// The module's actions.
+// The following methods implement session.Actions.
 
-// SetRung sets a playback's rung.
+// SetRung sets the rung of a playback, and notifies its server if it is playing.
 func (m *Manager) SetRung(number, rung int) {
 	pb := m.byNumber[number]
 	pb.rung = rung
@@ -243,7 +253,7 @@
 	}
 }
 
-// Try sends a playback to a server.
+// Try starts a set-up try at a server. It ends after limit, or at the viewer's abandon time if limit is 0 or later.
 func (m *Manager) Try(number, server int, limit core.Time) {
 	pb, srv := m.byNumber[number], m.serverByIndex[server]
 	pb.try++
@@ -270,7 +280,7 @@
 	}
 }
 
-// Reject refuses a playback.
+// Reject answers a set-up with 503 and advises the viewer to come again after comeAgain, if that is not 0.
 func (m *Manager) Reject(number int, comeAgain core.Time) {
 	pb := m.byNumber[number]
 	m.stats.Refused++
@@ -281,13 +291,13 @@
 	m.answerSetup(pb, reply)
 }
 
-// Abort answers a playback as failed.
+// Abort answers a set-up with 500.
 func (m *Manager) Abort(number int) {
 	m.stats.Failed++
 	m.answerSetup(m.byNumber[number], rtsp.Answer(rtsp.StatusInternal, setupCSeq))
 }
 
-// Move takes a playback off its server: its viewer comes again.
+// Move asks the viewer of a playback to set it up again, so that it is placed on another server.
 func (m *Manager) Move(number int) {
 	pb := m.byNumber[number]
 	if pb.phase != phasePlaying {
@@ -298,27 +308,27 @@
 	if viewer := m.notifyConn(pb.viewer, nil); viewer != nil {
 		m.sendToViewer(viewer, rtsp.Request(rtsp.Redirect, "rtsp://media/"+pb.titleKey, 4).With("Session", pb.id))
 	}
-	pb.timer = m.timers.Set(pb.timer, m.now+core.Second, func() { // its server is to end it by itself
+	pb.timer = m.timers.Set(pb.timer, m.now+core.Second, func() { // the server normally ends it first
 		m.sendToServer(pb.server, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeMoved})
 		m.reportEnd(pb, session.Cancelled, "")
 	})
 }
 
-// Probe probes a server.
+// Probe sends a probe to a server.
 func (m *Manager) Probe(server int) {
 	m.stats.Probes++
 	m.probeServer(m.serverByIndex[server])
 }
 
-// Wake asks for a wake-up.
+// Wake sets a timer for the module.
 func (m *Manager) Wake(at core.Time, token uint64) {
 	m.wakeups[token] = m.timers.Set(m.wakeups[token], at, func() { m.module.Woken(token) })
 }
 
-// Watch has nothing to do: the bus tells the list unasked.
+// Watch does nothing: the bus delivers the server list without a subscription.
 func (m *Manager) Watch() {}
 
-// Forget has the module's number free for another playback.
+// Forget releases the module's number of a playback for reuse.
 func (m *Manager) Forget(number int) {
 	pb := m.byNumber[number]
 	m.byNumber[number] = nil
@@ -332,7 +342,7 @@
 	}
 }
 
-// finish takes a call out of the table; nothing more is owed for it.
+// removePlayback deletes a playback from the tables and stops its timer.
 func (m *Manager) removePlayback(pb *playback) {
 	if pb.phase == phaseDone {
 		return
@@ -352,17 +362,17 @@
 	pb.phase, pb.description, pb.viewer, pb.conn = phaseDone, "", nil, nil
 }
 
-// stands books what stands at its server, and on the connection of its viewer.
+// markPlaying records a playback as playing at its server and on its viewer's connection.
 func (m *Manager) markPlaying(pb *playback) {
 	pb.phase, pb.phaseSince = phasePlaying, m.now
 	pb.server.playing[pb] = struct{}{}
-	pb.server.lastSessionMessageAt = m.now
+	pb.server.lastPlaybackMessageAt = m.now
 	pb.viewer.hasServed = true
 	pb.viewer.playing++
 	m.lastServed = pb.viewer
 }
 
-// sits takes what stood off the books again; it does nothing for what does not stand.
+// unmarkPlaying reverts markPlaying; it does nothing for a playback that is not playing.
 func (m *Manager) unmarkPlaying(pb *playback) {
 	if pb.phase != phasePlaying {
 		return
@@ -374,7 +384,7 @@
 	}
 }
 
-// take hands a playback to the module under its numbers.
+// register assigns the module's playback and title numbers to a playback and adds it to the tables.
 func (m *Manager) register(pb *playback) {
 	request := &pb.request
 	title := m.titles[request.Show]
@@ -398,7 +408,7 @@
 	m.bufferedBytes += len(pb.description)
 }
 
-// ended tells the module how a try or what stood came out.
+// reportEnd reports the outcome of a try, or the end of a playing playback, to the module.
 func (m *Manager) reportEnd(pb *playback, outcome session.Outcome, load string) {
 	if pb.phase != phaseTrying && pb.phase != phasePlaying {
 		return
@@ -406,7 +416,7 @@
 	m.timers.Stop(pb.timer)
 	result := session.Result{Playback: pb.request.Playback, Try: max(pb.try, 0), Server: pb.server.index, Outcome: outcome, Took: m.now - pb.phaseSince,
 		Load: m.parseLoad(load)}
-	m.trace("%s ended %d at %s", pb.id, outcome, pb.server.name)
+	m.trace("%s: outcome %d at server %s", pb.id, outcome, pb.server.name)
 	if pb.phase == phasePlaying {
 		result.Final = true
 		m.stats.Over++
@@ -424,7 +434,7 @@
 		m.withdrawOffer(pb)
 		pb.server.tries--
 		pb.phase = phasePending
-		if pb.viewer == nil { // it has gone
+		if pb.viewer == nil { // the viewer has disconnected
 			result.Final = true
 			m.removePlayback(pb)
 		}
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -16,23 +16,23 @@
 
 // box is a video server, known by its id.
 type server struct {
-	id                   uint32
-	name                 string
-	index                int // the module's number
-	address              string
-	state                session.ServerState
-	started              core.Time
-	conns                []*serverConn
-	playing              map[*playback]struct{}
-	tries                int
-	probes               map[string]*core.Timer
-	lastHeardAt          core.Time // it let a connection come up, or sent something
-	lastSessionMessageAt core.Time // it sent something of what stands there
-	lastDialAt           core.Time
-	resetAt              core.Time // its last connection was reset, 0 once another is up
-	firstRefusedAt       core.Time // the first of its refusals since then
-	goneAt               core.Time
-	outbox               []queuedMessage // withdrawals and the like that no connection has taken yet
+	id                    uint32
+	name                  string
+	index                 int // the module's number
+	address               string
+	state                 session.ServerState
+	started               core.Time
+	conns                 []*serverConn
+	playing               map[*playback]struct{}
+	tries                 int
+	probes                map[string]*core.Timer
+	lastHeardAt           core.Time // it let a connection come up, or sent something
+	lastPlaybackMessageAt core.Time // it sent something of what stands there
+	lastDialAt            core.Time
+	resetAt               core.Time // its last connection was reset, 0 once another is up
+	firstRefusedAt        core.Time // the first of its refusals since then
+	goneAt                core.Time
+	outbox                []queuedMessage // withdrawals and the like that no connection has taken yet
 }
 
 // owing is a message for a server that belongs to no connection.
@@ -103,7 +103,7 @@
 			readyCount++
 		}
 	}
-	m.connsPerServer = connsPerServer(m.config, readyCount)
+	m.connsPerServer = serverConnLimit(m.config, readyCount)
 	m.module.Listed(list)
 	m.trace("list %d whole %v %+v", event.Offset, event.Snapshot, event.Servers)
 }
@@ -392,7 +392,7 @@
 	if pb == nil || pb.server != srv || pb.phase == phasePending || pb.phase == phaseTrying && pb.conn != conn {
 		return // over by now, not this manager's, or the answer to an earlier try
 	}
-	srv.lastSessionMessageAt = m.now
+	srv.lastPlaybackMessageAt = m.now
 	switch msg.Op {
 	case boxes.Accept:
 		if pb.phase != phaseTrying || !pb.offerSent || msg.Description == "" {
@@ -488,7 +488,7 @@
 		}
 		switch silentFor := m.now - srv.lastHeardAt; {
 		case len(srv.playing) == 0:
-		case m.notesExpected() && m.now-srv.lastSessionMessageAt > noteTimeout:
+		case m.notesExpected() && m.now-srv.lastPlaybackMessageAt > noteTimeout:
 			m.endPlaybacks(srv, "nothing is heard of what stands there", nil)
 		case srv.state == session.Gone && (len(srv.conns) == 0 || silentFor > serverLostTimeout), silentFor > serverLostTimeout:
 			m.endPlaybacks(srv, "not heard of for "+strconv.FormatInt(silentFor/core.Millisecond, 10)+" ms", nil)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -21,7 +21,7 @@
 			m.StopAccepting()
 		}
 	})
-	m.timers.Set(nil, m.now+wait+finalSendTime, m.finalize)
+	m.timers.Set(nil, m.now+wait+finalizeMargin, m.finalize)
 }
 
 // close ends all that is left, then the connections, one that still brings a request being closed before the request
@@ -45,7 +45,7 @@
 		m.sendToServer(pb.server, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeNormal})
 		m.removePlayback(pb)
 	}
-	m.timers.Set(nil, m.now+finalSendTime/2, func() {
+	m.timers.Set(nil, m.now+finalizeMargin/2, func() {
 		for _, viewer := range slices.Clone(m.viewers) {
 			m.closeViewer(viewer)
 		}
--- a/internal/platform/viewers.go
+++ b/internal/platform/viewers.go
@@ -177,47 +177,47 @@
 }
 
 // Frame is not let through by the bounds.
-func (viewer *viewerConn) Frame(byte, []byte) {}
+func (v *viewerConn) Frame(byte, []byte) {}
 
 // Bad is a message that cannot be read, while its end is known.
-func (viewer *viewerConn) Bad(malformed *rtsp.Malformed) {
-	viewer.manager.stats.Bad++
-	viewer.manager.sendToViewer(viewer, rtsp.Answer(malformed.Status, malformed.CSeq))
-	viewer.manager.closeViewer(viewer)
+func (v *viewerConn) Bad(malformed *rtsp.Malformed) {
+	v.manager.stats.Bad++
+	v.manager.sendToViewer(v, rtsp.Answer(malformed.Status, malformed.CSeq))
+	v.manager.closeViewer(v)
 }
 
 // Message takes a whole one.
-func (viewer *viewerConn) Message(msg *rtsp.Message) {
-	m := viewer.manager
-	viewer.lastMessageAt, viewer.lastActiveAt, viewer.partialSince = m.now, m.now, 0
+func (v *viewerConn) Message(msg *rtsp.Message) {
+	m := v.manager
+	v.lastMessageAt, v.lastActiveAt, v.partialSince = m.now, m.now, 0
 	id := msg.Get("Session")
 	m.trace("from viewer %s %s %d %s %v %q", id, msg.Method, msg.Status, msg.URI, msg.Header, msg.Body)
 	if !msg.IsRequest() {
 		if i := slices.IndexFunc(m.teardowns, func(notice *teardownNotice) bool { return notice.id == id }); i >= 0 {
 			m.teardowns = slices.Delete(m.teardowns, i, i+1)
-		} else if !viewer.hasServed { // to nothing that was asked
-			m.rejectMalformed(viewer, msg)
+		} else if !v.hasServed { // to nothing that was asked
+			m.rejectMalformed(v, msg)
 		}
 		return
 	}
 	if !boxes.ValidID(id) || !strings.HasPrefix(msg.URI, uriPrefix) {
-		m.rejectMalformed(viewer, msg)
+		m.rejectMalformed(v, msg)
 		return
 	}
 	switch msg.Method {
 	case rtsp.Setup:
-		m.handleSetup(viewer, id, msg)
+		m.handleSetup(v, id, msg)
 	case rtsp.Teardown:
-		m.handleTeardown(viewer, id, msg)
+		m.handleTeardown(v, id, msg)
 	case rtsp.Options:
 		status := rtsp.StatusOK
 		if m.stoppingSince > 0 {
 			status = rtsp.StatusUnavailable
 		}
-		m.sendToViewer(viewer, rtsp.Answer(status, msg.CSeq).With("Session", id))
+		m.sendToViewer(v, rtsp.Answer(status, msg.CSeq).With("Session", id))
 	default:
 		m.stats.Bad++
-		m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusMethodNotAllowed, msg.CSeq).With("Session", id))
+		m.sendToViewer(v, rtsp.Answer(rtsp.StatusMethodNotAllowed, msg.CSeq).With("Session", id))
 	}
 }
 
