--- a/cmd/pierlink/platform_test.go
+++ b/cmd/pierlink/platform_test.go
@@ -241,7 +241,7 @@
 	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+m.config, "GW_LISTEN=127.0.0.1:1")
 	cmd.Stdout, cmd.Stderr = m.log, m.log
 	err := cmd.Run()
-	if cmd.ProcessState.ExitCode() != 1 || !m.log.contains("bus: address:port is expected") || strings.Count(m.log.text.String(), "\n") != 1 {
+	if cmd.ProcessState.ExitCode() != 1 || !m.log.contains("bus: expected address:port") || strings.Count(m.log.text.String(), "\n") != 1 {
 		t.Errorf("%v: %s", err, m.log.text.String())
 	}
 }
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -7,20 +7,20 @@
 	"pierlink/internal/platform/feed"
 )
 
-// bus is the connection to the event bus.
+// busConn is the connection to the event bus.
 type busConn struct {
 	address     string
 	reader      feed.Reader
 	transport   *core.Conn
 	up          bool
-	lastHeardAt core.Time
-	reconnectAt core.Time // when to connect next
+	lastHeardAt core.Time // last received bytes, or start of the connection attempt
+	reconnectAt core.Time // earliest time of the next connect
 	backoff     core.Time
 	previous    previousBus
 }
 
-// former is the connection to the address that the configuration named before: what it tells counts until the new one
-// speaks.
+// previousBus is the connection to the previously configured address. Its events count until the new connection delivers
+// its first bytes.
 type previousBus struct {
 	reader      feed.Reader
 	transport   *core.Conn
@@ -78,7 +78,7 @@
 	}
 }
 
-// leaveBus gives up the connection to the former address.
+// closePreviousBus closes the connection to the previous address.
 func (m *Manager) closePreviousBus() {
 	if conn := m.bus.previous.transport; conn != nil {
 		m.network.Close(conn)
@@ -86,14 +86,14 @@
 	m.bus.previous = previousBus{}
 }
 
-// breakBus gives the connection up; the next one is made at once, and where that fails after a growing wait.
+// reconnectBus closes the connection and schedules the next connect, with exponential backoff.
 func (m *Manager) reconnectBus() {
 	bus := &m.bus
 	if bus.transport != nil {
 		m.network.Close(bus.transport)
 	}
 	bus.transport, bus.up = nil, false
-	bus.reconnectAt = m.now + bus.backoff/2 + core.Time(m.randomFraction()*float64(bus.backoff/2)) // all lost it at once; they do not ask at once
+	bus.reconnectAt = m.now + bus.backoff/2 + core.Time(m.randomFraction()*float64(bus.backoff/2)) // jitter: all managers may have lost the bus at once
 	bus.backoff = min(2*bus.backoff, busBackoffMax)
 	m.timers.Set(nil, bus.reconnectAt, m.checkBus)
 }
@@ -111,11 +111,11 @@
 	}
 }
 
-// Renew takes a new configuration: the bus is where that says. The connection that is up goes on until the new one
-// speaks, so that nothing is missed meanwhile.
+// Reconfigure applies the bus address of a new configuration. An established connection is kept until the new one delivers
+// its first bytes, so that no event is missed meanwhile.
 func (m *Manager) Reconfigure(config *Config) error {
 	if config.Bus == "" {
-		return errors.New("bus: an address is expected")
+		return errors.New("bus: expected address:port, got an empty address")
 	}
 	if config.Bus == m.bus.address {
 		return nil
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -10,18 +10,18 @@
 	"pierlink/internal/start"
 )
 
-// Given is what a session manager is told at its start.
+// Config is the configuration of a session manager.
 type Config struct {
-	Name, Listen, Bus string
-	Seed              uint64
+	Name, Listen, Bus string // Listen and Bus are addresses of the form address:port
+	Seed              uint64 // of session IDs and jitter, and of the decision module
 	Cores             float64
-	MemoryBytes       int64 // bytes
-	Sockets           int
-	Settings          *start.Told
-	KnownEvents       []feed.Event
+	MemoryBytes       int64
+	Sockets           int          // limit of open descriptors
+	Settings          *start.Told  // the fleet's settings
+	KnownEvents       []feed.Event // events of the server list up to the offset from which the bus is read
 }
 
-// Read reads the platform's configuration. An error names the key.
+// ParseConfig parses and checks the platform's configuration. An error names the key that it concerns.
 func ParseConfig(text []byte) (*Config, error) {
 	var raw struct {
 		Name, Listen, Seed, Bus string
@@ -39,15 +39,15 @@
 		Sockets: raw.Limits.Sockets}
 	var err error
 	if config.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: 16 hex digits are expected, not %.20q", raw.Seed)
+		return nil, fmt.Errorf("seed: expected 16 hex digits, got %.20q", raw.Seed)
 	}
 	for key, addr := range map[string]string{"listen": config.Listen, "bus": config.Bus} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return nil, fmt.Errorf("%s: address:port is expected, not %.40q", key, addr)
+			return nil, fmt.Errorf("%s: expected address:port, got %.40q", key, addr)
 		}
 	}
 	if config.Cores <= 0 || config.MemoryBytes <= 0 || config.Sockets < minSockets {
-		return nil, fmt.Errorf("limits: cores and memory_mb over 0 and sockets of %d or more are expected, not %v, %v and %d",
+		return nil, fmt.Errorf("limits: expected cores and memory_mb above 0 and at least %d sockets, got %v, %v and %d",
 			minSockets, config.Cores, raw.Limits.MemoryMB, config.Sockets)
 	}
 	if config.Settings, err = start.Read(raw.Settings); err != nil {
@@ -55,11 +55,11 @@
 	}
 	for i, patience := range config.Settings.Patience {
 		if patience <= 0 {
-			return nil, fmt.Errorf("settings: classes[%d].giveUp: a time over 0 is expected", i)
+			return nil, fmt.Errorf("settings: classes[%d].giveUp: expected a time above 0", i)
 		}
 	}
 	if config.Settings.Connect <= 0 || config.Settings.Idle <= 0 {
-		return nil, fmt.Errorf("settings: limits.connectTimeout and limits.connIdle: times over 0 are expected")
+		return nil, fmt.Errorf("settings: limits.connectTimeout and limits.connIdle: expected times above 0")
 	}
 	if config.KnownEvents, err = feed.ParseEvents(raw.Known, config.Settings.Zones, config.Settings.Kinds); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -14,49 +14,49 @@
 	"pierlink/session"
 )
 
-// box is a video server, known by its id.
+// server is a video server.
 type server struct {
 	id                    uint32
 	name                  string
-	index                 int // the module's number
+	index                 int // the module's number of the server
 	address               string
 	state                 session.ServerState
-	started               core.Time
+	started               core.Time // start time reported by the server list
 	conns                 []*serverConn
 	playing               map[*playback]struct{}
-	tries                 int
-	probes                map[string]*core.Timer
-	lastHeardAt           core.Time // it let a connection come up, or sent something
-	lastPlaybackMessageAt core.Time // it sent something of what stands there
+	tries                 int                    // set-up tries in progress
+	probes                map[string]*core.Timer // timeouts of outstanding probes, by ID
+	lastHeardAt           core.Time              // last accepted connection or received bytes
+	lastPlaybackMessageAt core.Time              // last message about a playback of this manager
 	lastDialAt            core.Time
-	resetAt               core.Time // its last connection was reset, 0 once another is up
-	firstRefusedAt        core.Time // the first of its refusals since then
-	goneAt                core.Time
-	outbox                []queuedMessage // withdrawals and the like that no connection has taken yet
+	resetAt               core.Time       // last reset of a connection, 0 once another is up
+	firstRefusedAt        core.Time       // first refused connect since the last connection, 0 if none
+	goneAt                core.Time       // when the list reported it gone, 0 if it did not
+	outbox                []queuedMessage // messages waiting for a connection, such as withdrawals
 }
 
-// owing is a message for a server that belongs to no connection.
+// queuedMessage is a message to a server that may be sent on any connection.
 type queuedMessage struct {
 	line    []byte
-	expires core.Time // it matters until then
+	expires core.Time // not sent after this time
 }
 
-// link is one connection to a server. Set-ups of many playbacks share it.
+// serverConn is a connection to a server. Set-ups of many playbacks share it.
 type serverConn struct {
 	server     *server
 	transport  *core.Conn
 	reader     boxes.Reader
 	up         bool
 	closing    bool
-	draining   bool        // we send nothing more, and read on until the server ends it
-	stale      bool        // something on it went unanswered: it takes nothing new
-	setups     []*playback // whose set-up is on it, or waits for it
+	draining   bool        // half-closed: nothing is sent, but messages are read until the server closes
+	stale      bool        // a set-up on it timed out: it is used for no further ones
+	setups     []*playback // whose offer was sent on it, or waits for it to come up
 	timer      *core.Timer
 	upAt       core.Time
-	lastUsedAt core.Time // something passed on it
+	lastUsedAt core.Time // last sent or received bytes
 }
 
-// listed takes an event of the list.
+// applyEvent applies an event of the server list.
 func (m *Manager) applyEvent(event feed.Event) {
 	list := session.List{Whole: event.Snapshot}
 	named := map[uint32]bool{}
@@ -81,11 +81,11 @@
 		srv.state, srv.address = entry.State, entry.Address
 		if srv.started != entry.Started {
 			srv.started = entry.Started
-			m.endPlaybacks(srv, "it has started anew", func(pb *playback) bool { return pb.phaseSince < srv.started })
+			m.endPlaybacks(srv, "the server has restarted", func(pb *playback) bool { return pb.phaseSince < srv.started })
 		}
-		for _, conn := range slices.Clone(srv.conns) { // a machine that was away has not reset them
+		for _, conn := range slices.Clone(srv.conns) { // a machine that was unreachable has not reset its connections
 			if addressChanged || conn.up && conn.upAt < srv.started-core.Millisecond {
-				m.serverConnLost(conn, errors.New("it led to an earlier process"))
+				m.serverConnLost(conn, errors.New("connection to an earlier process of the server"))
 			}
 		}
 		list.Entries = append(list.Entries, session.Entry{Server: srv.index, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, State: entry.State,
@@ -105,12 +105,12 @@
 	}
 	m.connsPerServer = serverConnLimit(m.config, readyCount)
 	m.module.Listed(list)
-	m.trace("list %d whole %v %+v", event.Offset, event.Snapshot, event.Servers)
+	m.trace("server list event %d, snapshot %v: %+v", event.Offset, event.Snapshot, event.Servers)
 }
 
-// cut ends what stood at a server: its process is another one now, or none.
+// endPlaybacks ends the playbacks of a server that match selects, or all if match is nil.
 func (m *Manager) endPlaybacks(srv *server, reason string, match func(*playback) bool) {
-	m.trace("cut %s, %d sessions: %s", srv.name, len(srv.playing), reason)
+	m.trace("ending playbacks of server %s, %d playing: %s", srv.name, len(srv.playing), reason)
 	for pb := range srv.playing {
 		if match == nil || match(pb) {
 			m.notifyEnded(pb.viewer, pb.id, causeReset)
@@ -119,7 +119,7 @@
 	}
 }
 
-// linkTo finds the connection with the fewest set-ups open, or makes one, within the budget.
+// connFor returns the usable connection with the fewest pending set-ups, or dials a new one if the limits permit.
 func (m *Manager) connFor(srv *server) *serverConn {
 	var best *serverConn
 	for _, conn := range srv.conns {
@@ -150,12 +150,12 @@
 	srv.conns = append(srv.conns, conn)
 	srv.lastDialAt = m.now
 	m.serverConnCount++
-	conn.timer = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.serverConnUp(conn, errors.New("no connection in time")) })
+	conn.timer = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.serverConnUp(conn, errors.New("connect timeout")) })
 	m.network.Dial(conn.transport, srv.address)
 	return conn
 }
 
-// spareLink closes the connection that has carried nothing for longest, where nothing needs it.
+// evictIdleConn closes the connection that has been unused for the longest time, among those that are not needed.
 func (m *Manager) evictIdleConn() bool {
 	var victim *serverConn
 	for _, srv := range m.servers {
@@ -172,7 +172,8 @@
 	return victim != nil
 }
 
-// leaveLink closes a connection without losing what the server is just saying of what stands there: it sends that once.
+// drainConn closes a connection gracefully, by a half-close: what the server has just sent about its playbacks would
+// otherwise be lost, as it is sent only once.
 func (m *Manager) drainConn(conn *serverConn) {
 	if conn.closing || conn.draining {
 		return
@@ -206,7 +207,7 @@
 	m.timers.Stop(conn.timer)
 	srv := conn.server
 	if err != nil {
-		m.trace("no connection to %s %s: %v", srv.name, srv.address, err)
+		m.trace("connecting to server %s at %s failed: %v", srv.name, srv.address, err)
 		m.closeServerConn(conn)
 		for _, pb := range slices.Clone(conn.setups) {
 			m.reportEnd(pb, session.NoConnection, "")
@@ -214,11 +215,11 @@
 		m.failProbes(srv, session.NoConnection)
 		if errors.Is(err, core.ErrRefused) {
 			if slices.ContainsFunc(srv.conns, func(other *serverConn) bool { return other.up }) {
-				srv.lastHeardAt = m.now // it takes no newcomers, but a process that had died would have reset the others
+				srv.lastHeardAt = m.now // it is full, but running: a process that had exited would have reset its other connections
 			} else if srv.firstRefusedAt == 0 {
 				srv.firstRefusedAt = m.now
 			} else if m.hasExited(srv) {
-				m.endPlaybacks(srv, "it refuses connections", nil)
+				m.endPlaybacks(srv, "the server refuses connections", nil)
 			}
 		}
 		return
@@ -239,7 +240,7 @@
 	}
 }
 
-// offer writes a set-up.
+// sendOffer sends a set-up to a server.
 func (m *Manager) sendOffer(pb *playback) {
 	remaining := pb.timer.Deadline() - m.now
 	pb.offerSent = true
@@ -247,7 +248,7 @@
 		"left": strconv.FormatInt(max(remaining/core.Millisecond, 1), 10), "rung": strconv.Itoa(pb.rung)}})
 }
 
-// withdraw takes a set-up off its connection: nothing of it is out at the server then.
+// withdrawOffer removes a set-up from its connection, and withdraws it at the server if it was sent.
 func (m *Manager) withdrawOffer(pb *playback) {
 	conn := pb.conn
 	pb.conn = nil
@@ -265,12 +266,12 @@
 }
 
 func (m *Manager) send(conn *serverConn, msg *boxes.Message) {
-	m.trace("to %s %s", conn.server.name, msg.Append(nil))
+	m.trace("to server %s: %s", conn.server.name, msg.Append(nil))
 	conn.lastUsedAt = m.now
 	m.network.Send(conn.transport, msg.Append(nil))
 }
 
-// tell writes what belongs to no connection of its own.
+// sendToServer sends a message on any connection, or queues it until one is up.
 func (m *Manager) sendToServer(srv *server, msg *boxes.Message) {
 	for _, conn := range srv.conns {
 		if conn.up && !m.nearIdleTimeout(conn) {
@@ -279,7 +280,7 @@
 		}
 	}
 	if srv.state == session.Gone && len(srv.conns) == 0 {
-		return // its process has ended, and what stood there with it
+		return // the process has exited, and its playbacks with it
 	}
 	if len(srv.outbox) < maxQueuedMessages {
 		srv.outbox = append(srv.outbox, queuedMessage{msg.Append(nil), m.now + endNoticeDeadline})
@@ -315,7 +316,7 @@
 	}
 }
 
-// load reads a report: name:value;name:value.
+// parseLoad parses a load report of the form name:value;name:value.
 func (m *Manager) parseLoad(text string) session.Load {
 	if text == "" {
 		return session.Load{}
@@ -339,9 +340,9 @@
 	if err == nil || conn.closing {
 		return
 	}
-	// Where messages begin is not known any more. What ran may stand there: it is taken back on another connection.
+	// The message boundaries are lost. Set-ups may have been started: they are withdrawn on another connection.
 	m.stats.Spoilt++
-	m.trace("spoilt by %s: %v", conn.server.name, err)
+	m.trace("unreadable message from server %s: %v", conn.server.name, err)
 	m.serverConnLost(conn, err)
 }
 
@@ -354,7 +355,7 @@
 		return
 	}
 	srv := conn.server
-	m.trace("connection to %s gone: %v", srv.name, err)
+	m.trace("connection to server %s lost: %v", srv.name, err)
 	m.closeServerConn(conn)
 	srv.resetAt = m.now
 	for _, pb := range slices.Clone(conn.setups) {
@@ -367,7 +368,7 @@
 	m.failProbes(srv, session.Reset)
 	if len(srv.conns) == 0 && len(srv.playing) > 0 {
 		if srv.state == session.Gone {
-			m.endPlaybacks(srv, "gone from the list, and its connections with it", nil)
+			m.endPlaybacks(srv, "the server has left the list and its connections are closed", nil)
 		} else {
 			m.dial(srv)
 		}
@@ -377,7 +378,7 @@
 func (m *Manager) serverMessage(conn *serverConn, msg *boxes.Message) {
 	srv := conn.server
 	if m.Trace != nil {
-		m.trace("from %s %s", srv.name, msg.Append(nil))
+		m.trace("from server %s: %s", srv.name, msg.Append(nil))
 	}
 	load := msg.Fields["load"]
 	if msg.Op == boxes.Tested {
@@ -390,7 +391,7 @@
 	}
 	pb := m.playbacks[msg.SessionID]
 	if pb == nil || pb.server != srv || pb.phase == phasePending || pb.phase == phaseTrying && pb.conn != conn {
-		return // over by now, not this manager's, or the answer to an earlier try
+		return // already ended, of another manager, or the answer to an earlier try
 	}
 	srv.lastPlaybackMessageAt = m.now
 	switch msg.Op {
@@ -398,7 +399,7 @@
 		if pb.phase != phaseTrying || !pb.offerSent || msg.Description == "" {
 			return
 		}
-		m.offerAccepted(pb, msg) // the notes of a set-up tell its load
+		m.offerAccepted(pb, msg) // the load is reported by notes, not in the answer
 	case boxes.End:
 		m.serverEnded(pb, msg.Cause, load)
 	case boxes.Info:
@@ -443,7 +444,7 @@
 		case causeExpired:
 			outcome = session.NotSent
 		}
-		pb.endedByServer = true // nothing is left to be withdrawn
+		pb.endedByServer = true // there is nothing to withdraw
 		m.reportEnd(pb, outcome, load)
 		pb.endedByServer = false
 		return
@@ -461,6 +462,7 @@
 	m.reportEnd(pb, outcome, load)
 }
 
+// noteKinds maps the names of notes on the wire.
 var noteKinds = map[string]session.NoteKind{"got": session.Delivered, "level": session.RungNow, "port": session.LinkAsked,
 	"spine": session.UplinkAsked}
 
@@ -473,8 +475,8 @@
 	m.module.Noted(session.Note{Playback: pb.request.Playback, Server: pb.server.index, Kind: kind, Value: value})
 }
 
-// lookAfter looks for servers that have sessions and say nothing, retires connections before the servers close them for
-// idleness, and forgets servers that are gone.
+// checkServers redials servers that have playbacks and are silent, retires connections before the servers close them for
+// idleness, ends playbacks of lost servers, and forgets servers that have left the list.
 func (m *Manager) checkServers() {
 	for id, srv := range m.servers {
 		for _, conn := range slices.Clone(srv.conns) {
@@ -489,9 +491,9 @@
 		switch silentFor := m.now - srv.lastHeardAt; {
 		case len(srv.playing) == 0:
 		case m.notesExpected() && m.now-srv.lastPlaybackMessageAt > noteTimeout:
-			m.endPlaybacks(srv, "nothing is heard of what stands there", nil)
+			m.endPlaybacks(srv, "no messages about its playbacks", nil)
 		case srv.state == session.Gone && (len(srv.conns) == 0 || silentFor > serverLostTimeout), silentFor > serverLostTimeout:
-			m.endPlaybacks(srv, "not heard of for "+strconv.FormatInt(silentFor/core.Millisecond, 10)+" ms", nil)
+			m.endPlaybacks(srv, "nothing received for "+strconv.FormatInt(silentFor/core.Millisecond, 10)+" ms", nil)
 		case silentFor > silenceBeforeRedial && m.now-srv.lastDialAt > silenceBeforeRedial/4:
 			if count := len(srv.conns); count >= m.connsPerServer {
 				for _, conn := range srv.conns {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -8,8 +8,8 @@
 	"pierlink/internal/rtsp"
 )
 
-// Stop ends the session manager: what comes from here on is refused at once, what has come is decided, and what stands
-// plays on until shortly before the platform kills.
+// Stop begins the shutdown: new set-ups are rejected at once, pending ones are still decided, and playbacks continue until
+// shortly before the platform kills the process.
 func (m *Manager) Stop() {
 	if m.stoppingSince > 0 {
 		return
@@ -24,8 +24,8 @@
 	m.timers.Set(nil, m.now+wait+finalizeMargin, m.finalize)
 }
 
-// close ends all that is left, then the connections, one that still brings a request being closed before the request
-// is read, so that it is sent elsewhere, and then the program.
+// finalize ends the remaining playbacks, then closes the viewers' connections, and then lets the process exit. A request
+// that is still on its way is not read, so that its sender repeats it at another manager.
 func (m *Manager) finalize() {
 	pending := make([]*playback, 0, len(m.playbacks))
 	for _, pb := range m.playbacks {
--- a/internal/platform/viewers.go
+++ b/internal/platform/viewers.go
@@ -15,49 +15,50 @@
 	"pierlink/session"
 )
 
-// The CSeq that a message has by its method, and the causes that the platform tells.
+// CSeq numbers by method, and the cause codes of ends and teardowns.
 const (
 	setupCSeq    = 1
 	teardownCSeq = 2
 	optionsCSeq  = 3
 
-	causeNormal  = 16
-	causeMoved   = 31
-	causeFull    = 34
-	causeReset   = 41
-	causeError   = 47
-	causeExpired = 102
+	causeNormal  = 16  // ended as intended
+	causeMoved   = 31  // moved to another server
+	causeFull    = 34  // server at its capacity
+	causeReset   = 41  // playback lost, by a fault or a shutdown
+	causeError   = 47  // set-up failed
+	causeExpired = 102 // set-up not started in time
 )
 
+// uriPrefix begins the request URI of every set-up and teardown; the title's key or session ID follows.
 const uriPrefix = "rtsp://media/"
 
-// Messages hold 16 KiB at most.
+// messageBounds limits the messages of viewers; a body may have 16 KiB.
 var messageBounds = rtsp.Bounds{Line: 2048, Head: 4096, Fields: 32, Body: boxes.MaxMessageSize, NoFrames: true}
 
-// viewer is one connection from viewers, which carries many sessions.
+// viewerConn is a connection from viewers. It carries many sessions.
 type viewerConn struct {
 	manager       *Manager
 	transport     *core.Conn
 	parser        rtsp.Parser
 	acceptedAt    core.Time
-	lastReadAt    core.Time // when bytes came last
-	lastMessageAt core.Time // when the last whole message came, 0 for never
-	lastActiveAt  core.Time // when something on it was last heard or over
-	partialSince  core.Time // when what is not whole began, 0 while nothing is
-	bufferedBytes int
-	pendingSetups int // set-ups without an answer
-	playing       int // sessions set up on it: their ends are told on it
-	hasServed     bool
+	lastReadAt    core.Time // last received bytes
+	lastMessageAt core.Time // last complete message, 0 if none
+	lastActiveAt  core.Time // last message, or end of a playback set up here
+	partialSince  core.Time // start of the incomplete message, 0 if none
+	bufferedBytes int       // bytes of the incomplete message
+	pendingSetups int       // set-ups that have not been answered
+	playing       int       // playing sessions that were set up here
+	hasServed     bool      // a set-up was answered with 200 here, or a playing session taken over
 	closing       bool
 }
 
-// release is owed to a viewer until it has said that it heard it.
+// teardownNotice is a TEARDOWN that tells a viewer of the end of its playback. It is sent until the viewer answers.
 type teardownNotice struct {
 	id        string
 	cause     int
-	since     core.Time
-	sentAt    core.Time
-	conn      *viewerConn // the connection that it was sent on last
+	since     core.Time   // end of the playback
+	sentAt    core.Time   // time of the last send
+	conn      *viewerConn // connection used for the last send; nil if none
 	sendCount int
 }
 
@@ -67,9 +68,10 @@
 	m.viewers = append(m.viewers, viewer)
 }
 
-// makeRoom closes connections over the bound, those first that are missed least: ones that have said nothing whole in
-// their grace, then the longest idle, those on which nothing stands before others, then newcomers and ones in the midst
-// of a message, and last ones with a set-up open. It is done at a turn's end, when all that has come is read.
+// evictViewers closes connections above the limit in the order of their eviction rank: first connections without a
+// complete message after the grace period, then the longest idle without playing sessions, then idle ones with playing
+// sessions, then new connections and those with an incomplete message, and last those with pending set-ups. It runs at
+// the end of a turn, when all received bytes have been read.
 func (m *Manager) evictViewers() {
 	for len(m.viewers) > MaxViewers(m.config) {
 		victim := slices.MinFunc(m.viewers, func(a, b *viewerConn) int {
@@ -77,12 +79,12 @@
 			rankB, sinceB := b.evictionRank(m.now)
 			return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(sinceA, sinceB))
 		})
-		m.trace("no room: closing a connection %d us old, last heard %d, %d open", m.now-victim.acceptedAt, victim.lastMessageAt, victim.pendingSetups)
+		m.trace("connection limit reached: closing a connection accepted %d us ago, last message at %d, %d set-ups pending", m.now-victim.acceptedAt, victim.lastMessageAt, victim.pendingSetups)
 		m.closeViewer(victim)
 	}
 }
 
-// shut closes a viewer's connection.
+// closeViewer closes a viewer connection.
 func (m *Manager) closeViewer(viewer *viewerConn) {
 	if viewer.closing {
 		return
@@ -106,7 +108,7 @@
 		m.lastServed = nil
 	}
 	for _, notice := range m.teardowns {
-		if notice.conn == viewer { // what was written may not have been read
+		if notice.conn == viewer { // it may not have read the teardown
 			m.resendTeardown(notice)
 		}
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-// left ends a set-up whose viewer has given it up.
+// abandonSetup ends a set-up that its viewer has given up.
 func (m *Manager) abandonSetup(pb *playback) {
 	m.stats.Left++
 	pb.viewer.pendingSetups--
@@ -176,17 +178,17 @@
 	}
 }
 
-// Frame is not let through by the bounds.
+// Frame is never called, because messageBounds forbids interleaved frames.
 func (v *viewerConn) Frame(byte, []byte) {}
 
-// Bad is a message that cannot be read, while its end is known.
+// Bad rejects a malformed message whose end is known.
 func (v *viewerConn) Bad(malformed *rtsp.Malformed) {
 	v.manager.stats.Bad++
 	v.manager.sendToViewer(v, rtsp.Answer(malformed.Status, malformed.CSeq))
 	v.manager.closeViewer(v)
 }
 
-// Message takes a whole one.
+// Message handles a complete message.
 func (v *viewerConn) Message(msg *rtsp.Message) {
 	m := v.manager
 	v.lastMessageAt, v.lastActiveAt, v.partialSince = m.now, m.now, 0
@@ -195,7 +197,7 @@
 	if !msg.IsRequest() {
 		if i := slices.IndexFunc(m.teardowns, func(notice *teardownNotice) bool { return notice.id == id }); i >= 0 {
 			m.teardowns = slices.Delete(m.teardowns, i, i+1)
-		} else if !v.hasServed { // to nothing that was asked
+		} else if !v.hasServed { // an answer without a request
 			m.rejectMalformed(v, msg)
 		}
 		return
@@ -221,7 +223,7 @@
 	}
 }
 
-// bad answers what makes no sense, and closes unless others' set-ups are open there.
+// rejectMalformed answers an invalid message with 400 and closes the connection, unless set-ups are pending on it.
 func (m *Manager) rejectMalformed(viewer *viewerConn, msg *rtsp.Message) {
 	m.stats.Bad++
 	if msg.IsRequest() {
@@ -236,13 +238,14 @@
 	}
 }
 
-// number reads a whole number within bounds.
+// parseNumber parses a decimal integer between lowest and highest.
 func parseNumber(text string, lowest, highest int64) (int64, bool) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	return n, err == nil && n >= lowest && n <= highest && text[0] != '+'
 }
 
-// read makes a call of a set-up; false where it is not one.
+// parseSetup reads a SETUP request; ok is false if it is invalid. serverName is not empty if the playback plays already, and
+// names its server.
 func (m *Manager) parseSetup(id string, msg *rtsp.Message) (pb *playback, serverName string, ok bool) {
 	settings := m.config.Settings
 	pb = &playback{id: id, titleKey: strings.TrimPrefix(msg.URI, uriPrefix), plan: msg.Get("Call-Kind"), description: string(msg.Body), try: -1}
@@ -272,7 +275,7 @@
 	request.Base, request.Span, request.Top = int(base), int(span), int(top)
 	serverName = fields["at"]
 	answerWithin, answerWithinOK := parseNumber(msg.Get("Answer-Within"), 1, settings.Patience[request.Plan]/core.Millisecond)
-	if !answerWithinOK && serverName == "" { // what plays already waits for no answer
+	if !answerWithinOK && serverName == "" { // a playback that plays already needs no answer
 		return nil, "", false
 	}
 	answerWithin *= core.Millisecond
@@ -291,7 +294,7 @@
 		m.adoptPlaying(viewer, pb, serverName)
 		return
 	}
-	if existing := m.playbacks[id]; existing != nil { // two under one id: none of them is served on this connection
+	if existing := m.playbacks[id]; existing != nil { // duplicate session ID: neither set-up is served on this connection
 		if existing.viewer == viewer && existing.phase != phasePlaying {
 			m.abandonSetup(existing)
 		}
@@ -314,7 +317,7 @@
 	m.module.Requested(pb.request)
 }
 
-// plays takes over what plays already.
+// adoptPlaying takes over a playback that plays already.
 func (m *Manager) adoptPlaying(viewer *viewerConn, pb *playback, serverName string) {
 	if m.playbacks[pb.id] != nil {
 		return
@@ -342,7 +345,7 @@
 		return
 	}
 	m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusOK, msg.CSeq).With("Session", id))
-	if pb.phase != phasePlaying { // a session belongs to no connection, nor does what gives it up
+	if pb.phase != phasePlaying { // sessions are not bound to connections, so any connection may withdraw a set-up
 		m.abandonSetup(pb)
 		return
 	}
@@ -363,7 +366,7 @@
 	return int(number), true
 }
 
-// answer is a set-up's final one.
+// answerSetup sends the final answer to a set-up and removes the playback.
 func (m *Manager) answerSetup(pb *playback, reply *rtsp.Message) {
 	if pb.viewer != nil {
 		m.sendToViewer(pb.viewer, reply.With("Session", pb.id))
@@ -371,7 +374,7 @@
 	m.removePlayback(pb)
 }
 
-// say writes a message to a viewer. One that does not read is not written to for long.
+// sendToViewer writes a message to a viewer. A connection with too many unsent bytes is closed.
 func (m *Manager) sendToViewer(viewer *viewerConn, msg *rtsp.Message) {
 	if viewer.closing {
 		return
@@ -386,8 +389,8 @@
 	}
 }
 
-// heir is where a viewer can be told of what stands: its connection or, as what stands belongs to none, another on
-// which something was served. Connections of which nothing of the kind is known may be anybody's.
+// notifyConn returns a connection on which a viewer can be notified: the preferred one or, because sessions are not bound
+// to connections, another on which a playback was served. Any other connection may belong to a different client.
 func (m *Manager) notifyConn(preferred, exclude *viewerConn) *viewerConn {
 	if preferred != nil && !preferred.closing && preferred != exclude {
 		return preferred
@@ -403,10 +406,10 @@
 	return nil
 }
 
-// release tells a viewer that what stood is over.
+// notifyEnded sends a viewer the end of its playback.
 func (m *Manager) notifyEnded(viewer *viewerConn, id string, cause int) {
 	notice := &teardownNotice{id: id, cause: cause, since: m.now, conn: viewer}
-	if len(m.teardowns) > maxTeardowns(len(m.byNumber)) { // more than ever stood at once: the oldest is not answered any more
+	if len(m.teardowns) > maxTeardowns(len(m.byNumber)) { // more than the peak number of playbacks explains: drop the oldest
 		m.teardowns = slices.Delete(m.teardowns, 0, 1)
 	}
 	m.teardowns = append(m.teardowns, notice)
@@ -416,7 +419,7 @@
 	m.writeTeardown(notice, m.notifyConn(notice.conn, nil))
 }
 
-// sendRelease sends one again, elsewhere if that can be.
+// resendTeardown sends a teardown again, on another connection if there is one.
 func (m *Manager) resendTeardown(notice *teardownNotice) {
 	viewer := m.notifyConn(nil, notice.conn)
 	if viewer == nil {
@@ -424,7 +427,7 @@
 	}
 	if notice.sendCount > 0 && viewer != nil {
 		m.stats.Unheard++
-		m.trace("release of %s is sent again", notice.id)
+		m.trace("sending teardown of %s again", notice.id)
 	}
 	m.writeTeardown(notice, viewer)
 }
@@ -439,7 +442,7 @@
 	m.sendToViewer(viewer, rtsp.Request(rtsp.Teardown, uriPrefix+notice.id, teardownCSeq).With("Session", notice.id).With("Reason", "cause="+strconv.Itoa(notice.cause)))
 }
 
-// remind sends releases again that nobody has answered, as long as they still count.
+// retryTeardowns repeats unanswered teardowns and drops those whose deadline or send limit is reached.
 func (m *Manager) retryTeardowns() {
 	m.teardowns = slices.DeleteFunc(m.teardowns, func(notice *teardownNotice) bool {
 		return m.now-notice.since > endNoticeDeadline || notice.sendCount >= maxTeardownSends && m.now-notice.sentAt > teardownRetryInterval
@@ -451,7 +454,7 @@
 	}
 }
 
-// sweep closes connections on which nothing whole comes and looks after servers.
+// sweep closes overdue and idle viewer connections, and runs the periodic checks of servers and the bus.
 func (m *Manager) sweep() {
 	for _, viewer := range slices.Clone(m.viewers) {
 		switch {
