--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core holds what every program of the project is built on: a core that decides and keeps
-// protocol state, free of I/O, and the network that carries out what it asks. The same core runs on
-// sockets (internal/edge) and on a virtual network under a virtual clock (internal/lab).
+// Package core defines the interface between a program's core, which decides and holds the protocol state without any
+// I/O, and the network that executes its requests. The same core runs on sockets (internal/edge) and on a virtual
+// network with a virtual clock (internal/lab).
 package core
 
 import (
@@ -8,51 +8,52 @@
 	"math"
 )
 
-// Time is a clock value or a span in whole microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
-// Spans.
+// Durations, and a time that is never reached.
 const (
 	Millisecond Time = 1_000
 	Second      Time = 1_000_000
 	Never       Time = math.MaxInt64
 )
 
-// Errors that an edge gives to Closed and Dialed. Others stand for a broken connection.
+// Errors that an edge passes to Closed and Dialed. Any other error means a broken connection.
 var (
 	ErrRefused = errors.New("connection refused")
-	ErrEnded   = errors.New("connection ended by the peer")
+	ErrEnded   = errors.New("connection closed by the peer")
 )
 
-// Conn is one connection. The core and the edge each hang their own state on it.
+// Conn is a connection. The core and the edge each attach their own state to it.
 type Conn struct {
-	Owner  any    // the core's
-	Socket any    // the edge's
-	From   string // where it is to come from, for a network that lets its core choose; set before Dial
-	Secure bool   // what passes is encrypted: the edge says so before Accepted
+	Owner  any    // the core's state
+	Socket any    // the edge's state
+	From   string // source address, on networks that let the core choose it; set before Dial
+	Secure bool   // traffic is encrypted; set by the edge before Accepted
 }
 
-// Net is what a core asks of its edge. Only the core's own goroutine calls it, within a turn.
+// Net is the network as a core uses it. It is called only from the core's goroutine, within a turn.
 type Net interface {
-	Dial(c *Conn, addr string) // Dialed follows, unless Close comes first
-	Send(c *Conn, b []byte)    // takes a copy
-	Pending(c *Conn) int       // bytes sent that the network has not taken; Drained follows once there are none
-	Close(c *Conn)             // once what was sent is out; no further events come
+	Dial(c *Conn, addr string) // followed by Dialed, unless Close comes first
+	Send(c *Conn, b []byte)    // copies b
+	Pending(c *Conn) int       // bytes not yet taken by the network; Drained follows when none are left
+	Close(c *Conn)             // closes after pending bytes have been sent; no further events follow
 }
 
-// HalfCloser is a Net that can end one way of a connection: nothing more is sent, and what the peer still sends goes on
-// coming until it ends the other way, or Close.
+// HalfCloser is a Net that can close the sending direction of a connection. The peer's data is still received until the
+// peer closes its direction, or until Close.
 type HalfCloser interface {
 	CloseWrite(c *Conn)
 }
 
-// Core is a program without its sockets. One goroutine owns it. A turn is At, the events in the order of
-// their coming, then Settle, which tells when it wants the next turn at the latest.
+// Core is a program without its sockets. It is owned by one goroutine, which runs it in turns: a turn starts with the
+// current time, delivers events in the order of their arrival, and ends with Settle, which returns the latest time at
+// which the next turn has to start.
 type Core interface {
 	At(now Time)
 	Accepted(c *Conn, from string)
 	Dialed(c *Conn, err error)
-	Received(c *Conn, b []byte) // b is the edge's; it is not kept
+	Received(c *Conn, b []byte) // b belongs to the edge and must not be kept
 	Drained(c *Conn)
 	Closed(c *Conn, err error)
 	Settle() Time
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -2,21 +2,21 @@
 
 import "container/heap"
 
-// Timer is one moment at which something is to be done.
+// Timer calls a function at a set time.
 type Timer struct {
 	deadline  Time
-	seq       uint64
-	heapIndex int // in the heap, -1 when not set
+	seq       uint64 // order of setting, which breaks ties
+	heapIndex int    // position in the heap, -1 if not set
 	callback  func()
 }
 
-// Timers are a core's, in the order of their moments; equal moments fire in the order of setting.
+// Timers is the timer queue of a core. Timers with equal deadlines fire in the order in which they were set.
 type Timers struct {
 	heap    timerHeap
-	lastSeq uint64
+	lastSeq uint64 // seq of the timer set last
 }
 
-// Deadline is the moment that it was last set to.
+// Deadline returns the time for which the timer was last set.
 func (t *Timer) Deadline() Time { return t.deadline }
 
 type timerHeap []*Timer
@@ -43,7 +43,7 @@
 	return timer
 }
 
-// Set has fire called at a moment; the timer given is moved, or made if nil.
+// Set schedules callback for the given time. It reschedules t, or creates a timer if t is nil.
 func (ts *Timers) Set(t *Timer, deadline Time, callback func()) *Timer {
 	if t == nil {
 		t = &Timer{heapIndex: -1}
@@ -58,7 +58,7 @@
 	return t
 }
 
-// Stop takes a timer out; nil and stopped ones are let be.
+// Stop cancels a timer. It does nothing if t is nil or not set.
 func (ts *Timers) Stop(t *Timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&ts.heap, t.heapIndex)
@@ -66,14 +66,14 @@
 	}
 }
 
-// Run fires what is due.
+// Run fires all timers that are due.
 func (ts *Timers) Run(now Time) {
 	for len(ts.heap) > 0 && ts.heap[0].deadline <= now {
 		heap.Pop(&ts.heap).(*Timer).callback()
 	}
 }
 
-// Next is the earliest moment set, or Never.
+// Next returns the earliest deadline, or Never.
 func (ts *Timers) Next() Time {
 	if len(ts.heap) == 0 {
 		return Never
@@ -81,5 +81,5 @@
 	return ts.heap[0].deadline
 }
 
-// Len is how many are set.
+// Len returns the number of timers that are set.
 func (ts *Timers) Len() int { return len(ts.heap) }
--- a/internal/platform/boxes/boxes.go
+++ b/internal/platform/boxes/boxes.go
@@ -1,5 +1,5 @@
-// Package boxes is the codec of the JSON lines that session managers and video servers exchange. It reads at any
-// split of the bytes and within a bound, and knows nothing of what the messages are for.
+// Package boxes encodes and decodes the JSON lines that session managers and video servers exchange. Input may be split
+// at any byte and is limited in size. The package does not interpret the messages.
 package boxes
 
 import (
@@ -12,10 +12,10 @@
 	"unicode/utf8"
 )
 
-// Longest is how many bytes a message holds at most.
+// MaxMessageSize is the maximum size of a message in bytes.
 const MaxMessageSize = 16 << 10
 
-// The types of message.
+// The types of message, as written on the wire.
 const (
 	Offer    = "offer"
 	Ringing  = "ringing"
@@ -29,15 +29,16 @@
 	Redirect = "redirect"
 )
 
-// Message is one line.
+// Message is one message, which is one line on the wire.
 type Message struct {
-	Op          string
+	Op          string            // one of the types above
 	SessionID   string            // 16 hex digits
-	Fields      map[string]string // fields, numbers as they were written
-	Cause       int               // the cause, 0 where there is none
-	Description string
+	Fields      map[string]string // type-specific fields; numbers keep their written form
+	Cause       int               // cause code, 0 if there is none
+	Description string            // session description, as sent by the viewer or the server
 }
 
+// wireMessage is the JSON form of a Message.
 type wireMessage struct {
 	Op          string            `json:"op"`
 	SessionID   string            `json:"call"`
@@ -46,7 +47,7 @@
 	Description string            `json:"desc,omitempty"`
 }
 
-// Append writes the message with its line feed behind dst. The cause goes with the types that have one.
+// Append appends the encoded message with its line feed to dst. The cause is written only for the types that have one.
 func (m *Message) Append(dst []byte) []byte {
 	wire := wireMessage{Op: m.Op, SessionID: m.SessionID, Fields: m.Fields, Description: m.Description}
 	if wire.Fields == nil {
@@ -58,14 +59,14 @@
 	var buf bytes.Buffer
 	encoder := json.NewEncoder(&buf)
 	encoder.SetEscapeHTML(false)
-	_ = encoder.Encode(wire) // strings and numbers always can be
+	_ = encoder.Encode(wire) // strings and numbers can always be encoded
 	return append(dst, buf.Bytes()...)
 }
 
-// Parse reads one line.
+// Parse decodes one line.
 func Parse(line []byte) (*Message, error) {
 	if !utf8.Valid(line) {
-		return nil, errors.New("not UTF-8")
+		return nil, errors.New("message is not valid UTF-8")
 	}
 	var raw struct {
 		Op, Call, Desc string
@@ -76,13 +77,13 @@
 		return nil, err
 	}
 	if raw.Op == "" || !ValidID(raw.Call) {
-		return nil, fmt.Errorf("type %.20q, id %.20q", raw.Op, raw.Call)
+		return nil, fmt.Errorf("message type %.20q with session ID %.20q: expected a type and 16 hex digits", raw.Op, raw.Call)
 	}
 	msg := &Message{Op: raw.Op, SessionID: raw.Call, Description: raw.Desc}
 	if raw.Why != "" {
 		cause, err := strconv.ParseInt(raw.Why.String(), 10, 32)
 		if err != nil || cause < 0 {
-			return nil, fmt.Errorf("cause %.20q", raw.Why)
+			return nil, fmt.Errorf("cause %.20q: expected a non-negative 32-bit integer", raw.Why)
 		}
 		msg.Cause = int(cause)
 	}
@@ -93,7 +94,7 @@
 				return nil, err
 			}
 		} else if first := value[0]; first != '-' && (first < '0' || first > '9') {
-			return nil, fmt.Errorf("field %.20q is no string or number", name)
+			return nil, fmt.Errorf("field %.20q: expected a string or a number", name)
 		}
 		if msg.Fields == nil {
 			msg.Fields = make(map[string]string, len(raw.With))
@@ -103,7 +104,7 @@
 	return msg, nil
 }
 
-// ID tells whether s is 16 hex digits.
+// ValidID reports whether s consists of 16 lower-case hex digits.
 func ValidID(s string) bool {
 	if len(s) != 16 {
 		return false
@@ -116,22 +117,22 @@
 	return true
 }
 
-// ErrLong is a line beyond the bound.
-var ErrTooLong = errors.New("line too long")
+// ErrTooLong reports a line that exceeds MaxMessageSize.
+var ErrTooLong = errors.New("line exceeds the maximum message size")
 
-// Reader reads one direction of a connection.
+// Reader decodes the messages received on one connection.
 type Reader struct {
 	partial []byte
 	stopped bool
 }
 
-// Held is how many bytes of a line that is not whole are kept.
+// Buffered returns how many bytes of an incomplete line are held.
 func (r *Reader) Buffered() int { return len(r.partial) }
 
-// Stop makes the reader pass over what is still to come.
+// Stop makes the reader discard all further input.
 func (r *Reader) Stop() { r.stopped, r.partial = true, nil }
 
-// Feed reads on. After an error nothing more can be made of the connection.
+// Feed decodes data and calls handle for each complete message. After an error the reader discards all further input.
 func (r *Reader) Feed(data []byte, handle func(*Message)) error {
 	for len(data) > 0 && !r.stopped {
 		newline := bytes.IndexByte(data, '\n')
--- a/internal/platform/boxes/boxes_test.go
+++ b/internal/platform/boxes/boxes_test.go
@@ -21,7 +21,7 @@
 			}
 		}
 		if !reflect.DeepEqual(got, want) || reader.Buffered() > 0 {
-			t.Fatalf("cut at %d: %+v", cut, got)
+			t.Fatalf("split at byte %d: got %+v", cut, got)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 			t.Errorf("no error for %.40q", input)
 		}
 		if err := reader.Feed([]byte(acceptLine), func(*Message) { count++ }); err != nil || count > 0 || reader.Buffered() > 0 {
-			t.Errorf("%.40q is read on", input)
+			t.Errorf("input is still decoded after the error for %.40q", input)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 			_ = reader.Feed(part, func(m *Message) {
 				decoded, err := Parse(m.Append(nil))
 				if err != nil || decoded.Description != m.Description || !reflect.DeepEqual(decoded.Fields, m.Fields) && len(m.Fields) > 0 {
-					t.Errorf("%+v became %+v, %v", m, decoded, err)
+					t.Errorf("%+v was decoded as %+v, %v", m, decoded, err)
 				}
 			})
 		}
--- a/internal/platform/bus_test.go
+++ b/internal/platform/bus_test.go
@@ -9,7 +9,7 @@
 	"pierlink/policy"
 )
 
-// asking is a network on which nothing comes up; it counts what is asked of the bus, by spans of a tenth of a second.
+// refusingNet is a network without any listener. It counts the dials to the bus in intervals of 100 ms.
 type refusingNet struct {
 	now   *core.Time
 	dials map[core.Time]int
@@ -24,7 +24,7 @@
 func (a *refusingNet) Pending(*core.Conn) int  { return 0 }
 func (a *refusingNet) Close(*core.Conn)        {}
 
-// After an outage that all managers saw at once they do not come back at once.
+// After a bus outage that all managers saw at the same time, their reconnects are spread over time.
 func TestBusReconnectsAreSpread(t *testing.T) {
 	const managers, outage = 300, 8 * core.Second
 	now := 1000 * core.Second
@@ -36,14 +36,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		config.Seed = uint64(i) * 0x9e3779b97f4a7c15 // as scattered as the ones that are drawn
+		config.Seed = uint64(i) * 0x9e3779b97f4a7c15 // spread like random seeds
 		now = begin
 		network := &refusingNet{now: &now, dials: dials}
 		manager := platform.New(network, config, now, policy.New)
 		for next := now; next < begin+outage+core.Second; {
 			now = next
 			manager.At(now)
-			for _, conn := range network.conns { // the bus is down: its machine refuses
+			for _, conn := range network.conns { // the bus is down and its machine refuses connections
 				manager.Dialed(conn, core.ErrRefused)
 			}
 			network.conns = nil
@@ -56,9 +56,9 @@
 		peak = max(peak, dials[at])
 	}
 	if total < managers*9/10 {
-		t.Errorf("%d of %d ask in the second after %d s", total, managers, outage/core.Second)
+		t.Errorf("%d of %d managers dialled in the second after %d s", total, managers, outage/core.Second)
 	}
 	if peak > total/4 {
-		t.Errorf("%d of %d ask within a tenth of a second", peak, total)
+		t.Errorf("%d of %d dials fell within 100 ms", peak, total)
 	}
 }
--- a/internal/platform/feed/feed.go
+++ b/internal/platform/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed is the codec of the platform's event bus, and the place in it: what is read once is not given again,
-// and nothing is passed over.
+// Package feed decodes the events of the platform's event bus and tracks the offset of the last one: no event is
+// delivered twice, and a gap between events is an error.
 package feed
 
 import (
@@ -17,42 +17,43 @@
 )
 
 const (
-	maxFrameLength = 1 << 20 // of a frame: a list of 38,000 servers
-	recordLength   = 27
-	headerLength   = 9 // number and kind, counted in a frame's length
+	maxFrameLength = 1 << 20 // in bytes; enough for a list of 38,000 servers
+	recordLength   = 27      // bytes per server
+	headerLength   = 9       // bytes of offset and kind, which count towards the frame's length
 )
 
-// Server is what an event tells of one.
+// Server is the entry of a server in an event.
 type Server struct {
 	ID               uint32
-	Address          string
-	Zone, Kind, Cell int
+	Address          string // address:port
+	Zone, Kind, Cell int    // indexes in the settings' lists, and the number of the cell
 	State            session.ServerState
-	Weight           float64
-	Started          session.Time // Unix microseconds, 0 for long ago
+	Weight           float64      // capacity relative to other servers
+	Started          session.Time // Unix time in microseconds, 0 for long ago
 }
 
-// Name is the id as text has it.
+// ServerName returns the textual form of a server ID.
 func ServerName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// ID reads such a name.
+// ParseServerID parses the textual form of a server ID.
 func ParseServerID(name string) (uint32, error) {
 	hex, ok := strings.CutPrefix(name, "s-")
 	id, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
-		return 0, fmt.Errorf("server id %.20q", name)
+		return 0, fmt.Errorf("server ID %.20q: expected s- and 8 hex digits", name)
 	}
 	return uint32(id), nil
 }
 
-// Event is one change of the list.
+// Event is a change of the server list.
 type Event struct {
-	Offset   uint64
-	Snapshot bool
+	Offset   uint64 // position on the bus
+	Snapshot bool   // the event holds the complete list; servers it does not name are gone
 	Servers  []Server
 }
 
-// Known reads the events that a configuration holds. The names of zones and kinds are places in the lists given.
+// ParseEvents decodes the events in a configuration. Zones and kinds are given by name; they are stored as indexes in
+// the lists zones and kinds.
 func ParseEvents(text []byte, zones, kinds []string) ([]Event, error) {
 	var decoded struct {
 		Offset uint64
@@ -93,7 +94,7 @@
 			case "Gone":
 				server.State = session.Gone
 			default:
-				return nil, fmt.Errorf("server %s: state %.20q", target.UID, target.State)
+				return nil, fmt.Errorf("server %s: unknown state %.20q", target.UID, target.State)
 			}
 			if server.State != session.Gone && (server.Zone < 0 || server.Kind < 0) {
 				return nil, fmt.Errorf("server %s: zone %.20q or kind %.20q is not in the settings", target.UID, target.AZ, target.Model)
@@ -104,34 +105,36 @@
 		events = append(events, event)
 	}
 	if count := len(events); count > 0 && events[count-1].Offset != decoded.Offset {
-		return nil, fmt.Errorf("the last event is %d, not %d", events[count-1].Offset, decoded.Offset)
+		return nil, fmt.Errorf("last event has offset %d, expected %d", events[count-1].Offset, decoded.Offset)
 	}
 	return events, nil
 }
 
-// Reader reads what one connection to the bus brings. Last is the number of the last event had.
+// Reader decodes the events received on one connection to the bus. LastOffset is the offset of the last event that was
+// delivered.
 type Reader struct {
 	LastOffset           uint64
-	ZoneCount, KindCount int // how many there are
+	ZoneCount, KindCount int // number of zones and kinds in the settings
 	buffered             []byte
 }
 
-// Hello is what is written first on a connection.
+// ResumeRequest returns the first message of a connection, which requests the events after LastOffset.
 func (r *Reader) ResumeRequest() []byte {
 	r.buffered = nil
 	return binary.BigEndian.AppendUint64(nil, r.LastOffset)
 }
 
-// ErrGap is an event that does not follow the last one.
-var ErrGap = errors.New("events are missing")
+// ErrGap reports that events are missing before the received one.
+var ErrGap = errors.New("gap in the events of the bus")
 
-// Feed reads on. After an error the connection is of no more use; what was told till then counts.
+// Feed decodes data and calls handle for each new event. After an error the connection cannot be read any further; the
+// events delivered until then are valid.
 func (r *Reader) Feed(data []byte, handle func(Event)) error {
 	r.buffered = append(r.buffered, data...)
 	for len(r.buffered) >= 4 {
 		length := int(binary.BigEndian.Uint32(r.buffered))
 		if length < headerLength || length > maxFrameLength || (length-headerLength)%recordLength != 0 {
-			return fmt.Errorf("frame of %d bytes", length)
+			return fmt.Errorf("frame length of %d bytes is invalid", length)
 		}
 		if len(r.buffered) < 4+length {
 			break
@@ -150,7 +153,7 @@
 func (r *Reader) parseFrame(frame []byte, handle func(Event)) error {
 	event := Event{Offset: binary.BigEndian.Uint64(frame), Snapshot: frame[8] == 1}
 	if frame[8] > 2 || frame[8] == 0 && len(frame) > headerLength {
-		return fmt.Errorf("frame of kind %d", frame[8])
+		return fmt.Errorf("frame of kind %d is unknown or has unexpected entries", frame[8])
 	}
 	if frame[8] == 0 || event.Offset <= r.LastOffset {
 		if frame[8] == 0 && event.Offset > r.LastOffset {
@@ -167,7 +170,7 @@
 			Cell:    int(binary.BigEndian.Uint16(frame[13:])), Weight: float64(binary.BigEndian.Uint32(frame[15:])) / 1000}
 		startedMS := binary.BigEndian.Uint64(frame[19:])
 		if frame[10] > 2 || server.Zone >= r.ZoneCount || server.Kind >= r.KindCount || startedMS > math.MaxInt64/1000 {
-			return fmt.Errorf("server %s: state %d, zone %d, kind %d, start %d", ServerName(server.ID), frame[10], server.Zone, server.Kind, startedMS)
+			return fmt.Errorf("server %s: invalid state %d, zone %d, kind %d or start time %d ms", ServerName(server.ID), frame[10], server.Zone, server.Kind, startedMS)
 		}
 		server.State, server.Started = [...]session.ServerState{session.Ready, session.Draining, session.Gone}[frame[10]], session.Time(startedMS)*1000
 		event.Servers = append(event.Servers, server)
--- a/internal/platform/feed/feed_test.go
+++ b/internal/platform/feed/feed_test.go
@@ -31,12 +31,13 @@
 		}
 		want := Server{ID: 0xc41f7a, Address: "10.1.0.9:5060", Zone: 1, Cell: 2, State: session.Draining, Weight: 4, Started: 7_000_000}
 		if len(got) != 2 || !got[0].Snapshot || got[0].Servers[0] != want || len(got[1].Servers) != 2 || reader.LastOffset != 2 {
-			t.Fatalf("cut at %d: %+v", cut, got)
+			t.Fatalf("split at byte %d: got %+v", cut, got)
 		}
 	}
 }
 
-// A connection that breaks within an event is taken up at the last whole one; what comes twice counts once.
+// After a connection breaks within an event, the next one resumes after the last complete event. An event that is
+// received twice is delivered once.
 func TestResumeAfterBrokenEvent(t *testing.T) {
 	reader := &Reader{ZoneCount: 2, KindCount: 1}
 	count := 0
@@ -56,11 +57,11 @@
 func TestFeedRejectsInvalidFrames(t *testing.T) {
 	unknownZone := encodeFrame(1, 1, 4)
 	unknownZone[14+4+5] = 9
-	for name, data := range map[string][]byte{"a gap": encodeFrame(2, 2, 5), "a gap told by an empty frame": encodeFrame(1, 0), "kind": encodeFrame(1, 3),
+	for name, data := range map[string][]byte{"a gap": encodeFrame(2, 2, 5), "a gap shown by an empty frame": encodeFrame(1, 0), "kind": encodeFrame(1, 3),
 		"length": {0, 0, 0, 10}, "huge": {255, 255, 255, 255}, "an unknown zone": unknownZone} {
 		reader := &Reader{ZoneCount: 2, KindCount: 1}
-		if err := reader.Feed(data, func(Event) { t.Error(name, "is told") }); err == nil {
-			t.Error("no error for", name)
+		if err := reader.Feed(data, func(Event) { t.Error(name, "was delivered") }); err == nil {
+			t.Error("no error for input with", name)
 		}
 	}
 }
@@ -73,10 +74,10 @@
 	want := []Event{{Offset: 41, Snapshot: true, Servers: []Server{{ID: 0xc41f7a, Address: "10.1.0.9:5060", Zone: 1, Cell: 2,
 		State: session.Ready, Weight: 4, Started: 3000}}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v", got, err)
 	}
 	if _, err := ParseEvents([]byte(knownEvents), []string{"west"}, []string{"std"}); err == nil {
-		t.Error("an unknown zone is taken")
+		t.Error("an event with an unknown zone was accepted")
 	}
 }
 
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -29,7 +29,7 @@
 	return ln
 }
 
-// videoServer answers offers well and tests with a load; what it was sent comes on got, and it writes what is put in say.
+// videoServer accepts all offers, passes the messages that it receives to received, and sends those from toSend.
 func videoServer(ln net.Listener, received chan<- *boxes.Message, toSend <-chan *boxes.Message) {
 	conn, err := ln.Accept()
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// next reads one message that a viewer gets.
+// readMessage reads one message sent to a viewer.
 func readMessage(t *testing.T, conn net.Conn, in *bufio.Reader) *rtsp.Message {
 	t.Helper()
 	var got *rtsp.Message
@@ -84,8 +84,8 @@
 func (s messageFunc) Frame(byte, []byte)      {}
 func (s messageFunc) Bad(*rtsp.Malformed)     {}
 
-// A set-up goes from a viewer to a server and back over sockets, what stands ends at the server, the bus drains the
-// server, and a stop ends the process.
+// Over real sockets, a set-up passes from a viewer to a server and its answer back, the server's end reaches the viewer,
+// a bus event drains the server, and a stop ends the process.
 func TestEndToEndOverSockets(t *testing.T) {
 	server, events := listen(t), listen(t)
 	received, toSend, offsets := make(chan *boxes.Message, 16), make(chan *boxes.Message, 1), make(chan uint64, 4)
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range config.Settings.Patience { // of a stop
+	for i := range config.Settings.Patience { // shortens the stop
 		config.Settings.Patience[i] = core.Second / 2
 	}
 	var manager *platform.Manager
@@ -182,11 +182,11 @@
 	select {
 	case <-exit:
 	case <-time.After(timeout):
-		t.Error("it does not end")
+		t.Error("manager did not exit")
 	}
 }
 
-// A configuration that makes no sense is told by its key.
+// The error for an invalid configuration names the key.
 func TestInvalidConfigurations(t *testing.T) {
 	good := strings.NewReplacer("MEMORY", "64", "SOCKETS", "256", "PROBES", "false", "EFFECT", "read_like", "IDLE", "15", "TENANTS", "[]").Replace(configuration)
 	for key, change := range map[string][2]string{"seed": {"8c1f30d27a5be964", "x"}, "bus": {"10.2.0.1:8500", "nowhere"}, "listen": {"127.0.0.1:1", ""},
@@ -194,7 +194,7 @@
 		"not in the settings": {`"az":"a"`, `"az":"z"`}, "classes[0].giveUp": {`"giveUp":4`, `"giveUp":0`}, "limits.connectTimeout": {`"connectTimeout":0.25`, `"connectTimeout":0`},
 		"Offset": {`"offset":1,"batch"`, `"offset":"x","batch"`}, "unexpected end": {good, good[:40]}} {
 		if _, err := platform.ParseConfig([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("%s: got error %v", key, err)
 		}
 	}
 }
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -17,8 +17,8 @@
 	"pierlink/policy"
 )
 
-// configuration as the platform writes it, for one plan and the servers s-00000001 and s-00000002, which hold all; words in
-// capitals are filled in.
+// configuration is the platform's configuration file for one plan and the servers s-00000001 and s-00000002, each of which
+// has all titles. Words in capitals are placeholders.
 var configuration = func() string {
 	text, err := os.ReadFile("testdata/configuration.json")
 	if err != nil {
@@ -27,10 +27,10 @@
 	return string(text)
 }()
 
-// stage plays one scenario file: `T who event ...` lets time pass to T seconds and tells the manager an event; `> action`
-// wants an action of that start since then, `! action` wants none, `= N action` exactly N; `|` parts what stands on one
-// line, `set KEY VALUE` comes first. v, w, ... are viewers' connections, d1, d2, ... those to servers in the order of
-// their dials, b1, ... those to the bus. A session is named by one hex digit.
+// scenario runs one scenario file. `T conn event ...` advances the clock to T seconds and delivers an event; `> action`
+// expects an action of that prefix since then, `! action` expects none, and `= N action` expects exactly N. `|` separates
+// steps on a line, and `set KEY VALUE` lines come first. v, w, ... are connections of viewers, d1, d2, ... connections to
+// servers in the order of the dials, and b1, ... those to the bus. A session is named by one hex digit.
 type scenario struct {
 	t           *testing.T
 	step        string
@@ -46,7 +46,7 @@
 	parsers     map[string]*rtsp.Parser
 	lineReaders map[string]*boxes.Reader
 	probeID     string
-	unsent      map[string]int // bytes that a connection does not take
+	unsent      map[string]int // unsent bytes by connection
 }
 
 func (s *scenario) record(format string, args ...any) {
@@ -150,7 +150,7 @@
 
 func (s *scenario) deliver(words []string) {
 	connName, args := words[0], words[1:]
-	if len(args) > 2 && args[0] == "late" { // it came so many milliseconds before its turn
+	if len(args) > 2 && args[0] == "late" { // the event arrived so many milliseconds before its turn
 		startedMS, _ := strconv.Atoi(args[1])
 		s.manager.Came(s.now - core.Time(startedMS)*core.Millisecond)
 		args = args[2:]
@@ -227,7 +227,7 @@
 		serverLine("info", id(args[1]), `"with":{"note":"`+args[2]+`","value":"`+args[3]+`"}`)
 	case args[0] == "tested":
 		serverLine("tested", s.probeID, `"with":{"load":"x0:0.2"},"why":1`)
-	case args[0] == "event": // NUMBER whole|part id=state@started^host ...
+	case args[0] == "event": // OFFSET whole|part id=state@started^host ...
 		offset, _ := strconv.ParseUint(args[1], 10, 64)
 		frame := binary.BigEndian.AppendUint32(nil, uint32(9+27*len(args[3:])))
 		kind := byte(2)
@@ -263,7 +263,7 @@
 	return config
 }
 
-// pass lets time go on to a moment, with the turns that the manager wants.
+// advance moves the clock to a time and runs the turns that the manager requests until then.
 func (s *scenario) advance(to core.Time) {
 	for s.next < to {
 		s.now = max(s.now, s.next)
@@ -311,16 +311,16 @@
 			switch want := strings.Join(words[1:], " "); words[0] {
 			case ">":
 				if s.count(want) == 0 {
-					s.t.Errorf("%s: %s: not among %q", line, s.step, s.actions)
+					s.t.Errorf("%s: %s: expected action is not among %q", line, s.step, s.actions)
 				}
 			case "!":
 				if s.count(want) > 0 {
-					s.t.Errorf("%s: %s: is among %q", line, s.step, s.actions)
+					s.t.Errorf("%s: %s: unexpected action is among %q", line, s.step, s.actions)
 				}
 			case "=":
 				want = strings.Join(words[2:], " ")
 				if n, _ := strconv.Atoi(words[1]); s.count(want) != n {
-					s.t.Errorf("%s: %d among %q", s.step, s.count(want), s.actions)
+					s.t.Errorf("%s: got %d, among %q", s.step, s.count(want), s.actions)
 				}
 			default:
 				at, err := strconv.ParseFloat(words[0], 64)
@@ -342,14 +342,14 @@
 		lineReaders: map[string]*boxes.Reader{}, unsent: map[string]int{}}
 }
 
-// What waits for a connection to a server is bounded: beyond it nothing more is kept.
+// Messages that wait for a connection to a server are limited in number; further ones are dropped.
 func TestQueuedServerMessagesAreBounded(t *testing.T) {
 	scenario := newScenario(t)
 	scenario.run("1 v open" + strings.Repeat(" | 1 v SETUP a at=s-00000001 | 1 v TEARDOWN a 16", 1025) + " | 1.1 d1 up | = 1024 d1 end a 16")
 }
 
-// A set-up that comes in two pieces, wherever it is split, is served though a second lies between them; one of which no
-// more comes is closed within 3 s, and nothing of it reaches a server.
+// A set-up that arrives in two pieces, split at any byte and one second apart, is served. If the rest does not arrive, the
+// connection is closed within 3 s and nothing is sent to a server.
 func TestSetupSplitAnywhere(t *testing.T) {
 	whole := rtsp.Request(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id("a")).With("Call-Kind", "live").
 		With("Answer-Within", "4000").With("Routing-Data", "home:0;copies:2;top:1;viewer:00000000b4d65521")
@@ -374,7 +374,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for part := range strings.SplitSeq(string(text), "\n---\n") { // each with a manager of its own
+			for part := range strings.SplitSeq(string(text), "\n---\n") { // each part runs on a new manager
 				newScenario(t).run(part)
 			}
 		})
--- a/internal/platform/tenants_test.go
+++ b/internal/platform/tenants_test.go
@@ -11,7 +11,7 @@
 	"pierlink/session"
 )
 
-// asked keeps what a module is told of set-ups.
+// tenantRecorder is a module that records the tenant of each set-up.
 type tenantRecorder struct {
 	session.Manager
 	tenants []int
@@ -27,7 +27,7 @@
 	a.tenants = append(a.tenants, request.Tenant)
 }
 
-// The module is told of each set-up, also of one handed over, whose it is.
+// The module receives the tenant of each set-up, also of a playback that plays already.
 func TestModuleGetsTenantOfEachSetup(t *testing.T) {
 	text := strings.NewReplacer("MEMORY", "64", "SOCKETS", "256", "PROBES", "false", "EFFECT", "read_like", "IDLE", "15",
 		"TENANTS", `[{"name":"north","quotaPerS":5},{"name":"south","quotaPerS":6}]`).Replace(configuration)
@@ -48,6 +48,6 @@
 		manager.Received(conn, request.Append(nil))
 	}
 	if want := []int{1, 0, 1}; !slices.Equal(module.tenants, want) {
-		t.Errorf("told %v, not %v", module.tenants, want)
+		t.Errorf("got tenants %v, want %v", module.tenants, want)
 	}
 }
