--- a/cmd/pierlink/directory.go
+++ b/cmd/pierlink/directory.go
@@ -22,33 +22,33 @@
 
 const (
 	directoryViewKind = "directory view 2"
-	entriesPerTurn    = 2000 // entries copied in one turn
+	entriesPerTurn    = 2000 // entries copied per turn when the view is saved
 )
 
-// gate is the directory's part of the process.
+// authorizer connects the front to the directory that authorizes players.
 type authorizer struct {
 	core      *tenants.Core
-	client    *client.Client
+	client    *client.Client // seals the saved view
 	sealKey   []byte
-	viewPath  string
-	loop      edge.Poster
+	viewPath  string      // the front's loop, on which the core runs
+	loop      edge.Poster // AsOf of the view saved last
 	savedAsOf core.Time
 }
 
-// post brings something to the core, in a turn of the front.
-func (g *authorizer) post(action func(*tenants.Core)) {
-	g.loop.Post(func() { action(g.core) })
+// post runs an action on the core, in a turn of the front.
+func (a *authorizer) post(action func(*tenants.Core)) {
+	a.loop.Post(func() { action(a.core) })
 }
 
-// keptView is the view as it lies on disk, sealed.
+// savedView is the view of the directory as it is saved to disk, sealed.
 type savedView struct {
 	Records []tenants.Record
 	Mark    tenants.Mark
-	End     string // the endpoint that the mark is of
+	End     string // endpoint to which the mark belongs
 	AsOf    core.Time
 }
 
-// gate sets up who may play what.
+// openDirectory sets up the authorization of players by the directory.
 func (p *process) openDirectory(service *front.Service) error {
 	settings := p.site.Directory
 	place := client.Place{Endpoints: settings.Endpoints, Base: settings.Base, Bind: settings.Bind, PageSize: uint32(settings.Page), Terms: tenants.Terms{
@@ -82,11 +82,11 @@
 		switch err := kept.LoadSealed(auth.viewPath, directoryViewKind, auth.sealKey, &view); {
 		case errors.Is(err, kept.ErrNone):
 		case err != nil:
-			p.log.Warn("the kept view of the directory is not used", zap.Error(err))
+			p.log.Warn("loading the saved view of the directory failed; starting without it", zap.Error(err))
 		default:
 			view.Mark.End = slices.Index(settings.Endpoints, view.End)
 			auth.core.Resume(view.Records, view.Mark, view.AsOf)
-			p.log.Info("serving the view of the directory kept on disk until it answers", zap.Int("entries", len(view.Records)),
+			p.log.Info("serving the saved view of the directory until the directory answers", zap.Int("entries", len(view.Records)),
 				zap.Duration("age", time.Duration(edge.Now()-view.AsOf)*time.Microsecond))
 		}
 	}
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// keepGate keeps the view when it was made sure of since the last time.
+// saveDirectoryView saves the view if it was confirmed since the last time.
 func (p *process) saveDirectoryView() {
 	auth := p.authorizer
 	if auth == nil || auth.viewPath == "" {
@@ -117,7 +117,7 @@
 		return
 	}
 	next := 1 << 62
-	for next >= 0 { // no turn is long for it
+	for next >= 0 { // in batches, so that no turn takes long
 		p.loop.Do(func() {
 			var batch []tenants.Record
 			batch, next = auth.core.Part(next, entriesPerTurn)
@@ -126,7 +126,7 @@
 	}
 	auth.savedAsOf = view.AsOf
 	if err := kept.SaveSealed(auth.viewPath, directoryViewKind, auth.sealKey, view); err != nil {
-		p.log.Error("the view of the directory cannot be kept", zap.Error(err))
+		p.log.Error("saving the view of the directory failed", zap.Error(err))
 	}
 }
 
--- a/cmd/pierlink/main.go
+++ b/cmd/pierlink/main.go
@@ -26,10 +26,10 @@
 			}
 			return p.serve()
 		}}
-	serve.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform, by GW_CONFIG")
-	serve.Flags().BoolVar(&traced, "trace", false, "with --platform: write what passes to standard error")
+	serve.Flags().BoolVar(&onPlatform, "platform", false, "run under the hosting platform, configured by GW_CONFIG")
+	serve.Flags().BoolVar(&traced, "trace", false, "with --platform: write protocol traces to standard error")
 	serve.Flags().StringVarP(&p.settingsFile, "config", "c", "deploy/pierlink.toml", "settings file")
-	serve.Flags().BoolVar(&p.takeover, "takeover", false, "take the place of the session manager that runs with these settings; it drains")
+	serve.Flags().BoolVar(&p.takeover, "takeover", false, "take over from the session manager that runs with these settings; it drains")
 	check := &cobra.Command{Use: "check FILE", Short: "Check a settings file and its server list", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			site, list, err := readSettings(args[0])
@@ -62,7 +62,7 @@
 	}
 }
 
-// read reads the settings and the server list that they name.
+// readSettings reads the settings and the server list that they name.
 func readSettings(file string) (*settings.Site, front.List, error) {
 	site, err := settings.Read(file)
 	if err != nil {
--- a/cmd/pierlink/platform.go
+++ b/cmd/pierlink/platform.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	readBufferSize     = 4 << 10 // of a message of 16 KiB at most
-	inboxMemoryDivisor = 8       // one part in so many of the memory is for what has come and is not looked at
-	heapMemoryShare    = 0.6     // of the memory is Go's to fill before it collects harder
+	readBufferSize     = 4 << 10 // bytes; a message has at most 16 KiB
+	inboxMemoryDivisor = 8       // 1/8 of the memory is for received data that has not been processed
+	heapMemoryShare    = 0.6     // soft limit of the heap; above it the garbage collector works harder
 )
 
-// given reads what the platform tells at the start.
+// platformConfig reads the platform's configuration file and environment variables.
 func platformConfig() (*platform.Config, error) {
 	path := os.Getenv("GW_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("GW_CONFIG: the path of the configuration is expected")
+		return nil, fmt.Errorf("GW_CONFIG: expected the path of the configuration file, got none")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return config, nil
 }
 
-// servePlatform runs one session manager on the operators' platform.
+// servePlatform runs one session manager under the hosting platform.
 func servePlatform(traced bool) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(2, int(config.Cores+0.99))) // one more than computes: the poller's wait holds one
+	runtime.GOMAXPROCS(max(2, int(config.Cores+0.99))) // one more than compute, as waiting in the poller occupies one
 	debug.SetMemoryLimit(int64(float64(config.MemoryBytes) * heapMemoryShare))
 	logs := zap.NewProductionConfig()
 	logs.DisableStacktrace = true
@@ -84,13 +84,13 @@
 	if err := loop.Listen(config.Listen, nil); err != nil {
 		return fmt.Errorf("GW_LISTEN: %w", err)
 	}
-	log.Info("it serves", zap.String("address", config.Listen), zap.Int("sockets", config.Sockets), zap.Int64("memory", config.MemoryBytes))
+	log.Info("session manager is serving", zap.String("address", config.Listen), zap.Int("sockets", config.Sockets), zap.Int64("memory", config.MemoryBytes))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-exit:
-			log.Info("it ends")
+			log.Info("stopped")
 			loop.Stop(false)
 			return nil
 		case <-tick.C:
@@ -101,17 +101,17 @@
 			log.Info("stands", zap.Any("figures", stats), zap.Uint64("heap", mem.HeapAlloc), zap.Uint64("from_system", mem.Sys))
 		case received := <-signals:
 			if received != syscall.SIGHUP {
-				log.Info("it is to end")
+				log.Info("received a signal to stop")
 				loop.Post(manager.Stop)
 				continue
 			}
 			next, err := platformConfig()
 			if err != nil {
-				log.Error("the new configuration is not taken", zap.Error(err))
+				log.Error("new configuration rejected; keeping the current one", zap.Error(err))
 				continue
 			}
 			loop.Do(func() { err = manager.Reconfigure(next) })
-			log.Info("configuration taken", zap.String("bus", next.Bus), zap.Error(err))
+			log.Info("applied the new configuration", zap.String("bus", next.Bus), zap.Error(err))
 		}
 	}
 }
--- a/cmd/pierlink/platform_test.go
+++ b/cmd/pierlink/platform_test.go
@@ -24,7 +24,7 @@
 	testTimeout     = 20 * time.Second
 )
 
-// TestMain is the program itself where a test starts it as one.
+// TestMain runs the program itself when a test has started this binary as the daemon.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgramEnv) != "" {
 		os.Args = []string{"pierlink", "serve", "--platform"}
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// log is what a process has written, line by line.
+// logBuffer collects the output of a process.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -52,14 +52,14 @@
 	return strings.Contains(l.text.String(), text)
 }
 
-// manager is a session manager in a process of its own.
+// managerProcess is a session manager in a process of its own.
 type managerProcess struct {
 	t           *testing.T
 	cmd         *exec.Cmd
 	log         *logBuffer
 	config      string
 	listen      string
-	descriptors int // descriptors
+	descriptors int // limit of open descriptors
 }
 
 func listenLocal(t *testing.T) net.Listener {
@@ -72,7 +72,8 @@
 	return ln
 }
 
-// bus tells on hellos the place in it that a manager asks from; it says nothing and keeps the connection.
+// startBus runs a bus that sends no events and keeps its connections open. The offsets from which a manager requests events
+// are sent to offsets.
 func startBus(t *testing.T) (addr string, offsets chan uint64) {
 	t.Helper()
 	ln := listenLocal(t)
@@ -110,7 +111,7 @@
 	return startManagerWith(t, bus, 256)
 }
 
-// startWithin starts one that gets so many descriptors from the system, and is told so.
+// startManagerWith starts a manager with a limit of descriptors, set in the system and in the configuration.
 func startManagerWith(t *testing.T, bus string, descriptors int) *managerProcess {
 	t.Helper()
 	ln := listenLocal(t)
@@ -138,12 +139,12 @@
 	m.t.Helper()
 	for end := time.Now().Add(testTimeout); !m.log.contains(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("no %q in the log", text)
+			m.t.Fatalf("%q did not appear in the log", text)
 		}
 	}
 }
 
-// ready tells what a test of the manager's answers, once something listens.
+// optionsStatus waits until the manager listens and returns the status of its answer to OPTIONS.
 func (m *managerProcess) optionsStatus() string {
 	m.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -175,7 +176,7 @@
 			m.t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		m.t.Fatal("it does not end")
+		m.t.Fatal("manager did not exit")
 	}
 }
 
@@ -184,14 +185,15 @@
 	select {
 	case offset := <-offsets:
 		if offset != 1 {
-			t.Errorf("asked from %d", offset)
+			t.Errorf("requested events after offset %d, expected 1", offset)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the bus is not asked")
+		t.Fatal("the manager did not connect to the bus")
 	}
 }
 
-// SIGHUP takes the configuration anew, twice in a row and with a broken file between; a SIGTERM right after ends it well.
+// SIGHUP reloads the configuration, also twice in a row and after an invalid file; a SIGTERM right after it ends the process
+// cleanly.
 func TestReloadAndStopBySignals(t *testing.T) {
 	first, offsets := startBus(t)
 	m := startManager(t, first)
@@ -203,15 +205,15 @@
 		t.Fatal(err)
 	}
 	m.signal(syscall.SIGHUP)
-	m.waitForLog("the new configuration is not taken")
+	m.waitForLog("new configuration rejected; keeping the current one")
 	if status := m.optionsStatus(); status != "200" {
-		t.Error("after a broken file", status)
+		t.Error("after an invalid configuration file: status", status)
 	}
 	second, offsets := startBus(t)
 	m.writeConfig(second)
 	m.signal(syscall.SIGHUP)
 	expectSubscription(t, offsets)
-	silent := listenLocal(t) // lets connections come up and never answers: the next SIGHUP comes while it is asked
+	silent := listenLocal(t) // accepts connections and never answers: the next SIGHUP comes while the manager waits for it
 	m.writeConfig(silent.Addr().String())
 	m.signal(syscall.SIGHUP)
 	m.waitForLog(silent.Addr().String())
@@ -224,16 +226,16 @@
 	m.waitForExit()
 }
 
-// A SIGTERM that comes before it is ready, or as soon as it is, ends it well too.
+// A SIGTERM during the start, or right after it, ends the process cleanly.
 func TestStopDuringStart(t *testing.T) {
 	addr, _ := startBus(t)
 	m := startManager(t, addr)
-	m.waitForLog("it serves")
+	m.waitForLog("session manager is serving")
 	m.signal(syscall.SIGTERM)
 	m.waitForExit()
 }
 
-// What makes no sense is told in one line, and it does not start.
+// An invalid configuration ends the start with an error of one line.
 func TestStartWithInvalidConfiguration(t *testing.T) {
 	m := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: "127.0.0.1:1", descriptors: 256}
 	m.writeConfig("nowhere")
@@ -246,13 +248,13 @@
 	}
 }
 
-// While clients that say nothing take all connections that they can get and sessions stand at more servers than may be
-// kept connected, the descriptors suffice, and the bus is found again when it breaks off.
+// Silent clients occupy all connections that they can get, and sessions play at more servers than may have a connection.
+// The descriptors suffice all the same, and the bus is reconnected after its connection breaks.
 func TestBusReconnectsWithinDescriptorLimit(t *testing.T) {
 	const (
-		descriptorLimit = 64 // the least
-		servers         = 20 // more than a quarter of them
-		idleClients     = 80 // and more idle clients than all
+		descriptorLimit = 64 // smallest accepted limit
+		servers         = 20 // more than the quarter of the descriptors for servers
+		idleClients     = 80 // more than all descriptors
 	)
 	busListener, serverListener := listenLocal(t), listenLocal(t)
 	m := startManagerWith(t, busListener.Addr().String(), descriptorLimit)
@@ -264,7 +266,7 @@
 		_ = busListener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 		conn, err := busListener.Accept()
 		if err != nil {
-			t.Fatal("the bus is not found:", err)
+			t.Fatal("the manager did not connect to the bus:", err)
 		}
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		var request [8]byte
@@ -313,7 +315,7 @@
 		fmt.Fprintf(viewer, "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: %016x\r\nCall-Kind: live\r\n"+
 			"Routing-Data: home:0;copies:2;top:1;viewer:00000000b4d65521;at:s-%08x\r\nContent-Length: 3\r\n\r\nsdp", i+1, 100+i)
 	}
-	waitFor("no connections to servers", func() bool { return connected.Load() >= descriptorLimit/4 })
+	waitFor("too few connections to servers", func() bool { return connected.Load() >= descriptorLimit/4 })
 	stop := make(chan struct{})
 	var idle sync.WaitGroup
 	defer idle.Wait()
@@ -336,7 +338,7 @@
 		})
 	}
 	peak := 0
-	waitFor("few idle clients were sent away", func() bool {
+	waitFor("too few idle clients were disconnected", func() bool {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", m.cmd.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
@@ -346,7 +348,7 @@
 	})
 	t.Log(peak, "descriptors at most")
 	if peak >= descriptorLimit {
-		t.Errorf("%d of %d descriptors were held", peak, descriptorLimit)
+		t.Errorf("%d descriptors were open, limit %d", peak, descriptorLimit)
 	}
 	_ = conn.Close()
 	_ = acceptBus().Close()
--- a/cmd/pierlink/registry.go
+++ b/cmd/pierlink/registry.go
@@ -14,7 +14,7 @@
 	"pierlink/internal/registry/client"
 )
 
-// manager is the value of this process's key: where viewers may be sent.
+// registrationValue returns the value of this process's registry key, which holds its addresses for players.
 func (p *process) registrationValue() []byte {
 	state := life.State(p.state.Load())
 	entry := registry.Manager{State: state.String()}
@@ -24,7 +24,7 @@
 	return entry.Value()
 }
 
-// tellRegistry has the key written anew.
+// refreshRegistration requests that the registry key is written again.
 func (p *process) refreshRegistration() {
 	select {
 	case p.registrationChanged <- struct{}{}:
@@ -32,7 +32,7 @@
 	}
 }
 
-// follow follows the registry. Its key files are read anew for each connection.
+// followRegistry watches the registry. Its TLS key files are read again for each connection.
 func (p *process) followRegistry(ctx context.Context) (*client.Client, error) {
 	settings, resolve := p.site.Registry, p.resolvePath
 	place := client.Place{Endpoints: settings.Endpoints, Kept: resolve(settings.Kept),
@@ -47,7 +47,7 @@
 		}
 		place.TLS.RootCAs = x509.NewCertPool()
 		if !place.TLS.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("registry.ca: %s holds no certificate", settings.CA)
+			return nil, fmt.Errorf("registry.ca: expected a PEM certificate in %s, found none", settings.CA)
 		}
 	}
 	if settings.Cert != "" {
@@ -56,7 +56,7 @@
 			return &cert, err
 		}
 	}
-	if settings.Lease == 0 { // fronts and front stay as the settings have them
+	if settings.Lease == 0 { // without a lease the number of fronts is taken from the settings
 		return edge.Follow(place, nil, nil, p.loop, p.front, p.log)
 	}
 	p.registration.Add(1)
--- a/cmd/pierlink/serve.go
+++ b/cmd/pierlink/serve.go
@@ -30,20 +30,20 @@
 )
 
 const (
-	fileWatchInterval = 250 * time.Millisecond // the server list's file is looked at
-	saveInterval      = time.Second            // the tenants' standing is kept
+	fileWatchInterval = 250 * time.Millisecond // interval of checks for changed files
+	saveInterval      = time.Second            // interval of saving the tenants' standing
 	standingKind      = "tenants standing 1"
 )
 
-// process is the daemon round one front: it carries out what the front's life wants.
+// process is the daemon around one front. It executes what the front's lifecycle requests.
 type process struct {
 	settingsFile string
 	takeover     bool
 
-	site                *settings.Site // the main goroutine's: a reload replaces it
+	site                *settings.Site // current settings, replaced on reload; used only by the main goroutine
 	listen              string
 	advertised          string
-	controlPath         string // the control socket's path
+	controlPath         string // path of the control socket
 	log                 *zap.Logger
 	secret              []byte
 	loop                *edge.Loop
@@ -52,22 +52,22 @@
 	control             *edge.Control
 	journal             *kept.Journal
 	state               atomic.Int64
-	registrationChanged chan struct{} // the registry's key is to be written anew
+	registrationChanged chan struct{} // signals that the registry entry has to be written again
 	registration        sync.WaitGroup
-	failure             error
+	failure             error // error that ends the process
 	exit                chan struct{}
 	authorizer          *authorizer
-	tlsKeys             *edge.Keys         // of the door under TLS, nil without one
-	handedOver          atomic.Bool        // another process has this one's place
-	deregister          context.CancelFunc // the registry
+	tlsKeys             *edge.Keys         // certificates of the TLS listener, nil without one
+	handedOver          atomic.Bool        // another process has taken over the listeners
+	deregister          context.CancelFunc // stops registering with the registry
 }
 
-// journal is what the front writes its dialogues to.
+// dialogueJournal records the dialogues of the front.
 type dialogueJournal struct{ *kept.Journal }
 
 func (j dialogueJournal) Opened(orphan life.Orphan) { j.Journal.Opened(kept.Open(orphan)) }
 
-// near is a path beside the settings file.
+// resolvePath returns path relative to the settings file's directory, if it is not absolute.
 func (p *process) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -75,7 +75,7 @@
 	return filepath.Join(filepath.Dir(p.settingsFile), path)
 }
 
-// serve is the whole wiring: settings, module, front, loop, what was kept, list, signals.
+// serve builds the parts of the daemon from the settings and runs it until it is stopped.
 func (p *process) serve() error {
 	site, list, err := readSettings(p.settingsFile)
 	if err != nil {
@@ -83,17 +83,17 @@
 	}
 	p.site, p.exit, p.registrationChanged, p.secret = site, make(chan struct{}), make(chan struct{}, 1), make([]byte, 40)
 	logs := zap.NewProductionConfig()
-	logs.DisableStacktrace = true // what operators can mend has no line in the program
+	logs.DisableStacktrace = true // operators' mistakes need no stack trace
 	if p.log, err = logs.Build(); err != nil {
 		return err
 	}
 	defer func() { _ = p.log.Sync() }()
 	p.listen, p.advertised, p.controlPath = site.Listen, site.Life.Address, p.resolvePath(site.Life.Control)
 	if p.controlPath != "" && !p.takeover && edge.Running(p.controlPath) {
-		return fmt.Errorf("a session manager runs with these settings (%s answers): stop it, or take its place with --takeover", p.controlPath)
+		return fmt.Errorf("a session manager already runs with these settings (%s answers): stop it, or replace it with --takeover", p.controlPath)
 	}
 	if p.takeover && site.Life.Control == "" {
-		return errors.New("life.control: a path is expected for --takeover")
+		return errors.New("life.control: expected a path, as --takeover is set")
 	}
 	if _, err := rand.Read(p.secret); err != nil {
 		return err
@@ -103,9 +103,9 @@
 	service := site.Service(p.secret[8:])
 	orphans := p.readOrphans()
 	if dir := p.resolvePath(site.Life.Kept); dir != "" {
-		dialogues, err := kept.NewJournal(dir, func(err error) { p.log.Error("what is open at boxes cannot be kept", zap.Error(err)) })
+		dialogues, err := kept.NewJournal(dir, func(err error) { p.log.Error("writing the journal of dialogues failed", zap.Error(err)) })
 		if err != nil {
-			p.log.Error("what is open at boxes is not kept", zap.Error(err))
+			p.log.Error("opening the journal of dialogues failed; serving without it", zap.Error(err))
 		} else {
 			p.journal = dialogues
 			service.Journal = dialogueJournal{dialogues}
@@ -119,10 +119,10 @@
 		}
 		defer func() {
 			if err := writer.Close(); err != nil {
-				p.log.Error("the trace file is not whole", zap.Error(err))
+				p.log.Error("the trace file is incomplete", zap.Error(err))
 			}
 			if lost := writer.Lost.Load(); lost > 0 {
-				p.log.Warn("stories that the trace file was too slow for", zap.Int64("stories", lost))
+				p.log.Warn("playbacks missing from the trace file, which was written too slowly", zap.Int64("stories", lost))
 			}
 		}()
 		service.Told = writer.Tell
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// metrics serves the figures. A port that the process whose place this one takes still has is waited for.
+// serveMetrics serves the metrics. After a takeover the previous process may still use the port, so listening is retried.
 func (p *process) serveMetrics(labels int) (*edge.Metrics, error) {
 	metrics, err := edge.NewMetrics(p.site.Metrics, p.loop, p.front, p.registryClient, labels)
 	if err == nil || !p.takeover {
@@ -232,7 +232,7 @@
 	return nil, nil
 }
 
-// run follows signals until the life is over.
+// waitForSignals handles signals and periodic work until the process exits.
 func (p *process) waitForSignals(signals <-chan os.Signal) {
 	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
@@ -251,13 +251,13 @@
 				p.reload()
 				continue
 			}
-			p.log.Info("told to stop", zap.String("signal", received.String()))
+			p.log.Info("received a signal to stop", zap.String("signal", received.String()))
 			p.loop.Post(func() { p.front.Life().Stop() })
 		case <-tick.C:
 			p.saveStanding()
 			p.saveDirectoryView()
 		case <-watchdog:
-			p.loop.Do(func() {}) // a loop that stands still does not say that it lives
+			p.loop.Do(func() {}) // a blocked loop must not report itself alive
 			p.notifySupervisor(daemon.SdNotifyWatchdog)
 		}
 	}
@@ -265,17 +265,17 @@
 
 func (p *process) notifySupervisor(state string) {
 	if _, err := daemon.SdNotify(false, state); err != nil {
-		p.log.Warn("the supervisor cannot be told", zap.Error(err))
+		p.log.Warn("notifying the supervisor failed", zap.Error(err))
 	}
 }
 
-// fail ends the process with an error.
+// fail makes the process exit with an error.
 func (p *process) fail(err error) {
 	p.failure = err
 	p.Exit()
 }
 
-// Listen accepts connections, on a listener of its own or on that of the process whose place it takes.
+// Listen opens the listeners, or takes over those of the running process.
 func (p *process) Listen() {
 	if p.takeover {
 		handover, err := edge.TakeOver(p.controlPath)
@@ -284,7 +284,7 @@
 			return
 		}
 		p.front.Succeed()
-		for i, listener := range handover.Listeners { // the first is that without TLS
+		for i, listener := range handover.Listeners { // the first listener is the one without TLS
 			switch {
 			case i == 0:
 				p.loop.Accept(listener, nil)
@@ -294,7 +294,7 @@
 				_ = listener.Close()
 			}
 		}
-		if p.tlsKeys != nil && len(handover.Listeners) == 1 { // a door that the other did not have
+		if p.tlsKeys != nil && len(handover.Listeners) == 1 { // the previous process had no TLS listener
 			if err := p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.Door()); err != nil {
 				p.fail(err)
 				return
@@ -305,7 +305,7 @@
 			p.fail(err)
 			return
 		}
-		p.log.Info("took over", zap.Int("from", handover.From.PID), zap.Int("playing there", handover.From.Playing))
+		p.log.Info("took over the listeners", zap.Int("from", handover.From.PID), zap.Int("playing there", handover.From.Playing))
 	} else {
 		err := p.loop.Listen(p.listen, nil)
 		if err == nil && p.tlsKeys != nil {
@@ -321,17 +321,17 @@
 	}
 	control, err := edge.NewControl(p.controlPath, p.loop, p.front, p.status)
 	if err != nil {
-		p.log.Error("no control socket", zap.Error(err))
+		p.log.Error("opening the control socket failed", zap.Error(err))
 		return
 	}
 	p.control = control
 }
 
-// Hush accepts no more.
+// Hush stops accepting connections.
 func (p *process) Hush() {
 	if lifecycle := p.front.Life(); lifecycle.Handed() {
 		p.handedOver.Store(true)
-		p.deregister()                           // the key is the other's
+		p.deregister()                           // the registry entry now belongs to the other process
 		addresses := []string{p.playerAddress()} // the process that took over has the same address
 		if secure := p.secureAddress(); secure != "" {
 			addresses = append(addresses, life.SecureMark+secure)
@@ -344,10 +344,10 @@
 	}()
 }
 
-// News tells the supervisor, the registry and the log.
+// News reports a change of the lifecycle state to the supervisor, the registry and the log.
 func (p *process) News(state life.State) {
 	p.state.Store(int64(state))
-	if !p.handedOver.Load() { // the key is the other's by now
+	if !p.handedOver.Load() { // otherwise the registry entry belongs to the other process
 		p.refreshRegistration()
 	}
 	address := p.loop.Addr()
@@ -374,7 +374,7 @@
 	}
 }
 
-// address is where players reach this process.
+// playerAddress returns the address at which players reach this process.
 func (p *process) playerAddress() string {
 	if p.advertised != "" {
 		return p.advertised
@@ -382,7 +382,7 @@
 	return p.loop.Addr()
 }
 
-// secureAddress is where they reach its door under TLS; empty without one.
+// secureAddress returns the address of the TLS listener for players, or "" without one.
 func (p *process) secureAddress() string {
 	if options := p.site.TLS; options != nil && options.Address != "" {
 		return options.Address
@@ -390,7 +390,7 @@
 	return p.loop.SecureAddr()
 }
 
-// status is what the control socket tells.
+// status returns the status reported on the control socket.
 func (p *process) status() edge.Status {
 	status := edge.Status{Name: p.front.Name, PID: os.Getpid(), Address: p.loop.Addr(), Starved: p.loop.Starved(), ListAge: -1, Directory: -1,
 		Secure: p.loop.SecureAddr(), Unshaken: p.loop.Unshaken()}
@@ -415,16 +415,16 @@
 	return status
 }
 
-// descriptors says at the start what the bounds need and the system does not allow.
+// warnDescriptorLimit logs a warning if the system allows fewer descriptors than the settings may need.
 func (p *process) warnDescriptorLimit() {
 	var limit syscall.Rlimit
 	needed := uint64(p.site.Bounds.Connections + p.site.Bounds.Playbacks)
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < needed {
-		p.log.Warn("the system allows fewer descriptors than the bounds may need", zap.Uint64("allowed", limit.Cur), zap.Uint64("needed", needed))
+		p.log.Warn("the limit of file descriptors is lower than the settings may need", zap.Uint64("allowed", limit.Cur), zap.Uint64("needed", needed))
 	}
 }
 
-// found is what dead processes left behind.
+// readOrphans reads the journals that processes left behind when they died.
 func (p *process) readOrphans() []*kept.Left {
 	dir := p.resolvePath(p.site.Life.Kept)
 	if dir == "" {
@@ -432,12 +432,13 @@
 	}
 	orphans, err := kept.Behind(dir)
 	if err != nil {
-		p.log.Error("what was kept cannot be read, it is done without", zap.Error(err))
+		p.log.Error("reading the journals of earlier processes failed; continuing without them", zap.Error(err))
 	}
 	return orphans
 }
 
-// adopt has the front end what dead processes left at boxes; their files go once that is done.
+// adoptOrphans passes the dialogues that dead processes left open to the front, which ends them. Their journals are
+// removed afterwards.
 func (p *process) adoptOrphans(files []*kept.Left) {
 	var orphans []life.Orphan
 	unreadable := 0
@@ -448,10 +449,10 @@
 		}
 	}
 	if unreadable > 0 {
-		p.log.Warn("lines of an earlier process's journal cannot be read, they are done without", zap.Int("lines", unreadable))
+		p.log.Warn("unreadable lines in the journals of earlier processes are skipped", zap.Int("lines", unreadable))
 	}
 	if len(orphans) > 0 {
-		p.log.Info("an earlier process left dialogues at boxes, they are ended", zap.Int("dialogues", len(orphans)))
+		p.log.Info("ending dialogues that an earlier process left open", zap.Int("dialogues", len(orphans)))
 	}
 	p.front.Adopt(orphans, func() {
 		for _, file := range files {
@@ -460,7 +461,7 @@
 	})
 }
 
-// kept standing of the door's tenants
+// savedStanding is the file that holds the standing of the admission queue's tenants.
 type savedStanding struct {
 	SavedAt core.Time       `json:"at"`
 	Tenants []fair.Standing `json:"all"`
@@ -473,7 +474,7 @@
 	return ""
 }
 
-// resume takes up the tenants' standing where one is kept that still means something.
+// restoreStanding loads the saved standing of the tenants, unless it is too old.
 func (p *process) restoreStanding(now core.Time) {
 	path := p.standingPath()
 	scheduler, _ := p.front.Door()
@@ -484,16 +485,16 @@
 	switch err := kept.Load(path, standingKind, &saved); {
 	case errors.Is(err, kept.ErrNone):
 	case err != nil:
-		p.log.Warn("the tenants' standing is not taken up", zap.Error(err))
+		p.log.Warn("loading the tenants' standing failed; starting without it", zap.Error(err))
 	case !p.front.Behind().Fresh(saved.SavedAt, now):
-		p.log.Info("the tenants' standing is too old to be taken up")
+		p.log.Info("the saved standing of the tenants is too old and is ignored")
 	default:
 		scheduler.Resume(saved.Tenants)
-		p.log.Info("tenants' standing taken up", zap.Int("tenants", len(saved.Tenants)), zap.Duration("age", time.Duration(now-saved.SavedAt)*time.Microsecond))
+		p.log.Info("restored the tenants' standing", zap.Int("tenants", len(saved.Tenants)), zap.Duration("age", time.Duration(now-saved.SavedAt)*time.Microsecond))
 	}
 }
 
-// keep writes the tenants' standing down.
+// saveStanding saves the standing of the tenants.
 func (p *process) saveStanding() {
 	path := p.standingPath()
 	if path == "" || p.handedOver.Load() {
@@ -506,21 +507,21 @@
 		}
 	})
 	if err := kept.Save(path, standingKind, saved); err != nil {
-		p.log.Error("the tenants' standing cannot be kept", zap.Error(err))
+		p.log.Error("saving the tenants' standing failed", zap.Error(err))
 	}
 }
 
-// reload takes new settings as a whole, or refuses them as a whole and says why.
+// reload applies new settings as a whole, or rejects them as a whole and logs the reason.
 func (p *process) reload() {
 	p.notifySupervisor(daemon.SdNotifyReloading)
 	defer p.notifySupervisor(daemon.SdNotifyReady)
 	next, err := settings.Read(p.settingsFile)
 	if err != nil {
-		p.log.Error("settings refused, the old ones are kept", zap.Error(err))
+		p.log.Error("new settings rejected; keeping the current ones", zap.Error(err))
 		return
 	}
 	if fixed := p.site.Fixed(next); len(fixed) > 0 {
-		p.log.Error("settings refused, the old ones are kept: these keys need a restart", zap.Strings("keys", fixed))
+		p.log.Error("new settings rejected, as these keys need a restart; keeping the current ones", zap.Strings("keys", fixed))
 		return
 	}
 	reloaded := next.Next(p.secret[8:])
@@ -531,21 +532,21 @@
 		}
 	})
 	p.site = next
-	p.log.Info("settings taken")
+	p.log.Info("settings reloaded")
 }
 
-// watch follows the server list's file.
+// watchServerList applies changes of the server list's file.
 func (p *process) watchServerList(stop <-chan struct{}) {
 	path := serversPath(p.settingsFile, p.site)
 	edge.Watch(path, fileWatchInterval, stop, func(text []byte) {
 		list, err := settings.ParseServers(text, p.site)
 		if err != nil {
-			p.log.Error("server list refused, the old one is kept", zap.String("file", path), zap.Error(err))
+			p.log.Error("new server list rejected; keeping the current one", zap.String("file", path), zap.Error(err))
 			return
 		}
 		p.loop.Post(func() { p.front.Listed(list) })
-		p.log.Info("server list taken", zap.Int("servers", len(list.Servers)))
+		p.log.Info("server list reloaded", zap.Int("servers", len(list.Servers)))
 	}, func(err error) {
-		p.log.Error("server list cannot be read, the old one is kept", zap.String("file", path), zap.Error(err))
+		p.log.Error("reading the server list failed; keeping the current one", zap.String("file", path), zap.Error(err))
 	})
 }
