--- a/cmd/pierlink/directory.go
+++ b/cmd/pierlink/directory.go
@@ -28,11 +28,11 @@
 // authorizer connects the front to the directory that authorizes players.
 type authorizer struct {
 	core      *tenants.Core
-	client    *client.Client // seals the saved view
-	sealKey   []byte
-	viewPath  string      // the front's loop, on which the core runs
-	loop      edge.Poster // AsOf of the view saved last
-	savedAsOf core.Time
+	client    *client.Client
+	sealKey   []byte // seals the saved view
+	viewPath  string
+	loop      edge.Poster // the front's loop, on which the core runs
+	savedAsOf core.Time   // AsOf of the view saved last
 }
 
 // post runs an action on the core, in a turn of the front.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// saveDirectoryView saves the view if it was confirmed since the last time.
+// saveDirectoryView saves the view if, since the last save, the directory has confirmed it for half of its maximum age.
 func (p *process) saveDirectoryView() {
 	auth := p.authorizer
 	if auth == nil || auth.viewPath == "" {
--- a/cmd/pierlink/platform_test.go
+++ b/cmd/pierlink/platform_test.go
@@ -115,17 +115,17 @@
 func startManagerWith(t *testing.T, bus string, descriptors int) *managerProcess {
 	t.Helper()
 	ln := listenLocal(t)
-	m := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: ln.Addr().String(), descriptors: descriptors}
+	manager := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: ln.Addr().String(), descriptors: descriptors}
 	_ = ln.Close()
-	m.writeConfig(bus)
-	m.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0])
-	m.cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+m.config, "GW_NAME=n0", "GW_LISTEN="+m.listen)
-	m.cmd.Stdout, m.cmd.Stderr = m.log, m.log
-	if err := m.cmd.Start(); err != nil {
+	manager.writeConfig(bus)
+	manager.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, descriptors), os.Args[0])
+	manager.cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+manager.config, "GW_NAME=n0", "GW_LISTEN="+manager.listen)
+	manager.cmd.Stdout, manager.cmd.Stderr = manager.log, manager.log
+	if err := manager.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = m.cmd.Process.Kill() })
-	return m
+	t.Cleanup(func() { _ = manager.cmd.Process.Kill() })
+	return manager
 }
 
 func (m *managerProcess) signal(s os.Signal) {
@@ -196,55 +196,55 @@
 // cleanly.
 func TestReloadAndStopBySignals(t *testing.T) {
 	first, offsets := startBus(t)
-	m := startManager(t, first)
-	if status := m.optionsStatus(); status != "200" {
+	manager := startManager(t, first)
+	if status := manager.optionsStatus(); status != "200" {
 		t.Fatal(status)
 	}
 	expectSubscription(t, offsets)
-	if err := os.WriteFile(m.config, []byte(`{"name":"n0","settings":`), 0o600); err != nil {
+	if err := os.WriteFile(manager.config, []byte(`{"name":"n0","settings":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	m.signal(syscall.SIGHUP)
-	m.waitForLog("new configuration rejected; keeping the current one")
-	if status := m.optionsStatus(); status != "200" {
+	manager.signal(syscall.SIGHUP)
+	manager.waitForLog("new configuration rejected; keeping the current one")
+	if status := manager.optionsStatus(); status != "200" {
 		t.Error("after an invalid configuration file: status", status)
 	}
 	second, offsets := startBus(t)
-	m.writeConfig(second)
-	m.signal(syscall.SIGHUP)
+	manager.writeConfig(second)
+	manager.signal(syscall.SIGHUP)
 	expectSubscription(t, offsets)
 	silent := listenLocal(t) // accepts connections and never answers: the next SIGHUP comes while the manager waits for it
-	m.writeConfig(silent.Addr().String())
-	m.signal(syscall.SIGHUP)
-	m.waitForLog(silent.Addr().String())
+	manager.writeConfig(silent.Addr().String())
+	manager.signal(syscall.SIGHUP)
+	manager.waitForLog(silent.Addr().String())
 	third, offsets := startBus(t)
-	m.writeConfig(third)
-	m.signal(syscall.SIGHUP)
+	manager.writeConfig(third)
+	manager.signal(syscall.SIGHUP)
 	expectSubscription(t, offsets)
-	m.signal(syscall.SIGHUP)
-	m.signal(syscall.SIGTERM)
-	m.waitForExit()
+	manager.signal(syscall.SIGHUP)
+	manager.signal(syscall.SIGTERM)
+	manager.waitForExit()
 }
 
 // A SIGTERM during the start, or right after it, ends the process cleanly.
 func TestStopDuringStart(t *testing.T) {
 	addr, _ := startBus(t)
-	m := startManager(t, addr)
-	m.waitForLog("session manager is serving")
-	m.signal(syscall.SIGTERM)
-	m.waitForExit()
+	manager := startManager(t, addr)
+	manager.waitForLog("session manager is serving")
+	manager.signal(syscall.SIGTERM)
+	manager.waitForExit()
 }
 
 // An invalid configuration ends the start with an error of one line.
 func TestStartWithInvalidConfiguration(t *testing.T) {
-	m := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: "127.0.0.1:1", descriptors: 256}
-	m.writeConfig("nowhere")
+	manager := &managerProcess{t: t, log: &logBuffer{}, config: filepath.Join(t.TempDir(), "config.json"), listen: "127.0.0.1:1", descriptors: 256}
+	manager.writeConfig("nowhere")
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+m.config, "GW_LISTEN=127.0.0.1:1")
-	cmd.Stdout, cmd.Stderr = m.log, m.log
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+manager.config, "GW_LISTEN=127.0.0.1:1")
+	cmd.Stdout, cmd.Stderr = manager.log, manager.log
 	err := cmd.Run()
-	if cmd.ProcessState.ExitCode() != 1 || !m.log.contains("bus: expected address:port") || strings.Count(m.log.text.String(), "\n") != 1 {
-		t.Errorf("%v: %s", err, m.log.text.String())
+	if cmd.ProcessState.ExitCode() != 1 || !manager.log.contains("bus: expected address:port") || strings.Count(manager.log.text.String(), "\n") != 1 {
+		t.Errorf("%v: %s", err, manager.log.text.String())
 	}
 }
 
@@ -257,8 +257,8 @@
 		idleClients     = 80 // more than all descriptors
 	)
 	busListener, serverListener := listenLocal(t), listenLocal(t)
-	m := startManagerWith(t, busListener.Addr().String(), descriptorLimit)
-	if status := m.optionsStatus(); status != "200" {
+	manager := startManagerWith(t, busListener.Addr().String(), descriptorLimit)
+	if status := manager.optionsStatus(); status != "200" {
 		t.Fatal(status)
 	}
 	acceptBus := func() net.Conn {
@@ -306,7 +306,7 @@
 			}
 		}
 	}
-	viewer, err := net.Dial("tcp", m.listen)
+	viewer, err := net.Dial("tcp", manager.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 				default:
 				}
 				attempts.Add(1)
-				if conn, err := net.Dial("tcp", m.listen); err == nil {
+				if conn, err := net.Dial("tcp", manager.listen); err == nil {
 					_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 					_, _ = conn.Read(make([]byte, 1))
 					_ = conn.Close()
@@ -339,7 +339,7 @@
 	}
 	peak := 0
 	waitFor("too few idle clients were disconnected", func() bool {
-		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", m.cmd.Process.Pid))
+		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", manager.cmd.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -50,11 +50,11 @@
 // current time, delivers events in the order of their arrival, and ends with Settle, which returns the latest time at
 // which the next turn has to start.
 type Core interface {
-	At(now Time)
-	Accepted(c *Conn, from string)
-	Dialed(c *Conn, err error)
-	Received(c *Conn, b []byte) // b belongs to the edge and must not be kept
-	Drained(c *Conn)
-	Closed(c *Conn, err error)
-	Settle() Time
+	At(now Time)                   // starts a turn
+	Accepted(c *Conn, from string) // from is the peer's address
+	Dialed(c *Conn, err error)     // err is nil if the connection is up
+	Received(c *Conn, b []byte)    // b belongs to the edge and must not be kept
+	Drained(c *Conn)               // no bytes are pending any more
+	Closed(c *Conn, err error)     // ended by the peer or the network
+	Settle() Time                  // ends a turn
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -44,25 +44,25 @@
 }
 
 // Set schedules callback for the given time. It reschedules t, or creates a timer if t is nil.
-func (ts *Timers) Set(t *Timer, deadline Time, callback func()) *Timer {
-	if t == nil {
-		t = &Timer{heapIndex: -1}
+func (ts *Timers) Set(timer *Timer, deadline Time, callback func()) *Timer {
+	if timer == nil {
+		timer = &Timer{heapIndex: -1}
 	}
 	ts.lastSeq++
-	t.deadline, t.seq, t.callback = deadline, ts.lastSeq, callback
-	if t.heapIndex >= 0 {
-		heap.Fix(&ts.heap, t.heapIndex)
+	timer.deadline, timer.seq, timer.callback = deadline, ts.lastSeq, callback
+	if timer.heapIndex >= 0 {
+		heap.Fix(&ts.heap, timer.heapIndex)
 	} else {
-		heap.Push(&ts.heap, t)
+		heap.Push(&ts.heap, timer)
 	}
-	return t
+	return timer
 }
 
 // Stop cancels a timer. It does nothing if t is nil or not set.
-func (ts *Timers) Stop(t *Timer) {
-	if t != nil && t.heapIndex >= 0 {
-		heap.Remove(&ts.heap, t.heapIndex)
-		t.callback = nil
+func (ts *Timers) Stop(timer *Timer) {
+	if timer != nil && timer.heapIndex >= 0 {
+		heap.Remove(&ts.heap, timer.heapIndex)
+		timer.callback = nil
 	}
 }
 
--- a/internal/platform/boxes/boxes_test.go
+++ b/internal/platform/boxes/boxes_test.go
@@ -27,12 +27,12 @@
 }
 
 func TestAppend(t *testing.T) {
-	m := &Message{Op: Offer, SessionID: "9b1f03aa5c7e2d41", Fields: map[string]string{"class": "a<b"}, Description: "x\r\n"}
-	if got := string(m.Append(nil)); got != `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"a<b"},"desc":"x\r\n"}`+"\n" {
+	msg := &Message{Op: Offer, SessionID: "9b1f03aa5c7e2d41", Fields: map[string]string{"class": "a<b"}, Description: "x\r\n"}
+	if got := string(msg.Append(nil)); got != `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"a<b"},"desc":"x\r\n"}`+"\n" {
 		t.Error(got)
 	}
-	m = &Message{Op: Test, SessionID: "9b1f03aa5c7e2d41"}
-	if got := string(m.Append(nil)); got != `{"op":"test","call":"9b1f03aa5c7e2d41","with":{},"why":0}`+"\n" {
+	msg = &Message{Op: Test, SessionID: "9b1f03aa5c7e2d41"}
+	if got := string(msg.Append(nil)); got != `{"op":"test","call":"9b1f03aa5c7e2d41","with":{},"why":0}`+"\n" {
 		t.Error(got)
 	}
 }
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -151,8 +151,8 @@
 func (s *scenario) deliver(words []string) {
 	connName, args := words[0], words[1:]
 	if len(args) > 2 && args[0] == "late" { // the event arrived so many milliseconds before its turn
-		startedMS, _ := strconv.Atoi(args[1])
-		s.manager.Came(s.now - core.Time(startedMS)*core.Millisecond)
+		lateMS, _ := strconv.Atoi(args[1])
+		s.manager.Came(s.now - core.Time(lateMS)*core.Millisecond)
 		args = args[2:]
 	}
 	conn := s.conns[connName]
@@ -344,8 +344,8 @@
 
 // Messages that wait for a connection to a server are limited in number; further ones are dropped.
 func TestQueuedServerMessagesAreBounded(t *testing.T) {
-	scenario := newScenario(t)
-	scenario.run("1 v open" + strings.Repeat(" | 1 v SETUP a at=s-00000001 | 1 v TEARDOWN a 16", 1025) + " | 1.1 d1 up | = 1024 d1 end a 16")
+	s := newScenario(t)
+	s.run("1 v open" + strings.Repeat(" | 1 v SETUP a at=s-00000001 | 1 v TEARDOWN a 16", 1025) + " | 1.1 d1 up | = 1024 d1 end a 16")
 }
 
 // A set-up that arrives in two pieces, split at any byte and one second apart, is served. If the rest does not arrive, the
