--- a/cmd/pierlink/platform.go
+++ b/cmd/pierlink/platform.go
@@ -20,7 +20,7 @@
 const (
 	readBufferSize     = 4 << 10 // bytes; a message has at most 16 KiB
 	inboxMemoryDivisor = 8       // 1/8 of the memory is for received data that has not been processed
-	heapMemoryShare    = 0.6     // soft limit of the heap; above it the garbage collector works harder
+	heapMemoryShare    = 0.6     // share of the memory set as the Go runtime's soft limit, above which it collects more often
 )
 
 // platformConfig reads the platform's configuration file and environment variables.
--- a/cmd/pierlink/registry.go
+++ b/cmd/pierlink/registry.go
@@ -56,7 +56,7 @@
 			return &cert, err
 		}
 	}
-	if settings.Lease == 0 { // without a lease the number of fronts is taken from the settings
+	if settings.Lease == 0 { // the number of fronts and this front's own number stay as in the settings
 		return edge.Follow(place, nil, nil, p.loop, p.front, p.log)
 	}
 	p.registration.Add(1)
