--- a/internal/platform/boxes/boxes.go
+++ b/internal/platform/boxes/boxes.go
@@ -1,5 +1,5 @@
-// Package boxes is the codec of the JSON lines that session managers and video servers exchange. It reads at any
-// split of the bytes and within a bound, and knows nothing of what the messages are for.
+// Package boxes encodes and decodes the JSON lines that session managers and video servers exchange. Input may be split
+// at any byte and is limited in size. The package does not interpret the messages.
 package boxes
 
 import (
@@ -12,10 +12,10 @@
 	"unicode/utf8"
 )
 
-// Longest is how many bytes a message holds at most.
-const Longest = 16 << 10
+// MaxMessageSize is the maximum size of a message in bytes.
+const MaxMessageSize = 16 << 10
 
-// The types of message.
+// The types of message, as written on the wire.
 const (
 	Offer    = "offer"
 	Ringing  = "ringing"
@@ -29,82 +29,83 @@
 	Redirect = "redirect"
 )
 
-// Message is one line.
+// Message is one message, which is one line on the wire.
 type Message struct {
-	Op   string
-	Call string            // 16 hex digits
-	With map[string]string // fields, numbers as they were written
-	Why  int               // the cause, 0 where there is none
-	Desc string
+	Op          string            // one of the types above
+	SessionID   string            // 16 hex digits
+	Fields      map[string]string // type-specific fields; numbers keep their written form
+	Cause       int               // cause code, 0 if there is none
+	Description string            // session description, as sent by the viewer or the server
 }
 
-type written struct {
-	Op   string            `json:"op"`
-	Call string            `json:"call"`
-	With map[string]string `json:"with"`
-	Why  *int              `json:"why,omitempty"`
-	Desc string            `json:"desc,omitempty"`
+// wireMessage is the JSON form of a Message.
+type wireMessage struct {
+	Op          string            `json:"op"`
+	SessionID   string            `json:"call"`
+	Fields      map[string]string `json:"with"`
+	Cause       *int              `json:"why,omitempty"`
+	Description string            `json:"desc,omitempty"`
 }
 
-// Append writes the message with its line feed behind dst. The cause goes with the types that have one.
+// Append appends the encoded message with its line feed to dst. The cause is written only for the types that have one.
 func (m *Message) Append(dst []byte) []byte {
-	w := written{Op: m.Op, Call: m.Call, With: m.With, Desc: m.Desc}
-	if w.With == nil {
-		w.With = map[string]string{}
+	wire := wireMessage{Op: m.Op, SessionID: m.SessionID, Fields: m.Fields, Description: m.Description}
+	if wire.Fields == nil {
+		wire.Fields = map[string]string{}
 	}
 	if m.Op == End || m.Op == Test || m.Op == Tested {
-		w.Why = &m.Why
+		wire.Cause = &m.Cause
 	}
-	var b bytes.Buffer
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	_ = e.Encode(w) // strings and numbers always can be
-	return append(dst, b.Bytes()...)
+	var buf bytes.Buffer
+	encoder := json.NewEncoder(&buf)
+	encoder.SetEscapeHTML(false)
+	_ = encoder.Encode(wire) // strings and numbers can always be encoded
+	return append(dst, buf.Bytes()...)
 }
 
-// Parse reads one line.
+// Parse decodes one line.
 func Parse(line []byte) (*Message, error) {
 	if !utf8.Valid(line) {
-		return nil, errors.New("not UTF-8")
+		return nil, errors.New("message is not valid UTF-8")
 	}
-	var r struct {
+	var raw struct {
 		Op, Call, Desc string
 		With           map[string]json.RawMessage
 		Why            json.Number
 	}
-	if err := json.Unmarshal(line, &r); err != nil {
+	if err := json.Unmarshal(line, &raw); err != nil {
 		return nil, err
 	}
-	if r.Op == "" || !ID(r.Call) {
-		return nil, fmt.Errorf("type %.20q, id %.20q", r.Op, r.Call)
+	if raw.Op == "" || !ValidID(raw.Call) {
+		return nil, fmt.Errorf("message type %.20q with session ID %.20q: expected a type and 16 hex digits", raw.Op, raw.Call)
 	}
-	m := &Message{Op: r.Op, Call: r.Call, Desc: r.Desc}
-	if r.Why != "" {
-		n, err := strconv.ParseInt(r.Why.String(), 10, 32)
-		if err != nil || n < 0 {
-			return nil, fmt.Errorf("cause %.20q", r.Why)
+	msg := &Message{Op: raw.Op, SessionID: raw.Call, Description: raw.Desc}
+	if raw.Why != "" {
+		cause, err := strconv.ParseInt(raw.Why.String(), 10, 32)
+		if err != nil || cause < 0 {
+			return nil, fmt.Errorf("cause %.20q: expected a non-negative 32-bit integer", raw.Why)
 		}
-		m.Why = int(n)
+		msg.Cause = int(cause)
 	}
-	for k, v := range r.With {
-		s := string(v)
-		if v[0] == '"' {
-			if err := json.Unmarshal(v, &s); err != nil {
+	for name, value := range raw.With {
+		text := string(value)
+		if value[0] == '"' {
+			if err := json.Unmarshal(value, &text); err != nil {
 				return nil, err
 			}
-		} else if c := v[0]; c != '-' && (c < '0' || c > '9') {
-			return nil, fmt.Errorf("field %.20q is no string or number", k)
+		} else if first := value[0]; first != '-' && (first < '0' || first > '9') {
+			return nil, fmt.Errorf("field %.20q: expected a string or a number", name)
 		}
-		if m.With == nil {
-			m.With = make(map[string]string, len(r.With))
+		if msg.Fields == nil {
+			msg.Fields = make(map[string]string, len(raw.With))
 		}
-		m.With[k] = s
+		msg.Fields[name] = text
 	}
-	return m, nil
+	return msg, nil
 }
 
-// ID tells whether s is 16 hex digits.
-func ID(s string) bool {
+// ValidID reports whether s consists of 16 lower-case hex digits.
+func ValidID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -116,51 +117,51 @@
 	return true
 }
 
-// ErrLong is a line beyond the bound.
-var ErrLong = errors.New("line too long")
+// ErrTooLong reports a line that exceeds MaxMessageSize.
+var ErrTooLong = errors.New("line exceeds the maximum message size")
 
-// Reader reads one direction of a connection.
+// Reader decodes the messages received on one connection.
 type Reader struct {
-	rest []byte
-	dead bool
+	partial []byte
+	stopped bool
 }
 
-// Held is how many bytes of a line that is not whole are kept.
-func (r *Reader) Held() int { return len(r.rest) }
+// Buffered returns how many bytes of an incomplete line are held.
+func (r *Reader) Buffered() int { return len(r.partial) }
 
-// Stop makes the reader pass over what is still to come.
-func (r *Reader) Stop() { r.dead, r.rest = true, nil }
+// Stop makes the reader discard all further input.
+func (r *Reader) Stop() { r.stopped, r.partial = true, nil }
 
-// Feed reads on. After an error nothing more can be made of the connection.
-func (r *Reader) Feed(b []byte, each func(*Message)) error {
-	for len(b) > 0 && !r.dead {
-		i := bytes.IndexByte(b, '\n')
-		line := b
-		if i >= 0 {
-			line = b[:i]
+// Feed decodes data and calls handle for each complete message. After an error the reader discards all further input.
+func (r *Reader) Feed(data []byte, handle func(*Message)) error {
+	for len(data) > 0 && !r.stopped {
+		newline := bytes.IndexByte(data, '\n')
+		line := data
+		if newline >= 0 {
+			line = data[:newline]
 		}
-		if len(r.rest)+len(line) > Longest {
+		if len(r.partial)+len(line) > MaxMessageSize {
 			r.Stop()
-			return ErrLong
+			return ErrTooLong
 		}
-		if i < 0 {
-			r.rest = append(r.rest, b...)
+		if newline < 0 {
+			r.partial = append(r.partial, data...)
 			return nil
 		}
-		if len(r.rest) > 0 {
-			line = append(r.rest, line...)
-			r.rest = nil
+		if len(r.partial) > 0 {
+			line = append(r.partial, line...)
+			r.partial = nil
 		}
-		b = b[i+1:]
+		data = data[newline+1:]
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		m, err := Parse(line)
+		msg, err := Parse(line)
 		if err != nil {
 			r.Stop()
 			return err
 		}
-		each(m)
+		handle(msg)
 	}
 	return nil
 }
