--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -39,32 +39,32 @@
 }
 
 // held is a seat that the process that drains still has taken.
-type held struct {
+type heldSeat struct {
 	Plan  string `json:"plan"`
 	Title string `json:"title"`
 	N     int    `json:"n"`
 }
 
 // word is one line of the control socket, either way.
-type word struct {
-	Do     string  `json:"do,omitempty"` // status, takeover, serving
-	Status *Status `json:"status,omitempty"`
-	Seats  []held  `json:"seats,omitempty"`
-	Error  string  `json:"error,omitempty"`
+type message struct {
+	Do     string     `json:"do,omitempty"` // status, takeover, serving
+	Status *Status    `json:"status,omitempty"`
+	Seats  []heldSeat `json:"seats,omitempty"`
+	Error  string     `json:"error,omitempty"`
 }
 
 const (
-	patience  = 3 * time.Second        // with the other side of a control socket
-	seatsTold = 100 * time.Millisecond // how often the one that drains tells the seats that it still has taken
+	controlTimeout     = 3 * time.Second        // with the other side of a control socket
+	seatReportInterval = 100 * time.Millisecond // how often the one that drains tells the seats that it still has taken
 )
 
 // Control is a process's socket in the file system: it tells how the process stands, and hands its listener to
 // a process that takes its place.
 type Control struct {
-	ln   *net.UnixListener
-	loop *Loop
-	f    *front.Front
-	tell func() Status
+	listener *net.UnixListener
+	loop     *Loop
+	front    *front.Front
+	status   func() Status
 }
 
 // NewControl takes the path over: what another process had there stays its own until it ends.
@@ -80,22 +80,22 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	c := &Control{ln: ln, loop: loop, f: f, tell: tell}
+	c := &Control{listener: ln, loop: loop, front: f, status: tell}
 	go c.run()
 	return c, nil
 }
 
 // Close ends it.
-func (c *Control) Close() { _ = c.ln.Close() }
+func (c *Control) Close() { _ = c.listener.Close() }
 
 func (c *Control) run() {
 	for {
-		x, err := c.ln.AcceptUnix()
+		x, err := c.listener.AcceptUnix()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(breath)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go c.serve(x)
@@ -105,16 +105,16 @@
 func (c *Control) serve(x *net.UnixConn) {
 	defer x.Close()
 	in := bufio.NewScanner(x)
-	say := func(w word) error {
-		_ = x.SetWriteDeadline(time.Now().Add(patience))
+	say := func(w message) error {
+		_ = x.SetWriteDeadline(time.Now().Add(controlTimeout))
 		b, err := json.Marshal(w)
 		if err == nil {
 			_, err = x.Write(append(b, '\n'))
 		}
 		return err
 	}
-	ask := func() (w word) {
-		_ = x.SetReadDeadline(time.Now().Add(patience))
+	ask := func() (w message) {
+		_ = x.SetReadDeadline(time.Now().Add(controlTimeout))
 		if in.Scan() {
 			_ = json.Unmarshal(in.Bytes(), &w)
 		}
@@ -122,22 +122,22 @@
 	}
 	switch w := ask(); w.Do {
 	case "status":
-		s := c.tell()
-		_ = say(word{Status: &s})
+		s := c.status()
+		_ = say(message{Status: &s})
 	case "takeover":
-		if err := c.hand(x, say, ask); err != nil {
-			_ = say(word{Error: err.Error()})
+		if err := c.handOver(x, say, ask); err != nil {
+			_ = say(message{Error: err.Error()})
 		}
 	default:
-		_ = say(word{Error: "status or takeover is expected"})
+		_ = say(message{Error: "status or takeover is expected"})
 	}
 }
 
 // hand gives the listener away. Until the other process says that it serves nothing changes here; from then on
 // this one drains, and tells which seats it still has taken.
-func (c *Control) hand(x *net.UnixConn, say func(word) error, ask func() word) error {
+func (c *Control) handOver(x *net.UnixConn, say func(message) error, ask func() message) error {
 	state := life.Stopped
-	c.loop.Do(func() { state, _ = c.f.Life().State() })
+	c.loop.Do(func() { state, _ = c.front.Life().State() })
 	if state != life.Ready {
 		return fmt.Errorf("it is %s: only one that is ready hands over", state)
 	}
@@ -145,8 +145,8 @@
 	if err != nil {
 		return err
 	}
-	s := c.tell()
-	b, err := json.Marshal(word{Status: &s, Seats: c.seats()})
+	s := c.status()
+	b, err := json.Marshal(message{Status: &s, Seats: c.seats()})
 	if err == nil {
 		fds := make([]int, len(all))
 		for i, ln := range all {
@@ -163,17 +163,17 @@
 	if ask().Do != "serving" {
 		return errors.New("the other process did not come to serve")
 	}
-	c.loop.Post(func() { c.f.Life().TakenOver() })
-	for say(word{Seats: c.seats()}) == nil {
-		time.Sleep(seatsTold)
+	c.loop.Post(func() { c.front.Life().TakenOver() })
+	for say(message{Seats: c.seats()}) == nil {
+		time.Sleep(seatReportInterval)
 	}
 	return nil
 }
 
-func (c *Control) seats() (all []held) {
+func (c *Control) seats() (all []heldSeat) {
 	c.loop.Do(func() {
-		for s, n := range c.f.Seats() {
-			all = append(all, held{s.Plan, s.Title, n})
+		for s, n := range c.front.Seats() {
+			all = append(all, heldSeat{s.Plan, s.Title, n})
 		}
 	})
 	return all
@@ -181,16 +181,16 @@
 
 // Ask tells how the process at a control socket stands.
 func Ask(path string) (*Status, error) {
-	x, err := net.DialTimeout("unix", path, patience)
+	x, err := net.DialTimeout("unix", path, controlTimeout)
 	if err != nil {
 		return nil, err
 	}
 	defer x.Close()
-	_ = x.SetDeadline(time.Now().Add(patience))
+	_ = x.SetDeadline(time.Now().Add(controlTimeout))
 	if _, err := x.Write([]byte("{\"do\":\"status\"}\n")); err != nil {
 		return nil, err
 	}
-	var w word
+	var w message
 	if err := json.NewDecoder(x).Decode(&w); err != nil {
 		return nil, err
 	}
@@ -203,10 +203,10 @@
 // Handed are listeners taken from a process that still accepts on them too.
 type Handed struct {
 	conn      *net.UnixConn
-	in        *bufio.Scanner
+	lines     *bufio.Scanner
 	Listeners []*net.TCPListener // that without TLS first
 	From      Status
-	seats     []held
+	seats     []heldSeat
 }
 
 // TakeOver asks the process at a control socket for its listeners.
@@ -219,7 +219,7 @@
 		_ = x.Close()
 		return nil, fmt.Errorf("take over from %s: %w", path, err)
 	}
-	_ = x.SetDeadline(time.Now().Add(patience))
+	_ = x.SetDeadline(time.Now().Add(controlTimeout))
 	if _, err := x.Write([]byte("{\"do\":\"takeover\"}\n")); err != nil {
 		return fail(err)
 	}
@@ -235,7 +235,7 @@
 		}
 		n += k
 	}
-	var w word
+	var w message
 	if err := json.Unmarshal(text[:n], &w); err != nil {
 		return fail(err)
 	}
@@ -269,24 +269,24 @@
 		return fail(err)
 	}
 	_ = x.SetDeadline(time.Time{})
-	return &Handed{conn: x, in: bufio.NewScanner(x), Listeners: doors, From: *w.Status, seats: w.Seats}, nil
+	return &Handed{conn: x, lines: bufio.NewScanner(x), Listeners: doors, From: *w.Status, seats: w.Seats}, nil
 }
 
 // Serving tells the other process that this one accepts, and follows the seats that it still has taken until
 // it has ended. hold is called with each news of them.
 func (h *Handed) Serving(hold func(map[life.Seat]int)) error {
-	hold(seatsOf(h.seats))
+	hold(seatCounts(h.seats))
 	if _, err := h.conn.Write([]byte("{\"do\":\"serving\"}\n")); err != nil {
 		_ = h.conn.Close()
 		return err
 	}
-	h.in.Buffer(nil, 1<<20)
+	h.lines.Buffer(nil, 1<<20)
 	go func() {
 		defer h.conn.Close()
-		for h.in.Scan() {
-			var w word
-			if json.Unmarshal(h.in.Bytes(), &w) == nil {
-				hold(seatsOf(w.Seats))
+		for h.lines.Scan() {
+			var w message
+			if json.Unmarshal(h.lines.Bytes(), &w) == nil {
+				hold(seatCounts(w.Seats))
 			}
 		}
 		hold(nil)
@@ -294,7 +294,7 @@
 	return nil
 }
 
-func seatsOf(all []held) map[life.Seat]int {
+func seatCounts(all []heldSeat) map[life.Seat]int {
 	m := map[life.Seat]int{}
 	for _, s := range all {
 		m[life.Seat{Plan: s.Plan, Title: s.Title}] = s.N
@@ -307,7 +307,7 @@
 	if _, err := Ask(path); err == nil {
 		return true
 	}
-	if x, err := net.DialTimeout("unix", path, patience); err == nil { // it accepts, and does not answer
+	if x, err := net.DialTimeout("unix", path, controlTimeout); err == nil { // it accepts, and does not answer
 		_ = x.Close()
 		return true
 	}
--- a/internal/edge/deferred.go
+++ b/internal/edge/deferred.go
@@ -4,9 +4,9 @@
 
 // Poster posts to a loop that may not be there yet: what comes before it waits for it.
 type Poster struct {
-	mu    sync.Mutex
-	loop  *Loop
-	early []func()
+	mu      sync.Mutex
+	loop    *Loop
+	pending []func()
 }
 
 // Post has a function run by the goroutine that owns the loop's core.
@@ -14,7 +14,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.loop == nil {
-		p.early = append(p.early, call)
+		p.pending = append(p.pending, call)
 		return
 	}
 	p.loop.Post(call)
@@ -25,8 +25,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loop = l
-	for _, call := range p.early {
+	for _, call := range p.pending {
 		l.Post(call)
 	}
-	p.early = nil
+	p.pending = nil
 }
--- a/internal/edge/lifecycle_test.go
+++ b/internal/edge/lifecycle_test.go
@@ -23,22 +23,24 @@
 )
 
 // daemon is a process's part of a life, in this one.
-type daemon struct {
-	loop   *edge.Loop
-	f      *front.Front
-	life   *life.Life
-	listen func(*daemon) error
-	err    error
-	ended  atomic.Bool
-	hushed chan struct{}
+type process struct {
+	loop          *edge.Loop
+	front         *front.Front
+	life          *life.Life
+	listen        func(*process) error
+	err           error
+	ended         atomic.Bool
+	acceptStopped chan struct{}
 }
 
-func (d *daemon) Listen()         { d.err = d.listen(d) }
-func (d *daemon) News(life.State) {}
-func (d *daemon) Exit()           { d.ended.Store(true) }
-func (d *daemon) Hush()           { go func() { d.loop.Hush(); d.loop.Post(d.life.Hushed); close(d.hushed) }() }
+func (d *process) Listen()         { d.err = d.listen(d) }
+func (d *process) News(life.State) {}
+func (d *process) Exit()           { d.ended.Store(true) }
+func (d *process) Hush() {
+	go func() { d.loop.Hush(); d.loop.Post(d.life.Hushed); close(d.acceptStopped) }()
+}
 
-func newDaemon(t *testing.T, listen func(*daemon) error) *daemon {
+func newProcess(t *testing.T, listen func(*process) error) *process {
 	t.Helper()
 	s := &front.Service{Name: "f", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
 		Plans:  []front.Face{{Name: "live", Abandon: 4 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
@@ -47,11 +49,11 @@
 			Ladder: session.Ladder{RateKB: []float64{100}, Worth: []float64{1}, Join: 1},
 			Fleet:  session.Fleet{Cells: 1, Racks: 1, LinksKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, Places: []float64{100}, NoteDelay: 1e6},
 			Terms:  session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}}}
-	d := &daemon{listen: listen, hushed: make(chan struct{})}
+	d := &process{listen: listen, acceptStopped: make(chan struct{})}
 	var err error
 	d.loop, err = edge.New("", func(n core.Net) core.Core {
-		d.f = front.New(s, policy.New(&s.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
-		return d.f
+		d.front = front.New(s, policy.New(&s.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
+		return d.front
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +64,7 @@
 		for p := life.Settings; p <= life.Module; p++ {
 			d.life.Has(p)
 		}
-		d.f.Live(d.life, d)
+		d.front.Live(d.life, d)
 	})
 	d.loop.Do(func() {}) // its turn has ended
 	if d.err != nil {
@@ -72,7 +74,7 @@
 }
 
 // options asks for OPTIONS on a connection of its own.
-func options(addr string) error {
+func requestOptions(addr string) error {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
 		return err
@@ -94,15 +96,15 @@
 // too, nobody is let in to wait for nobody.
 func TestTakeover(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "c")
-	status := func(d **daemon) func() edge.Status {
+	status := func(d **process) func() edge.Status {
 		return func() edge.Status { return edge.Status{Name: "f", PID: os.Getpid(), Address: (*d).loop.Addr()} }
 	}
-	var old, heir *daemon
-	old = newDaemon(t, func(d *daemon) error {
+	var old, heir *process
+	old = newProcess(t, func(d *process) error {
 		if err := d.loop.Listen("127.0.0.1:0", nil); err != nil {
 			return err
 		}
-		_, err := edge.NewControl(socket, d.loop, d.f, status(&old))
+		_, err := edge.NewControl(socket, d.loop, d.front, status(&old))
 		return err
 	})
 	addr := old.loop.Addr()
@@ -119,13 +121,13 @@
 				failed <- nil
 				return
 			default:
-				err = options(addr)
+				err = requestOptions(addr)
 			}
 		}
 		failed <- err
 	}()
 	held := make(chan struct{}, 1000)
-	heir = newDaemon(t, func(d *daemon) error {
+	heir = newProcess(t, func(d *process) error {
 		h, err := edge.TakeOver(socket)
 		if err != nil {
 			return err
@@ -133,9 +135,9 @@
 		d.loop.Accept(h.Listeners[0], nil)
 		return h.Serving(func(map[life.Seat]int) { held <- struct{}{} })
 	})
-	<-old.hushed
+	<-old.acceptStopped
 	for range 50 {
-		if err := options(addr); err != nil {
+		if err := requestOptions(addr); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -153,8 +155,8 @@
 		t.Error("the one that handed over has not ended, or told no seats")
 	}
 	heir.loop.Do(heir.life.Stop)
-	<-heir.hushed
-	if err := options(addr); !errors.Is(err, syscall.ECONNREFUSED) {
+	<-heir.acceptStopped
+	if err := requestOptions(addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("after both: %v", err)
 	}
 	if _, err := edge.TakeOver(filepath.Join(t.TempDir(), "nobody")); err == nil {
@@ -164,9 +166,9 @@
 
 // With no descriptor left a connection is closed at once and not left waiting; with some again it is answered.
 func TestNoDescriptors(t *testing.T) {
-	d := newDaemon(t, func(d *daemon) error { return d.loop.Listen("127.0.0.1:0", nil) })
+	d := newProcess(t, func(d *process) error { return d.loop.Listen("127.0.0.1:0", nil) })
 	addr := d.loop.Addr()
-	if err := options(addr); err != nil {
+	if err := requestOptions(addr); err != nil {
 		t.Fatal(err)
 	}
 	c, err := net.Dial("tcp", addr) // one whose descriptor is there already
@@ -211,7 +213,7 @@
 	}
 	_ = taken[len(taken)-1].Close() // one, for the connection's own end
 	taken = taken[:len(taken)-1]
-	if err := options(addr); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := requestOptions(addr); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("with no descriptor left: %v", err)
 	}
 	if d.loop.Starved() == 0 {
@@ -220,7 +222,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	if err := options(addr); err != nil {
+	if err := requestOptions(addr); err != nil {
 		t.Errorf("with descriptors again: %v", err)
 	}
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -16,38 +16,38 @@
 )
 
 // counting is a core that counts the pieces of a turn and the connections that it has.
-type counting struct {
+type countingCore struct {
 	core.Core
-	net    core.Net
-	first  chan struct{}
-	go_    chan struct{}
-	pieces int
-	most   int
-	open   chan int
-	conns  []*core.Conn
-	bytes  int
+	net           core.Net
+	first         chan struct{}
+	proceed       chan struct{}
+	turnPieces    int
+	maxTurnPieces int
+	accepted      chan int
+	conns         []*core.Conn
+	bytes         int
 }
 
-func (c *counting) At(core.Time) { c.pieces = 0 }
-func (c *counting) Accepted(x *core.Conn, _ string) {
+func (c *countingCore) At(core.Time) { c.turnPieces = 0 }
+func (c *countingCore) Accepted(x *core.Conn, _ string) {
 	c.conns = append(c.conns, x)
-	c.open <- len(c.conns)
+	c.accepted <- len(c.conns)
 }
-func (c *counting) Received(_ *core.Conn, b []byte) {
+func (c *countingCore) Received(_ *core.Conn, b []byte) {
 	if c.bytes == 0 {
 		close(c.first)
-		<-c.go_
+		<-c.proceed
 	}
-	c.pieces++
+	c.turnPieces++
 	c.bytes += len(b)
-	c.most = max(c.most, c.pieces)
+	c.maxTurnPieces = max(c.maxTurnPieces, c.turnPieces)
 }
-func (c *counting) Closed(*core.Conn, error) {}
-func (c *counting) Settle() core.Time        { return core.Never }
+func (c *countingCore) Closed(*core.Conn, error) {}
+func (c *countingCore) Settle() core.Time        { return core.Never }
 
-func newCounting(t *testing.T, room edge.Room) (*counting, *edge.Loop) {
+func newCountingLoop(t *testing.T, room edge.Room) (*countingCore, *edge.Loop) {
 	t.Helper()
-	c := &counting{first: make(chan struct{}), go_: make(chan struct{}), open: make(chan int, 100)}
+	c := &countingCore{first: make(chan struct{}), proceed: make(chan struct{}), accepted: make(chan int, 100)}
 	l, err := edge.NewIn(room, "127.0.0.1:0", func(n core.Net) core.Core { c.net = n; return c })
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 }
 
 // What waits is counted by the buffers that it holds, however little is in them.
-func TestRoomOfTheMailbox(t *testing.T) {
-	c, l := newCounting(t, edge.Room{Read: 64, Mail: 640})
+func TestMailboxLimit(t *testing.T) {
+	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640})
 	const all = 100_000
 	go func() {
 		x, err := net.Dial("tcp", l.Addr())
@@ -72,10 +72,10 @@
 	}()
 	<-c.first
 	time.Sleep(20 * time.Millisecond)
-	close(c.go_)
+	close(c.proceed)
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		n, most := 0, 0
-		l.Do(func() { n, most = c.bytes, c.most })
+		l.Do(func() { n, most = c.bytes, c.maxTurnPieces })
 		if most > 640/64+1 {
 			t.Fatal(most, "pieces waited")
 		}
@@ -89,8 +89,8 @@
 }
 
 // The listener holds back connections beyond the room for them, until one is closed.
-func TestRoomOfTheDoor(t *testing.T) {
-	c, l := newCounting(t, edge.Room{Read: 64, Mail: 640, Doors: 2})
+func TestConnectionLimit(t *testing.T) {
+	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640, Doors: 2})
 	for range 3 {
 		x, err := net.Dial("tcp", l.Addr())
 		if err != nil {
@@ -98,30 +98,30 @@
 		}
 		defer x.Close()
 	}
-	<-c.open
-	<-c.open
+	<-c.accepted
+	<-c.accepted
 	select {
-	case <-c.open:
+	case <-c.accepted:
 		t.Error("a third was accepted")
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.Do(func() { c.net.Close(c.conns[0]) })
 	select {
-	case <-c.open:
+	case <-c.accepted:
 	case <-time.After(10 * time.Second):
 		t.Error("the third was not accepted when there was room")
 	}
 }
 
 // A connection goes to the address told and to no other of the machine.
-func TestDialsTheAddress(t *testing.T) {
+func TestDialUsesGivenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	dialed := make(chan error, 1)
-	d := &dialing{done: dialed}
+	d := &dialCore{done: dialed}
 	l, err := edge.New("", func(n core.Net) core.Core { d.net = n; return d })
 	if err != nil {
 		t.Fatal(err)
@@ -133,19 +133,19 @@
 	}
 }
 
-type dialing struct {
+type dialCore struct {
 	core.Core
 	net  core.Net
 	done chan error
 }
 
-func (d *dialing) At(core.Time)                   {}
-func (d *dialing) Dialed(_ *core.Conn, err error) { d.done <- err }
-func (d *dialing) Closed(*core.Conn, error)       {}
-func (d *dialing) Settle() core.Time              { return core.Never }
+func (d *dialCore) At(core.Time)                   {}
+func (d *dialCore) Dialed(_ *core.Conn, err error) { d.done <- err }
+func (d *dialCore) Closed(*core.Conn, error)       {}
+func (d *dialCore) Settle() core.Time              { return core.Never }
 
 // A dial that its core gives up gives its descriptor back then, not when its time is over.
-func TestDialsGivenUpEnd(t *testing.T) {
+func TestCancelledDialClosesDescriptor(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 			}
 		}
 	}
-	d := &dialing{done: make(chan error, 100)}
+	d := &dialCore{done: make(chan error, 100)}
 	l, err := edge.NewIn(edge.Room{Read: 4096, Mail: 1 << 20, Dials: time.Minute}, "", func(n core.Net) core.Core { d.net = n; return d })
 	if err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	d := &dialing{done: make(chan error, 1)}
+	d := &dialCore{done: make(chan error, 1)}
 	l, err := edge.New("", func(n core.Net) core.Core { d.net = n; return d })
 	if err != nil {
 		t.Fatal(err)
@@ -257,23 +257,23 @@
 }
 
 // halving is a core that ends its way of each connection that comes up, and tells what still comes and how it ends.
-type halving struct {
+type halfCloseCore struct {
 	core.Core
-	net  core.Net
-	came chan string
+	net      core.Net
+	received chan string
 }
 
-func (h *halving) At(core.Time) {}
-func (h *halving) Dialed(c *core.Conn, err error) {
+func (h *halfCloseCore) At(core.Time) {}
+func (h *halfCloseCore) Dialed(c *core.Conn, err error) {
 	if err != nil {
-		h.came <- err.Error()
+		h.received <- err.Error()
 		return
 	}
 	h.net.(core.HalfCloser).CloseWrite(c)
 }
-func (h *halving) Received(_ *core.Conn, b []byte) { h.came <- string(b) }
-func (h *halving) Closed(_ *core.Conn, err error)  { h.came <- err.Error() }
-func (h *halving) Settle() core.Time               { return core.Never }
+func (h *halfCloseCore) Received(_ *core.Conn, b []byte) { h.received <- string(b) }
+func (h *halfCloseCore) Closed(_ *core.Conn, err error)  { h.received <- err.Error() }
+func (h *halfCloseCore) Settle() core.Time               { return core.Never }
 
 // A connection of which one way is ended brings what the peer still sends, and ends when the peer ends it.
 func TestCloseWrite(t *testing.T) {
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := &halving{came: make(chan string, 10)}
+	h := &halfCloseCore{received: make(chan string, 10)}
 	l, err := edge.New("", func(n core.Net) core.Core { h.net = n; return h })
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +303,7 @@
 	_ = c.Close()
 	for _, want := range []string{"late", core.ErrEnded.Error()} {
 		select {
-		case got := <-h.came:
+		case got := <-h.received:
 			if got != want {
 				t.Errorf("%q came, not %q", got, want)
 			}
--- a/internal/edge/listener.go
+++ b/internal/edge/listener.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	mailboxEvents = 1 << 16               // events that wait before connections are no longer accepted, nor read
-	lastCall      = 20 * time.Millisecond // what has come to a listener by its end is still accepted
-	breath        = 5 * time.Millisecond  // after an accept that failed
+	maxMailboxEvents = 1 << 16               // events that wait before connections are no longer accepted, nor read
+	finalAcceptTime  = 20 * time.Millisecond // what has come to a listener by its end is still accepted
+	acceptRetryDelay = 5 * time.Millisecond  // after an accept that failed
 )
 
 // door accepts connections for a loop.
-type door struct {
-	ln   *net.TCPListener
-	keys *tls.Config // nil for one without TLS
-	done chan struct{}
+type listener struct {
+	ln        *net.TCPListener
+	tlsConfig *tls.Config // nil for one without TLS
+	done      chan struct{}
 }
 
 // Listen binds an address and accepts there, with keys under TLS.
@@ -37,9 +37,9 @@
 
 // Accept accepts on a listener, which may be another process's too: each connection comes to one of them.
 func (l *Loop) Accept(ln *net.TCPListener, keys *tls.Config) {
-	d := &door{ln: ln, keys: keys, done: make(chan struct{})}
+	d := &listener{ln: ln, tlsConfig: keys, done: make(chan struct{})}
 	l.mu.Lock()
-	l.doors = append(l.doors, d)
+	l.listeners = append(l.listeners, d)
 	if keys == nil {
 		l.addr = ln.Addr().String()
 	} else {
@@ -66,15 +66,15 @@
 // Listeners are descriptors of the listeners for another process, that without TLS first; the caller closes them.
 func (l *Loop) Listeners() (all []*os.File, err error) {
 	l.mu.Lock()
-	doors := slices.Clone(l.doors)
+	doors := slices.Clone(l.listeners)
 	l.mu.Unlock()
 	if len(doors) == 0 {
 		return nil, errors.New("it does not listen")
 	}
-	slices.SortStableFunc(doors, func(a, b *door) int {
-		if (a.keys == nil) == (b.keys == nil) {
+	slices.SortStableFunc(doors, func(a, b *listener) int {
+		if (a.tlsConfig == nil) == (b.tlsConfig == nil) {
 			return 0
-		} else if a.keys == nil {
+		} else if a.tlsConfig == nil {
 			return -1
 		}
 		return 1
@@ -95,12 +95,12 @@
 // Hush accepts no more, after what has come already. Connections go on. It returns when that is done.
 func (l *Loop) Hush() {
 	l.mu.Lock()
-	doors := l.doors
-	l.doors, l.hushed = nil, true
-	l.room.Broadcast()
+	doors := l.listeners
+	l.listeners, l.acceptStopped = nil, true
+	l.spaceFreed.Broadcast()
 	l.mu.Unlock()
 	for _, d := range doors {
-		_ = d.ln.SetDeadline(time.Now().Add(lastCall))
+		_ = d.ln.SetDeadline(time.Now().Add(finalAcceptTime))
 	}
 	for _, d := range doors {
 		<-d.done
@@ -108,9 +108,9 @@
 }
 
 // Starved is how often a connection was closed unheard for want of a descriptor.
-func (l *Loop) Starved() int64 { return l.starved.Load() }
+func (l *Loop) Starved() int64 { return l.descriptorRejects.Load() }
 
-func (l *Loop) accept(d *door) {
+func (l *Loop) accept(d *listener) {
 	defer close(d.done)
 	defer d.ln.Close()
 	// A descriptor in reserve: with none left, a connection could neither be accepted nor be told so, and
@@ -118,20 +118,20 @@
 	reserve, _ := os.Open(os.DevNull)
 	defer func() { _ = reserve.Close() }()
 	for {
-		l.admit()
+		l.waitForRoom()
 		c, err := d.ln.AcceptTCP()
 		switch {
-		case err == nil && d.keys != nil:
-			l.secure(c, d.keys)
+		case err == nil && d.tlsConfig != nil:
+			l.acceptTLS(c, d.tlsConfig)
 		case err == nil:
 			l.mu.Lock()
-			l.inside++
+			l.openAccepted++
 			l.mu.Unlock()
 			if _, err := l.engine.AddConn(c); err != nil {
 				l.mu.Lock()
-				l.inside--
+				l.openAccepted--
 				l.mu.Unlock()
-				l.starved.Add(1)
+				l.descriptorRejects.Add(1)
 				_ = c.Close()
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
@@ -141,27 +141,27 @@
 			if c, err := d.ln.AcceptTCP(); err == nil {
 				_ = c.SetLinger(0)
 				_ = c.Close()
-				l.starved.Add(1)
+				l.descriptorRejects.Add(1)
 			}
 			reserve, _ = os.Open(os.DevNull)
-			time.Sleep(breath)
+			time.Sleep(acceptRetryDelay)
 		default:
-			time.Sleep(breath)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
 // admit waits until the mailbox has room for a newcomer.
-func (l *Loop) admit() {
+func (l *Loop) waitForRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for (len(l.mail) > mailboxEvents || l.has.Doors > 0 && l.inside >= l.has.Doors) && !l.stopped && !l.hushed {
-		l.room.Wait()
+	for (len(l.mailbox) > maxMailboxEvents || l.limits.Doors > 0 && l.openAccepted >= l.limits.Doors) && !l.stopped && !l.acceptStopped {
+		l.spaceFreed.Wait()
 	}
 }
 
 // Unshaken is how many connections ended before their handshake was done.
-func (l *Loop) Unshaken() int64 { return l.unshaken.Load() }
+func (l *Loop) Unshaken() int64 { return l.brokenHandshakes.Load() }
 
 // counters that are read from outside the loop's goroutine.
-type counters struct{ starved, unshaken atomic.Int64 }
+type counters struct{ descriptorRejects, brokenHandshakes atomic.Int64 }
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -24,7 +24,7 @@
 // Now is the clock of cores on sockets: microseconds since 1970.
 func Now() core.Time { return time.Now().UnixMicro() }
 
-const drainWait = 5 * time.Second
+const drainTimeout = 5 * time.Second
 
 // Room is what a loop may hold, and how long it waits for others.
 type Room struct {
@@ -35,42 +35,42 @@
 }
 
 // Ample is the room of a loop that has the machine to itself.
-var Ample = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainWait}
+var Ample = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainTimeout}
 
 // Loop runs one core on sockets.
 type Loop struct {
 	core   core.Core
 	engine *nbio.Engine
-	has    Room
+	limits Room
 	counters
 
-	mu         sync.Mutex
-	doors      []*door
-	addr       string
-	secureAddr string
-	room       sync.Cond
-	mail       []event
-	bytes      int
-	inside     int // accepted and not closed
-	hushed     bool
-	stopped    bool
-	wake       chan struct{}
-	done       chan struct{}
-	buffers    sync.Pool
-	trust      *tls.Config          // of connections that its core makes
-	open       map[*socket]struct{} // the loop's goroutine only
+	mu            sync.Mutex
+	listeners     []*listener
+	addr          string
+	secureAddr    string
+	spaceFreed    sync.Cond
+	mailbox       []event
+	mailboxBytes  int
+	openAccepted  int // accepted and not closed
+	acceptStopped bool
+	stopped       bool
+	wake          chan struct{}
+	done          chan struct{}
+	buffers       sync.Pool
+	clientTLS     *tls.Config          // of connections that its core makes
+	sockets       map[*socket]struct{} // the loop's goroutine only
 }
 
 type event struct {
-	kind  kind
-	sock  *socket
-	nb    wire
-	data  *[]byte // a buffer of the pool
-	size  int     // of what is in it
-	err   error
-	where string
-	call  func()
-	at    core.Time // it came
+	kind       kind
+	socket     *socket
+	transport  transport
+	data       *[]byte // a buffer of the pool
+	size       int     // of what is in it
+	err        error
+	remoteAddr string
+	call       func()
+	arrivedAt  core.Time // it came
 }
 
 type kind uint8
@@ -86,15 +86,15 @@
 
 // socket is the edge's side of a core.Conn.
 type socket struct {
-	conn    core.Conn
-	own     *core.Conn // the core's: &conn where accepted
-	nb      wire
-	sent    int64 // the loop's goroutine only
-	written atomic.Int64
-	waiting atomic.Bool // a drained event is due
-	gone    bool        // for the core
-	early   bool        // closed before it was connected
-	cancel  func()      // ends the dial; nil where it was accepted
+	conn          core.Conn
+	coreConn      *core.Conn // the core's: &conn where accepted
+	transport     transport
+	sentBytes     int64 // the loop's goroutine only
+	writtenBytes  atomic.Int64
+	drainPending  atomic.Bool // a drained event is due
+	closedForCore bool        // for the core
+	closedEarly   bool        // closed before it was connected
+	cancel        func()      // ends the dial; nil where it was accepted
 }
 
 // New makes a loop that listens on an address, or nowhere if it is empty. The core is made with the loop
@@ -105,22 +105,22 @@
 
 // NewIn makes a loop that keeps within a room.
 func NewIn(room Room, addr string, build func(core.Net) core.Core) (*Loop, error) {
-	l := &Loop{has: room, wake: make(chan struct{}, 1), done: make(chan struct{}), open: map[*socket]struct{}{}}
-	l.room.L = &l.mu
+	l := &Loop{limits: room, wake: make(chan struct{}, 1), done: make(chan struct{}), sockets: map[*socket]struct{}{}}
+	l.spaceFreed.L = &l.mu
 	l.buffers.New = func() any { b := make([]byte, room.Read); return &b }
 	c := nbio.Config{Name: "pierlink", NPoller: 1, ReadBufferSize: room.Read, EpollMod: nbio.EPOLLLT}
 	l.engine = nbio.NewEngine(c)
 	l.core = build(l)
 	l.engine.OnOpen(func(nb *nbio.Conn) {
 		if s, ok := nb.Session().(*socket); ok {
-			l.post(event{kind: dialed, sock: s, nb: nb})
+			l.post(event{kind: dialed, socket: s, transport: nb})
 			return
 		}
-		s := &socket{nb: nb}
-		s.own = &s.conn
-		s.own.Socket = s
+		s := &socket{transport: nb}
+		s.coreConn = &s.conn
+		s.coreConn.Socket = s
 		nb.SetSession(s)
-		l.post(event{kind: accepted, sock: s, where: nb.RemoteAddr().String()})
+		l.post(event{kind: accepted, socket: s, remoteAddr: nb.RemoteAddr().String()})
 	})
 	l.engine.OnData(func(nb *nbio.Conn, data []byte) {
 		s, ok := nb.Session().(*socket)
@@ -131,7 +131,7 @@
 			b := l.buffers.Get().(*[]byte)
 			n := copy(*b, data)
 			data = data[n:]
-			l.post(event{kind: received, sock: s, data: b, size: n})
+			l.post(event{kind: received, socket: s, data: b, size: n})
 		}
 	})
 	l.engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
@@ -139,14 +139,14 @@
 		if !ok {
 			return
 		}
-		s.written.Add(int64(n))
-		if s.waiting.CompareAndSwap(true, false) {
-			l.post(event{kind: drained, sock: s})
+		s.writtenBytes.Add(int64(n))
+		if s.drainPending.CompareAndSwap(true, false) {
+			l.post(event{kind: drained, socket: s})
 		}
 	})
 	l.engine.OnClose(func(nb *nbio.Conn, err error) {
 		if s, ok := nb.Session().(*socket); ok {
-			l.post(event{kind: closed, sock: s, err: err})
+			l.post(event{kind: closed, socket: s, err: err})
 		}
 	})
 	if err := l.engine.Start(); err != nil {
@@ -176,14 +176,14 @@
 }
 
 func (l *Loop) post(e event) {
-	e.at = Now()
+	e.arrivedAt = Now()
 	l.mu.Lock()
-	for (l.bytes > l.has.Mail || len(l.mail) > mailboxEvents) && e.kind == received && !l.stopped {
-		l.room.Wait()
+	for (l.mailboxBytes > l.limits.Mail || len(l.mailbox) > maxMailboxEvents) && e.kind == received && !l.stopped {
+		l.spaceFreed.Wait()
 	}
-	l.mail = append(l.mail, e)
+	l.mailbox = append(l.mailbox, e)
 	if e.data != nil {
-		l.bytes += l.has.Read // what is held, not what is filled
+		l.mailboxBytes += l.limits.Read // what is held, not what is filled
 	}
 	l.mu.Unlock()
 	select {
@@ -200,9 +200,9 @@
 		return
 	}
 	l.stopped = true
-	l.room.Broadcast()
-	doors := l.doors
-	l.doors = nil
+	l.spaceFreed.Broadcast()
+	doors := l.listeners
+	l.listeners = nil
 	l.mu.Unlock()
 	for _, d := range doors {
 		_ = d.ln.Close()
@@ -213,12 +213,12 @@
 	default:
 	}
 	<-l.done
-	for s := range l.open {
-		if s.nb != nil {
+	for s := range l.sockets {
+		if s.transport != nil {
 			if abrupt {
-				_ = s.nb.SetLinger(1, 0)
+				_ = s.transport.SetLinger(1, 0)
 			}
-			_ = s.nb.Close()
+			_ = s.transport.Close()
 		}
 	}
 	l.engine.Stop()
@@ -235,10 +235,10 @@
 	next := core.Time(0) // the first turn is at once
 	for {
 		l.mu.Lock()
-		mail, l.mail = l.mail, mail[:0]
-		l.bytes = 0
+		mail, l.mailbox = l.mailbox, mail[:0]
+		l.mailboxBytes = 0
 		stopped := l.stopped
-		l.room.Broadcast()
+		l.spaceFreed.Broadcast()
 		l.mu.Unlock()
 		if stopped {
 			return
@@ -257,11 +257,11 @@
 		l.core.At(now)
 		waited := core.Time(0)
 		if len(mail) > 0 {
-			waited = max(now-mail[0].at, 0)
+			waited = max(now-mail[0].arrivedAt, 0)
 		}
 		for i := range mail {
 			if timed != nil {
-				timed.Came(mail[i].at)
+				timed.Came(mail[i].arrivedAt)
 			}
 			l.deliver(&mail[i])
 			mail[i] = event{}
@@ -274,58 +274,58 @@
 }
 
 func (l *Loop) deliver(e *event) {
-	s := e.sock
+	s := e.socket
 	switch e.kind {
 	case called:
 		e.call()
 		return
 	case accepted:
-		l.open[s] = struct{}{}
-		l.core.Accepted(s.own, e.where)
+		l.sockets[s] = struct{}{}
+		l.core.Accepted(s.coreConn, e.remoteAddr)
 	case dialed:
-		if s.early {
-			if e.nb != nil {
-				_ = e.nb.Close()
+		if s.closedEarly {
+			if e.transport != nil {
+				_ = e.transport.Close()
 			}
 			return
 		}
 		if e.err != nil {
-			s.gone = true
-			l.core.Dialed(s.own, e.err)
+			s.closedForCore = true
+			l.core.Dialed(s.coreConn, e.err)
 			return
 		}
-		s.nb = e.nb
-		l.open[s] = struct{}{}
-		l.core.Dialed(s.own, nil)
+		s.transport = e.transport
+		l.sockets[s] = struct{}{}
+		l.core.Dialed(s.coreConn, nil)
 	case received:
-		if !s.gone {
-			l.core.Received(s.own, (*e.data)[:e.size])
+		if !s.closedForCore {
+			l.core.Received(s.coreConn, (*e.data)[:e.size])
 		}
 		l.buffers.Put(e.data)
 	case drained:
-		if !s.gone {
-			l.core.Drained(s.own)
-		} else if s.sent == s.written.Load() {
-			_ = s.nb.Close()
+		if !s.closedForCore {
+			l.core.Drained(s.coreConn)
+		} else if s.sentBytes == s.writtenBytes.Load() {
+			_ = s.transport.Close()
 		} else {
-			s.waiting.Store(true)
+			s.drainPending.Store(true)
 		}
 	case closed:
-		delete(l.open, s)
-		if s.own == &s.conn {
+		delete(l.sockets, s)
+		if s.coreConn == &s.conn {
 			l.mu.Lock()
-			l.inside--
-			l.room.Broadcast()
+			l.openAccepted--
+			l.spaceFreed.Broadcast()
 			l.mu.Unlock()
 		}
-		if !s.gone {
-			s.gone = true
-			l.core.Closed(s.own, why(e.err))
+		if !s.closedForCore {
+			s.closedForCore = true
+			l.core.Closed(s.coreConn, closeReason(e.err))
 		}
 	}
 }
 
-func why(err error) error {
+func closeReason(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
 		return core.ErrEnded
 	}
@@ -335,10 +335,10 @@
 // Dial connects, under TLS where the connection is to be secure.
 func (l *Loop) Dial(c *core.Conn, addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &socket{own: c, cancel: cancel}
+	s := &socket{coreConn: c, cancel: cancel}
 	c.Socket = s
 	if c.Secure {
-		go l.secureTo(ctx, s, addr)
+		go l.dialTLS(ctx, s, addr)
 		return
 	}
 	go l.dial(ctx, s, addr)
@@ -348,7 +348,7 @@
 // to 0.0.0.0 for every address of four bytes. OnOpen tells that the connection is there, before anything comes on it.
 func (l *Loop) dial(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	c, err := from(ctx, s.own.From, addr, l.has.Dials)
+	c, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
 	if err == nil {
 		var nb *nbio.Conn
 		if nb, err = nbio.NBConn(c); err != nil { // it takes a second descriptor for a moment
@@ -359,12 +359,12 @@
 		}
 	}
 	if err != nil {
-		l.post(event{kind: dialed, sock: s, err: refused(err)})
+		l.post(event{kind: dialed, socket: s, err: dialError(err)})
 	}
 }
 
 // from dials, from an address unless that is empty. A dial given up gives its descriptor back at once.
-func from(ctx context.Context, own, addr string, within time.Duration) (net.Conn, error) {
+func dialFrom(ctx context.Context, own, addr string, within time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: within}
 	if own != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(own)}
@@ -372,7 +372,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-func refused(err error) error {
+func dialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return core.ErrRefused
 	}
@@ -382,24 +382,24 @@
 // Send writes, or has the network write as soon as it can.
 func (l *Loop) Send(c *core.Conn, b []byte) {
 	s, ok := c.Socket.(*socket)
-	if !ok || s.gone || s.nb == nil {
+	if !ok || s.closedForCore || s.transport == nil {
 		return
 	}
-	s.sent += int64(len(b))
-	_, _ = s.nb.Write(b) // a failure comes as closed
+	s.sentBytes += int64(len(b))
+	_, _ = s.transport.Write(b) // a failure comes as closed
 }
 
 // Pending is what the network has not taken yet.
 func (l *Loop) Pending(c *core.Conn) int {
 	s, ok := c.Socket.(*socket)
-	if !ok || s.nb == nil {
+	if !ok || s.transport == nil {
 		return 0
 	}
-	n := s.sent - s.written.Load()
+	n := s.sentBytes - s.writtenBytes.Load()
 	if n > 0 {
-		s.waiting.Store(true)
-		if n = s.sent - s.written.Load(); n == 0 {
-			s.waiting.Store(false)
+		s.drainPending.Store(true)
+		if n = s.sentBytes - s.writtenBytes.Load(); n == 0 {
+			s.drainPending.Store(false)
 		}
 	}
 	return int(n)
@@ -409,10 +409,10 @@
 // descriptor at any moment: what is shut is a duplicate, once that is seen to be the same connection.
 func (l *Loop) CloseWrite(c *core.Conn) {
 	s, ok := c.Socket.(*socket)
-	if !ok || s.gone || s.nb == nil || l.Pending(c) > 0 {
+	if !ok || s.closedForCore || s.transport == nil || l.Pending(c) > 0 {
 		return
 	}
-	nb, ok := s.nb.(*nbio.Conn)
+	nb, ok := s.transport.(*nbio.Conn)
 	if !ok {
 		return
 	}
@@ -420,8 +420,8 @@
 	if err != nil {
 		return
 	}
-	if name, err := syscall.Getsockname(fd); err == nil && is(name, nb.LocalAddr()) {
-		if name, err := syscall.Getpeername(fd); err == nil && is(name, nb.RemoteAddr()) {
+	if name, err := syscall.Getsockname(fd); err == nil && sameAddr(name, nb.LocalAddr()) {
+		if name, err := syscall.Getpeername(fd); err == nil && sameAddr(name, nb.RemoteAddr()) {
 			_ = syscall.Shutdown(fd, syscall.SHUT_WR)
 		}
 	}
@@ -429,7 +429,7 @@
 }
 
 // is tells whether a socket's address is the one that a connection had when it came up.
-func is(name syscall.Sockaddr, addr net.Addr) bool {
+func sameAddr(name syscall.Sockaddr, addr net.Addr) bool {
 	a, ok := addr.(*net.TCPAddr)
 	switch n := name.(type) {
 	case *syscall.SockaddrInet4:
@@ -443,20 +443,20 @@
 // Close ends a connection once what was sent is written.
 func (l *Loop) Close(c *core.Conn) {
 	s, ok := c.Socket.(*socket)
-	if !ok || s.gone {
+	if !ok || s.closedForCore {
 		return
 	}
-	if s.nb == nil {
-		s.early, s.gone = true, true
+	if s.transport == nil {
+		s.closedEarly, s.closedForCore = true, true
 		s.cancel()
 		return
 	}
 	if l.Pending(c) == 0 {
-		s.gone = true
-		_ = s.nb.Close()
+		s.closedForCore = true
+		_ = s.transport.Close()
 		return
 	}
-	s.gone = true
-	nb := s.nb
-	time.AfterFunc(drainWait, func() { _ = nb.Close() })
+	s.closedForCore = true
+	nb := s.transport
+	time.AfterFunc(drainTimeout, func() { _ = nb.Close() })
 }
--- a/internal/edge/loop_test.go
+++ b/internal/edge/loop_test.go
@@ -24,16 +24,16 @@
 )
 
 // path is one manager, one box and a crowd of players on loopback sockets.
-type path struct {
+type testbed struct {
 	front, box, crowd *edge.Loop
-	f                 *front.Front
-	b                 *mediabox.Box
-	p                 *player.Crowd
+	frontCore         *front.Front
+	boxCore           *mediabox.Box
+	players           *player.Crowd
 }
 
-func newPath(t *testing.T, overspeed float64) *path {
+func newTestbed(t *testing.T, overspeed float64) *testbed {
 	t.Helper()
-	x := &path{}
+	x := &testbed{}
 	must := func(l *edge.Loop, err error) *edge.Loop {
 		if err != nil {
 			t.Fatal(err)
@@ -42,11 +42,11 @@
 		return l
 	}
 	x.box = must(edge.New("127.0.0.1:0", func(n core.Net) core.Core {
-		x.b = mediabox.New(mediabox.Frame{Name: "box", Plans: []mediabox.Plan{{Name: "live", RateFactor: 1, Tracks: []string{"video"}}},
+		x.boxCore = mediabox.New(mediabox.Frame{Name: "box", Plans: []mediabox.Plan{{Name: "live", RateFactor: 1, Tracks: []string{"video"}}},
 			LadderKB: []float64{100}, Join: 1, LinkKB: 1e6, Rack: &mediabox.Rack{UplinkKB: 1e6}, Places: 10000, Tick: 10_000,
 			PacketBytes: 1000, LoadInAnswers: true, SessionTimeout: 20 * core.Second}, n, edge.Now())
-		x.b.Trouble.Overspeed = overspeed
-		return x.b
+		x.boxCore.Trouble.Overspeed = overspeed
+		return x.boxCore
 	}))
 	s := &front.Service{Name: "front", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
 		Plans:  []front.Face{{Name: "live", Abandon: 8 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
@@ -58,28 +58,28 @@
 			Terms: session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}}}
 	x.front = must(edge.New("127.0.0.1:0", func(n core.Net) core.Core {
 		now := edge.Now()
-		x.f = front.New(s, policy.New(&s.Site, 1, now), n, zap.NewNop(), now)
-		return x.f
+		x.frontCore = front.New(s, policy.New(&s.Site, 1, now), n, zap.NewNop(), now)
+		return x.frontCore
 	}))
 	x.front.Do(func() {
-		x.f.Listed(front.List{Whole: true, Servers: []front.Server{{Name: "box", Address: x.box.Addr(), Zone: "z", Kind: "std", Weight: 1,
+		x.frontCore.Listed(front.List{Whole: true, Servers: []front.Server{{Name: "box", Address: x.box.Addr(), Zone: "z", Kind: "std", Weight: 1,
 			State: session.Ready}}})
 	})
 	x.crowd = must(edge.New("", func(n core.Net) core.Core {
-		x.p = player.New(n, edge.Now())
-		return x.p
+		x.players = player.New(n, edge.Now())
+		return x.players
 	}))
 	time.Sleep(5 * time.Millisecond)
 	return x
 }
 
 // watch has so many players play, and returns what each saw.
-func (x *path) watch(n int, span core.Time) []player.Seen {
+func (x *testbed) playAll(n int, span core.Time) []player.Seen {
 	done := make(chan player.Seen, n)
 	x.crowd.Post(func() {
-		x.p.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
+		x.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
 		for i := range n {
-			x.p.Start(&player.Want{ID: fmt.Sprint("pb", i), Fronts: []string{x.front.Addr()}, Plan: "live", Title: fmt.Sprint("t", i),
+			x.players.Start(&player.Want{ID: fmt.Sprint("pb", i), Fronts: []string{x.front.Addr()}, Plan: "live", Title: fmt.Sprint("t", i),
 				Tracks: 1, Watch: span, Abandon: 8 * core.Second, Ask: true})
 		}
 	})
@@ -90,23 +90,23 @@
 	return all
 }
 
-func TestWholePath(t *testing.T) {
-	x := newPath(t, 1)
-	for _, s := range x.watch(20, core.Second/2) {
+func TestPlaybackEndToEnd(t *testing.T) {
+	x := newTestbed(t, 1)
+	for _, s := range x.playAll(20, core.Second/2) {
 		if s.State != player.Done || s.Packets == 0 || s.Gaps > 0 || s.Answers != s.Requests || s.Unasked > 0 {
 			t.Errorf("%+v", s)
 		}
 	}
 	x.front.Do(func() {
-		if x.f.Figures.Playbacks != 0 || x.f.Figures.Plays != 20 {
-			t.Errorf("%+v", x.f.Figures)
+		if x.frontCore.Figures.Playbacks != 0 || x.frontCore.Figures.Plays != 20 {
+			t.Errorf("%+v", x.frontCore.Figures)
 		}
 	})
 }
 
 // A player that stops reading loses packets of its own within its bound; the others miss nothing.
-func TestSlowPlayerStallsNobody(t *testing.T) {
-	x := newPath(t, 60)
+func TestSlowPlayerIsolated(t *testing.T) {
+	x := newTestbed(t, 60)
 	c, err := net.Dial("tcp", x.front.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	lost := func() (n int64) {
-		x.front.Do(func() { n = x.f.Figures.LostVideo })
+		x.front.Do(func() { n = x.frontCore.Figures.LostVideo })
 		return n
 	}
 	for range 100 { // until the kernel's buffers are full and the bound is reached
@@ -140,9 +140,9 @@
 	if lost() == 0 {
 		t.Fatal("nothing lost by a player that does not read")
 	}
-	x.box.Do(func() { x.b.Trouble.Overspeed = 1 })
+	x.box.Do(func() { x.boxCore.Trouble.Overspeed = 1 })
 	before := lost()
-	for _, s := range x.watch(5, core.Second/2) {
+	for _, s := range x.playAll(5, core.Second/2) {
 		if s.State != player.Done || s.Packets == 0 || s.Gaps > 0 {
 			t.Errorf("%+v", s)
 		}
@@ -156,7 +156,7 @@
 
 // Idle connections are kept, cost the manager nothing but memory, and are gone when they close.
 func TestIdleConnections(t *testing.T) {
-	x := newPath(t, 1)
+	x := newTestbed(t, 1)
 	var open []net.Conn
 	for range 500 {
 		c, err := net.Dial("tcp", x.front.Addr())
@@ -166,7 +166,7 @@
 		open = append(open, c)
 	}
 	count := func() (n int64) {
-		x.front.Do(func() { n = x.f.Figures.Connections })
+		x.front.Do(func() { n = x.frontCore.Figures.Connections })
 		return n
 	}
 	wait := func(want int64) {
@@ -179,7 +179,7 @@
 		t.Errorf("%d connections, not %d", count(), want)
 	}
 	wait(500)
-	for _, s := range x.watch(5, core.Second/10) {
+	for _, s := range x.playAll(5, core.Second/10) {
 		if s.State != player.Done {
 			t.Errorf("%+v", s)
 		}
@@ -192,15 +192,15 @@
 
 // A box that is not there refuses; a killed manager resets.
 func TestRefusedAndReset(t *testing.T) {
-	x := newPath(t, 1)
+	x := newTestbed(t, 1)
 	x.box.Stop(true)
-	for _, s := range x.watch(2, core.Second) {
+	for _, s := range x.playAll(2, core.Second) {
 		if s.State != player.Refused {
 			t.Errorf("%+v", s)
 		}
 	}
 	x.front.Stop(true)
-	for _, s := range x.watch(2, core.Second) {
+	for _, s := range x.playAll(2, core.Second) {
 		if s.State != player.Failed {
 			t.Errorf("%+v", s)
 		}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -28,48 +28,48 @@
 
 // collector asks the front in a turn of its own for each scrape.
 type collector struct {
-	loop   *Loop
-	f      *front.Front
-	reg    *client.Client // nil where the list comes from a file
-	labels int
-	descs  map[string]*prometheus.Desc
+	loop           *Loop
+	front          *front.Front
+	registryClient *client.Client // nil where the list comes from a file
+	tenantLabels   int
+	descs          map[string]*prometheus.Desc
 }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("pierlink_"+name, help, labels, nil)
 }
 
 // NewMetrics serves at http://ADDR/metrics. So many tenants get a label of their own, those with most
 // requests; the others are one. reg is the registry's client, nil where there is none.
 func NewMetrics(addr string, loop *Loop, f *front.Front, reg *client.Client, labels int) (*Metrics, error) {
-	c := &collector{loop: loop, f: f, reg: reg, labels: labels, descs: map[string]*prometheus.Desc{
-		"playbacks":   desc("playbacks_total", "Playbacks taken, by how they ended.", "outcome"),
-		"door":        desc("door_requests_total", "Requests at the door, by tenant and what became of them.", "tenant", "what"),
-		"refused":     desc("door_refused_total", "Requests refused, by cause.", "cause"),
-		"turned":      desc("door_turned_away_total", "Connections and requests turned away before they were read, by reason.", "reason"),
-		"waiting":     desc("door_waiting", "Requests that wait."),
-		"waitbytes":   desc("door_waiting_bytes", "Bytes that waiting requests hold."),
-		"pace":        desc("door_pace", "Requests admitted a second; absent while all are."),
-		"tenants":     desc("door_tenants", "Tenants remembered."),
-		"connections": desc("connections", "Players' connections."),
-		"dialogues":   desc("dialogues", "Connections to boxes."),
-		"now":         desc("playbacks", "Playbacks now."),
-		"tries":       desc("tries_total", "Setup tries."),
-		"age":         desc("registry_age_seconds", "Since the view of the registry was last known to be its state."),
-		"revision":    desc("registry_revision", "The revision that the view stands for."),
-		"keys":        desc("registry_keys", "Keys of the view."),
-		"registry":    desc("registry_events_total", "What the registry's client met.", "what"),
-		"dirage":      desc("directory_age_seconds", "Since the view of the directory was last known to be its state."),
-		"entries":     desc("directory_entries", "Entries of the view."),
-		"directory":   desc("directory_events_total", "What the directory's view met.", "what"),
-		"guesses":     desc("directory_guesses_held_total", "Attempts not looked at, for too many failures before."),
-		"noquota":     desc("directory_tenants_without_row", "Tenants with a quota that directory.quotas has no place for."),
-		"service":     desc("quality_service", "Part of the revenue due that started within its target.", "kind", "name"),
-		"stalls":      desc("quality_stalls", "Part of the time watched that stood still, weighed by revenue.", "kind", "name"),
-		"rung":        desc("quality_rung", "Mean worth of the rungs in force, weighed by revenue.", "kind", "name"),
-		"reports":     desc("quality_reports_total", "Players' reports, by what became of them.", "what"),
-		"unshaken":    desc("handshakes_broken_total", "Connections under TLS that ended before their handshake."),
-		"packets":     desc("packets_total", "RTP and RTCP packets to players, by what became of them.", "what"),
+	c := &collector{loop: loop, front: f, registryClient: reg, tenantLabels: labels, descs: map[string]*prometheus.Desc{
+		"playbacks":   newDesc("playbacks_total", "Playbacks taken, by how they ended.", "outcome"),
+		"door":        newDesc("door_requests_total", "Requests at the door, by tenant and what became of them.", "tenant", "what"),
+		"refused":     newDesc("door_refused_total", "Requests refused, by cause.", "cause"),
+		"turned":      newDesc("door_turned_away_total", "Connections and requests turned away before they were read, by reason.", "reason"),
+		"waiting":     newDesc("door_waiting", "Requests that wait."),
+		"waitbytes":   newDesc("door_waiting_bytes", "Bytes that waiting requests hold."),
+		"pace":        newDesc("door_pace", "Requests admitted a second; absent while all are."),
+		"tenants":     newDesc("door_tenants", "Tenants remembered."),
+		"connections": newDesc("connections", "Players' connections."),
+		"dialogues":   newDesc("dialogues", "Connections to boxes."),
+		"now":         newDesc("playbacks", "Playbacks now."),
+		"tries":       newDesc("tries_total", "Setup tries."),
+		"age":         newDesc("registry_age_seconds", "Since the view of the registry was last known to be its state."),
+		"revision":    newDesc("registry_revision", "The revision that the view stands for."),
+		"keys":        newDesc("registry_keys", "Keys of the view."),
+		"registry":    newDesc("registry_events_total", "What the registry's client met.", "what"),
+		"dirage":      newDesc("directory_age_seconds", "Since the view of the directory was last known to be its state."),
+		"entries":     newDesc("directory_entries", "Entries of the view."),
+		"directory":   newDesc("directory_events_total", "What the directory's view met.", "what"),
+		"guesses":     newDesc("directory_guesses_held_total", "Attempts not looked at, for too many failures before."),
+		"noquota":     newDesc("directory_tenants_without_row", "Tenants with a quota that directory.quotas has no place for."),
+		"service":     newDesc("quality_service", "Part of the revenue due that started within its target.", "kind", "name"),
+		"stalls":      newDesc("quality_stalls", "Part of the time watched that stood still, weighed by revenue.", "kind", "name"),
+		"rung":        newDesc("quality_rung", "Mean worth of the rungs in force, weighed by revenue.", "kind", "name"),
+		"reports":     newDesc("quality_reports_total", "Players' reports, by what became of them.", "what"),
+		"unshaken":    newDesc("handshakes_broken_total", "Connections under TLS that ended before their handshake."),
+		"packets":     newDesc("packets_total", "RTP and RTCP packets to players, by what became of them.", "what"),
 	}}
 	all := prometheus.NewRegistry()
 	if err := all.Register(c); err != nil {
@@ -115,17 +115,17 @@
 	var refused [fair.Causes]int64
 	var turned [fair.Reasons]int64
 	var waiting, bytes, remembered int
-	var gate *gateFigures
+	var gate *directoryFigures
 	var service map[quality.Group]quality.Figures
 	var reports quality.Counts
 	pace, queued := 0.0, false
 	c.loop.Do(func() {
-		x = c.f.Figures
-		gate = gateOf(c.f)
-		if k := c.f.Quality; k != nil {
+		x = c.front.Figures
+		gate = directoryFiguresOf(c.front)
+		if k := c.front.Quality; k != nil {
 			service, reports = k.Figures(), k.Counts
 		}
-		q, d := c.f.Door()
+		q, d := c.front.Door()
 		turned = d.Refused
 		if q == nil {
 			return
@@ -133,7 +133,7 @@
 		queued = true
 		refused, pace, remembered = q.Refused, q.PerSec(), q.Remembered()
 		waiting, bytes = q.Waiting()
-		q.Each(func(name string, f fair.TenantFigures) { all = append(all, tenantFigures{c.f.Named(name), f}) })
+		q.Each(func(name string, f fair.TenantFigures) { all = append(all, tenantFigures{c.front.Named(name), f}) })
 	})
 	count := func(name string, v int64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(c.descs[name], prometheus.CounterValue, float64(v), labels...)
@@ -160,13 +160,13 @@
 			"clock set": reports.Clocks} {
 			count("reports", v, what)
 		}
-		c.service(service, out)
+		c.qualityMetrics(service, out)
 	}
 	if gate != nil {
 		gauge("dirage", gate.age)
 		gauge("entries", float64(gate.entries))
-		gauge("noquota", float64(gate.without))
-		count("guesses", gate.held)
+		gauge("noquota", float64(gate.quotasWithoutRow))
+		count("guesses", gate.guessesHeld)
 		met := gate.met
 		for what, v := range map[string]int64{"synchronisation": met.Syncs, "whole": met.Whole, "broken off": met.Broken, "poll": met.Polls, "list": met.Lists,
 			"look-up": met.Looks, "look-up joined": met.Joined, "asked elsewhere": met.Retried, "referral": met.Referred, "circuit opened": met.Opened,
@@ -174,8 +174,8 @@
 			count("directory", v, what)
 		}
 	}
-	if c.reg != nil {
-		c.registry(count, gauge)
+	if c.registryClient != nil {
+		c.registryMetrics(count, gauge)
 	}
 	if !queued {
 		return
@@ -198,23 +198,23 @@
 	var rest fair.TenantFigures
 	shown := 0
 	for _, t := range all {
-		if t.name == "" || shown == c.labels || !printable(t.name) {
+		if t.name == "" || shown == c.tenantLabels || !validLabel(t.name) {
 			rest.Asked, rest.Admitted = rest.Asked+t.Asked, rest.Admitted+t.Admitted
 			rest.Refused, rest.Returned = rest.Refused+t.Refused, rest.Returned+t.Returned
 			continue
 		}
 		shown++
-		c.tenant(count, t.name, t.TenantFigures)
+		c.tenantMetrics(count, t.name, t.TenantFigures)
 	}
-	c.tenant(count, "other", rest)
+	c.tenantMetrics(count, "other", rest)
 }
 
 // service tells quality by rack and title; titles that are no labels are left to the log.
-func (c *collector) service(all map[quality.Group]quality.Figures, out chan<- prometheus.Metric) {
+func (c *collector) qualityMetrics(all map[quality.Group]quality.Figures, out chan<- prometheus.Metric) {
 	for g, f := range all {
 		kind, name := "rack", strconv.Itoa(g.Rack)
 		if g.Kind == quality.Title {
-			if kind, name = "title", g.Title; name != quality.Other && !printable(name) {
+			if kind, name = "title", g.Title; name != quality.Other && !validLabel(name) {
 				continue
 			}
 		}
@@ -225,27 +225,27 @@
 }
 
 // gateFigures are what a directory's view tells.
-type gateFigures struct {
-	age              float64
-	entries, without int
-	held             int64
-	met              tenants.Counts
+type directoryFigures struct {
+	age                       float64
+	entries, quotasWithoutRow int
+	guessesHeld               int64
+	met                       tenants.Counts
 }
 
-func gateOf(f *front.Front) *gateFigures {
+func directoryFiguresOf(f *front.Front) *directoryFigures {
 	if f.Gate == nil {
 		return nil
 	}
 	k := f.Gate.Core
-	return &gateFigures{age: float64(k.Age()) / 1e6, entries: k.Size(), without: f.Gate.Rows.Without(), held: f.Gate.Guesses.Held, met: k.Counts}
+	return &directoryFigures{age: float64(k.Age()) / 1e6, entries: k.Size(), quotasWithoutRow: f.Gate.Rows.Without(), guessesHeld: f.Gate.Guesses.Held, met: k.Counts}
 }
 
-func (c *collector) registry(count func(string, int64, ...string), gauge func(string, float64)) {
+func (c *collector) registryMetrics(count func(string, int64, ...string), gauge func(string, float64)) {
 	var age float64
 	var rev int64
 	var keys int
 	var met registry.Counts
-	c.reg.Do(func(r *registry.Core) {
+	c.registryClient.Do(func(r *registry.Core) {
 		age, keys, met = float64(r.Age())/1e6, len(r.View()), r.Counts
 		rev, _ = r.Revision()
 	})
@@ -258,14 +258,14 @@
 	}
 }
 
-func (c *collector) tenant(count func(string, int64, ...string), name string, f fair.TenantFigures) {
+func (c *collector) tenantMetrics(count func(string, int64, ...string), name string, f fair.TenantFigures) {
 	for what, v := range map[string]int64{"asked": f.Asked, "admitted": f.Admitted, "refused": f.Refused, "returned": f.Returned} {
 		count("door", v, name, what)
 	}
 }
 
 // printable tells whether a name may be a label: tenants' names come from outside.
-func printable(name string) bool {
+func validLabel(name string) bool {
 	for _, r := range name {
 		if r < ' ' || r > '~' {
 			return false
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -16,35 +16,35 @@
 
 // inbox gathers news until the front's next turn takes it: a thousand changes a second are as many turns at
 // most as the front has anyway.
-type inbox struct {
-	loop *Loop
-	f    *front.Front
-	mu   sync.Mutex
-	list front.List
-	due  bool
+type listBatcher struct {
+	loop      *Loop
+	front     *front.Front
+	mu        sync.Mutex
+	pending   front.List
+	scheduled bool
 }
 
-func (i *inbox) put(l front.List) {
+func (i *listBatcher) add(l front.List) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if l.Whole {
-		i.list = l
+		i.pending = l
 	} else {
-		i.list.Servers = append(i.list.Servers, l.Servers...)
+		i.pending.Servers = append(i.pending.Servers, l.Servers...)
 	}
-	if !i.due {
-		i.due = true
-		i.loop.Post(i.take)
+	if !i.scheduled {
+		i.scheduled = true
+		i.loop.Post(i.flush)
 	}
 }
 
-func (i *inbox) take() {
+func (i *listBatcher) flush() {
 	i.mu.Lock()
-	l := i.list
-	i.list, i.due = front.List{}, false
+	l := i.pending
+	i.pending, i.scheduled = front.List{}, false
 	i.mu.Unlock()
-	i.f.Listed(l)
-	if l := i.f.Life(); l != nil {
+	i.front.Listed(l)
+	if l := i.front.Life(); l != nil {
 		l.Has(life.List)
 	}
 }
@@ -57,7 +57,7 @@
 	var boxes registry.Boxes
 	fronts, mine := 0, 0
 	var others []string
-	in := &inbox{loop: loop, f: f}
+	in := &listBatcher{loop: loop, front: f}
 	count := func() {
 		all, number := own.Count(Now())
 		if all != fronts || number != mine {
@@ -90,7 +90,7 @@
 		for _, b := range named {
 			l.Servers = append(l.Servers, Line(b))
 		}
-		in.put(l)
+		in.add(l)
 		say := log.Debug
 		if n.Whole {
 			say = log.Info
--- a/internal/edge/secure.go
+++ b/internal/edge/secure.go
@@ -13,10 +13,10 @@
 	"pierlink/internal/core"
 )
 
-const secureRead = 2 << 10
+const tlsReadBytes = 2 << 10
 
 // wire is what the loop needs of a connection.
-type wire interface {
+type transport interface {
 	Write(b []byte) (int, error) // takes a copy; what it could not write yet it writes later
 	Close() error
 	SetLinger(onoff, linger int32) error
@@ -25,166 +25,166 @@
 // secured is a connection under TLS (RFC 8446). The poller cannot be given one, as a record may need reading before
 // it can be written: two goroutines carry it, one for each way. The core has it from its accepting on, so that the
 // door's limits hold for handshakes as for anybody who has not asked yet.
-type secured struct {
-	l      *Loop
-	s      *socket
-	raw    *net.TCPConn
-	tls    *tls.Conn
-	shaken atomic.Bool // tls's own word on it waits for a handshake under way
-
-	mu   sync.Mutex
-	more sync.Cond
-	out  []byte
-	busy bool // bytes are being written
-	over bool // close once out is empty
-	dead bool
+type tlsConn struct {
+	loop          *Loop
+	socket        *socket
+	raw           *net.TCPConn
+	conn          *tls.Conn
+	handshakeDone atomic.Bool // tls's own word on it waits for a handshake under way
+
+	mu       sync.Mutex
+	changed  sync.Cond
+	outgoing []byte
+	writing  bool // bytes are being written
+	closing  bool // close once out is empty
+	aborted  bool
 }
 
 // secure takes a connection in.
-func (l *Loop) secure(c *net.TCPConn, keys *tls.Config) {
+func (l *Loop) acceptTLS(c *net.TCPConn, keys *tls.Config) {
 	s := &socket{}
-	s.own = &s.conn
+	s.coreConn = &s.conn
 	s.conn.Socket, s.conn.Secure = s, true
-	x := l.carry(s, c, tls.Server(c, keys))
-	s.nb = x
-	l.post(event{kind: accepted, sock: s, where: c.RemoteAddr().String()})
+	x := l.newTLSConn(s, c, tls.Server(c, keys))
+	s.transport = x
+	l.post(event{kind: accepted, socket: s, remoteAddr: c.RemoteAddr().String()})
 	x.run()
 }
 
 // Trust tells whose certificates are good when the loop's own core connects.
-func (l *Loop) Trust(t *tls.Config) { l.trust = t }
+func (l *Loop) Trust(t *tls.Config) { l.clientTLS = t }
 
 // secureTo connects. The handshake is done with the first bytes; where it fails the connection ends.
-func (l *Loop) secureTo(ctx context.Context, s *socket, addr string) {
+func (l *Loop) dialTLS(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	c, err := from(ctx, s.own.From, addr, l.has.Dials)
+	c, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			err = core.ErrRefused
 		}
-		l.post(event{kind: dialed, sock: s, err: err})
+		l.post(event{kind: dialed, socket: s, err: err})
 		return
 	}
 	t := &tls.Config{}
-	if l.trust != nil {
-		t = l.trust.Clone()
+	if l.clientTLS != nil {
+		t = l.clientTLS.Clone()
 	}
 	if t.ServerName == "" {
 		t.ServerName, _, _ = net.SplitHostPort(addr)
 	}
 	raw := c.(*net.TCPConn)
-	x := l.carry(s, raw, tls.Client(raw, t))
-	l.post(event{kind: dialed, sock: s, nb: x})
+	x := l.newTLSConn(s, raw, tls.Client(raw, t))
+	l.post(event{kind: dialed, socket: s, transport: x})
 	x.run()
 }
 
-func (l *Loop) carry(s *socket, raw *net.TCPConn, t *tls.Conn) *secured {
-	x := &secured{l: l, s: s, raw: raw, tls: t}
-	x.more.L = &x.mu
+func (l *Loop) newTLSConn(s *socket, raw *net.TCPConn, t *tls.Conn) *tlsConn {
+	x := &tlsConn{loop: l, socket: s, raw: raw, conn: t}
+	x.changed.L = &x.mu
 	return x
 }
 
 // run carries it. The handshake has a goroutine of its own, as it needs more stack than those that stay.
-func (x *secured) run() {
+func (x *tlsConn) run() {
 	go func() {
-		x.shaken.Store(x.tls.Handshake() == nil) // reading tells what went wrong
+		x.handshakeDone.Store(x.conn.Handshake() == nil) // reading tells what went wrong
 		go x.read()
 		go x.write()
 	}()
 }
 
-func (x *secured) read() {
+func (x *tlsConn) read() {
 	var err error
-	var own [secureRead]byte // a buffer of the pool would be held for as long as nothing comes
+	var own [tlsReadBytes]byte // a buffer of the pool would be held for as long as nothing comes
 	for err == nil {
 		var n int
-		if n, err = x.tls.Read(own[:]); n > 0 {
-			b := x.l.buffers.Get().(*[]byte)
+		if n, err = x.conn.Read(own[:]); n > 0 {
+			b := x.loop.buffers.Get().(*[]byte)
 			n = copy(*b, own[:n])
-			x.l.post(event{kind: received, sock: x.s, data: b, size: n})
+			x.loop.post(event{kind: received, socket: x.socket, data: b, size: n})
 		}
 	}
-	x.die()
+	x.abort()
 	_ = x.raw.Close()
-	if !x.shaken.Load() {
-		x.l.unshaken.Add(1)
+	if !x.handshakeDone.Load() {
+		x.loop.brokenHandshakes.Add(1)
 	}
 	if errors.Is(err, io.EOF) {
 		err = core.ErrEnded
 	}
-	x.l.post(event{kind: closed, sock: x.s, err: err})
+	x.loop.post(event{kind: closed, socket: x.socket, err: err})
 }
 
-func (x *secured) write() {
+func (x *tlsConn) write() {
 	var out []byte
 	for {
 		x.mu.Lock()
-		for len(x.out) == 0 && !x.over && !x.dead {
-			x.more.Wait()
+		for len(x.outgoing) == 0 && !x.closing && !x.aborted {
+			x.changed.Wait()
 		}
-		out, x.out = x.out, out[:0]
-		dead, over := x.dead, len(out) == 0
-		x.busy = !over
+		out, x.outgoing = x.outgoing, out[:0]
+		dead, over := x.aborted, len(out) == 0
+		x.writing = !over
 		x.mu.Unlock()
 		if dead {
 			return
 		}
 		if over {
-			_ = x.tls.Close() // with its close_notify
+			_ = x.conn.Close() // with its close_notify
 			return
 		}
-		if _, err := x.tls.Write(out); err != nil {
-			x.die()
+		if _, err := x.conn.Write(out); err != nil {
+			x.abort()
 			_ = x.raw.Close()
 			return
 		}
 		x.mu.Lock()
-		x.busy = false
+		x.writing = false
 		x.mu.Unlock()
-		x.s.written.Add(int64(len(out)))
-		if x.s.waiting.CompareAndSwap(true, false) {
-			x.l.post(event{kind: drained, sock: x.s})
+		x.socket.writtenBytes.Add(int64(len(out)))
+		if x.socket.drainPending.CompareAndSwap(true, false) {
+			x.loop.post(event{kind: drained, socket: x.socket})
 		}
 	}
 }
 
-func (x *secured) die() {
+func (x *tlsConn) abort() {
 	x.mu.Lock()
-	x.dead = true
-	x.more.Signal()
+	x.aborted = true
+	x.changed.Signal()
 	x.mu.Unlock()
 }
 
 // Write has the bytes written, once the handshake is done.
-func (x *secured) Write(b []byte) (int, error) {
+func (x *tlsConn) Write(b []byte) (int, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.dead || x.over {
+	if x.aborted || x.closing {
 		return 0, net.ErrClosed
 	}
-	x.out = append(x.out, b...)
-	x.more.Signal()
+	x.outgoing = append(x.outgoing, b...)
+	x.changed.Signal()
 	return len(b), nil
 }
 
 // Close ends the connection: with a word of it where nothing is left to be written, otherwise at once, as it does
 // before the handshake is done.
-func (x *secured) Close() error {
+func (x *tlsConn) Close() error {
 	x.mu.Lock()
-	x.over = true
-	idle := len(x.out) == 0 && !x.busy
-	x.more.Signal()
+	x.closing = true
+	idle := len(x.outgoing) == 0 && !x.writing
+	x.changed.Signal()
 	x.mu.Unlock()
-	if idle && x.shaken.Load() {
+	if idle && x.handshakeDone.Load() {
 		return nil
 	}
-	x.die()
+	x.abort()
 	return x.raw.Close()
 }
 
 // SetLinger with 0 has the connection reset by its closing.
-func (x *secured) SetLinger(_, linger int32) error {
+func (x *tlsConn) SetLinger(_, linger int32) error {
 	err := x.raw.SetLinger(int(linger))
-	x.die()
+	x.abort()
 	return errors.Join(err, x.raw.Close())
 }
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -22,10 +22,10 @@
 )
 
 // keyed is a pair in files, and who vouches for it.
-func keyed(t *testing.T, a *authority.Authority) (k *edge.Keys, cert, key string) {
+func writeKeyPair(t *testing.T, a *authority.Authority) (k *edge.Keys, cert, key string) {
 	t.Helper()
 	cert, key = filepath.Join(t.TempDir(), "cert"), filepath.Join(t.TempDir(), "key")
-	renew(t, a, cert, key)
+	writeCertificate(t, a, cert, key)
 	k, err := edge.ReadKeys(cert, key)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	return k, cert, key
 }
 
-func renew(t *testing.T, a *authority.Authority, cert, key string) {
+func writeCertificate(t *testing.T, a *authority.Authority, cert, key string) {
 	t.Helper()
 	c, err := a.Pair()
 	if err == nil {
@@ -54,7 +54,7 @@
 }
 
 // hello asks for OPTIONS on a connection under TLS, and tells the number of the certificate that it was shown.
-func hello(c *tls.Conn) (string, error) {
+func requestOverTLS(c *tls.Conn) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.WriteString(c, "OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n"); err != nil {
 		return "", err
@@ -69,19 +69,19 @@
 
 // New keys count for new connections, old connections go on; half a change, or a broken file, changes nothing; and a
 // process that takes over serves the same door.
-func TestDoorUnderTLS(t *testing.T) {
+func TestTLSListener(t *testing.T) {
 	a := newAuthority(t)
-	keys, cert, key := keyed(t, a)
+	keys, cert, key := writeKeyPair(t, a)
 	socket := filepath.Join(t.TempDir(), "c")
-	var old *daemon
-	old = newDaemon(t, func(d *daemon) error {
+	var old *process
+	old = newProcess(t, func(d *process) error {
 		if err := d.loop.Listen("127.0.0.1:0", nil); err != nil {
 			return err
 		}
 		if err := d.loop.Listen("127.0.0.1:0", keys.Door()); err != nil {
 			return err
 		}
-		_, err := edge.NewControl(socket, d.loop, d.f, func() edge.Status { return edge.Status{Name: "f"} })
+		_, err := edge.NewControl(socket, d.loop, d.front, func() edge.Status { return edge.Status{Name: "f"} })
 		return err
 	})
 	addr := old.loop.SecureAddr()
@@ -98,7 +98,7 @@
 		return c
 	}
 	first := open()
-	one, err := hello(first)
+	one, err := requestOverTLS(first)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	renew(t, a, cert, key)
+	writeCertificate(t, a, cert, key)
 	now, _ := os.ReadFile(key)
 	if err := os.WriteFile(key, was, 0o600); err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 	if err := keys.Again(); err == nil {
 		t.Error("a key that does not belong to its certificate was taken")
 	}
-	if two, err := hello(open()); err != nil || two != one {
+	if two, err := requestOverTLS(open()); err != nil || two != one {
 		t.Error("half a change", two, one, err)
 	}
 	if err := os.WriteFile(key, now, 0o600); err != nil {
@@ -123,14 +123,14 @@
 	if err := keys.Again(); err != nil {
 		t.Fatal(err)
 	}
-	two, err := hello(open())
+	two, err := requestOverTLS(open())
 	if err != nil || two == one {
 		t.Error("the new keys", two, err)
 	}
-	if _, err := hello(first); err != nil {
+	if _, err := requestOverTLS(first); err != nil {
 		t.Error("the old connection:", err)
 	}
-	if err := options(addr); err == nil {
+	if err := requestOptions(addr); err == nil {
 		t.Error("it answers in the clear")
 	}
 	if c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: newAuthority(t).Pool()}); err == nil {
@@ -146,7 +146,7 @@
 	if n := old.loop.Unshaken(); n != 2 {
 		t.Errorf("%d handshakes were not done", n)
 	}
-	heir := newDaemon(t, func(d *daemon) error {
+	heir := newProcess(t, func(d *process) error {
 		h, err := edge.TakeOver(socket)
 		if err != nil {
 			return err
@@ -158,20 +158,20 @@
 		d.loop.Accept(h.Listeners[1], keys.Door())
 		return h.Serving(func(map[life.Seat]int) {})
 	})
-	<-old.hushed
+	<-old.acceptStopped
 	if heir.loop.SecureAddr() != addr {
 		t.Error(heir.loop.SecureAddr(), addr)
 	}
-	if got, err := hello(open()); err != nil || got != two {
+	if got, err := requestOverTLS(open()); err != nil || got != two {
 		t.Error("after the takeover", got, err)
 	}
 }
 
 // Those who do not get on with their handshake hold no more places than the half-open limit has: the oldest goes.
-func TestHandshakesThatDoNotGoOn(t *testing.T) {
-	keys, _, _ := keyed(t, newAuthority(t))
-	d := newDaemon(t, func(d *daemon) error {
-		d.f.Limits.HalfOpen = 4
+func TestStalledHandshakesEvicted(t *testing.T) {
+	keys, _, _ := writeKeyPair(t, newAuthority(t))
+	d := newProcess(t, func(d *process) error {
+		d.front.Limits.HalfOpen = 4
 		return d.loop.Listen("127.0.0.1:0", keys.Door())
 	})
 	var all []net.Conn
@@ -194,15 +194,15 @@
 }
 
 // Players under TLS play, by Digest and by a password; in the clear a password is not taken, nor asked for.
-func TestPlaysUnderTLS(t *testing.T) {
-	x := newPath(t, 1)
+func TestPlaybackOverTLS(t *testing.T) {
+	x := newTestbed(t, 1)
 	a := newAuthority(t)
-	keys, _, _ := keyed(t, a)
+	keys, _, _ := writeKeyPair(t, a)
 	gate := tenants.New(tenants.Terms{Longest: 1e12, Renew: 1e9, Timeout: 1e6, Waiting: 10, Lookups: 1, Entries: 10}, edge.Now())
 	gate.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
 		{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "t", Digest: player.HA1("pier", "ann", "pass", sha256.New)}}, tenants.Mark{End: -1}, edge.Now())
 	x.front.Do(func() {
-		x.f.Gate = &front.Gate{Core: gate, Ask: func(tenants.Want) {}, Realm: "pier", Basic: true, Guesses: tenants.Guesses{Span: core.Second}}
+		x.frontCore.Gate = &front.Gate{Core: gate, Ask: func(tenants.Want) {}, Realm: "pier", Basic: true, Guesses: tenants.Guesses{Span: core.Second}}
 	})
 	if err := x.front.Listen("127.0.0.1:0", keys.Door()); err != nil {
 		t.Fatal(err)
@@ -212,8 +212,8 @@
 	play := func(w player.Want) player.Seen {
 		w.Plan, w.Title, w.Tracks, w.Watch, w.Abandon = "live", "t", 1, core.Second/5, 4*core.Second
 		x.crowd.Post(func() {
-			x.p.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
-			x.p.Start(&w)
+			x.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
+			x.players.Start(&w)
 		})
 		return <-done
 	}
--- a/internal/kept/journal.go
+++ b/internal/kept/journal.go
@@ -34,11 +34,11 @@
 }
 
 const (
-	suffix   = ".dialogues"
-	queued   = 1 << 14 // records that wait for the disk; beyond, they are lost and counted
-	rewrite  = 8       // times as many lines as what is open, and some, until the file is written anew
-	few      = 1 << 10
-	together = 10 * time.Millisecond // what comes within is written in one go
+	journalSuffix    = ".dialogues"
+	queueCapacity    = 1 << 14 // records that wait for the disk; beyond, they are lost and counted
+	compactionFactor = 8       // times as many lines as what is open, and some, until the file is written anew
+	compactionSlack  = 1 << 10
+	batchInterval    = 10 * time.Millisecond // what comes within is written in one go
 )
 
 // Journal writes down what is open at boxes, before it can be, and when it has ended. A process that was
@@ -46,14 +46,14 @@
 // own and holds a lock on it for as long as it lives, so that two never take each other's for left behind.
 // Lines have a checksum each: a flipped one is passed over, a truncated tail too.
 type Journal struct {
-	path string
-	file *os.File
-	in   chan record
-	done chan struct{}
-	open map[string]Open
-	rows int
-	Lost atomic.Int64 // records that the disk was too slow for, or that it refused
-	fail func(error)
+	path    string
+	file    *os.File
+	queue   chan record
+	done    chan struct{}
+	open    map[string]Open
+	lines   int
+	Lost    atomic.Int64 // records that the disk was too slow for, or that it refused
+	onError func(error)
 }
 
 // NewJournal begins a file of its own in a directory, which is made if there is none. fail is told what the
@@ -62,9 +62,9 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	j := &Journal{in: make(chan record, queued), done: make(chan struct{}), open: map[string]Open{}, fail: fail}
+	j := &Journal{queue: make(chan record, queueCapacity), done: make(chan struct{}), open: map[string]Open{}, onError: fail}
 	for n := 0; ; n++ {
-		j.path = filepath.Join(dir, strconv.Itoa(os.Getpid())+"-"+strconv.Itoa(n)+suffix)
+		j.path = filepath.Join(dir, strconv.Itoa(os.Getpid())+"-"+strconv.Itoa(n)+journalSuffix)
 		f, err := os.OpenFile(j.path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 		if errors.Is(err, os.ErrExist) {
 			continue
@@ -84,14 +84,14 @@
 }
 
 // Opened notes what may run from now on. It does not wait for the disk.
-func (j *Journal) Opened(o Open) { j.put(record{Open: o}) }
+func (j *Journal) Opened(o Open) { j.enqueue(record{Open: o}) }
 
 // Ended notes that it does no more.
-func (j *Journal) Ended(name string) { j.put(record{Open: Open{Name: name}, Ended: true}) }
+func (j *Journal) Ended(name string) { j.enqueue(record{Open: Open{Name: name}, Ended: true}) }
 
-func (j *Journal) put(r record) {
+func (j *Journal) enqueue(r record) {
 	select {
-	case j.in <- r:
+	case j.queue <- r:
 	default:
 		j.Lost.Add(1)
 	}
@@ -99,7 +99,7 @@
 
 // Close ends the journal. Where nothing is open any more its file goes.
 func (j *Journal) Close() {
-	close(j.in)
+	close(j.queue)
 	<-j.done
 }
 
@@ -107,21 +107,21 @@
 	defer close(j.done)
 	var buf []byte
 	failed := ""
-	for r := range j.in {
-		buf = j.add(buf[:0], r)
+	for r := range j.queue {
+		buf = j.apply(buf[:0], r)
 		for more := true; more; { // what has come meanwhile goes in one write
 			select {
-			case r, ok := <-j.in:
+			case r, ok := <-j.queue:
 				if more = ok; ok {
-					buf = j.add(buf, r)
+					buf = j.apply(buf, r)
 				}
 			default:
 				more = false
 			}
 		}
 		var err error
-		if j.rows > rewrite*len(j.open)+few {
-			err = j.anew()
+		if j.lines > compactionFactor*len(j.open)+compactionSlack {
+			err = j.compact()
 		} else {
 			_, err = j.file.Write(buf)
 		}
@@ -130,12 +130,12 @@
 			failed = ""
 		case err.Error() != failed:
 			failed = err.Error()
-			j.fail(fmt.Errorf("journal %s: %w", j.path, err))
+			j.onError(fmt.Errorf("journal %s: %w", j.path, err))
 			fallthrough
 		default:
 			j.Lost.Add(1)
 		}
-		time.Sleep(together)
+		time.Sleep(batchInterval)
 	}
 	if len(j.open) == 0 {
 		_ = os.Remove(j.path)
@@ -143,13 +143,13 @@
 	_ = j.file.Close()
 }
 
-func (j *Journal) add(buf []byte, r record) []byte {
+func (j *Journal) apply(buf []byte, r record) []byte {
 	if r.Ended {
 		delete(j.open, r.Name)
 	} else {
 		j.open[r.Name] = r.Open
 	}
-	j.rows++
+	j.lines++
 	return appendLine(buf, r)
 }
 
@@ -162,12 +162,12 @@
 }
 
 // anew writes the file once more with what is open only, beside the old one, and takes its place.
-func (j *Journal) anew() error {
+func (j *Journal) compact() error {
 	var buf []byte
 	for _, name := range slices.Sorted(maps.Keys(j.open)) {
 		buf = appendLine(buf, record{Open: j.open[name]})
 	}
-	next := strings.TrimSuffix(j.path, suffix) + ".next"
+	next := strings.TrimSuffix(j.path, journalSuffix) + ".next"
 	f, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 		return err
 	}
 	_ = j.file.Close()
-	j.file, j.rows = f, len(j.open)
+	j.file, j.lines = f, len(j.open)
 	return nil
 }
 
@@ -200,7 +200,7 @@
 // Behind finds the files of processes that have died, and locks them so that no other process takes them
 // too. Those of living ones are passed over.
 func Behind(dir string) (all []*Left, err error) {
-	names, err := filepath.Glob(filepath.Join(dir, "*"+suffix))
+	names, err := filepath.Glob(filepath.Join(dir, "*"+journalSuffix))
 	if err != nil {
 		return nil, err
 	}
@@ -213,7 +213,7 @@
 			_ = f.Close()
 			continue
 		}
-		if now, err := os.Stat(path); err != nil || !same(f, now) { // replaced or removed while we looked
+		if now, err := os.Stat(path); err != nil || !sameFile(f, now) { // replaced or removed while we looked
 			_ = f.Close()
 			continue
 		}
@@ -224,7 +224,7 @@
 	return all, nil
 }
 
-func same(f *os.File, now os.FileInfo) bool {
+func sameFile(f *os.File, now os.FileInfo) bool {
 	mine, err := f.Stat()
 	return err == nil && os.SameFile(mine, now)
 }
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-type thing struct {
+type sample struct {
 	A string
 	B map[string]float64
 }
@@ -22,11 +22,11 @@
 // snapshot.
 func TestSnapshotDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
-	var got thing
+	var got sample
 	if err := Load(path, "thing 1", &got); !errors.Is(err, ErrNone) {
 		t.Fatal(err)
 	}
-	want := thing{"a", map[string]float64{"b": 1.5, "c": 2}}
+	want := sample{"a", map[string]float64{"b": 1.5, "c": 2}}
 	if err := Save(path, "thing 1", want); err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 }
 
 // A directory that cannot be written leaves the old snapshot, and says so.
-func TestNoRoom(t *testing.T) {
+func TestUnwritableDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	if err := Save(filepath.Join(dir, "x"), "thing 1", 1); err == nil {
 		t.Error("saved where there is no directory")
@@ -83,10 +83,10 @@
 				j.Ended(fmt.Sprint("r", i-7))
 			}
 			if i%500 == 0 {
-				time.Sleep(2 * together)
+				time.Sleep(2 * batchInterval)
 			}
 		}
-		time.Sleep(5 * together)
+		time.Sleep(5 * batchInterval)
 		fmt.Println("written")
 		time.Sleep(time.Hour)
 	}
@@ -158,16 +158,16 @@
 }
 
 // What is sealed opens with its key only, and does not show what it holds.
-func TestSealed(t *testing.T) {
+func TestSealedSnapshot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
-	if err := SaveSealed(path, "thing 1", []byte("key"), thing{A: "a secret word"}); err != nil {
+	if err := SaveSealed(path, "thing 1", []byte("key"), sample{A: "a secret word"}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || strings.Contains(string(text), "secret") {
 		t.Error("it shows", err)
 	}
-	var got thing
+	var got sample
 	if err := LoadSealed(path, "thing 1", []byte("another"), &got); !errors.Is(err, ErrBad) {
 		t.Error(err)
 	}
--- a/internal/kept/sealed.go
+++ b/internal/kept/sealed.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return err
 	}
-	seal, err := sealer(key)
+	seal, err := newAEAD(key)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	if err := Load(path, kind, &text); err != nil {
 		return err
 	}
-	seal, err := sealer(key)
+	seal, err := newAEAD(key)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func sealer(key []byte) (cipher.AEAD, error) {
+func newAEAD(key []byte) (cipher.AEAD, error) {
 	sum := sha256.Sum256(key)
 	b, err := aes.NewCipher(sum[:])
 	if err != nil {
--- a/internal/kept/snapshot.go
+++ b/internal/kept/snapshot.go
@@ -21,9 +21,9 @@
 
 // head is the first line of a snapshot: its kind with its version, and a checksum of the kind and all that
 // follows.
-const head = "pierlink %s %016x\n"
+const headerFormat = "pierlink %s %016x\n"
 
-func sum(kind string, body []byte) uint64 {
+func checksum(kind string, body []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(kind)
 	_, _ = h.Write([]byte{0})
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(append(fmt.Appendf(nil, head, kind, sum(kind, body)), body...))
+	_, err = f.Write(append(fmt.Appendf(nil, headerFormat, kind, checksum(kind, body)), body...))
 	if err == nil {
 		err = f.Sync()
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	first, body, ok := bytes.Cut(text, []byte("\n"))
-	if !ok || string(first)+"\n" != fmt.Sprintf(head, kind, sum(kind, body)) {
+	if !ok || string(first)+"\n" != fmt.Sprintf(headerFormat, kind, checksum(kind, body)) {
 		return fmt.Errorf("%s: %w", path, ErrBad)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
--- a/internal/life/lag.go
+++ b/internal/life/lag.go
@@ -1,10 +1,10 @@
 package life
 
 const (
-	cells    = 8
-	shedPart = 4  // new requests are shed while turns come later than this part of the startup target
-	freshFor = 64 // startup targets after which what an earlier process kept means nothing any more
-	seenFor  = 2  // and for this part of it after the last late one
+	lagBuckets       = 8
+	shedDivisor      = 4  // new requests are shed while turns come later than this part of the startup target
+	loadDataLifetime = 64 // startup targets after which what an earlier process kept means nothing any more
+	lagWindowDivisor = 2  // and for this part of it after the last late one
 )
 
 // Behind measures how late a process is with its work: from the arrival of what a turn takes to the turn's
@@ -12,33 +12,33 @@
 // whatever makes the process slow: its load, the machine's, or a stand-still. It may hurt where one slow turn
 // was by chance: new requests are refused for half of a startup target then.
 type Behind struct {
-	Startup Time // the shortest startup target
-	worst   [cells]Time
-	at      [cells]Time
-	Sheds   int64
-	Worst   Time // ever
+	Startup   Time // the shortest startup target
+	maxLag    [lagBuckets]Time
+	startedAt [lagBuckets]Time
+	Sheds     int64
+	Worst     Time // ever
 }
 
-func (b *Behind) cell(now Time) (i int, start Time) {
-	width := max(b.Startup/seenFor/cells, 1)
-	return int(now / width % cells), now / width * width
+func (b *Behind) bucket(now Time) (i int, start Time) {
+	width := max(b.Startup/lagWindowDivisor/lagBuckets, 1)
+	return int(now / width % lagBuckets), now / width * width
 }
 
 // Turn notes that what a turn took had waited so long when the turn ended.
 func (b *Behind) Turn(now, late Time) {
-	i, start := b.cell(now)
-	if b.at[i] != start {
-		b.at[i], b.worst[i] = start, 0
+	i, start := b.bucket(now)
+	if b.startedAt[i] != start {
+		b.startedAt[i], b.maxLag[i] = start, 0
 	}
-	b.worst[i] = max(b.worst[i], late)
+	b.maxLag[i] = max(b.maxLag[i], late)
 	b.Worst = max(b.Worst, late)
 }
 
 // Late is the worst of late.
 func (b *Behind) Late(now Time) (worst Time) {
-	for i, at := range b.at {
-		if at > now-b.Startup/seenFor {
-			worst = max(worst, b.worst[i])
+	for i, at := range b.startedAt {
+		if at > now-b.Startup/lagWindowDivisor {
+			worst = max(worst, b.maxLag[i])
 		}
 	}
 	return worst
@@ -46,7 +46,7 @@
 
 // Shed tells whether a new request is to be refused at once.
 func (b *Behind) Shed(now Time) bool {
-	if b.Startup == 0 || b.Late(now) <= b.Startup/shedPart {
+	if b.Startup == 0 || b.Late(now) <= b.Startup/shedDivisor {
 		return false
 	}
 	b.Sheds++
@@ -54,4 +54,4 @@
 }
 
 // Fresh tells whether what a process kept at a moment still says something of the present load.
-func (b *Behind) Fresh(at, now Time) bool { return at <= now && now-at < freshFor*b.Startup }
+func (b *Behind) Fresh(at, now Time) bool { return at <= now && now-at < loadDataLifetime*b.Startup }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -32,7 +32,7 @@
 	Settings Part = iota
 	List          // of servers, or the kept view of one
 	Module
-	parts
+	prerequisiteCount
 )
 
 // Terms are told at the start.
@@ -71,28 +71,28 @@
 )
 
 const (
-	sendPart  = 2 // sessions are sent on within this part of the drain time, evenly,
-	heirPart  = 2 // or after this part of it where the one that took over is at the same address
-	freshPart = 8 // connections that have come last have this part of it to ask for something
-	closePart = 4 // TEARDOWNs at the end have this part of the longest abandon time
+	redirectDivisor     = 2 // sessions are sent on within this part of the drain time, evenly,
+	handoverDivisor     = 2 // or after this part of it where the one that took over is at the same address
+	firstRequestDivisor = 8 // connections that have come last have this part of it to ask for something
+	teardownDivisor     = 4 // TEARDOWNs at the end have this part of the longest abandon time
 )
 
 // Life is where a process stands.
 type Life struct {
 	Terms
-	now   Time
-	state State
-	since Time
-	has   [parts]bool
-	stops int  // how often it was told to stop
-	heir  bool // another process has taken over
-	quiet bool // no more connections come
-	first int  // sessions that played when the drain began
-
-	present struct { // what was carried out
-		listening, told, hushed, refused, ended, exited bool
-		news                                            State
-		sent                                            int
+	now           Time
+	state         State
+	since         Time
+	satisfied     [prerequisiteCount]bool
+	stopRequests  int  // how often it was told to stop
+	takenOver     bool // another process has taken over
+	acceptStopped bool // no more connections come
+	redirectTotal int  // sessions that played when the drain began
+
+	applied struct { // what was carried out
+		listening, notified, acceptStopped, rejected, ended, exited bool
+		notifiedState                                               State
+		redirected                                                  int
 	}
 }
 
@@ -106,53 +106,53 @@
 func (l *Life) State() (State, Time) { return l.state, l.since }
 
 // Has tells that a part stands.
-func (l *Life) Has(p Part) { l.has[p] = true }
+func (l *Life) Has(p Part) { l.satisfied[p] = true }
 
 // Stop tells it to end; told again it hurries, and told a third time it ends as it stands.
-func (l *Life) Stop() { l.stops++ }
+func (l *Life) Stop() { l.stopRequests++ }
 
 // Hushed tells that no more connections come: those that had come are accepted.
-func (l *Life) Hushed() { l.quiet = true }
+func (l *Life) Hushed() { l.acceptStopped = true }
 
 // TakenOver tells that another process accepts connections in its place.
 func (l *Life) TakenOver() {
 	if l.state == Ready {
-		l.heir = true
+		l.takenOver = true
 	}
 }
 
 // Handed tells whether another process has taken its place.
-func (l *Life) Handed() bool { return l.heir }
+func (l *Life) Handed() bool { return l.takenOver }
 
 // Reload takes new terms; a drain under way goes by the new ones.
 func (l *Life) Reload(t Terms) { l.Terms = t }
 
 // wanted is the state that it should be in.
-func (l *Life) wanted(x Load) State {
+func (l *Life) targetState(x Load) State {
 	age := l.now - l.since
 	switch l.state {
 	case Starting:
-		if l.stops > 0 {
+		if l.stopRequests > 0 {
 			return Stopped
 		}
-		for _, ok := range l.has {
+		for _, ok := range l.satisfied {
 			if !ok {
 				return Starting
 			}
 		}
 		return Ready
 	case Ready:
-		if l.stops > 0 || l.heir {
+		if l.stopRequests > 0 || l.takenOver {
 			return Draining
 		}
 	case Draining:
 		// What has just come in has a while to say what it wants, or it would be let in for nothing.
-		came := !l.quiet || x.Fresh > 0 && age < l.Finish/freshPart
-		if l.stops > 1 || l.heir && l.stops > 0 || age >= max(l.Drain, l.Finish/freshPart) || x.Waiting+x.Playing == 0 && !came {
+		came := !l.acceptStopped || x.Fresh > 0 && age < l.Finish/firstRequestDivisor
+		if l.stopRequests > 1 || l.takenOver && l.stopRequests > 0 || age >= max(l.Drain, l.Finish/firstRequestDivisor) || x.Waiting+x.Playing == 0 && !came {
 			return Stopping
 		}
 	case Stopping:
-		if l.stops > 2 || x.Dialogues == 0 || age >= l.Finish/closePart {
+		if l.stopRequests > 2 || x.Dialogues == 0 || age >= l.Finish/teardownDivisor {
 			return Stopped
 		}
 	}
@@ -161,38 +161,38 @@
 
 // due is how many of the sessions are to be told by now to go elsewhere, so that those who take them see
 // them come evenly; and when the next one is due.
-func (l *Life) due() (n int, next Time) {
-	from, span := l.since, l.Drain/sendPart
-	if l.heir { // they may stay as long as they can: nobody needs their place
-		from, span = l.since+l.Drain/heirPart, l.Drain/heirPart/sendPart
+func (l *Life) redirectsDue() (n int, next Time) {
+	from, span := l.since, l.Drain/redirectDivisor
+	if l.takenOver { // they may stay as long as they can: nobody needs their place
+		from, span = l.since+l.Drain/handoverDivisor, l.Drain/handoverDivisor/redirectDivisor
 	}
 	if l.now < from {
 		return 0, from
 	}
 	end := l.since + l.Drain
-	if span <= 0 || l.first == 0 {
-		return l.first, end
+	if span <= 0 || l.redirectTotal == 0 {
+		return l.redirectTotal, end
 	}
-	n = min(int(float64(l.first)*float64(l.now-from)/float64(span))+1, l.first)
-	if n == l.first {
+	n = min(int(float64(l.redirectTotal)*float64(l.now-from)/float64(span))+1, l.redirectTotal)
+	if n == l.redirectTotal {
 		return n, end
 	}
-	return n, from + Time(float64(n)*float64(span)/float64(l.first)) + 1
+	return n, from + Time(float64(n)*float64(span)/float64(l.redirectTotal)) + 1
 }
 
 // Settle emits the difference between what the state wants and what was carried out. It returns when it wants
 // to be called again at the latest.
 func (l *Life) Settle(x Load, do func(Act)) Time {
 	for {
-		next := l.wanted(x)
+		next := l.targetState(x)
 		if next == l.state {
 			break
 		}
 		if l.state, l.since = next, l.now; next == Draining {
-			l.first = x.Playing
+			l.redirectTotal = x.Playing
 		}
 	}
-	p := &l.present
+	p := &l.applied
 	one := func(done *bool, when bool, k Kind) {
 		if when && !*done {
 			*done = true
@@ -200,27 +200,27 @@
 		}
 	}
 	one(&p.listening, l.state == Ready, Listen)
-	one(&p.hushed, l.state > Ready && p.listening, Hush)
-	one(&p.refused, l.state > Ready && p.listening, Refuse)
+	one(&p.acceptStopped, l.state > Ready && p.listening, Hush)
+	one(&p.rejected, l.state > Ready && p.listening, Refuse)
 	next := l.now + Time(1)<<40
 	if l.state == Draining {
-		l.first = max(l.first, p.sent+x.Playing-x.Sent) // set-ups that were open play meanwhile
-		n, at := l.due()
-		if n > p.sent {
-			do(Act{Kind: SendOn, N: n - p.sent})
-			p.sent = n
+		l.redirectTotal = max(l.redirectTotal, p.redirected+x.Playing-x.Sent) // set-ups that were open play meanwhile
+		n, at := l.redirectsDue()
+		if n > p.redirected {
+			do(Act{Kind: SendOn, N: n - p.redirected})
+			p.redirected = n
 		}
-		next = min(at, l.since+max(l.Drain, l.Finish/freshPart))
+		next = min(at, l.since+max(l.Drain, l.Finish/firstRequestDivisor))
 		if x.Fresh > 0 {
-			next = min(next, l.since+l.Finish/freshPart)
+			next = min(next, l.since+l.Finish/firstRequestDivisor)
 		}
 	}
 	one(&p.ended, l.state > Draining && p.listening, End)
 	if l.state == Stopping {
-		next = l.since + l.Finish/closePart
+		next = l.since + l.Finish/teardownDivisor
 	}
-	if !p.told || p.news != l.state {
-		p.told, p.news = true, l.state
+	if !p.notified || p.notifiedState != l.state {
+		p.notified, p.notifiedState = true, l.state
 		do(Act{Kind: TellNews})
 	}
 	one(&p.exited, l.state == Stopped, Exit)
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-var names = [...]string{"listen", "tell", "hush", "refuse", "send", "end", "exit"}
+var actionNames = [...]string{"listen", "tell", "hush", "refuse", "send", "end", "exit"}
 
 // play lets a life go by; what happens at each moment is told, and what it wants is noted with its time.
-func play(l *Life, until Time, x func(now Time) Load, at map[Time]func()) (acts []string) {
+func simulate(l *Life, until Time, x func(now Time) Load, at map[Time]func()) (acts []string) {
 	next := Time(0)
 	for now := Time(0); now <= until; now += 100_000 {
 		l.At(now)
@@ -21,10 +21,10 @@
 		}
 		for now >= next {
 			load := x(now)
-			load.Sent = min(l.present.sent, load.Playing)
+			load.Sent = min(l.applied.redirected, load.Playing)
 			hushed := false
 			next = l.Settle(load, func(a Act) {
-				s := names[a.Kind]
+				s := actionNames[a.Kind]
 				if a.Kind == Hush {
 					hushed = true
 				}
@@ -48,7 +48,7 @@
 
 func ready(l *Life) { l.Has(Settings); l.Has(List); l.Has(Module) }
 
-func TestLives(t *testing.T) {
+func TestLifecycleScenarios(t *testing.T) {
 	const s = 1_000_000
 	terms := Terms{Drain: 4 * s, Finish: 4 * s}
 	none := func(Time) Load { return Load{} }
@@ -89,7 +89,7 @@
 			}, []string{"0.0 listen", "0.0 ready", "1.0 hush", "1.0 refuse", "1.0 draining", "3.0 send 1", "5.0 end", "5.0 stopped", "5.0 exit"}},
 	} {
 		l := New(terms, 0)
-		if got := play(l, 9*s, c.load, c.at(l)); !slices.Equal(got, c.want) {
+		if got := simulate(l, 9*s, c.load, c.at(l)); !slices.Equal(got, c.want) {
 			t.Errorf("%s:\n got %q\nwant %q", name, got, c.want)
 		}
 	}
@@ -97,7 +97,7 @@
 
 // Whatever happens in whatever order: a process listens only once all stands, refuses before it ends, ends
 // everything before it exits, tells each session to go at most once, and has gone when its times are over.
-func TestAnyLife(t *testing.T) {
+func TestLifecycleInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		terms := Terms{Drain: rapid.Int64Range(0, 5_000_000).Draw(rt, "drain"), Finish: rapid.Int64Range(1, 5_000_000).Draw(rt, "finish")}
 		l := New(terms, 0)
@@ -132,12 +132,12 @@
 			}
 			l.Settle(x, func(a Act) {
 				if a.Kind != TellNews && a.Kind != SendOn && seen[a.Kind] > 0 {
-					rt.Fatal("twice:", names[a.Kind])
+					rt.Fatal("twice:", actionNames[a.Kind])
 				}
 				seen[a.Kind]++
 				switch a.Kind {
 				case Listen:
-					if l.has != [parts]bool{true, true, true} || seen[Hush] > 0 {
+					if l.satisfied != [prerequisiteCount]bool{true, true, true} || seen[Hush] > 0 {
 						rt.Fatal("listens too early or too late")
 					}
 				case SendOn:
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestOthersTakeTurns(t *testing.T) {
+func TestPeersRoundRobin(t *testing.T) {
 	starts := map[string]int{}
 	for seed := range uint64(200) {
 		o := Others{Seed: seed * 7919}
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestBehind(t *testing.T) {
+func TestLagMonitor(t *testing.T) {
 	b := Behind{Startup: 800_000}
 	for _, c := range []struct {
 		at, late Time
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestHeir(t *testing.T) {
+func TestSuccessor(t *testing.T) {
 	h := Heir{TrySpan: 10}
 	if free, _ := h.FreeTries(6, 5); free != 6 {
 		t.Error(free)
@@ -255,7 +255,7 @@
 }
 
 // Whoever came under TLS is sent to doors under TLS only, in turn, and nobody where there is none.
-func TestSecureOthers(t *testing.T) {
+func TestSecurePeers(t *testing.T) {
 	var o Others
 	o.Set([]string{"a:1", "rtsps://a:2", "b:1", "rtsps://c:2"})
 	got := map[string]int{}
--- a/internal/life/peers.go
+++ b/internal/life/peers.go
@@ -9,9 +9,9 @@
 // Others are the session managers that viewers may be sent to.
 type Others struct {
 	Seed   uint64
-	ready  []string
+	plain  []string
 	secure []string  // those with a door under TLS, by its address
-	n      [2]uint32 // of the next, in the clear and under TLS
+	turns  [2]uint32 // of the next, in the clear and under TLS
 }
 
 // SecureMark stands before the address of a door under TLS.
@@ -19,28 +19,28 @@
 
 // Set tells which are ready, by the addresses that players reach them at. A door under TLS has its mark.
 func (o *Others) Set(addresses []string) {
-	o.ready, o.secure = nil, nil
+	o.plain, o.secure = nil, nil
 	for _, a := range addresses {
 		if to, ok := strings.CutPrefix(a, SecureMark); ok {
 			o.secure = append(o.secure, to)
 		} else {
-			o.ready = append(o.ready, a)
+			o.plain = append(o.plain, a)
 		}
 	}
-	slices.Sort(o.ready)
+	slices.Sort(o.plain)
 	slices.Sort(o.secure)
 }
 
 // Count is how many there are.
-func (o *Others) Count() int { return max(len(o.ready), len(o.secure)) }
+func (o *Others) Count() int { return max(len(o.plain), len(o.secure)) }
 
 // Next is where the next viewer is to go: one after the other, from a place of this process's own, so that
 // several that drain together do not send theirs to one in step. One whose connection is encrypted goes to a door
 // under TLS only. Empty if there is none.
 func (o *Others) Next(secure bool) string {
-	ready, n := o.ready, &o.n[0]
+	ready, n := o.plain, &o.turns[0]
 	if secure {
-		ready, n = o.secure, &o.n[1]
+		ready, n = o.secure, &o.turns[1]
 	}
 	if len(ready) == 0 {
 		return ""
--- a/internal/life/successor.go
+++ b/internal/life/successor.go
@@ -9,24 +9,24 @@
 // session manager owes: the other one's playbacks hold their seats until they have ended, and the tries that
 // are free of the budget are not given a second time within its span.
 type Heir struct {
-	TrySpan Time
-	since   Time
-	taken   bool
-	held    map[Seat]int
+	TrySpan     Time
+	takenOverAt Time
+	tookOver    bool
+	heldSeats   map[Seat]int
 }
 
 // Take tells that it took over now.
-func (h *Heir) Take(now Time) { h.taken, h.since = true, now }
+func (h *Heir) Take(now Time) { h.tookOver, h.takenOverAt = true, now }
 
 // Hold tells which seats the other one holds now.
-func (h *Heir) Hold(seats map[Seat]int) { h.held = seats }
+func (h *Heir) Hold(seats map[Seat]int) { h.heldSeats = seats }
 
 // Held is how many of a title's seats are the other one's.
-func (h *Heir) Held(s Seat) int { return h.held[s] }
+func (h *Heir) Held(s Seat) int { return h.heldSeats[s] }
 
 // FreeTries is how many tries are free of the budget, of so many as are told; and until when that holds.
 func (h *Heir) FreeTries(told float64, now Time) (free float64, until Time) {
-	if end := h.since + h.TrySpan; h.taken && now < end {
+	if end := h.takenOverAt + h.TrySpan; h.tookOver && now < end {
 		return 0, end
 	}
 	return told, 0
