--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -42,15 +42,15 @@
 type heldSeat struct {
 	Plan  string `json:"plan"`
 	Title string `json:"title"`
-	N     int    `json:"n"`
+	Count int    `json:"n"`
 }
 
 // word is one line of the control socket, either way.
 type message struct {
-	Do     string     `json:"do,omitempty"` // status, takeover, serving
-	Status *Status    `json:"status,omitempty"`
-	Seats  []heldSeat `json:"seats,omitempty"`
-	Error  string     `json:"error,omitempty"`
+	Command string     `json:"do,omitempty"` // status, takeover, serving
+	Status  *Status    `json:"status,omitempty"`
+	Seats   []heldSeat `json:"seats,omitempty"`
+	Error   string     `json:"error,omitempty"`
 }
 
 const (
@@ -120,7 +120,7 @@
 		}
 		return w
 	}
-	switch w := ask(); w.Do {
+	switch w := ask(); w.Command {
 	case "status":
 		s := c.status()
 		_ = say(message{Status: &s})
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	if ask().Do != "serving" {
+	if ask().Command != "serving" {
 		return errors.New("the other process did not come to serve")
 	}
 	c.loop.Post(func() { c.front.Life().TakenOver() })
@@ -201,7 +201,7 @@
 }
 
 // Handed are listeners taken from a process that still accepts on them too.
-type Handed struct {
+type Handover struct {
 	conn      *net.UnixConn
 	lines     *bufio.Scanner
 	Listeners []*net.TCPListener // that without TLS first
@@ -210,12 +210,12 @@
 }
 
 // TakeOver asks the process at a control socket for its listeners.
-func TakeOver(path string) (*Handed, error) {
+func TakeOver(path string) (*Handover, error) {
 	x, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	fail := func(err error) (*Handed, error) {
+	fail := func(err error) (*Handover, error) {
 		_ = x.Close()
 		return nil, fmt.Errorf("take over from %s: %w", path, err)
 	}
@@ -269,12 +269,12 @@
 		return fail(err)
 	}
 	_ = x.SetDeadline(time.Time{})
-	return &Handed{conn: x, lines: bufio.NewScanner(x), Listeners: doors, From: *w.Status, seats: w.Seats}, nil
+	return &Handover{conn: x, lines: bufio.NewScanner(x), Listeners: doors, From: *w.Status, seats: w.Seats}, nil
 }
 
 // Serving tells the other process that this one accepts, and follows the seats that it still has taken until
 // it has ended. hold is called with each news of them.
-func (h *Handed) Serving(hold func(map[life.Seat]int)) error {
+func (h *Handover) Serving(hold func(map[life.Seat]int)) error {
 	hold(seatCounts(h.seats))
 	if _, err := h.conn.Write([]byte("{\"do\":\"serving\"}\n")); err != nil {
 		_ = h.conn.Close()
@@ -297,7 +297,7 @@
 func seatCounts(all []heldSeat) map[life.Seat]int {
 	m := map[life.Seat]int{}
 	for _, s := range all {
-		m[life.Seat{Plan: s.Plan, Title: s.Title}] = s.N
+		m[life.Seat{Plan: s.Plan, Title: s.Title}] = s.Count
 	}
 	return m
 }
--- a/internal/edge/keypair.go
+++ b/internal/edge/keypair.go
@@ -20,11 +20,11 @@
 // ReadKeys reads a pair, which must belong together.
 func ReadKeys(cert, key string) (*Keys, error) {
 	k := &Keys{certFile: cert, keyFile: key}
-	return k, k.Again()
+	return k, k.Reload()
 }
 
 // Again reads the files anew. What does not belong together, or cannot be read, changes nothing.
-func (k *Keys) Again() error {
+func (k *Keys) Reload() error {
 	c, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
 	if err != nil {
 		return fmt.Errorf("%s with %s: %w", k.certFile, k.keyFile, err)
@@ -51,7 +51,7 @@
 func (k *Keys) Follow(every time.Duration, stop <-chan struct{}, log *zap.Logger) {
 	for _, path := range []string{k.certFile, k.keyFile} {
 		go Watch(path, every, stop, func([]byte) {
-			if err := k.Again(); err != nil {
+			if err := k.Reload(); err != nil {
 				log.Error("the door's keys are not taken, the old ones are kept", zap.Error(err))
 				return
 			}
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -35,7 +35,7 @@
 }
 
 // Ample is the room of a loop that has the machine to itself.
-var Ample = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainTimeout}
+var DefaultLimits = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainTimeout}
 
 // Loop runs one core on sockets.
 type Loop struct {
@@ -100,7 +100,7 @@
 // New makes a loop that listens on an address, or nowhere if it is empty. The core is made with the loop
 // as its network.
 func New(addr string, build func(core.Net) core.Core) (*Loop, error) {
-	return NewIn(Ample, addr, build)
+	return NewIn(DefaultLimits, addr, build)
 }
 
 // NewIn makes a loop that keeps within a room.
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -111,7 +111,7 @@
 	if err := os.WriteFile(key, was, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := keys.Again(); err == nil {
+	if err := keys.Reload(); err == nil {
 		t.Error("a key that does not belong to its certificate was taken")
 	}
 	if two, err := requestOverTLS(open()); err != nil || two != one {
@@ -120,7 +120,7 @@
 	if err := os.WriteFile(key, now, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := keys.Again(); err != nil {
+	if err := keys.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	two, err := requestOverTLS(open())
--- a/internal/kept/journal.go
+++ b/internal/kept/journal.go
@@ -52,7 +52,7 @@
 	done    chan struct{}
 	open    map[string]Open
 	lines   int
-	Lost    atomic.Int64 // records that the disk was too slow for, or that it refused
+	Dropped    atomic.Int64 // records that the disk was too slow for, or that it refused
 	onError func(error)
 }
 
@@ -93,7 +93,7 @@
 	select {
 	case j.queue <- r:
 	default:
-		j.Lost.Add(1)
+		j.Dropped.Add(1)
 	}
 }
 
@@ -133,7 +133,7 @@
 			j.onError(fmt.Errorf("journal %s: %w", j.path, err))
 			fallthrough
 		default:
-			j.Lost.Add(1)
+			j.Dropped.Add(1)
 		}
 		time.Sleep(batchInterval)
 	}
--- a/internal/life/lag.go
+++ b/internal/life/lag.go
@@ -12,11 +12,11 @@
 // whatever makes the process slow: its load, the machine's, or a stand-still. It may hurt where one slow turn
 // was by chance: new requests are refused for half of a startup target then.
 type Behind struct {
-	Startup   Time // the shortest startup target
-	maxLag    [lagBuckets]Time
-	startedAt [lagBuckets]Time
-	Sheds     int64
-	Worst     Time // ever
+	Startup    Time // the shortest startup target
+	maxLag     [lagBuckets]Time
+	startedAt  [lagBuckets]Time
+	Rejected   int64
+	HighestLag Time // ever
 }
 
 func (b *Behind) bucket(now Time) (i int, start Time) {
@@ -31,7 +31,7 @@
 		b.startedAt[i], b.maxLag[i] = start, 0
 	}
 	b.maxLag[i] = max(b.maxLag[i], late)
-	b.Worst = max(b.Worst, late)
+	b.HighestLag = max(b.HighestLag, late)
 }
 
 // Late is the worst of late.
@@ -49,7 +49,7 @@
 	if b.Startup == 0 || b.Late(now) <= b.Startup/shedDivisor {
 		return false
 	}
-	b.Sheds++
+	b.Rejected++
 	return true
 }
 
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -25,12 +25,12 @@
 }
 
 // Part is something that must stand before a process is ready.
-type Part int
+type Prerequisite int
 
 // The parts.
 const (
-	Settings Part = iota
-	List          // of servers, or the kept view of one
+	Settings Prerequisite = iota
+	List                  // of servers, or the kept view of one
 	Module
 	prerequisiteCount
 )
@@ -52,22 +52,22 @@
 
 // Act is one thing to be done.
 type Act struct {
-	Kind Kind
+	Kind ActionKind
 	N    int // of SendOn
 }
 
 // Kind is what is to be done.
-type Kind int
+type ActionKind int
 
 // The kinds.
 const (
-	Listen   Kind = iota // accept connections
-	TellNews             // tell the supervisor the state
-	Hush                 // accept no more, after what has come already
-	Refuse               // answer what waits in line; every new request is sent elsewhere
-	SendOn               // tell N playing sessions to go elsewhere
-	End                  // end all that plays, here and at the boxes
-	Exit                 // the process may end
+	Listen   ActionKind = iota // accept connections
+	TellNews                   // tell the supervisor the state
+	Hush                       // accept no more, after what has come already
+	Refuse                     // answer what waits in line; every new request is sent elsewhere
+	SendOn                     // tell N playing sessions to go elsewhere
+	End                        // end all that plays, here and at the boxes
+	Exit                       // the process may end
 )
 
 const (
@@ -106,7 +106,7 @@
 func (l *Life) State() (State, Time) { return l.state, l.since }
 
 // Has tells that a part stands.
-func (l *Life) Has(p Part) { l.satisfied[p] = true }
+func (l *Life) Has(p Prerequisite) { l.satisfied[p] = true }
 
 // Stop tells it to end; told again it hurries, and told a third time it ends as it stands.
 func (l *Life) Stop() { l.stopRequests++ }
@@ -193,7 +193,7 @@
 		}
 	}
 	p := &l.applied
-	one := func(done *bool, when bool, k Kind) {
+	one := func(done *bool, when bool, k ActionKind) {
 		if when && !*done {
 			*done = true
 			do(Act{Kind: k})
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -102,7 +102,7 @@
 		terms := Terms{Drain: rapid.Int64Range(0, 5_000_000).Draw(rt, "drain"), Finish: rapid.Int64Range(1, 5_000_000).Draw(rt, "finish")}
 		l := New(terms, 0)
 		x := Load{Playing: rapid.IntRange(0, 50).Draw(rt, "playing"), Waiting: rapid.IntRange(0, 5).Draw(rt, "waiting"), Dialogues: 3}
-		seen := map[Kind]int{}
+		seen := map[ActionKind]int{}
 		now, stopped := Time(0), Time(-1)
 		for range 60 {
 			now += rapid.Int64Range(1, 700_000).Draw(rt, "pass")
@@ -231,7 +231,7 @@
 			done[len(done)-1](now, false)
 		}
 	}
-	if o.Freed != 2 || o.Expired != 1 || len(out) > 12 {
+	if o.TornDown != 2 || o.Expired != 1 || len(out) > 12 {
 		t.Errorf("%+v %v", o, out)
 	}
 }
--- a/internal/life/orphans.go
+++ b/internal/life/orphans.go
@@ -19,7 +19,7 @@
 	Timeout  Time // of sessions at boxes
 	AtOnce   int
 	Found    int
-	Freed    int64 // answered by their boxes
+	TornDown int64 // answered by their boxes
 	Expired  int64 // left to the time-out
 	queue    []*orphan
 	inFlight map[*orphan]struct{}
@@ -82,7 +82,7 @@
 	}
 	delete(o.inFlight, x)
 	if answered {
-		o.Freed++
+		o.TornDown++
 		return
 	}
 	x.retryAt = now + x.backoff
