--- a/internal/kept/journal.go
+++ b/internal/kept/journal.go
@@ -19,15 +19,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Open is a try or a playback that may run at a box.
+// Open is a setup try or a playback that may be running at a media box.
 type Open struct {
-	Name    string `json:"name"`    // of the request at the box, with the try's number behind it
-	Address string `json:"address"` // of the box
+	Name    string `json:"name"`    // id of the request at the media box, followed by the number of the try
+	Address string `json:"address"` // of the media box
 	URI     string `json:"uri"`
 	At      int64  `json:"at"` // microseconds since 1970
 }
 
-// record is one line of a journal; a name alone says that it has ended.
+// record is one line of a journal. That of an end has only the name and Ended.
 type record struct {
 	Open
 	Ended bool `json:"ended,omitempty"`
@@ -35,34 +35,34 @@
 
 const (
 	journalSuffix    = ".dialogues"
-	queueCapacity    = 1 << 14 // records that wait for the disk; beyond, they are lost and counted
-	compactionFactor = 8       // times as many lines as what is open, and some, until the file is written anew
+	queueCapacity    = 1 << 14 // records that may wait for the disk; further ones are dropped and counted
+	compactionFactor = 8       // the file is compacted once it has more lines than compactionFactor times the open entries + compactionSlack
 	compactionSlack  = 1 << 10
-	batchInterval    = 10 * time.Millisecond // what comes within is written in one go
+	batchInterval    = 10 * time.Millisecond // records that arrive within it are written together
 )
 
-// Journal writes down what is open at boxes, before it can be, and when it has ended. A process that was
-// killed leaves its file behind; the next one finds in it what may still run. Each process has a file of its
-// own and holds a lock on it for as long as it lives, so that two never take each other's for left behind.
-// Lines have a checksum each: a flipped one is passed over, a truncated tail too.
+// Journal records what is about to be opened at media boxes and what has ended. A process that was killed leaves
+// its file behind, and the next one reads from it what may still be running. Each process has its own file and
+// holds a lock on it during its lifetime, so that no process treats the file of a running one as orphaned. Each
+// line has a checksum: corrupt lines and a truncated tail are skipped.
 type Journal struct {
 	path    string
 	file    *os.File
 	queue   chan record
 	done    chan struct{}
-	open    map[string]Open
-	lines   int
-	Dropped    atomic.Int64 // records that the disk was too slow for, or that it refused
-	onError func(error)
+	open    map[string]Open // by name
+	lines   int             // in the file
+	Dropped atomic.Int64    // records not written: the queue was full, or the disk returned an error
+	onError func(error)     // called with write errors
 }
 
-// NewJournal begins a file of its own in a directory, which is made if there is none. fail is told what the
-// disk refuses, once for each kind of trouble in a row.
-func NewJournal(dir string, fail func(error)) (*Journal, error) {
+// NewJournal creates a journal file in a directory, which is created if it does not exist. Write errors are passed
+// to onError, a repeated one only once until a write succeeds.
+func NewJournal(dir string, onError func(error)) (*Journal, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	j := &Journal{queue: make(chan record, queueCapacity), done: make(chan struct{}), open: map[string]Open{}, onError: fail}
+	j := &Journal{queue: make(chan record, queueCapacity), done: make(chan struct{}), open: map[string]Open{}, onError: onError}
 	for n := 0; ; n++ {
 		j.path = filepath.Join(dir, strconv.Itoa(os.Getpid())+"-"+strconv.Itoa(n)+journalSuffix)
 		f, err := os.OpenFile(j.path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -83,10 +83,10 @@
 	return j, nil
 }
 
-// Opened notes what may run from now on. It does not wait for the disk.
+// Opened records what may be running from now on. It does not wait for the disk.
 func (j *Journal) Opened(o Open) { j.enqueue(record{Open: o}) }
 
-// Ended notes that it does no more.
+// Ended records that it is no longer running.
 func (j *Journal) Ended(name string) { j.enqueue(record{Open: Open{Name: name}, Ended: true}) }
 
 func (j *Journal) enqueue(r record) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Close ends the journal. Where nothing is open any more its file goes.
+// Close writes the queued records and closes the journal. The file is removed if nothing is open.
 func (j *Journal) Close() {
 	close(j.queue)
 	<-j.done
@@ -106,17 +106,17 @@
 func (j *Journal) run() {
 	defer close(j.done)
 	var buf []byte
-	failed := ""
+	lastError := ""
 	for r := range j.queue {
 		buf = j.apply(buf[:0], r)
-		for more := true; more; { // what has come meanwhile goes in one write
+		for queued := true; queued; { // further queued records go into the same write
 			select {
 			case r, ok := <-j.queue:
-				if more = ok; ok {
+				if queued = ok; ok {
 					buf = j.apply(buf, r)
 				}
 			default:
-				more = false
+				queued = false
 			}
 		}
 		var err error
@@ -127,9 +127,9 @@
 		}
 		switch {
 		case err == nil:
-			failed = ""
-		case err.Error() != failed:
-			failed = err.Error()
+			lastError = ""
+		case err.Error() != lastError:
+			lastError = err.Error()
 			j.onError(fmt.Errorf("journal %s: %w", j.path, err))
 			fallthrough
 		default:
@@ -156,12 +156,12 @@
 func appendLine(buf []byte, r record) []byte {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return buf // no field of it can fail
+		return buf // does not happen: no field can fail to marshal
 	}
 	return append(fmt.Appendf(buf, "%016x ", xxhash.Sum64(body)), append(body, '\n')...)
 }
 
-// anew writes the file once more with what is open only, beside the old one, and takes its place.
+// compact writes a new file that holds only the open entries, and renames it over the old one.
 func (j *Journal) compact() error {
 	var buf []byte
 	for _, name := range slices.Sorted(maps.Keys(j.open)) {
@@ -189,16 +189,16 @@
 	return nil
 }
 
-// Left is what a dead process left behind.
+// Left is the journal of a process that has died.
 type Left struct {
 	path string
 	file *os.File
-	Open []Open
-	Bad  int // lines that could not be read
+	Open []Open // entries that had not ended
+	Bad  int    // lines that were corrupt or truncated
 }
 
-// Behind finds the files of processes that have died, and locks them so that no other process takes them
-// too. Those of living ones are passed over.
+// Behind reads the journals of processes that have died, and locks them so that no other process takes them as
+// well. Those of running processes are skipped.
 func Behind(dir string) (all []*Left, err error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+journalSuffix))
 	if err != nil {
@@ -207,13 +207,13 @@
 	for _, path := range names {
 		f, err := os.Open(path)
 		if err != nil {
-			continue // it has gone meanwhile, or is not ours to read
+			continue // removed in the meantime, or not readable for this user
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
 			_ = f.Close()
 			continue
 		}
-		if now, err := os.Stat(path); err != nil || !sameFile(f, now) { // replaced or removed while we looked
+		if info, err := os.Stat(path); err != nil || !sameFile(f, info) { // replaced or removed in the meantime
 			_ = f.Close()
 			continue
 		}
@@ -224,18 +224,18 @@
 	return all, nil
 }
 
-func sameFile(f *os.File, now os.FileInfo) bool {
-	mine, err := f.Stat()
-	return err == nil && os.SameFile(mine, now)
+func sameFile(f *os.File, info os.FileInfo) bool {
+	opened, err := f.Stat()
+	return err == nil && os.SameFile(opened, info)
 }
 
-// read finds what was open at the end of a journal.
+// read collects the entries that are open at the end of a journal.
 func (l *Left) read() {
 	open := map[string]Open{}
-	rows := bufio.NewScanner(l.file)
-	rows.Buffer(nil, 1<<16)
-	for rows.Scan() {
-		check, body, ok := bytes.Cut(rows.Bytes(), []byte(" "))
+	lines := bufio.NewScanner(l.file)
+	lines.Buffer(nil, 1<<16)
+	for lines.Scan() {
+		check, body, ok := bytes.Cut(lines.Bytes(), []byte(" "))
 		var r record
 		if !ok || string(check) != fmt.Sprintf("%016x", xxhash.Sum64(body)) || json.Unmarshal(body, &r) != nil {
 			l.Bad++
@@ -247,7 +247,7 @@
 			open[r.Name] = r.Open
 		}
 	}
-	if rows.Err() != nil {
+	if lines.Err() != nil {
 		l.Bad++
 	}
 	for _, name := range slices.Sorted(maps.Keys(open)) {
@@ -255,7 +255,7 @@
 	}
 }
 
-// Done removes the file: what it told of has ended.
+// Done removes the file once all its entries have ended.
 func (l *Left) Done() {
 	_ = os.Remove(l.path)
 	_ = l.file.Close()
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -18,59 +18,59 @@
 	B map[string]float64
 }
 
-// Any truncation and any flipped bit of a snapshot is found, and none harms; a snapshot of another kind is no
-// snapshot.
+// Guards against loading a damaged snapshot: every truncation and every flipped bit has to be detected, and so has a
+// snapshot of another kind.
 func TestSnapshotDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
 	var got sample
-	if err := Load(path, "thing 1", &got); !errors.Is(err, ErrNone) {
+	if err := Load(path, "sample 1", &got); !errors.Is(err, ErrNone) {
 		t.Fatal(err)
 	}
 	want := sample{"a", map[string]float64{"b": 1.5, "c": 2}}
-	if err := Save(path, "thing 1", want); err != nil {
+	if err := Save(path, "sample 1", want); err != nil {
 		t.Fatal(err)
 	}
-	if err := Load(path, "thing 1", &got); err != nil || got.B["c"] != 2 {
+	if err := Load(path, "sample 1", &got); err != nil || got.B["c"] != 2 {
 		t.Fatal(got, err)
 	}
-	if err := Load(path, "thing 2", &got); !errors.Is(err, ErrBad) {
-		t.Error("another kind was taken", err)
+	if err := Load(path, "sample 2", &got); !errors.Is(err, ErrBad) {
+		t.Error("a snapshot of another kind was loaded:", err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range text {
-		for _, bad := range [][]byte{text[:n], append(slices.Clone(text[:n]), append([]byte{text[n] ^ 1<<(n%8)}, text[n+1:]...)...)} {
-			if err := os.WriteFile(path, bad, 0o600); err != nil {
+		for _, damaged := range [][]byte{text[:n], append(slices.Clone(text[:n]), append([]byte{text[n] ^ 1<<(n%8)}, text[n+1:]...)...)} {
+			if err := os.WriteFile(path, damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := Load(path, "thing 1", &got); !errors.Is(err, ErrBad) {
-				t.Fatalf("at %d of %d: %v", n, len(text), err)
+			if err := Load(path, "sample 1", &got); !errors.Is(err, ErrBad) {
+				t.Fatalf("damage at byte %d of %d: %v", n, len(text), err)
 			}
 		}
 	}
 }
 
-// A directory that cannot be written leaves the old snapshot, and says so.
+// Saving a snapshot or starting a journal in a directory that does not exist or cannot be written returns an error.
 func TestUnwritableDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
-	if err := Save(filepath.Join(dir, "x"), "thing 1", 1); err == nil {
-		t.Error("saved where there is no directory")
+	if err := Save(filepath.Join(dir, "x"), "sample 1", 1); err == nil {
+		t.Error("a snapshot was saved to a directory that does not exist")
 	}
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := NewJournal(dir, func(error) {}); err == nil {
-		t.Error("a journal began in a file")
+		t.Error("a journal was started, though its directory is a file")
 	}
 }
 
-// The journal of a process that died tells what was open; that of a living one is not touched; lines that were
-// changed are passed over; the file is written anew now and then, and goes when nothing is open.
+// The journal of a killed process yields what it had open; that of a running process is left alone; corrupt lines are
+// skipped; the file is compacted, and removed when nothing is open. The test runs itself as the process to kill.
 func TestJournal(t *testing.T) {
 	dir := t.TempDir()
-	if os.Getenv("KEPT_DIE") != "" { // the process that dies
+	if os.Getenv("KEPT_DIE") != "" { // the process to be killed
 		j, err := NewJournal(os.Getenv("KEPT_DIE"), func(err error) { fmt.Println(err) })
 		if err != nil {
 			fmt.Println(err)
@@ -90,34 +90,34 @@
 		fmt.Println("written")
 		time.Sleep(time.Hour)
 	}
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := exec.Command(self, "-test.run", "^TestJournal$")
-	c.Env = append(os.Environ(), "KEPT_DIE="+dir)
-	out, err := c.StdoutPipe()
+	child := exec.Command(program, "-test.run", "^TestJournal$")
+	child.Env = append(os.Environ(), "KEPT_DIE="+dir)
+	out, err := child.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Start(); err != nil {
+	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	word := make([]byte, 7)
-	if _, err := out.Read(word); err != nil || string(word) != "written" {
-		t.Fatal(string(word), err)
+	line := make([]byte, 7)
+	if _, err := out.Read(line); err != nil || string(line) != "written" {
+		t.Fatal(string(line), err)
 	}
 	if all, err := Behind(dir); err != nil || len(all) != 0 {
-		t.Errorf("a living process's journal was taken: %v %v", all, err)
+		t.Errorf("the journal of a running process was taken: %v %v", all, err)
 	}
-	_ = c.Process.Kill()
-	_ = c.Wait()
+	_ = child.Process.Kill()
+	_ = child.Wait()
 	all, err := Behind(dir)
 	if err != nil || len(all) != 1 || len(all[0].Open) != 7 || all[0].Bad != 0 || all[0].Open[0].Name != "r2993" {
 		t.Fatalf("%+v %v", all, err)
 	}
 	if again, _ := Behind(dir); len(again) != 0 {
-		t.Error("taken twice")
+		t.Error("the journal was taken twice")
 	}
 	_ = all[0].file.Close()
 	text, err := os.ReadFile(all[0].path)
@@ -126,19 +126,19 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
-		bad := slices.Clone(text)
-		bad[rng.IntN(len(bad))] ^= 1 << rng.IntN(8)
+		damaged := slices.Clone(text)
+		damaged[rng.IntN(len(damaged))] ^= 1 << rng.IntN(8)
 		if rng.IntN(2) == 0 {
-			bad = bad[:rng.IntN(len(bad))]
+			damaged = damaged[:rng.IntN(len(damaged))]
 		}
-		if err := os.WriteFile(all[0].path, bad, 0o600); err != nil {
+		if err := os.WriteFile(all[0].path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		found, err := Behind(dir)
 		if err != nil || len(found) != 1 {
 			t.Fatal(found, err)
 		}
-		for _, o := range found[0].Open { // nothing made up
+		for _, o := range found[0].Open { // a corrupt line must not yield an entry
 			if o.Address != "box:1" {
 				t.Fatal(o)
 			}
@@ -153,25 +153,25 @@
 	j.Ended("x")
 	j.Close()
 	if _, err := os.Stat(j.path); !errors.Is(err, os.ErrNotExist) {
-		t.Error("a journal with nothing open was left", err)
+		t.Error("a journal with nothing open was not removed:", err)
 	}
 }
 
-// What is sealed opens with its key only, and does not show what it holds.
+// A sealed snapshot can be read only with its key, and its content is not readable in the file.
 func TestSealedSnapshot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
-	if err := SaveSealed(path, "thing 1", []byte("key"), sample{A: "a secret word"}); err != nil {
+	if err := SaveSealed(path, "sample 1", []byte("key"), sample{A: "a secret word"}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || strings.Contains(string(text), "secret") {
-		t.Error("it shows", err)
+		t.Error("the content is readable in the file:", err)
 	}
 	var got sample
-	if err := LoadSealed(path, "thing 1", []byte("another"), &got); !errors.Is(err, ErrBad) {
+	if err := LoadSealed(path, "sample 1", []byte("another"), &got); !errors.Is(err, ErrBad) {
 		t.Error(err)
 	}
-	if err := LoadSealed(path, "thing 1", []byte("key"), &got); err != nil || got.A != "a secret word" {
+	if err := LoadSealed(path, "sample 1", []byte("key"), &got); err != nil || got.A != "a secret word" {
 		t.Error(got, err)
 	}
 }
--- a/internal/kept/sealed.go
+++ b/internal/kept/sealed.go
@@ -9,41 +9,41 @@
 	"fmt"
 )
 
-// SaveSealed replaces a snapshot whose content only the key opens (AES-256-GCM; the key is hashed to its size).
-func SaveSealed(path, kind string, key []byte, from any) error {
-	body, err := json.Marshal(from)
+// SaveSealed writes a snapshot whose content is encrypted with AES-256-GCM. The cipher key is the SHA-256 of key.
+func SaveSealed(path, kind string, key []byte, value any) error {
+	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	seal, err := newAEAD(key)
+	aead, err := newAEAD(key)
 	if err != nil {
 		return err
 	}
-	nonce := make([]byte, seal.NonceSize())
+	nonce := make([]byte, aead.NonceSize())
 	if _, err := rand.Read(nonce); err != nil {
 		return err
 	}
-	return Save(path, kind, seal.Seal(nonce, nonce, body, []byte(kind)))
+	return Save(path, kind, aead.Seal(nonce, nonce, body, []byte(kind)))
 }
 
-// LoadSealed reads one. With another key it is as good as damaged.
-func LoadSealed(path, kind string, key []byte, into any) error {
-	var text []byte
-	if err := Load(path, kind, &text); err != nil {
+// LoadSealed reads a snapshot written by SaveSealed. A wrong key is reported like corrupt content.
+func LoadSealed(path, kind string, key []byte, value any) error {
+	var content []byte
+	if err := Load(path, kind, &content); err != nil {
 		return err
 	}
-	seal, err := newAEAD(key)
+	aead, err := newAEAD(key)
 	if err != nil {
 		return err
 	}
-	if len(text) < seal.NonceSize() {
+	if len(content) < aead.NonceSize() {
 		return fmt.Errorf("%s: %w", path, ErrBad)
 	}
-	body, err := seal.Open(nil, text[:seal.NonceSize()], text[seal.NonceSize():], []byte(kind))
+	body, err := aead.Open(nil, content[:aead.NonceSize()], content[aead.NonceSize():], []byte(kind))
 	if err != nil {
-		return fmt.Errorf("%s: %w, or sealed with another key", path, ErrBad)
+		return fmt.Errorf("%s: %w, or encrypted with another key", path, ErrBad)
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, value); err != nil {
 		return fmt.Errorf("%s: %w: %w", path, ErrBad, err)
 	}
 	return nil
@@ -51,9 +51,9 @@
 
 func newAEAD(key []byte) (cipher.AEAD, error) {
 	sum := sha256.Sum256(key)
-	b, err := aes.NewCipher(sum[:])
+	block, err := aes.NewCipher(sum[:])
 	if err != nil {
 		return nil, err
 	}
-	return cipher.NewGCM(b)
+	return cipher.NewGCM(block)
 }
--- a/internal/kept/snapshot.go
+++ b/internal/kept/snapshot.go
@@ -1,5 +1,5 @@
-// Package kept is what a session manager keeps on disk: snapshots that are replaced whole, and a journal of
-// what is open at boxes. Whatever is truncated or changed is found out, said, and done without.
+// Package kept stores the state of a session manager on disk: snapshots that are replaced atomically, and a journal
+// of what is open at media boxes. Checksums detect truncated or corrupt content, which is reported and not used.
 package kept
 
 import (
@@ -13,14 +13,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrNone says that nothing is kept.
-var ErrNone = errors.New("nothing is kept")
+// ErrNone is returned when there is no snapshot.
+var ErrNone = errors.New("no snapshot found")
 
-// ErrBad says that what is kept was truncated, changed, or is of another version.
-var ErrBad = errors.New("truncated, changed or of another version")
+// ErrBad is returned when a snapshot is truncated, corrupt, or of another kind or version.
+var ErrBad = errors.New("snapshot is truncated, corrupt or of another version")
 
-// head is the first line of a snapshot: its kind with its version, and a checksum of the kind and all that
-// follows.
+// headerFormat is the first line of a snapshot: its kind with a version, and a checksum of the kind and the content.
 const headerFormat = "pierlink %s %016x\n"
 
 func checksum(kind string, body []byte) uint64 {
@@ -31,10 +30,10 @@
 	return h.Sum64()
 }
 
-// Save replaces a snapshot: it is written beside the old one and takes its place once it is on disk whole, so
-// that a death or a full disk at any moment leaves the old one. kind names what it is, with a version.
-func Save(path, kind string, from any) error {
-	body, err := json.Marshal(from)
+// Save replaces a snapshot atomically: the new content is written to a temporary file, synced and renamed over the old
+// one, so that a crash or a full disk at any moment leaves the old snapshot. kind names the content and its version.
+func Save(path, kind string, value any) error {
+	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
@@ -47,36 +46,37 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
 	}
 	if err != nil {
-		return fmt.Errorf("keep %s: %w", path, err)
+		return fmt.Errorf("save %s: %w", path, err)
 	}
-	if d, err := os.Open(filepath.Dir(path)); err == nil { // the name too
-		_ = d.Sync()
-		_ = d.Close()
+	if dir, err := os.Open(filepath.Dir(path)); err == nil { // syncs the rename too
+		_ = dir.Sync()
+		_ = dir.Close()
 	}
 	return nil
 }
 
-// Load reads a snapshot of a kind. The error is ErrNone or wraps ErrBad, or tells why it could not be read.
-func Load(path, kind string, into any) error {
-	text, err := os.ReadFile(path)
+// Load reads a snapshot of the given kind. The error is ErrNone if there is no file, wraps ErrBad if its content is
+// unusable, or is that of reading the file.
+func Load(path, kind string, value any) error {
+	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return ErrNone
 	}
 	if err != nil {
 		return err
 	}
-	first, body, ok := bytes.Cut(text, []byte("\n"))
-	if !ok || string(first)+"\n" != fmt.Sprintf(headerFormat, kind, checksum(kind, body)) {
+	header, body, ok := bytes.Cut(content, []byte("\n"))
+	if !ok || string(header)+"\n" != fmt.Sprintf(headerFormat, kind, checksum(kind, body)) {
 		return fmt.Errorf("%s: %w", path, ErrBad)
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, value); err != nil {
 		return fmt.Errorf("%s: %w: %w", path, ErrBad, err)
 	}
 	return nil
--- a/internal/life/lag.go
+++ b/internal/life/lag.go
@@ -1,22 +1,22 @@
 package life
 
 const (
-	lagBuckets       = 8
-	shedDivisor      = 4  // new requests are shed while turns come later than this part of the startup target
-	loadDataLifetime = 64 // startup targets after which what an earlier process kept means nothing any more
-	lagWindowDivisor = 2  // and for this part of it after the last late one
+	lagBuckets       = 8  // of the sliding window
+	shedDivisor      = 4  // new requests are shed while the lag exceeds startup target / shedDivisor,
+	loadDataLifetime = 64 // startup targets after which saved load data of an earlier process is out of date
+	lagWindowDivisor = 2  // and for startup target / lagWindowDivisor after the last late turn
 )
 
-// Behind measures how late a process is with its work: from the arrival of what a turn takes to the turn's
-// end. It guards against answers that are owed and come late because new work is taken on before them,
-// whatever makes the process slow: its load, the machine's, or a stand-still. It may hurt where one slow turn
-// was by chance: new requests are refused for half of a startup target then.
+// Behind measures the processing lag of the event loop: the time from the arrival of an event to the end of the
+// turn that handles it. New requests are shed while the lag is high, so that answers to accepted requests do not
+// come late, whether the process is slow because of its own load, the load of the machine or a pause. The cost
+// is that a single slow turn that came about by chance rejects new requests for half a startup target.
 type Behind struct {
-	Startup    Time // the shortest startup target
-	maxLag     [lagBuckets]Time
-	startedAt  [lagBuckets]Time
-	Rejected   int64
-	HighestLag Time // ever
+	Startup    Time             // the shortest startup target
+	maxLag     [lagBuckets]Time // of each bucket, by the time of the turn
+	startedAt  [lagBuckets]Time // start of the period that each bucket holds
+	Rejected   int64            // requests shed
+	HighestLag Time             // highest lag since the start
 }
 
 func (b *Behind) bucket(now Time) (i int, start Time) {
@@ -24,27 +24,27 @@
 	return int(now / width % lagBuckets), now / width * width
 }
 
-// Turn notes that what a turn took had waited so long when the turn ended.
-func (b *Behind) Turn(now, late Time) {
+// Turn records the lag of a turn: how long its oldest event had waited when the turn ended.
+func (b *Behind) Turn(now, lag Time) {
 	i, start := b.bucket(now)
 	if b.startedAt[i] != start {
 		b.startedAt[i], b.maxLag[i] = start, 0
 	}
-	b.maxLag[i] = max(b.maxLag[i], late)
-	b.HighestLag = max(b.HighestLag, late)
+	b.maxLag[i] = max(b.maxLag[i], lag)
+	b.HighestLag = max(b.HighestLag, lag)
 }
 
-// Late is the worst of late.
-func (b *Behind) Late(now Time) (worst Time) {
+// Late returns the highest lag within the current window.
+func (b *Behind) Late(now Time) (highest Time) {
 	for i, at := range b.startedAt {
 		if at > now-b.Startup/lagWindowDivisor {
-			worst = max(worst, b.maxLag[i])
+			highest = max(highest, b.maxLag[i])
 		}
 	}
-	return worst
+	return highest
 }
 
-// Shed tells whether a new request is to be refused at once.
+// Shed reports whether a new request has to be rejected at once, and counts those that are.
 func (b *Behind) Shed(now Time) bool {
 	if b.Startup == 0 || b.Late(now) <= b.Startup/shedDivisor {
 		return false
@@ -53,5 +53,5 @@
 	return true
 }
 
-// Fresh tells whether what a process kept at a moment still says something of the present load.
+// Fresh reports whether load data that a process saved at the given time still describes the present load.
 func (b *Behind) Fresh(at, now Time) bool { return at <= now && now-at < loadDataLifetime*b.Startup }
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -1,6 +1,7 @@
-// Package life decides how a session manager begins, drains, hands over and ends: when it listens, when it
-// says that it is ready, what becomes of playbacks when it is to stop, and what a new process does with what
-// a dead one left behind. It is free of I/O. docs/life.md tells the options weighed.
+// Package life is the process lifecycle of a session manager: startup, readiness, drain, handover to another
+// process and shutdown. It decides when the process listens and reports that it is ready, what happens to
+// playbacks when it has to stop, when it sheds load, and how sessions that a crashed process left at media boxes
+// are torn down. It does no I/O. docs/life.md describes the alternatives considered.
 package life
 
 import "fmt"
@@ -8,127 +9,130 @@
 // Time is a clock value or span in microseconds.
 type Time = int64
 
-// State is a part of a process's life.
+// State is a state of the process lifecycle.
 type State int
 
-// The states, and what each promises.
+// The states in their order; a process never goes back to an earlier one.
 const (
-	Starting State = iota // nothing is accepted
-	Ready                 // what is accepted is answered
-	Draining              // nothing new is taken; what is owed is answered; what plays goes on, and is sent on in time
-	Stopping              // all that plays ends, here and at the boxes
-	Stopped               // nothing is left: the process may end
+	Starting State = iota // connections are not accepted yet
+	Ready                 // connections are accepted, requests are answered
+	Draining              // new requests are rejected, pending ones answered; playbacks go on and are redirected
+	Stopping              // all playbacks are being ended, here and at the media boxes
+	Stopped               // nothing is open: the process may exit
 )
 
 func (s State) String() string {
 	return [...]string{"starting", "ready", "draining", "stopping", "stopped"}[s]
 }
 
-// Part is something that must stand before a process is ready.
+// Prerequisite is something that has to be in place before the process is ready.
 type Prerequisite int
 
-// The parts.
+// The prerequisites.
 const (
 	Settings Prerequisite = iota
-	List                  // of servers, or the kept view of one
+	List                  // the server list, or a saved view of it
 	Module
 	prerequisiteCount
 )
 
-// Terms are told at the start.
+// Terms are the time limits of a drain; the settings give them.
 type Terms struct {
-	Drain  Time // how long playing sessions may run on
-	Finish Time // the longest abandon time: by then every open set-up is answered
+	Drain  Time // how long playing sessions may go on
+	Finish Time // the longest abandon time: by then every pending setup has been answered
 }
 
-// Load is what is open at a moment.
+// Load counts what is open at present.
 type Load struct {
-	Fresh     int // connections on which no request has come yet
-	Waiting   int // playbacks not answered yet
+	Fresh     int // connections without a complete request so far
+	Waiting   int // playbacks that wait for an answer
 	Playing   int
-	Sent      int // of those that play: told to go elsewhere
-	Dialogues int // connections to boxes
+	Sent      int // those of Playing that were redirected to another session manager
+	Dialogues int // connections to media boxes
 }
 
-// Act is one thing to be done.
+// Act is one step that the process has to carry out.
 type Act struct {
 	Kind ActionKind
-	N    int // of SendOn
+	N    int // sessions to redirect
 }
 
-// Kind is what is to be done.
+// ActionKind is what a step does.
 type ActionKind int
 
-// The kinds.
+// The kinds of steps.
 const (
 	Listen   ActionKind = iota // accept connections
-	TellNews                   // tell the supervisor the state
-	Hush                       // accept no more, after what has come already
-	Refuse                     // answer what waits in line; every new request is sent elsewhere
-	SendOn                     // tell N playing sessions to go elsewhere
-	End                        // end all that plays, here and at the boxes
-	Exit                       // the process may end
+	TellNews                   // report the state to the supervisor
+	Hush                       // stop accepting, once connections that have arrived are accepted
+	Refuse                     // reject queued requests; redirect every new request
+	SendOn                     // redirect so many playing sessions to other session managers
+	End                        // end all playbacks, here and at the media boxes
+	Exit                       // the process may exit
 )
 
 const (
-	redirectDivisor     = 2 // sessions are sent on within this part of the drain time, evenly,
-	handoverDivisor     = 2 // or after this part of it where the one that took over is at the same address
-	firstRequestDivisor = 8 // connections that have come last have this part of it to ask for something
-	teardownDivisor     = 4 // TEARDOWNs at the end have this part of the longest abandon time
+	redirectDivisor     = 2 // sessions are redirected evenly over drain time / redirectDivisor,
+	handoverDivisor     = 2 // after a takeover (the new process is at the same address) only from drain time / handoverDivisor on
+	firstRequestDivisor = 8 // the last connections have longest abandon time / firstRequestDivisor to send a request
+	teardownDivisor     = 4 // TEARDOWNs at the end have longest abandon time / teardownDivisor to be answered
 )
 
-// Life is where a process stands.
+// Life is the lifecycle of one process. Inputs change its state; it emits the steps that the process has
+// to carry out.
 type Life struct {
 	Terms
 	now           Time
 	state         State
 	since         Time
 	satisfied     [prerequisiteCount]bool
-	stopRequests  int  // how often it was told to stop
-	takenOver     bool // another process has taken over
-	acceptStopped bool // no more connections come
-	redirectTotal int  // sessions that played when the drain began
+	stopRequests  int  // calls of Stop
+	takenOver     bool // by another process
+	acceptStopped bool // no further connections arrive
+	redirectTotal int  // sessions to redirect over the whole drain
 
-	applied struct { // what was carried out
+	applied struct { // steps emitted so far
 		listening, notified, acceptStopped, rejected, ended, exited bool
 		notifiedState                                               State
 		redirected                                                  int
 	}
 }
 
-// New makes one that starts.
+// New returns the lifecycle of a process that starts now.
 func New(t Terms, now Time) *Life { return &Life{Terms: t, now: now, since: now} }
 
-// At begins a turn.
+// At sets the present time; a time before the last one is ignored.
 func (l *Life) At(now Time) { l.now = max(l.now, now) }
 
-// State is the present one, and since when.
+// State returns the present state and the time of its beginning.
 func (l *Life) State() (State, Time) { return l.state, l.since }
 
-// Has tells that a part stands.
+// Has records that a prerequisite is met.
 func (l *Life) Has(p Prerequisite) { l.satisfied[p] = true }
 
-// Stop tells it to end; told again it hurries, and told a third time it ends as it stands.
+// Stop requests a drain. A second call, or one after a takeover, cuts the drain short; a third one ends the process
+// at once.
 func (l *Life) Stop() { l.stopRequests++ }
 
-// Hushed tells that no more connections come: those that had come are accepted.
+// Hushed reports that accepting has stopped: connections that had arrived by then are accepted, none follow.
 func (l *Life) Hushed() { l.acceptStopped = true }
 
-// TakenOver tells that another process accepts connections in its place.
+// TakenOver reports that another process accepts connections in place of this one, which then drains.
+// It has no effect unless the process is ready.
 func (l *Life) TakenOver() {
 	if l.state == Ready {
 		l.takenOver = true
 	}
 }
 
-// Handed tells whether another process has taken its place.
+// Handed reports whether another process has taken over.
 func (l *Life) Handed() bool { return l.takenOver }
 
-// Reload takes new terms; a drain under way goes by the new ones.
+// Reload replaces the time limits; they apply to a drain under way too.
 func (l *Life) Reload(t Terms) { l.Terms = t }
 
-// wanted is the state that it should be in.
-func (l *Life) targetState(x Load) State {
+// targetState returns the state that the process should be in, at most one step on from the present one.
+func (l *Life) targetState(load Load) State {
 	age := l.now - l.since
 	switch l.state {
 	case Starting:
@@ -146,24 +150,24 @@
 			return Draining
 		}
 	case Draining:
-		// What has just come in has a while to say what it wants, or it would be let in for nothing.
-		came := !l.acceptStopped || x.Fresh > 0 && age < l.Finish/firstRequestDivisor
-		if l.stopRequests > 1 || l.takenOver && l.stopRequests > 0 || age >= max(l.Drain, l.Finish/firstRequestDivisor) || x.Waiting+x.Playing == 0 && !came {
+		// Connections accepted last get time to send a request; otherwise they would be accepted only to be closed.
+		arriving := !l.acceptStopped || load.Fresh > 0 && age < l.Finish/firstRequestDivisor
+		if l.stopRequests > 1 || l.takenOver && l.stopRequests > 0 || age >= max(l.Drain, l.Finish/firstRequestDivisor) || load.Waiting+load.Playing == 0 && !arriving {
 			return Stopping
 		}
 	case Stopping:
-		if l.stopRequests > 2 || x.Dialogues == 0 || age >= l.Finish/teardownDivisor {
+		if l.stopRequests > 2 || load.Dialogues == 0 || age >= l.Finish/teardownDivisor {
 			return Stopped
 		}
 	}
 	return l.state
 }
 
-// due is how many of the sessions are to be told by now to go elsewhere, so that those who take them see
-// them come evenly; and when the next one is due.
-func (l *Life) redirectsDue() (n int, next Time) {
+// redirectsDue returns how many sessions should have been redirected by now, and when the next one is due. They are
+// spread evenly over time so that the session managers that receive them see no burst.
+func (l *Life) redirectsDue() (count int, next Time) {
 	from, span := l.since, l.Drain/redirectDivisor
-	if l.takenOver { // they may stay as long as they can: nobody needs their place
+	if l.takenOver { // sessions may stay as long as possible: no other process needs their place
 		from, span = l.since+l.Drain/handoverDivisor, l.Drain/handoverDivisor/redirectDivisor
 	}
 	if l.now < from {
@@ -173,61 +177,61 @@
 	if span <= 0 || l.redirectTotal == 0 {
 		return l.redirectTotal, end
 	}
-	n = min(int(float64(l.redirectTotal)*float64(l.now-from)/float64(span))+1, l.redirectTotal)
-	if n == l.redirectTotal {
-		return n, end
+	count = min(int(float64(l.redirectTotal)*float64(l.now-from)/float64(span))+1, l.redirectTotal)
+	if count == l.redirectTotal {
+		return count, end
 	}
-	return n, from + Time(float64(n)*float64(span)/float64(l.redirectTotal)) + 1
+	return count, from + Time(float64(count)*float64(span)/float64(l.redirectTotal)) + 1
 }
 
-// Settle emits the difference between what the state wants and what was carried out. It returns when it wants
-// to be called again at the latest.
-func (l *Life) Settle(x Load, do func(Act)) Time {
+// Settle moves on to the state that the inputs call for and emits the steps that it requires and that have not
+// been emitted yet. It returns the time by which it has to be called again.
+func (l *Life) Settle(load Load, emit func(Act)) Time {
 	for {
-		next := l.targetState(x)
+		next := l.targetState(load)
 		if next == l.state {
 			break
 		}
 		if l.state, l.since = next, l.now; next == Draining {
-			l.redirectTotal = x.Playing
+			l.redirectTotal = load.Playing
 		}
 	}
-	p := &l.applied
-	one := func(done *bool, when bool, k ActionKind) {
+	applied := &l.applied
+	once := func(done *bool, when bool, kind ActionKind) {
 		if when && !*done {
 			*done = true
-			do(Act{Kind: k})
+			emit(Act{Kind: kind})
 		}
 	}
-	one(&p.listening, l.state == Ready, Listen)
-	one(&p.acceptStopped, l.state > Ready && p.listening, Hush)
-	one(&p.rejected, l.state > Ready && p.listening, Refuse)
+	once(&applied.listening, l.state == Ready, Listen)
+	once(&applied.acceptStopped, l.state > Ready && applied.listening, Hush)
+	once(&applied.rejected, l.state > Ready && applied.listening, Refuse)
 	next := l.now + Time(1)<<40
 	if l.state == Draining {
-		l.redirectTotal = max(l.redirectTotal, p.redirected+x.Playing-x.Sent) // set-ups that were open play meanwhile
-		n, at := l.redirectsDue()
-		if n > p.redirected {
-			do(Act{Kind: SendOn, N: n - p.redirected})
-			p.redirected = n
+		l.redirectTotal = max(l.redirectTotal, applied.redirected+load.Playing-load.Sent) // setups that were pending at the start of the drain may play by now
+		due, at := l.redirectsDue()
+		if due > applied.redirected {
+			emit(Act{Kind: SendOn, N: due - applied.redirected})
+			applied.redirected = due
 		}
 		next = min(at, l.since+max(l.Drain, l.Finish/firstRequestDivisor))
-		if x.Fresh > 0 {
+		if load.Fresh > 0 {
 			next = min(next, l.since+l.Finish/firstRequestDivisor)
 		}
 	}
-	one(&p.ended, l.state > Draining && p.listening, End)
+	once(&applied.ended, l.state > Draining && applied.listening, End)
 	if l.state == Stopping {
 		next = l.since + l.Finish/teardownDivisor
 	}
-	if !p.notified || p.notifiedState != l.state {
-		p.notified, p.notifiedState = true, l.state
-		do(Act{Kind: TellNews})
+	if !applied.notified || applied.notifiedState != l.state {
+		applied.notified, applied.notifiedState = true, l.state
+		emit(Act{Kind: TellNews})
 	}
-	one(&p.exited, l.state == Stopped, Exit)
+	once(&applied.exited, l.state == Stopped, Exit)
 	return max(next, l.now+1)
 }
 
-// String is the state in words.
+// String returns the state and its duration as text.
 func (l *Life) String() string {
 	return fmt.Sprintf("%s for %.1f s", l.state, float64(l.now-l.since)/1e6)
 }
--- a/internal/life/orphans.go
+++ b/internal/life/orphans.go
@@ -1,38 +1,38 @@
 package life
 
-// Orphan is a try or a playback that a dead process may have left running at a box.
+// Orphan is a setup try or a playback that a process which has died may have left running at a media box.
 type Orphan struct {
-	Name         string // as the box knows it: the request's id, and the try's number
+	Name         string // as the media box knows it: the request's id and the number of the try
 	Address, URI string
-	At           Time // when it was opened
+	At           Time // when it was opened, in microseconds since 1970
 }
 
 const (
-	firstRetryDivisor  = 64 // a box that cannot be reached is asked again after this part of its session time-out,
-	retryBackoffFactor = 2  // and then after so many times as long
+	firstRetryDivisor  = 64 // an unreachable media box is retried after its session timeout / firstRetryDivisor,
+	retryBackoffFactor = 2  // and then with a backoff that grows by this factor
 )
 
-// Orphans decides which of them are torn down when. So many at once at most, those opened last first: they
-// have the most time left to sit on a place. A box that cannot be reached is tried again until its own
-// session time-out has passed since it was found, when what ran there has ended by itself.
+// Orphans schedules the teardown of orphans, with a limit on how many run at once. Those opened last come first:
+// they would otherwise occupy capacity the longest. An unreachable media box is retried until its session timeout
+// has passed since the orphans were found; by then it has ended the session by itself.
 type Orphans struct {
-	Timeout  Time // of sessions at boxes
-	AtOnce   int
-	Found    int
-	TornDown int64 // answered by their boxes
-	Expired  int64 // left to the time-out
-	queue    []*orphan
-	inFlight map[*orphan]struct{}
+	Timeout  Time                 // of sessions at media boxes
+	AtOnce   int                  // teardowns in flight at once
+	Found    int                  // orphans added in all
+	TornDown int64                // teardown answered by the media box
+	Expired  int64                // left to the session timeout
+	queue    []*orphan            // to be torn down or retried
+	inFlight map[*orphan]struct{} // torn down now, without an answer yet
 	foundAt  Time
 }
 
 type orphan struct {
 	Orphan
 	retryAt Time
-	backoff Time
+	backoff Time // before the next retry
 }
 
-// Take adds what was found.
+// Take queues the orphans that were found, given in the order in which they were opened.
 func (o *Orphans) Take(all []Orphan, now Time) {
 	if o.inFlight == nil {
 		o.inFlight = map[*orphan]struct{}{}
@@ -44,29 +44,29 @@
 	}
 }
 
-// Left is how many are not settled yet.
+// Left returns the number of orphans that are queued or being torn down.
 func (o *Orphans) Left() int { return len(o.queue) + len(o.inFlight) }
 
-// Settle emits those to be torn down now; done is to be called for each with whether its box has answered. It
-// returns when it wants to be called again, never as -1.
-func (o *Orphans) Settle(now Time, free func(x Orphan, done func(now Time, answered bool))) Time {
+// Settle calls tearDown for each orphan to be torn down now; done has to be called once the media box has answered or
+// the attempt has failed. It returns the time by which it has to be called again, -1 for never.
+func (o *Orphans) Settle(now Time, tearDown func(x Orphan, done func(now Time, answered bool))) Time {
 	next := Time(-1)
 	rest := o.queue[:0]
-	for _, x := range o.queue {
+	for _, item := range o.queue {
 		switch {
 		case now-o.foundAt >= o.Timeout:
 			o.Expired++
 			continue
-		case x.retryAt > now:
-			if next < 0 || x.retryAt < next {
-				next = x.retryAt
+		case item.retryAt > now:
+			if next < 0 || item.retryAt < next {
+				next = item.retryAt
 			}
 		case len(o.inFlight) < o.AtOnce:
-			o.inFlight[x] = struct{}{}
-			free(x.Orphan, func(now Time, answered bool) { o.finish(x, now, answered) })
+			o.inFlight[item] = struct{}{}
+			tearDown(item.Orphan, func(now Time, answered bool) { o.finish(item, now, answered) })
 			continue
 		}
-		rest = append(rest, x)
+		rest = append(rest, item)
 	}
 	clear(o.queue[len(rest):])
 	o.queue = rest
@@ -76,16 +76,16 @@
 	return next
 }
 
-func (o *Orphans) finish(x *orphan, now Time, answered bool) {
-	if _, out := o.inFlight[x]; !out {
+func (o *Orphans) finish(item *orphan, now Time, answered bool) {
+	if _, ok := o.inFlight[item]; !ok {
 		return
 	}
-	delete(o.inFlight, x)
+	delete(o.inFlight, item)
 	if answered {
 		o.TornDown++
 		return
 	}
-	x.retryAt = now + x.backoff
-	x.backoff *= retryBackoffFactor
-	o.queue = append(o.queue, x)
+	item.retryAt = now + item.backoff
+	item.backoff *= retryBackoffFactor
+	o.queue = append(o.queue, item)
 }
--- a/internal/life/peers.go
+++ b/internal/life/peers.go
@@ -6,23 +6,24 @@
 	"strings"
 )
 
-// Others are the session managers that viewers may be sent to.
+// Others are the session managers that viewers may be redirected to.
 type Others struct {
-	Seed   uint64
-	plain  []string
-	secure []string  // those with a door under TLS, by its address
-	turns  [2]uint32 // of the next, in the clear and under TLS
+	Seed   uint64    // gives the process its offset in the round robin
+	plain  []string  // addresses of listeners without TLS
+	secure []string  // addresses of TLS listeners, without the scheme
+	turns  [2]uint32 // round-robin counters without and with TLS; 0 until the first use
 }
 
-// SecureMark stands before the address of a door under TLS.
+// SecureMark is the prefix of the address of a TLS listener.
 const SecureMark = "rtsps://"
 
-// Set tells which are ready, by the addresses that players reach them at. A door under TLS has its mark.
+// Set replaces the list of session managers that are ready, given by the addresses at which players reach them.
+// Addresses of TLS listeners have the prefix rtsps://.
 func (o *Others) Set(addresses []string) {
 	o.plain, o.secure = nil, nil
 	for _, a := range addresses {
-		if to, ok := strings.CutPrefix(a, SecureMark); ok {
-			o.secure = append(o.secure, to)
+		if addr, ok := strings.CutPrefix(a, SecureMark); ok {
+			o.secure = append(o.secure, addr)
 		} else {
 			o.plain = append(o.plain, a)
 		}
@@ -31,25 +32,25 @@
 	slices.Sort(o.secure)
 }
 
-// Count is how many there are.
+// Count returns the number of session managers that are ready.
 func (o *Others) Count() int { return max(len(o.plain), len(o.secure)) }
 
-// Next is where the next viewer is to go: one after the other, from a place of this process's own, so that
-// several that drain together do not send theirs to one in step. One whose connection is encrypted goes to a door
-// under TLS only. Empty if there is none.
+// Next returns the address for the next viewer to redirect, or an empty string if there is none. It goes round
+// robin from an offset derived from the seed, so that processes that drain at the same time do not all redirect to the
+// same session manager. A viewer whose connection is encrypted is redirected to TLS listeners only.
 func (o *Others) Next(secure bool) string {
-	ready, n := o.plain, &o.turns[0]
+	addresses, turn := o.plain, &o.turns[0]
 	if secure {
-		ready, n = o.secure, &o.turns[1]
+		addresses, turn = o.secure, &o.turns[1]
 	}
-	if len(ready) == 0 {
+	if len(addresses) == 0 {
 		return ""
 	}
-	if *n == 0 {
+	if *turn == 0 {
 		b := [8]byte{byte(o.Seed >> 56), byte(o.Seed >> 48), byte(o.Seed >> 40), byte(o.Seed >> 32), byte(o.Seed >> 24),
 			byte(o.Seed >> 16), byte(o.Seed >> 8), byte(o.Seed)}
-		*n = crc32.ChecksumIEEE(b[:])
+		*turn = crc32.ChecksumIEEE(b[:])
 	}
-	*n++
-	return ready[int(*n%uint32(len(ready)))]
+	*turn++
+	return addresses[int(*turn%uint32(len(addresses)))]
 }
--- a/internal/life/successor.go
+++ b/internal/life/successor.go
@@ -1,33 +1,35 @@
 package life
 
-// Seat is a title of a plan that has so many seats at a session manager.
+// Seat identifies a title of a plan. Each session manager has a limited number of seats for it.
 type Seat struct {
 	Plan, Title string
 }
 
-// Heir is what a process that took another's place must leave to it, so that both together keep what one
-// session manager owes: the other one's playbacks hold their seats until they have ended, and the tries that
-// are free of the budget are not given a second time within its span.
+// Heir is the state that a process which took over from another one has to respect while the other drains, so
+// that both together stay within the limits of one session manager: playbacks of the draining process hold their
+// seats until they have ended, and the setup tries that are exempt from the retry budget are not granted a second
+// time within its span.
 type Heir struct {
-	TrySpan     Time
+	TrySpan     Time // period over which budget-exempt tries are counted
 	takenOverAt Time
 	tookOver    bool
 	heldSeats   map[Seat]int
 }
 
-// Take tells that it took over now.
+// Take records that the process took over from another one at the given time.
 func (h *Heir) Take(now Time) { h.tookOver, h.takenOverAt = true, now }
 
-// Hold tells which seats the other one holds now.
+// Hold sets the number of seats that the draining process holds now.
 func (h *Heir) Hold(seats map[Seat]int) { h.heldSeats = seats }
 
-// Held is how many of a title's seats are the other one's.
+// Held returns how many seats of a title the draining process holds.
 func (h *Heir) Held(s Seat) int { return h.heldSeats[s] }
 
-// FreeTries is how many tries are free of the budget, of so many as are told; and until when that holds.
-func (h *Heir) FreeTries(told float64, now Time) (free float64, until Time) {
+// FreeTries returns how many of the configured budget-exempt tries may be granted, and until when that holds; 0
+// if it holds without limit.
+func (h *Heir) FreeTries(configured float64, now Time) (free float64, until Time) {
 	if end := h.takenOverAt + h.TrySpan; h.tookOver && now < end {
 		return 0, end
 	}
-	return told, 0
+	return configured, 0
 }
