--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -16,36 +16,36 @@
 	"pierlink/internal/life"
 )
 
-// Status is how a process stands, as its control socket tells.
+// Status is the state of a process as its control socket reports it.
 type Status struct {
 	Name      string        `json:"name"`
 	PID       int           `json:"pid"`
 	State     string        `json:"state"`
-	For       float64       `json:"for_s"`
+	For       float64       `json:"for_s"` // in seconds, in this state
 	Address   string        `json:"address"`
-	Secure    string        `json:"secure,omitempty"`  // the address of the door under TLS
-	KeysEnd   time.Time     `json:"keys_end,omitzero"` // when its certificate does
-	Unshaken  int64         `json:"handshakes_broken"` // connections that ended before
+	Secure    string        `json:"secure,omitempty"`  // address of the TLS listener
+	KeysEnd   time.Time     `json:"keys_end,omitzero"` // when the certificate expires
+	Unshaken  int64         `json:"handshakes_broken"` // TLS connections that ended before the handshake was done
 	Waiting   int           `json:"waiting"`
 	Playing   int           `json:"playing"`
-	SentOn    int           `json:"sent_on"`
-	Orphans   int           `json:"orphans_left"`
-	BehindMS  float64       `json:"behind_ms"`
-	Starved   int64         `json:"starved"`
-	ListAge   float64       `json:"list_age_s"`      // of the registry's view; -1 where the list comes from a file
-	Directory float64       `json:"directory_age_s"` // of the directory's view; -1 where there is none
+	SentOn    int           `json:"sent_on"`         // of those playing
+	Orphans   int           `json:"orphans_left"`    // not torn down yet
+	BehindMS  float64       `json:"behind_ms"`       // highest processing lag of late, in milliseconds
+	Starved   int64         `json:"starved"`         // connections closed for lack of file descriptors
+	ListAge   float64       `json:"list_age_s"`      // age of the registry view; -1 where the server list comes from a file
+	Directory float64       `json:"directory_age_s"` // age of the directory view; -1 where there is none
 	Entries   int           `json:"directory_entries,omitempty"`
 	Figures   front.Figures `json:"figures"`
 }
 
-// held is a seat that the process that drains still has taken.
+// heldSeat is the number of seats of a title that the draining process still holds.
 type heldSeat struct {
 	Plan  string `json:"plan"`
 	Title string `json:"title"`
 	Count int    `json:"n"`
 }
 
-// word is one line of the control socket, either way.
+// message is one line on the control socket, in either direction.
 type message struct {
 	Command string     `json:"do,omitempty"` // status, takeover, serving
 	Status  *Status    `json:"status,omitempty"`
@@ -54,12 +54,12 @@
 }
 
 const (
-	controlTimeout     = 3 * time.Second        // with the other side of a control socket
-	seatReportInterval = 100 * time.Millisecond // how often the one that drains tells the seats that it still has taken
+	controlTimeout     = 3 * time.Second        // for each read or write on a control socket
+	seatReportInterval = 100 * time.Millisecond // how often the draining process reports the seats that it still holds
 )
 
-// Control is a process's socket in the file system: it tells how the process stands, and hands its listener to
-// a process that takes its place.
+// Control is the control socket of a process, a Unix socket in the file system. It reports the status of the process
+// and hands its listeners over to a process that takes its place.
 type Control struct {
 	listener *net.UnixListener
 	loop     *Loop
@@ -67,8 +67,9 @@
 	status   func() Status
 }
 
-// NewControl takes the path over: what another process had there stays its own until it ends.
-func NewControl(path string, loop *Loop, f *front.Front, tell func() Status) (*Control, error) {
+// NewControl listens at the path and replaces a socket that is there. The process that owns that one goes on serving
+// the connections that it has.
+func NewControl(path string, loop *Loop, frontCore *front.Front, status func() Status) (*Control, error) {
 	next := path + "." + strconv.Itoa(os.Getpid())
 	_ = os.Remove(next)
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: next, Net: "unix"})
@@ -80,17 +81,17 @@
 		_ = ln.Close()
 		return nil, err
 	}
-	c := &Control{listener: ln, loop: loop, front: f, status: tell}
+	c := &Control{listener: ln, loop: loop, front: frontCore, status: status}
 	go c.run()
 	return c, nil
 }
 
-// Close ends it.
+// Close stops listening on the control socket.
 func (c *Control) Close() { _ = c.listener.Close() }
 
 func (c *Control) run() {
 	for {
-		x, err := c.listener.AcceptUnix()
+		conn, err := c.listener.AcceptUnix()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -98,184 +99,184 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		go c.serve(x)
+		go c.serve(conn)
 	}
 }
 
-func (c *Control) serve(x *net.UnixConn) {
-	defer x.Close()
-	in := bufio.NewScanner(x)
-	say := func(w message) error {
-		_ = x.SetWriteDeadline(time.Now().Add(controlTimeout))
-		b, err := json.Marshal(w)
+func (c *Control) serve(conn *net.UnixConn) {
+	defer conn.Close()
+	lines := bufio.NewScanner(conn)
+	send := func(m message) error {
+		_ = conn.SetWriteDeadline(time.Now().Add(controlTimeout))
+		b, err := json.Marshal(m)
 		if err == nil {
-			_, err = x.Write(append(b, '\n'))
+			_, err = conn.Write(append(b, '\n'))
 		}
 		return err
 	}
-	ask := func() (w message) {
-		_ = x.SetReadDeadline(time.Now().Add(controlTimeout))
-		if in.Scan() {
-			_ = json.Unmarshal(in.Bytes(), &w)
+	receive := func() (m message) {
+		_ = conn.SetReadDeadline(time.Now().Add(controlTimeout))
+		if lines.Scan() {
+			_ = json.Unmarshal(lines.Bytes(), &m)
 		}
-		return w
+		return m
 	}
-	switch w := ask(); w.Command {
+	switch m := receive(); m.Command {
 	case "status":
-		s := c.status()
-		_ = say(message{Status: &s})
+		status := c.status()
+		_ = send(message{Status: &status})
 	case "takeover":
-		if err := c.handOver(x, say, ask); err != nil {
-			_ = say(message{Error: err.Error()})
+		if err := c.handOver(conn, send, receive); err != nil {
+			_ = send(message{Error: err.Error()})
 		}
 	default:
-		_ = say(message{Error: "status or takeover is expected"})
+		_ = send(message{Error: "unknown command: expected status or takeover"})
 	}
 }
 
-// hand gives the listener away. Until the other process says that it serves nothing changes here; from then on
-// this one drains, and tells which seats it still has taken.
-func (c *Control) handOver(x *net.UnixConn, say func(message) error, ask func() message) error {
+// handOver sends the listeners to another process. Nothing changes here until the other process confirms that it serves;
+// from then on this process drains, and reports the seats that it still holds.
+func (c *Control) handOver(conn *net.UnixConn, send func(message) error, receive func() message) error {
 	state := life.Stopped
 	c.loop.Do(func() { state, _ = c.front.Life().State() })
 	if state != life.Ready {
-		return fmt.Errorf("it is %s: only one that is ready hands over", state)
+		return fmt.Errorf("process is %s: only a ready process can hand over", state)
 	}
-	all, err := c.loop.Listeners()
+	files, err := c.loop.Listeners()
 	if err != nil {
 		return err
 	}
-	s := c.status()
-	b, err := json.Marshal(message{Status: &s, Seats: c.seats()})
+	status := c.status()
+	line, err := json.Marshal(message{Status: &status, Seats: c.seats()})
 	if err == nil {
-		fds := make([]int, len(all))
-		for i, ln := range all {
-			fds[i] = int(ln.Fd())
+		fds := make([]int, len(files))
+		for i, file := range files {
+			fds[i] = int(file.Fd())
 		}
-		_, _, err = x.WriteMsgUnix(append(b, '\n'), syscall.UnixRights(fds...), nil)
+		_, _, err = conn.WriteMsgUnix(append(line, '\n'), syscall.UnixRights(fds...), nil)
 	}
-	for _, ln := range all {
-		_ = ln.Close() // or what comes to it once both accept no more would wait for nobody
+	for _, file := range files {
+		_ = file.Close() // otherwise connections that arrive once neither process accepts would stay open unanswered
 	}
 	if err != nil {
 		return err
 	}
-	if ask().Command != "serving" {
-		return errors.New("the other process did not come to serve")
+	if receive().Command != "serving" {
+		return errors.New("the other process did not confirm that it serves")
 	}
 	c.loop.Post(func() { c.front.Life().TakenOver() })
-	for say(message{Seats: c.seats()}) == nil {
+	for send(message{Seats: c.seats()}) == nil {
 		time.Sleep(seatReportInterval)
 	}
 	return nil
 }
 
-func (c *Control) seats() (all []heldSeat) {
+func (c *Control) seats() (held []heldSeat) {
 	c.loop.Do(func() {
 		for s, n := range c.front.Seats() {
-			all = append(all, heldSeat{s.Plan, s.Title, n})
+			held = append(held, heldSeat{s.Plan, s.Title, n})
 		}
 	})
-	return all
+	return held
 }
 
-// Ask tells how the process at a control socket stands.
+// Ask returns the status of the process at a control socket.
 func Ask(path string) (*Status, error) {
-	x, err := net.DialTimeout("unix", path, controlTimeout)
+	conn, err := net.DialTimeout("unix", path, controlTimeout)
 	if err != nil {
 		return nil, err
 	}
-	defer x.Close()
-	_ = x.SetDeadline(time.Now().Add(controlTimeout))
-	if _, err := x.Write([]byte("{\"do\":\"status\"}\n")); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(controlTimeout))
+	if _, err := conn.Write([]byte("{\"do\":\"status\"}\n")); err != nil {
 		return nil, err
 	}
-	var w message
-	if err := json.NewDecoder(x).Decode(&w); err != nil {
+	var reply message
+	if err := json.NewDecoder(conn).Decode(&reply); err != nil {
 		return nil, err
 	}
-	if w.Status == nil {
-		return nil, errors.New(w.Error)
+	if reply.Status == nil {
+		return nil, errors.New(reply.Error)
 	}
-	return w.Status, nil
+	return reply.Status, nil
 }
 
-// Handed are listeners taken from a process that still accepts on them too.
+// Handover is the result of a takeover: listeners of a process that still accepts on them as well.
 type Handover struct {
 	conn      *net.UnixConn
 	lines     *bufio.Scanner
-	Listeners []*net.TCPListener // that without TLS first
-	From      Status
+	Listeners []*net.TCPListener // the one without TLS first
+	From      Status             // of the process that hands over
 	seats     []heldSeat
 }
 
-// TakeOver asks the process at a control socket for its listeners.
+// TakeOver requests the listeners of the process at a control socket.
 func TakeOver(path string) (*Handover, error) {
-	x, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	fail := func(err error) (*Handover, error) {
-		_ = x.Close()
+		_ = conn.Close()
 		return nil, fmt.Errorf("take over from %s: %w", path, err)
 	}
-	_ = x.SetDeadline(time.Now().Add(controlTimeout))
-	if _, err := x.Write([]byte("{\"do\":\"takeover\"}\n")); err != nil {
+	_ = conn.SetDeadline(time.Now().Add(controlTimeout))
+	if _, err := conn.Write([]byte("{\"do\":\"takeover\"}\n")); err != nil {
 		return fail(err)
 	}
 	text, rights := make([]byte, 1<<20), make([]byte, 256)
-	n, m, _, _, err := x.ReadMsgUnix(text, rights)
+	n, rightsLen, _, _, err := conn.ReadMsgUnix(text, rights)
 	if err != nil {
 		return fail(err)
 	}
 	for n > 0 && text[n-1] != '\n' && n < len(text) {
-		k, err := x.Read(text[n:])
+		read, err := conn.Read(text[n:])
 		if err != nil {
 			return fail(err)
 		}
-		n += k
+		n += read
 	}
-	var w message
-	if err := json.Unmarshal(text[:n], &w); err != nil {
+	var reply message
+	if err := json.Unmarshal(text[:n], &reply); err != nil {
 		return fail(err)
 	}
-	if w.Status == nil {
-		return fail(errors.New(w.Error))
+	if reply.Status == nil {
+		return fail(errors.New(reply.Error))
 	}
-	all, err := syscall.ParseSocketControlMessage(rights[:m])
-	if err != nil || len(all) != 1 {
-		return fail(errors.Join(errors.New("no listener came"), err))
+	messages, err := syscall.ParseSocketControlMessage(rights[:rightsLen])
+	if err != nil || len(messages) != 1 {
+		return fail(errors.Join(errors.New("no listener received"), err))
 	}
-	fds, err := syscall.ParseUnixRights(&all[0])
+	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) == 0 {
-		return fail(errors.Join(errors.New("no listener came"), err))
+		return fail(errors.Join(errors.New("no listener received"), err))
 	}
-	var doors []*net.TCPListener
+	var listeners []*net.TCPListener
 	for _, fd := range fds {
 		syscall.CloseOnExec(fd)
 		file := os.NewFile(uintptr(fd), "listener")
-		ln, bad := net.FileListener(file)
+		ln, listenErr := net.FileListener(file)
 		_ = file.Close()
 		if tcp, ok := ln.(*net.TCPListener); ok {
-			doors = append(doors, tcp)
+			listeners = append(listeners, tcp)
 			continue
 		}
-		err = errors.Join(err, bad, errors.New("not a TCP listener"))
+		err = errors.Join(err, listenErr, errors.New("not a TCP listener"))
 	}
 	if err != nil {
-		for _, ln := range doors {
+		for _, ln := range listeners {
 			_ = ln.Close()
 		}
 		return fail(err)
 	}
-	_ = x.SetDeadline(time.Time{})
-	return &Handover{conn: x, lines: bufio.NewScanner(x), Listeners: doors, From: *w.Status, seats: w.Seats}, nil
+	_ = conn.SetDeadline(time.Time{})
+	return &Handover{conn: conn, lines: bufio.NewScanner(conn), Listeners: listeners, From: *reply.Status, seats: reply.Seats}, nil
 }
 
-// Serving tells the other process that this one accepts, and follows the seats that it still has taken until
-// it has ended. hold is called with each news of them.
-func (h *Handover) Serving(hold func(map[life.Seat]int)) error {
-	hold(seatCounts(h.seats))
+// Serving confirms to the other process that this one accepts connections. Until the other process has ended,
+// setHeldSeats is called with each report of the seats that it still holds, and at its end with nil.
+func (h *Handover) Serving(setHeldSeats func(map[life.Seat]int)) error {
+	setHeldSeats(seatCounts(h.seats))
 	if _, err := h.conn.Write([]byte("{\"do\":\"serving\"}\n")); err != nil {
 		_ = h.conn.Close()
 		return err
@@ -284,31 +285,31 @@
 	go func() {
 		defer h.conn.Close()
 		for h.lines.Scan() {
-			var w message
-			if json.Unmarshal(h.lines.Bytes(), &w) == nil {
-				hold(seatCounts(w.Seats))
+			var m message
+			if json.Unmarshal(h.lines.Bytes(), &m) == nil {
+				setHeldSeats(seatCounts(m.Seats))
 			}
 		}
-		hold(nil)
+		setHeldSeats(nil)
 	}()
 	return nil
 }
 
-func seatCounts(all []heldSeat) map[life.Seat]int {
-	m := map[life.Seat]int{}
-	for _, s := range all {
-		m[life.Seat{Plan: s.Plan, Title: s.Title}] = s.Count
+func seatCounts(held []heldSeat) map[life.Seat]int {
+	counts := map[life.Seat]int{}
+	for _, s := range held {
+		counts[life.Seat{Plan: s.Plan, Title: s.Title}] = s.Count
 	}
-	return m
+	return counts
 }
 
-// Running tells whether a process answers at a control socket; what a dead one left there is removed.
+// Running reports whether a process listens on a control socket. A socket left by a process that died is removed.
 func Running(path string) bool {
 	if _, err := Ask(path); err == nil {
 		return true
 	}
-	if x, err := net.DialTimeout("unix", path, controlTimeout); err == nil { // it accepts, and does not answer
-		_ = x.Close()
+	if conn, err := net.DialTimeout("unix", path, controlTimeout); err == nil { // it accepts, but does not answer
+		_ = conn.Close()
 		return true
 	}
 	_ = os.Remove(filepath.Clean(path))
--- a/internal/edge/deferred.go
+++ b/internal/edge/deferred.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Poster posts to a loop that may not be there yet: what comes before it waits for it.
+// Poster posts functions to a loop that may not exist yet; they are queued until it does.
 type Poster struct {
 	mu      sync.Mutex
 	loop    *Loop
-	pending []func()
+	pending []func() // posted before the loop was set
 }
 
-// Post has a function run by the goroutine that owns the loop's core.
+// Post runs a function on the goroutine that owns the loop's core.
 func (p *Poster) Post(call func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,7 +20,7 @@
 	p.loop.Post(call)
 }
 
-// To names the loop.
+// To sets the loop and posts the queued functions to it.
 func (p *Poster) To(l *Loop) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/edge/keypair.go
+++ b/internal/edge/keypair.go
@@ -10,52 +10,54 @@
 	"go.uber.org/zap"
 )
 
-// Keys are a certificate and its key in two files, read anew when either changes. New handshakes take the new ones;
-// connections that stand are untouched.
+// Keys is a TLS certificate and its private key in two files, reloaded when either file changes. New handshakes use the
+// new pair; open connections are not affected.
 type Keys struct {
 	certFile, keyFile string
 	current           atomic.Pointer[tls.Certificate]
 }
 
-// ReadKeys reads a pair, which must belong together.
-func ReadKeys(cert, key string) (*Keys, error) {
-	k := &Keys{certFile: cert, keyFile: key}
+// ReadKeys loads a certificate and its private key, which have to match.
+func ReadKeys(certFile, keyFile string) (*Keys, error) {
+	k := &Keys{certFile: certFile, keyFile: keyFile}
 	return k, k.Reload()
 }
 
-// Again reads the files anew. What does not belong together, or cannot be read, changes nothing.
+// Reload reads both files again. If they cannot be read or do not match, it returns an error and the old pair stays in use.
 func (k *Keys) Reload() error {
-	c, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
+	pair, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
 	if err != nil {
 		return fmt.Errorf("%s with %s: %w", k.certFile, k.keyFile, err)
 	}
-	if c.Leaf == nil {
-		if c.Leaf, err = x509.ParseCertificate(c.Certificate[0]); err != nil {
+	if pair.Leaf == nil {
+		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
 			return fmt.Errorf("%s: %w", k.certFile, err)
 		}
 	}
-	k.current.Store(&c)
+	k.current.Store(&pair)
 	return nil
 }
 
-// Until is when the certificate ends.
+// Until returns when the certificate expires.
 func (k *Keys) Until() time.Time { return k.current.Load().Leaf.NotAfter }
 
-// Door is what a door with these keys needs: TLS 1.2 or later.
+// Door returns the configuration of a listener with this pair: TLS 1.2 or later.
 func (k *Keys) Door() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.current.Load(), nil }}
 }
 
-// Follow looks at both files every so often until stop is closed. The two are written one after the other: a pair
-// that does not match yet is taken as the second comes.
-func (k *Keys) Follow(every time.Duration, stop <-chan struct{}, log *zap.Logger) {
+// Follow polls both files at the given interval until stop is closed, and reloads the pair on a change. The files are
+// written one after the other: a pair that does not match yet is loaded when the second file changes.
+func (k *Keys) Follow(interval time.Duration, stop <-chan struct{}, logger *zap.Logger) {
 	for _, path := range []string{k.certFile, k.keyFile} {
-		go Watch(path, every, stop, func([]byte) {
+		go Watch(path, interval, stop, func([]byte) {
 			if err := k.Reload(); err != nil {
-				log.Error("the door's keys are not taken, the old ones are kept", zap.Error(err))
+				logger.Error("TLS certificate and key not reloaded, the old pair stays in use", zap.Error(err))
 				return
 			}
-			log.Info("new keys at the door", zap.Time("until", k.Until()))
-		}, func(err error) { log.Error("the door's keys cannot be read, the old ones are kept", zap.Error(err)) })
+			logger.Info("TLS certificate and key reloaded", zap.Time("until", k.Until()))
+		}, func(err error) {
+			logger.Error("TLS certificate or key cannot be read, the old pair stays in use", zap.Error(err))
+		})
 	}
 }
--- a/internal/edge/listener.go
+++ b/internal/edge/listener.go
@@ -13,65 +13,67 @@
 )
 
 const (
-	maxMailboxEvents = 1 << 16               // events that wait before connections are no longer accepted, nor read
-	finalAcceptTime  = 20 * time.Millisecond // what has come to a listener by its end is still accepted
+	maxMailboxEvents = 1 << 16               // queued events beyond which no connection is accepted or read
+	finalAcceptTime  = 20 * time.Millisecond // how long connections that have arrived are still accepted after accepting is to stop
 	acceptRetryDelay = 5 * time.Millisecond  // after an accept that failed
 )
 
-// door accepts connections for a loop.
+// listener accepts connections for a loop.
 type listener struct {
 	ln        *net.TCPListener
-	tlsConfig *tls.Config // nil for one without TLS
+	tlsConfig *tls.Config // nil without TLS
 	done      chan struct{}
 }
 
-// Listen binds an address and accepts there, with keys under TLS.
-func (l *Loop) Listen(addr string, keys *tls.Config) error {
+// Listen binds an address and accepts connections there, over TLS if tlsConfig is not nil.
+func (l *Loop) Listen(addr string, tlsConfig *tls.Config) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	l.Accept(ln.(*net.TCPListener), keys)
+	l.Accept(ln.(*net.TCPListener), tlsConfig)
 	return nil
 }
 
-// Accept accepts on a listener, which may be another process's too: each connection comes to one of them.
-func (l *Loop) Accept(ln *net.TCPListener, keys *tls.Config) {
-	d := &listener{ln: ln, tlsConfig: keys, done: make(chan struct{})}
+// Accept accepts connections on a listener, over TLS if tlsConfig is not nil. Another process may accept on the same
+// socket: each connection goes to one of the two.
+func (l *Loop) Accept(ln *net.TCPListener, tlsConfig *tls.Config) {
+	entry := &listener{ln: ln, tlsConfig: tlsConfig, done: make(chan struct{})}
 	l.mu.Lock()
-	l.listeners = append(l.listeners, d)
-	if keys == nil {
+	l.listeners = append(l.listeners, entry)
+	if tlsConfig == nil {
 		l.addr = ln.Addr().String()
 	} else {
 		l.secureAddr = ln.Addr().String()
 	}
 	l.mu.Unlock()
-	go l.accept(d)
+	go l.accept(entry)
 }
 
-// Addr is where the loop listens without TLS; empty before it does.
+// Addr returns the address at which the loop listens without TLS; empty while it does not.
 func (l *Loop) Addr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// SecureAddr is where it listens under TLS.
+// SecureAddr returns the address at which the loop listens with TLS; empty while it does not.
 func (l *Loop) SecureAddr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.secureAddr
 }
 
-// Listeners are descriptors of the listeners for another process, that without TLS first; the caller closes them.
-func (l *Loop) Listeners() (all []*os.File, err error) {
+// Listeners returns duplicates of the listening sockets for another process, the one without TLS first. The caller has to
+// close them.
+func (l *Loop) Listeners() (files []*os.File, err error) {
 	l.mu.Lock()
-	doors := slices.Clone(l.listeners)
+	listeners := slices.Clone(l.listeners)
 	l.mu.Unlock()
-	if len(doors) == 0 {
-		return nil, errors.New("it does not listen")
+	if len(listeners) == 0 {
+		return nil, errors.New("the loop has no listener")
 	}
-	slices.SortStableFunc(doors, func(a, b *listener) int {
+	slices.SortStableFunc(listeners, func(a, b *listener) int {
 		if (a.tlsConfig == nil) == (b.tlsConfig == nil) {
 			return 0
 		} else if a.tlsConfig == nil {
@@ -79,50 +81,51 @@
 		}
 		return 1
 	})
-	for _, d := range doors {
-		f, err := d.ln.File()
+	for _, entry := range listeners {
+		f, err := entry.ln.File()
 		if err != nil {
-			for _, f := range all {
+			for _, f := range files {
 				_ = f.Close()
 			}
 			return nil, err
 		}
-		all = append(all, f)
+		files = append(files, f)
 	}
-	return all, nil
+	return files, nil
 }
 
-// Hush accepts no more, after what has come already. Connections go on. It returns when that is done.
+// Hush stops accepting connections, once those that have arrived are accepted, and returns when that is done.
+// Open connections go on.
 func (l *Loop) Hush() {
 	l.mu.Lock()
-	doors := l.listeners
+	listeners := l.listeners
 	l.listeners, l.acceptStopped = nil, true
 	l.spaceFreed.Broadcast()
 	l.mu.Unlock()
-	for _, d := range doors {
-		_ = d.ln.SetDeadline(time.Now().Add(finalAcceptTime))
+	for _, entry := range listeners {
+		_ = entry.ln.SetDeadline(time.Now().Add(finalAcceptTime))
 	}
-	for _, d := range doors {
-		<-d.done
+	for _, entry := range listeners {
+		<-entry.done
 	}
 }
 
-// Starved is how often a connection was closed unheard for want of a descriptor.
+// Starved returns how many connections were closed at once for lack of a file descriptor.
 func (l *Loop) Starved() int64 { return l.descriptorRejects.Load() }
 
-func (l *Loop) accept(d *listener) {
-	defer close(d.done)
-	defer d.ln.Close()
-	// A descriptor in reserve: with none left, a connection could neither be accepted nor be told so, and
-	// those behind it would wait for as long as their patience lasts.
+func (l *Loop) accept(entry *listener) {
+	defer close(entry.done)
+	defer entry.ln.Close()
+	// A spare descriptor: with none left, a connection could be neither accepted nor closed, and the client
+	// and those queued behind it would wait until their own timeouts.
 	reserve, _ := os.Open(os.DevNull)
 	defer func() { _ = reserve.Close() }()
 	for {
 		l.waitForRoom()
-		c, err := d.ln.AcceptTCP()
+		c, err := entry.ln.AcceptTCP()
 		switch {
-		case err == nil && d.tlsConfig != nil:
-			l.acceptTLS(c, d.tlsConfig)
+		case err == nil && entry.tlsConfig != nil:
+			l.acceptTLS(c, entry.tlsConfig)
 		case err == nil:
 			l.mu.Lock()
 			l.openAccepted++
@@ -138,7 +141,7 @@
 			return
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
 			_ = reserve.Close()
-			if c, err := d.ln.AcceptTCP(); err == nil {
+			if c, err := entry.ln.AcceptTCP(); err == nil {
 				_ = c.SetLinger(0)
 				_ = c.Close()
 				l.descriptorRejects.Add(1)
@@ -151,7 +154,7 @@
 	}
 }
 
-// admit waits until the mailbox has room for a newcomer.
+// waitForRoom waits until the mailbox and the connection limit allow another connection.
 func (l *Loop) waitForRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,8 +163,8 @@
 	}
 }
 
-// Unshaken is how many connections ended before their handshake was done.
+// Unshaken returns how many TLS connections ended before their handshake was done.
 func (l *Loop) Unshaken() int64 { return l.brokenHandshakes.Load() }
 
-// counters that are read from outside the loop's goroutine.
+// counters may be read from outside the loop's goroutine.
 type counters struct{ descriptorRejects, brokenHandshakes atomic.Int64 }
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -1,5 +1,6 @@
-// Package edge carries a core out on sockets: nbio listeners and connections, timers and the mailbox by
-// which everything reaches the one goroutine that owns the core.
+// Package edge runs a core on sockets: an event loop with nbio listeners and connections, timers, and a mailbox through
+// which all events reach the one goroutine that owns the core. It also provides TLS, the control socket, the metrics
+// endpoint and the connection to the registry.
 package edge
 
 import (
@@ -19,22 +20,22 @@
 	"pierlink/internal/core"
 )
 
-func init() { logging.SetLevel(logging.LevelNone) } // what matters comes to the cores as events
+func init() { logging.SetLevel(logging.LevelNone) } // errors that matter reach the core as events
 
-// Now is the clock of cores on sockets: microseconds since 1970.
+// Now returns the time of the clock of cores on sockets: microseconds since 1970.
 func Now() core.Time { return time.Now().UnixMicro() }
 
-const drainTimeout = 5 * time.Second
+const drainTimeout = 5 * time.Second // for writing what is pending when a connection is closed, and the default for dials
 
-// Room is what a loop may hold, and how long it waits for others.
+// Room holds the limits of a loop on memory, connections and the time for a dial.
 type Room struct {
-	Read  int           // bytes of a buffer for a piece received
-	Mail  int           // bytes of such buffers that wait before the readers do; then TCP holds the senders back
-	Dials time.Duration // a connection that is not up by then has failed, 0 for any time
-	Doors int           // connections accepted and not closed yet, beyond which the next waits; 0 for any number
+	Read  int           // bytes of a receive buffer
+	Mail  int           // bytes of receive buffers in the mailbox beyond which reading stops, so that TCP slows the senders down
+	Dials time.Duration // for a dial; 0 for no timeout
+	Doors int           // open accepted connections beyond which accepting waits; 0 for no limit
 }
 
-// Ample is the room of a loop that has the machine to itself.
+// DefaultLimits are the limits of a loop that has the machine to itself.
 var DefaultLimits = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainTimeout}
 
 // Loop runs one core on sockets.
@@ -51,14 +52,14 @@
 	spaceFreed    sync.Cond
 	mailbox       []event
 	mailboxBytes  int
-	openAccepted  int // accepted and not closed
+	openAccepted  int // connections accepted and not closed yet
 	acceptStopped bool
 	stopped       bool
 	wake          chan struct{}
 	done          chan struct{}
 	buffers       sync.Pool
-	clientTLS     *tls.Config          // of connections that its core makes
-	sockets       map[*socket]struct{} // the loop's goroutine only
+	clientTLS     *tls.Config          // for connections that the core dials; nil for the system's certificate authorities
+	sockets       map[*socket]struct{} // open connections; used by the loop's goroutine only
 }
 
 type event struct {
@@ -66,11 +67,11 @@
 	socket     *socket
 	transport  transport
 	data       *[]byte // a buffer of the pool
-	size       int     // of what is in it
+	size       int     // bytes used in data
 	err        error
 	remoteAddr string
 	call       func()
-	arrivedAt  core.Time // it came
+	arrivedAt  core.Time // when the event was posted
 }
 
 type kind uint8
@@ -84,46 +85,46 @@
 	called
 )
 
-// socket is the edge's side of a core.Conn.
+// socket is the state of the edge for a core.Conn.
 type socket struct {
 	conn          core.Conn
-	coreConn      *core.Conn // the core's: &conn where accepted
+	coreConn      *core.Conn // the connection as the core has it: &conn if it was accepted
 	transport     transport
-	sentBytes     int64 // the loop's goroutine only
+	sentBytes     int64 // used by the loop's goroutine only
 	writtenBytes  atomic.Int64
-	drainPending  atomic.Bool // a drained event is due
-	closedForCore bool        // for the core
-	closedEarly   bool        // closed before it was connected
-	cancel        func()      // ends the dial; nil where it was accepted
+	drainPending  atomic.Bool // a drained event has to be posted once all is written
+	closedForCore bool        // the core gets no more events
+	closedEarly   bool        // closed by the core before it was connected
+	cancel        func()      // cancels the dial; nil if it was accepted
 }
 
-// New makes a loop that listens on an address, or nowhere if it is empty. The core is made with the loop
-// as its network.
+// New starts a loop with the default limits that listens on an address, or nowhere if it is empty. build returns the
+// core; it gets the loop as its network.
 func New(addr string, build func(core.Net) core.Core) (*Loop, error) {
 	return NewIn(DefaultLimits, addr, build)
 }
 
-// NewIn makes a loop that keeps within a room.
-func NewIn(room Room, addr string, build func(core.Net) core.Core) (*Loop, error) {
-	l := &Loop{limits: room, wake: make(chan struct{}, 1), done: make(chan struct{}), sockets: map[*socket]struct{}{}}
+// NewIn is like New with the given limits.
+func NewIn(limits Room, addr string, build func(core.Net) core.Core) (*Loop, error) {
+	l := &Loop{limits: limits, wake: make(chan struct{}, 1), done: make(chan struct{}), sockets: map[*socket]struct{}{}}
 	l.spaceFreed.L = &l.mu
-	l.buffers.New = func() any { b := make([]byte, room.Read); return &b }
-	c := nbio.Config{Name: "pierlink", NPoller: 1, ReadBufferSize: room.Read, EpollMod: nbio.EPOLLLT}
-	l.engine = nbio.NewEngine(c)
+	l.buffers.New = func() any { b := make([]byte, limits.Read); return &b }
+	config := nbio.Config{Name: "pierlink", NPoller: 1, ReadBufferSize: limits.Read, EpollMod: nbio.EPOLLLT}
+	l.engine = nbio.NewEngine(config)
 	l.core = build(l)
-	l.engine.OnOpen(func(nb *nbio.Conn) {
-		if s, ok := nb.Session().(*socket); ok {
-			l.post(event{kind: dialed, socket: s, transport: nb})
+	l.engine.OnOpen(func(conn *nbio.Conn) {
+		if s, ok := conn.Session().(*socket); ok {
+			l.post(event{kind: dialed, socket: s, transport: conn})
 			return
 		}
-		s := &socket{transport: nb}
+		s := &socket{transport: conn}
 		s.coreConn = &s.conn
 		s.coreConn.Socket = s
-		nb.SetSession(s)
-		l.post(event{kind: accepted, socket: s, remoteAddr: nb.RemoteAddr().String()})
+		conn.SetSession(s)
+		l.post(event{kind: accepted, socket: s, remoteAddr: conn.RemoteAddr().String()})
 	})
-	l.engine.OnData(func(nb *nbio.Conn, data []byte) {
-		s, ok := nb.Session().(*socket)
+	l.engine.OnData(func(conn *nbio.Conn, data []byte) {
+		s, ok := conn.Session().(*socket)
 		if !ok {
 			return
 		}
@@ -134,8 +135,8 @@
 			l.post(event{kind: received, socket: s, data: b, size: n})
 		}
 	})
-	l.engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
-		s, ok := nb.Session().(*socket)
+	l.engine.OnWrittenSize(func(conn *nbio.Conn, _ []byte, n int) {
+		s, ok := conn.Session().(*socket)
 		if !ok {
 			return
 		}
@@ -144,8 +145,8 @@
 			l.post(event{kind: drained, socket: s})
 		}
 	})
-	l.engine.OnClose(func(nb *nbio.Conn, err error) {
-		if s, ok := nb.Session().(*socket); ok {
+	l.engine.OnClose(func(conn *nbio.Conn, err error) {
+		if s, ok := conn.Session().(*socket); ok {
 			l.post(event{kind: closed, socket: s, err: err})
 		}
 	})
@@ -162,10 +163,10 @@
 	return l, nil
 }
 
-// Post has a function run by the goroutine that owns the core, within a turn.
+// Post runs a function on the goroutine that owns the core, within a turn.
 func (l *Loop) Post(call func()) { l.post(event{kind: called, call: call}) }
 
-// Do posts a function and waits for it.
+// Do posts a function and waits until it has run, or until the loop has ended.
 func (l *Loop) Do(call func()) {
 	done := make(chan struct{})
 	l.Post(func() { call(); close(done) })
@@ -183,7 +184,7 @@
 	}
 	l.mailbox = append(l.mailbox, e)
 	if e.data != nil {
-		l.mailboxBytes += l.limits.Read // what is held, not what is filled
+		l.mailboxBytes += l.limits.Read // the memory held, not the bytes used of it
 	}
 	l.mu.Unlock()
 	select {
@@ -192,7 +193,7 @@
 	}
 }
 
-// Stop ends the loop. Connections are closed, or with abrupt reset as when a process is killed.
+// Stop ends the loop. Connections are closed, or, if abrupt is set, reset as if the process had been killed.
 func (l *Loop) Stop(abrupt bool) {
 	l.mu.Lock()
 	if l.stopped {
@@ -227,15 +228,15 @@
 func (l *Loop) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
-	var mail []event
-	timed, _ := l.core.(interface { // wants to know how long its turns take, and what they take has waited
+	var events []event
+	observer, _ := l.core.(interface { // implemented by cores that measure the duration of turns and the time that events wait
 		Came(at core.Time)
 		Turned(waited, took core.Time)
 	})
-	next := core.Time(0) // the first turn is at once
+	next := core.Time(0) // the first turn starts at once
 	for {
 		l.mu.Lock()
-		mail, l.mailbox = l.mailbox, mail[:0]
+		events, l.mailbox = l.mailbox, events[:0]
 		l.mailboxBytes = 0
 		stopped := l.stopped
 		l.spaceFreed.Broadcast()
@@ -244,7 +245,7 @@
 			return
 		}
 		now := Now()
-		if len(mail) == 0 && now < next {
+		if len(events) == 0 && now < next {
 			if wait := next - now; next != core.Never {
 				timer.Reset(time.Duration(wait) * time.Microsecond)
 			}
@@ -256,19 +257,19 @@
 		}
 		l.core.At(now)
 		waited := core.Time(0)
-		if len(mail) > 0 {
-			waited = max(now-mail[0].arrivedAt, 0)
+		if len(events) > 0 {
+			waited = max(now-events[0].arrivedAt, 0)
 		}
-		for i := range mail {
-			if timed != nil {
-				timed.Came(mail[i].arrivedAt)
+		for i := range events {
+			if observer != nil {
+				observer.Came(events[i].arrivedAt)
 			}
-			l.deliver(&mail[i])
-			mail[i] = event{}
+			l.deliver(&events[i])
+			events[i] = event{}
 		}
 		next = l.core.Settle()
-		if timed != nil {
-			timed.Turned(waited, Now()-now)
+		if observer != nil {
+			observer.Turned(waited, Now()-now)
 		}
 	}
 }
@@ -332,7 +333,7 @@
 	return err
 }
 
-// Dial connects, under TLS where the connection is to be secure.
+// Dial connects, over TLS if the connection is to be secure.
 func (l *Loop) Dial(c *core.Conn, addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &socket{coreConn: c, cancel: cancel}
@@ -344,18 +345,18 @@
 	go l.dial(ctx, s, addr)
 }
 
-// dial connects, from an address of its own where it has one. The poller's own way to connect is not taken: it goes
-// to 0.0.0.0 for every address of four bytes. OnOpen tells that the connection is there, before anything comes on it.
+// dial connects, from the source address of the connection if it has one. The poller's own dial is not used: it connects
+// to 0.0.0.0 for every address of four bytes. OnOpen reports the connection before anything is received on it.
 func (l *Loop) dial(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	c, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
+	tcp, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
 	if err == nil {
-		var nb *nbio.Conn
-		if nb, err = nbio.NBConn(c); err != nil { // it takes a second descriptor for a moment
-			_ = c.Close()
+		var conn *nbio.Conn
+		if conn, err = nbio.NBConn(tcp); err != nil { // needs a second file descriptor for a moment
+			_ = tcp.Close()
 		} else {
-			nb.SetSession(s)
-			_, err = l.engine.AddConn(nb)
+			conn.SetSession(s)
+			_, err = l.engine.AddConn(conn)
 		}
 	}
 	if err != nil {
@@ -363,11 +364,11 @@
 	}
 }
 
-// from dials, from an address unless that is empty. A dial given up gives its descriptor back at once.
-func dialFrom(ctx context.Context, own, addr string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
-	if own != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(own)}
+// dialFrom connects, from a source address unless that is empty. A cancelled dial closes its file descriptor at once.
+func dialFrom(ctx context.Context, source, addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
+	if source != "" {
+		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(source)}
 	}
 	return d.DialContext(ctx, "tcp", addr)
 }
@@ -379,17 +380,17 @@
 	return err
 }
 
-// Send writes, or has the network write as soon as it can.
+// Send writes bytes, or queues them until the network takes them.
 func (l *Loop) Send(c *core.Conn, b []byte) {
 	s, ok := c.Socket.(*socket)
 	if !ok || s.closedForCore || s.transport == nil {
 		return
 	}
 	s.sentBytes += int64(len(b))
-	_, _ = s.transport.Write(b) // a failure comes as closed
+	_, _ = s.transport.Write(b) // a failure is reported by a closed event
 }
 
-// Pending is what the network has not taken yet.
+// Pending returns the number of bytes that the network has not taken yet.
 func (l *Loop) Pending(c *core.Conn) int {
 	s, ok := c.Socket.(*socket)
 	if !ok || s.transport == nil {
@@ -405,30 +406,30 @@
 	return int(n)
 }
 
-// CloseWrite ends our way of a connection that has nothing left to write (shutdown(2)). The poller may close its
-// descriptor at any moment: what is shut is a duplicate, once that is seen to be the same connection.
+// CloseWrite shuts down the sending side of a connection that has nothing left to write (shutdown(2)). As the poller may
+// close its descriptor at any moment, shutdown is called on a duplicate, after a check that it is the same connection.
 func (l *Loop) CloseWrite(c *core.Conn) {
 	s, ok := c.Socket.(*socket)
 	if !ok || s.closedForCore || s.transport == nil || l.Pending(c) > 0 {
 		return
 	}
-	nb, ok := s.transport.(*nbio.Conn)
+	conn, ok := s.transport.(*nbio.Conn)
 	if !ok {
 		return
 	}
-	fd, err := syscall.Dup(nb.Hash())
+	fd, err := syscall.Dup(conn.Hash())
 	if err != nil {
 		return
 	}
-	if name, err := syscall.Getsockname(fd); err == nil && sameAddr(name, nb.LocalAddr()) {
-		if name, err := syscall.Getpeername(fd); err == nil && sameAddr(name, nb.RemoteAddr()) {
+	if name, err := syscall.Getsockname(fd); err == nil && sameAddr(name, conn.LocalAddr()) {
+		if name, err := syscall.Getpeername(fd); err == nil && sameAddr(name, conn.RemoteAddr()) {
 			_ = syscall.Shutdown(fd, syscall.SHUT_WR)
 		}
 	}
 	_ = syscall.Close(fd)
 }
 
-// is tells whether a socket's address is the one that a connection had when it came up.
+// sameAddr reports whether a socket's address is the one that a connection had when it was established.
 func sameAddr(name syscall.Sockaddr, addr net.Addr) bool {
 	a, ok := addr.(*net.TCPAddr)
 	switch n := name.(type) {
@@ -440,7 +441,7 @@
 	return false
 }
 
-// Close ends a connection once what was sent is written.
+// Close closes a connection once everything sent is written, or drainTimeout is over.
 func (l *Loop) Close(c *core.Conn) {
 	s, ok := c.Socket.(*socket)
 	if !ok || s.closedForCore {
@@ -457,6 +458,6 @@
 		return
 	}
 	s.closedForCore = true
-	nb := s.transport
-	time.AfterFunc(drainTimeout, func() { _ = nb.Close() })
+	conn := s.transport
+	time.AfterFunc(drainTimeout, func() { _ = conn.Close() })
 }
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -14,8 +14,8 @@
 	"pierlink/session"
 )
 
-// inbox gathers news until the front's next turn takes it: a thousand changes a second are as many turns at
-// most as the front has anyway.
+// listBatcher collects changes of the server list until the front's next turn applies them, so that even a thousand
+// changes a second cause no additional turns.
 type listBatcher struct {
 	loop      *Loop
 	front     *front.Front
@@ -24,13 +24,13 @@
 	scheduled bool
 }
 
-func (i *listBatcher) add(l front.List) {
+func (i *listBatcher) add(list front.List) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if l.Whole {
-		i.pending = l
+	if list.Whole {
+		i.pending = list
 	} else {
-		i.pending.Servers = append(i.pending.Servers, l.Servers...)
+		i.pending.Servers = append(i.pending.Servers, list.Servers...)
 	}
 	if !i.scheduled {
 		i.scheduled = true
@@ -40,93 +40,93 @@
 
 func (i *listBatcher) flush() {
 	i.mu.Lock()
-	l := i.pending
+	list := i.pending
 	i.pending, i.scheduled = front.List{}, false
 	i.mu.Unlock()
-	i.front.Listed(l)
+	i.front.Listed(list)
 	if l := i.front.Life(); l != nil {
 		l.Has(life.List)
 	}
 }
 
-// Follow has a front hear of boxes from a registry. The client's goroutine turns its news into lists; the
-// front takes them in turns of its own.
-// gone, if not nil, is called when this manager's own key has gone though it lives.
-// Where own is set, how many session managers there are, and this one's number, follow from the registry too.
-func Follow(p client.Place, own *registry.Fleet, gone func(), loop *Loop, f *front.Front, log *zap.Logger) (*client.Client, error) {
+// Follow feeds a front with the media boxes that a registry lists. The goroutine of the registry client converts
+// changes into server lists; the front applies them in its own turns.
+// If fleet is not nil, the number of session managers and the index of this one come from the registry too, and
+// onKeyLost is called when the key of this session manager has disappeared although it is running.
+func Follow(place client.Place, fleet *registry.Fleet, onKeyLost func(), loop *Loop, frontCore *front.Front, logger *zap.Logger) (*client.Client, error) {
 	var boxes registry.Boxes
-	fronts, mine := 0, 0
+	managers, ownIndex := 0, 0
 	var others []string
-	in := &listBatcher{loop: loop, front: f}
-	count := func() {
-		all, number := own.Count(Now())
-		if all != fronts || number != mine {
-			fronts, mine = all, number
-			loop.Post(func() { f.Among(all, number) })
-			log.Info("session managers", zap.Int("fronts", all), zap.Int("front", number))
+	batcher := &listBatcher{loop: loop, front: frontCore}
+	updateCount := func() {
+		count, index := fleet.Count(Now())
+		if count != managers || index != ownIndex {
+			managers, ownIndex = count, index
+			loop.Post(func() { frontCore.Among(count, index) })
+			logger.Info("number of session managers or own index changed", zap.Int("fronts", count), zap.Int("front", index))
 		}
 	}
-	c, err := client.New(p, log, func(n registry.News, _ registry.Mark) {
-		if own != nil {
-			own.Take(n, Now())
-			count()
-			if own.Lost {
-				own.Lost = false
-				gone()
+	c, err := client.New(place, logger, func(news registry.News, _ registry.Mark) {
+		if fleet != nil {
+			fleet.Take(news, Now())
+			updateCount()
+			if fleet.Lost {
+				fleet.Lost = false
+				onKeyLost()
 			}
-			if now := own.Others(); !slices.Equal(now, others) {
-				others = now
-				loop.Post(func() { f.Others().Set(now) })
+			if current := fleet.Others(); !slices.Equal(current, others) {
+				others = current
+				loop.Post(func() { frontCore.Others().Set(current) })
 			}
 		}
-		named, bad := boxes.Take(n)
-		for _, err := range bad {
-			log.Warn("value in the registry", zap.Error(err))
+		changed, invalid := boxes.Take(news)
+		for _, err := range invalid {
+			logger.Warn("invalid value in the registry", zap.Error(err))
 		}
-		if !n.Whole && len(named) == 0 {
+		if !news.Whole && len(changed) == 0 {
 			return
 		}
-		l := front.List{Whole: n.Whole, Kept: n.Kept}
-		for _, b := range named {
-			l.Servers = append(l.Servers, Line(b))
+		list := front.List{Whole: news.Whole, Kept: news.Kept}
+		for _, b := range changed {
+			list.Servers = append(list.Servers, Line(b))
 		}
-		in.add(l)
-		say := log.Debug
-		if n.Whole {
-			say = log.Info
+		batcher.add(list)
+		logAt := logger.Debug
+		if news.Whole {
+			logAt = logger.Info
 		}
-		say("server list taken", zap.Bool("whole", n.Whole), zap.Int("servers", len(l.Servers)), zap.Int64("revision", n.Revision),
-			zap.Bool("confirmed", n.Guarded))
+		logAt("server list received", zap.Bool("whole", news.Whole), zap.Int("servers", len(list.Servers)), zap.Int64("revision", news.Revision),
+			zap.Bool("confirmed", news.Guarded))
 	})
-	if err != nil || own == nil {
+	if err != nil || fleet == nil {
 		return c, err
 	}
-	go func() { // those that are gone count for a while, and then no more, whether or not there is news
-		tick := time.NewTicker(time.Duration(own.Lease) * time.Microsecond)
+	go func() { // session managers that have gone are still counted for some lease periods, then no more, whether or not changes arrive
+		tick := time.NewTicker(time.Duration(fleet.Lease) * time.Microsecond)
 		defer tick.Stop()
 		for {
 			select {
 			case <-c.Done():
 				return
 			case <-tick.C:
-				c.Do(func(*registry.Core) { count() })
+				c.Do(func(*registry.Core) { updateCount() })
 			}
 		}
 	}()
 	return c, nil
 }
 
-// Line is a box as the front's list has it.
-func Line(b registry.Named) front.Server {
-	s := front.Server{Name: b.Name, Address: b.Address, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, Weight: b.Weight, State: session.Ready}
+// Line converts a media box of the registry to an entry of the server list.
+func Line(box registry.Named) front.Server {
+	server := front.Server{Name: box.Name, Address: box.Address, Zone: box.Zone, Kind: box.Kind, Cell: box.Cell, Weight: box.Weight, State: session.Ready}
 	switch {
-	case b.Gone:
-		s.State = session.Gone
-	case b.State == "draining":
-		s.State = session.Draining
+	case box.Gone:
+		server.State = session.Gone
+	case box.State == "draining":
+		server.State = session.Draining
 	}
-	if !b.Started.IsZero() {
-		s.Started = b.Started.UnixMicro()
+	if !box.Started.IsZero() {
+		server.Started = box.Started.UnixMicro()
 	}
-	return s
+	return server
 }
--- a/internal/edge/secure.go
+++ b/internal/edge/secure.go
@@ -13,51 +13,51 @@
 	"pierlink/internal/core"
 )
 
-const tlsReadBytes = 2 << 10
+const tlsReadBytes = 2 << 10 // read buffer of a TLS connection
 
-// wire is what the loop needs of a connection.
+// transport is what the loop needs of a connection.
 type transport interface {
-	Write(b []byte) (int, error) // takes a copy; what it could not write yet it writes later
+	Write(b []byte) (int, error) // takes a copy; what cannot be written yet is written later
 	Close() error
 	SetLinger(onoff, linger int32) error
 }
 
-// secured is a connection under TLS (RFC 8446). The poller cannot be given one, as a record may need reading before
-// it can be written: two goroutines carry it, one for each way. The core has it from its accepting on, so that the
-// door's limits hold for handshakes as for anybody who has not asked yet.
+// tlsConn is a connection over TLS (RFC 8446). The poller cannot handle it, as a write may need a read first; two
+// goroutines serve it instead, one for each direction. The core is notified when it is accepted and not only after the
+// handshake, so that the limits on connections without a request cover handshakes too.
 type tlsConn struct {
 	loop          *Loop
 	socket        *socket
 	raw           *net.TCPConn
 	conn          *tls.Conn
-	handshakeDone atomic.Bool // tls's own word on it waits for a handshake under way
+	handshakeDone atomic.Bool // as ConnectionState would block during a handshake
 
 	mu       sync.Mutex
-	changed  sync.Cond
-	outgoing []byte
-	writing  bool // bytes are being written
-	closing  bool // close once out is empty
-	aborted  bool
+	changed  sync.Cond // signalled when outgoing, closing or aborted changes
+	outgoing []byte    // queued for writing
+	writing  bool      // a write is in progress
+	closing  bool      // close once outgoing is empty
+	aborted  bool      // no more is written
 }
 
-// secure takes a connection in.
-func (l *Loop) acceptTLS(c *net.TCPConn, keys *tls.Config) {
+// acceptTLS starts the handshake on an accepted connection.
+func (l *Loop) acceptTLS(raw *net.TCPConn, config *tls.Config) {
 	s := &socket{}
 	s.coreConn = &s.conn
 	s.conn.Socket, s.conn.Secure = s, true
-	x := l.newTLSConn(s, c, tls.Server(c, keys))
+	x := l.newTLSConn(s, raw, tls.Server(raw, config))
 	s.transport = x
-	l.post(event{kind: accepted, socket: s, remoteAddr: c.RemoteAddr().String()})
+	l.post(event{kind: accepted, socket: s, remoteAddr: raw.RemoteAddr().String()})
 	x.run()
 }
 
-// Trust tells whose certificates are good when the loop's own core connects.
-func (l *Loop) Trust(t *tls.Config) { l.clientTLS = t }
+// Trust sets the TLS configuration for connections that the core dials.
+func (l *Loop) Trust(config *tls.Config) { l.clientTLS = config }
 
-// secureTo connects. The handshake is done with the first bytes; where it fails the connection ends.
+// dialTLS connects over TLS. The core is notified before the handshake; if that fails, the connection is closed.
 func (l *Loop) dialTLS(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	c, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
+	tcp, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			err = core.ErrRefused
@@ -65,29 +65,29 @@
 		l.post(event{kind: dialed, socket: s, err: err})
 		return
 	}
-	t := &tls.Config{}
+	config := &tls.Config{}
 	if l.clientTLS != nil {
-		t = l.clientTLS.Clone()
+		config = l.clientTLS.Clone()
 	}
-	if t.ServerName == "" {
-		t.ServerName, _, _ = net.SplitHostPort(addr)
+	if config.ServerName == "" {
+		config.ServerName, _, _ = net.SplitHostPort(addr)
 	}
-	raw := c.(*net.TCPConn)
-	x := l.newTLSConn(s, raw, tls.Client(raw, t))
+	raw := tcp.(*net.TCPConn)
+	x := l.newTLSConn(s, raw, tls.Client(raw, config))
 	l.post(event{kind: dialed, socket: s, transport: x})
 	x.run()
 }
 
-func (l *Loop) newTLSConn(s *socket, raw *net.TCPConn, t *tls.Conn) *tlsConn {
-	x := &tlsConn{loop: l, socket: s, raw: raw, conn: t}
+func (l *Loop) newTLSConn(s *socket, raw *net.TCPConn, conn *tls.Conn) *tlsConn {
+	x := &tlsConn{loop: l, socket: s, raw: raw, conn: conn}
 	x.changed.L = &x.mu
 	return x
 }
 
-// run carries it. The handshake has a goroutine of its own, as it needs more stack than those that stay.
+// run serves the connection. The handshake has its own goroutine, as it needs more stack than those that remain.
 func (x *tlsConn) run() {
 	go func() {
-		x.handshakeDone.Store(x.conn.Handshake() == nil) // reading tells what went wrong
+		x.handshakeDone.Store(x.conn.Handshake() == nil) // an error is reported by the read that follows
 		go x.read()
 		go x.write()
 	}()
@@ -95,12 +95,12 @@
 
 func (x *tlsConn) read() {
 	var err error
-	var own [tlsReadBytes]byte // a buffer of the pool would be held for as long as nothing comes
+	var buf [tlsReadBytes]byte // a buffer of the pool would be held while the connection is idle
 	for err == nil {
 		var n int
-		if n, err = x.conn.Read(own[:]); n > 0 {
+		if n, err = x.conn.Read(buf[:]); n > 0 {
 			b := x.loop.buffers.Get().(*[]byte)
-			n = copy(*b, own[:n])
+			n = copy(*b, buf[:n])
 			x.loop.post(event{kind: received, socket: x.socket, data: b, size: n})
 		}
 	}
@@ -116,24 +116,24 @@
 }
 
 func (x *tlsConn) write() {
-	var out []byte
+	var chunk []byte
 	for {
 		x.mu.Lock()
 		for len(x.outgoing) == 0 && !x.closing && !x.aborted {
 			x.changed.Wait()
 		}
-		out, x.outgoing = x.outgoing, out[:0]
-		dead, over := x.aborted, len(out) == 0
-		x.writing = !over
+		chunk, x.outgoing = x.outgoing, chunk[:0]
+		aborted, closing := x.aborted, len(chunk) == 0
+		x.writing = !closing
 		x.mu.Unlock()
-		if dead {
+		if aborted {
 			return
 		}
-		if over {
-			_ = x.conn.Close() // with its close_notify
+		if closing {
+			_ = x.conn.Close() // sends close_notify
 			return
 		}
-		if _, err := x.conn.Write(out); err != nil {
+		if _, err := x.conn.Write(chunk); err != nil {
 			x.abort()
 			_ = x.raw.Close()
 			return
@@ -141,7 +141,7 @@
 		x.mu.Lock()
 		x.writing = false
 		x.mu.Unlock()
-		x.socket.writtenBytes.Add(int64(len(out)))
+		x.socket.writtenBytes.Add(int64(len(chunk)))
 		if x.socket.drainPending.CompareAndSwap(true, false) {
 			x.loop.post(event{kind: drained, socket: x.socket})
 		}
@@ -155,7 +155,7 @@
 	x.mu.Unlock()
 }
 
-// Write has the bytes written, once the handshake is done.
+// Write queues bytes, which are written once the handshake is done.
 func (x *tlsConn) Write(b []byte) (int, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -167,8 +167,8 @@
 	return len(b), nil
 }
 
-// Close ends the connection: with a word of it where nothing is left to be written, otherwise at once, as it does
-// before the handshake is done.
+// Close closes the connection: with close_notify if nothing is left to be written and the handshake is done, otherwise
+// at once.
 func (x *tlsConn) Close() error {
 	x.mu.Lock()
 	x.closing = true
@@ -182,7 +182,7 @@
 	return x.raw.Close()
 }
 
-// SetLinger with 0 has the connection reset by its closing.
+// SetLinger sets the linger time of the socket and closes it; with 0 the connection is reset.
 func (x *tlsConn) SetLinger(_, linger int32) error {
 	err := x.raw.SetLinger(int(linger))
 	x.abort()
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Watch looks at a file every so often and calls changed with its new text when it has been written or
-// replaced. A file that cannot be read is told once through failed. It ends when stop is closed.
-func Watch(path string, every time.Duration, stop <-chan struct{}, changed func([]byte), failed func(error)) {
-	tick := time.NewTicker(every)
+// Watch polls a file at the given interval and calls changed with its content when it has been written or replaced.
+// A file that cannot be read is reported once through failed, until it can be read again. It returns when stop is closed.
+func Watch(path string, interval time.Duration, stop <-chan struct{}, changed func([]byte), failed func(error)) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	var last os.FileInfo
+	var previous os.FileInfo
 	if i, err := os.Stat(path); err == nil {
-		last = i
+		previous = i
 	}
-	told := false
+	reported := false
 	for {
 		select {
 		case <-stop:
@@ -22,21 +22,21 @@
 		case <-tick.C:
 		}
 		info, err := os.Stat(path)
-		if err == nil && last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) && info.Size() == last.Size() {
+		if err == nil && previous != nil && os.SameFile(info, previous) && info.ModTime().Equal(previous.ModTime()) && info.Size() == previous.Size() {
 			continue
 		}
-		var text []byte
+		var content []byte
 		if err == nil {
-			text, err = os.ReadFile(path)
+			content, err = os.ReadFile(path)
 		}
 		if err != nil {
-			if !told {
+			if !reported {
 				failed(err)
 			}
-			told = true
+			reported = true
 			continue
 		}
-		told, last = false, info
-		changed(text)
+		reported, previous = false, info
+		changed(content)
 	}
 }
