--- a/internal/edge/lifecycle_test.go
+++ b/internal/edge/lifecycle_test.go
@@ -22,7 +22,7 @@
 	"pierlink/session"
 )
 
-// daemon is a process's part of a life, in this one.
+// process is a session manager within the test process: a front with its lifecycle and the steps that it carries out.
 type process struct {
 	loop          *edge.Loop
 	front         *front.Front
@@ -33,47 +33,47 @@
 	acceptStopped chan struct{}
 }
 
-func (d *process) Listen()         { d.err = d.listen(d) }
-func (d *process) News(life.State) {}
-func (d *process) Exit()           { d.ended.Store(true) }
-func (d *process) Hush() {
-	go func() { d.loop.Hush(); d.loop.Post(d.life.Hushed); close(d.acceptStopped) }()
+func (p *process) Listen()         { p.err = p.listen(p) }
+func (p *process) News(life.State) {}
+func (p *process) Exit()           { p.ended.Store(true) }
+func (p *process) Hush() {
+	go func() { p.loop.Hush(); p.loop.Post(p.life.Hushed); close(p.acceptStopped) }()
 }
 
 func newProcess(t *testing.T, listen func(*process) error) *process {
 	t.Helper()
-	s := &front.Service{Name: "f", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
+	service := &front.Service{Name: "f", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
 		Plans:  []front.Face{{Name: "live", Abandon: 4 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
 		Bounds: front.Bounds{Connections: 5000, Playbacks: 1000, Pipelined: 8, PlayerBytes: 64 << 10},
 		Site: session.Site{Fronts: 1, Plans: []session.Plan{{Startup: core.Second, Revenue: 1, RateFactor: 1}},
 			Ladder: session.Ladder{RateKB: []float64{100}, Worth: []float64{1}, Join: 1},
 			Fleet:  session.Fleet{Cells: 1, Racks: 1, LinksKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, Places: []float64{100}, NoteDelay: 1e6},
 			Terms:  session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}}}
-	d := &process{listen: listen, acceptStopped: make(chan struct{})}
+	p := &process{listen: listen, acceptStopped: make(chan struct{})}
 	var err error
-	d.loop, err = edge.New("", func(n core.Net) core.Core {
-		d.front = front.New(s, policy.New(&s.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
-		return d.front
+	p.loop, err = edge.New("", func(n core.Net) core.Core {
+		p.front = front.New(service, policy.New(&service.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
+		return p.front
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.loop.Stop(false) })
-	d.life = life.New(life.Terms{Drain: core.Second, Finish: 4 * core.Second}, edge.Now())
-	d.loop.Do(func() {
-		for p := life.Settings; p <= life.Module; p++ {
-			d.life.Has(p)
+	t.Cleanup(func() { p.loop.Stop(false) })
+	p.life = life.New(life.Terms{Drain: core.Second, Finish: 4 * core.Second}, edge.Now())
+	p.loop.Do(func() {
+		for prerequisite := life.Settings; prerequisite <= life.Module; prerequisite++ {
+			p.life.Has(prerequisite)
 		}
-		d.front.Live(d.life, d)
+		p.front.Live(p.life, p)
 	})
-	d.loop.Do(func() {}) // its turn has ended
-	if d.err != nil {
-		t.Fatal(d.err)
+	p.loop.Do(func() {}) // waits until the turn of the call above has ended
+	if p.err != nil {
+		t.Fatal(p.err)
 	}
-	return d
+	return p
 }
 
-// options asks for OPTIONS on a connection of its own.
+// requestOptions sends OPTIONS on a new connection and checks the answer.
 func requestOptions(addr string) error {
 	c, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
@@ -92,19 +92,20 @@
 	return err
 }
 
-// Over a takeover every connection is answered; the one that handed over ends by itself; once the other stops
-// too, nobody is let in to wait for nobody.
+// During a takeover no connection may be lost between the two processes: every one has to be answered, the process that
+// handed over has to end by itself, and once the other one has stopped too, connections have to be refused and not left
+// in a listen queue from which nobody accepts.
 func TestTakeover(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "c")
-	status := func(d **process) func() edge.Status {
-		return func() edge.Status { return edge.Status{Name: "f", PID: os.Getpid(), Address: (*d).loop.Addr()} }
+	status := func(p **process) func() edge.Status {
+		return func() edge.Status { return edge.Status{Name: "f", PID: os.Getpid(), Address: (*p).loop.Addr()} }
 	}
-	var old, heir *process
-	old = newProcess(t, func(d *process) error {
-		if err := d.loop.Listen("127.0.0.1:0", nil); err != nil {
+	var old, successor *process
+	old = newProcess(t, func(p *process) error {
+		if err := p.loop.Listen("127.0.0.1:0", nil); err != nil {
 			return err
 		}
-		_, err := edge.NewControl(socket, d.loop, d.front, status(&old))
+		_, err := edge.NewControl(socket, p.loop, p.front, status(&old))
 		return err
 	})
 	addr := old.loop.Addr()
@@ -112,10 +113,10 @@
 		t.Fatal(s, err)
 	}
 	stop, failed := make(chan struct{}), make(chan error, 1)
-	asked := 0
+	requests := 0
 	go func() {
 		var err error
-		for ; err == nil; asked++ {
+		for ; err == nil; requests++ {
 			select {
 			case <-stop:
 				failed <- nil
@@ -126,14 +127,14 @@
 		}
 		failed <- err
 	}()
-	held := make(chan struct{}, 1000)
-	heir = newProcess(t, func(d *process) error {
-		h, err := edge.TakeOver(socket)
+	seatReports := make(chan struct{}, 1000)
+	successor = newProcess(t, func(p *process) error {
+		handover, err := edge.TakeOver(socket)
 		if err != nil {
 			return err
 		}
-		d.loop.Accept(h.Listeners[0], nil)
-		return h.Serving(func(map[life.Seat]int) { held <- struct{}{} })
+		p.loop.Accept(handover.Listeners[0], nil)
+		return handover.Serving(func(map[life.Seat]int) { seatReports <- struct{}{} })
 	})
 	<-old.acceptStopped
 	for range 50 {
@@ -142,8 +143,8 @@
 		}
 	}
 	close(stop)
-	if err := <-failed; err != nil || asked == 0 {
-		t.Fatalf("after %d: %v", asked, err)
+	if err := <-failed; err != nil || requests == 0 {
+		t.Fatalf("after %d requests: %v", requests, err)
 	}
 	for range 500 {
 		if old.ended.Load() {
@@ -151,78 +152,79 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if !old.ended.Load() || len(held) == 0 {
-		t.Error("the one that handed over has not ended, or told no seats")
+	if !old.ended.Load() || len(seatReports) == 0 {
+		t.Error("the process that handed over has not ended, or reported no seats")
 	}
-	heir.loop.Do(heir.life.Stop)
-	<-heir.acceptStopped
+	successor.loop.Do(successor.life.Stop)
+	<-successor.acceptStopped
 	if err := requestOptions(addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after both: %v", err)
+		t.Errorf("connection after both processes stopped: %v", err)
 	}
 	if _, err := edge.TakeOver(filepath.Join(t.TempDir(), "nobody")); err == nil {
-		t.Error("took over from nobody")
+		t.Error("takeover succeeded without a process to take over from")
 	}
 }
 
-// With no descriptor left a connection is closed at once and not left waiting; with some again it is answered.
+// Without a free file descriptor a new connection has to be closed at once, or the client would wait until its timeout;
+// with descriptors available again connections have to be answered.
 func TestNoDescriptors(t *testing.T) {
-	d := newProcess(t, func(d *process) error { return d.loop.Listen("127.0.0.1:0", nil) })
-	addr := d.loop.Addr()
+	p := newProcess(t, func(p *process) error { return p.loop.Listen("127.0.0.1:0", nil) })
+	addr := p.loop.Addr()
 	if err := requestOptions(addr); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", addr) // one whose descriptor is there already
+	c, err := net.Dial("tcp", addr) // has its descriptor before they run out
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	all, err := os.ReadDir("/proc/self/fd")
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip(err)
 	}
 	highest := 0
-	for _, e := range all {
+	for _, e := range entries {
 		n := 0
-		for _, x := range e.Name() {
-			n = 10*n + int(x-'0')
+		for _, digit := range e.Name() {
+			n = 10*n + int(digit-'0')
 		}
 		highest = max(highest, n)
 	}
-	var old syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Skip(err)
 	}
-	var taken []*os.File
+	var files []*os.File
 	defer func() {
-		for _, f := range taken {
-			_ = f.Close()
+		for _, file := range files {
+			_ = file.Close()
 		}
 	}()
-	low := old
-	low.Cur = uint64(highest + 20)
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
+	lowered := limit
+	lowered.Cur = uint64(highest + 20)
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Skip(err)
 	}
-	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old) }()
+	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) }()
 	for {
-		f, err := os.Open(os.DevNull)
+		file, err := os.Open(os.DevNull)
 		if err != nil {
 			break
 		}
-		taken = append(taken, f)
+		files = append(files, file)
 	}
-	_ = taken[len(taken)-1].Close() // one, for the connection's own end
-	taken = taken[:len(taken)-1]
+	_ = files[len(files)-1].Close() // for the client end of the connection
+	files = files[:len(files)-1]
 	if err := requestOptions(addr); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("with no descriptor left: %v", err)
+		t.Errorf("connection with no descriptor left: %v", err)
 	}
-	if d.loop.Starved() == 0 {
-		t.Error("not counted")
+	if p.loop.Starved() == 0 {
+		t.Error("the closed connection was not counted")
 	}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
 	if err := requestOptions(addr); err != nil {
-		t.Errorf("with descriptors again: %v", err)
+		t.Errorf("connection with descriptors available again: %v", err)
 	}
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -15,7 +15,8 @@
 	"pierlink/internal/edge"
 )
 
-// counting is a core that counts the pieces of a turn and the connections that it has.
+// countingCore is a core that counts the received events of each turn, the bytes and the accepted connections. Its first
+// Received event blocks until proceed is closed.
 type countingCore struct {
 	core.Core
 	net           core.Net
@@ -45,10 +46,10 @@
 func (c *countingCore) Closed(*core.Conn, error) {}
 func (c *countingCore) Settle() core.Time        { return core.Never }
 
-func newCountingLoop(t *testing.T, room edge.Room) (*countingCore, *edge.Loop) {
+func newCountingLoop(t *testing.T, limits edge.Room) (*countingCore, *edge.Loop) {
 	t.Helper()
 	c := &countingCore{first: make(chan struct{}), proceed: make(chan struct{}), accepted: make(chan int, 100)}
-	l, err := edge.NewIn(room, "127.0.0.1:0", func(n core.Net) core.Core { c.net = n; return c })
+	l, err := edge.NewIn(limits, "127.0.0.1:0", func(n core.Net) core.Core { c.net = n; return c })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,16 +57,17 @@
 	return c, l
 }
 
-// What waits is counted by the buffers that it holds, however little is in them.
+// Guards against small packets exceeding the memory limit: the mailbox limit counts the size of the buffers held, not
+// the bytes used of them.
 func TestMailboxLimit(t *testing.T) {
 	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640})
-	const all = 100_000
+	const total = 100_000
 	go func() {
 		x, err := net.Dial("tcp", l.Addr())
 		if err != nil {
 			return
 		}
-		for range all / 10 {
+		for range total / 10 {
 			_, _ = x.Write(make([]byte, 10))
 		}
 		time.Sleep(time.Second)
@@ -74,21 +76,21 @@
 	time.Sleep(20 * time.Millisecond)
 	close(c.proceed)
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		n, most := 0, 0
-		l.Do(func() { n, most = c.bytes, c.maxTurnPieces })
-		if most > 640/64+1 {
-			t.Fatal(most, "pieces waited")
+		n, maxPieces := 0, 0
+		l.Do(func() { n, maxPieces = c.bytes, c.maxTurnPieces })
+		if maxPieces > 640/64+1 {
+			t.Fatal(maxPieces, "received events in the mailbox, the limit is 10")
 		}
-		if n == all {
+		if n == total {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal(n, "bytes came")
+			t.Fatal(n, "bytes received within 10 s, want all")
 		}
 	}
 }
 
-// The listener holds back connections beyond the room for them, until one is closed.
+// Connections beyond the limit are not accepted until one is closed.
 func TestConnectionLimit(t *testing.T) {
 	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640, Doors: 2})
 	for range 3 {
@@ -102,18 +104,19 @@
 	<-c.accepted
 	select {
 	case <-c.accepted:
-		t.Error("a third was accepted")
+		t.Error("a third connection was accepted beyond the limit of 2")
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.Do(func() { c.net.Close(c.conns[0]) })
 	select {
 	case <-c.accepted:
 	case <-time.After(10 * time.Second):
-		t.Error("the third was not accepted when there was room")
+		t.Error("the third connection was not accepted after one was closed")
 	}
 }
 
-// A connection goes to the address told and to no other of the machine.
+// Guards against the poller's own dial, which connects to 0.0.0.0 for every IPv4 address: a connection has to go to the
+// given address and to no other of the machine.
 func TestDialUsesGivenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
@@ -144,7 +147,7 @@
 func (d *dialCore) Closed(*core.Conn, error)       {}
 func (d *dialCore) Settle() core.Time              { return core.Never }
 
-// A dial that its core gives up gives its descriptor back then, not when its time is over.
+// Guards against descriptors held by cancelled dials: the descriptor has to be closed at once, not after the dial timeout.
 func TestCancelledDialClosesDescriptor(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -160,7 +163,7 @@
 	}
 	port := name.(*syscall.SockaddrInet4).Port
 	addr := fmt.Sprintf("127.0.0.1:%d", port)
-	asked := func() bool { // whether a connection to the port is asked for and not answered
+	synSent := func() bool { // whether a connection to the port is in state SYN_SENT
 		rows, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Fatal(err)
@@ -169,7 +172,7 @@
 	}
 	await := func(want bool, what string) {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); asked() != want; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(10 * time.Second); synSent() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal(what)
 			}
@@ -182,21 +185,21 @@
 	}
 	defer l.Stop(true)
 	var conns []*core.Conn
-	for range 8 { // more than nobody accepts from
+	for range 8 { // more than fit into the listen queue, from which nobody accepts
 		c := &core.Conn{}
 		conns = append(conns, c)
 		l.Do(func() { d.net.Dial(c, addr) })
 	}
-	await(true, "all connections came up")
+	await(true, "all connections were established")
 	l.Do(func() {
 		for _, c := range conns {
 			d.net.Close(c)
 		}
 	})
-	await(false, "a dial given up goes on")
+	await(false, "a cancelled dial goes on")
 }
 
-// A dial for which the descriptors do not suffice fails, and its half of a connection ends with it.
+// A dial fails if the descriptors do not suffice to hand the connection to the poller, and the connection is closed.
 func TestDialWithoutDescriptors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -209,22 +212,22 @@
 		t.Fatal(err)
 	}
 	defer l.Stop(true)
-	var old syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	few := old
-	few.Cur = 100
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &few); err != nil {
+	lowered := limit
+	lowered.Cur = 100
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
-	var held []int
+	var descriptors []int
 	release := func() {
-		for _, fd := range held {
+		for _, fd := range descriptors {
 			_ = syscall.Close(fd)
 		}
-		held = nil
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
+		descriptors = nil
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 			t.Error(err)
 		}
 	}
@@ -234,13 +237,13 @@
 		if err != nil {
 			break
 		}
-		held = append(held, fd)
+		descriptors = append(descriptors, fd)
 	}
-	_ = syscall.Close(held[len(held)-1]) // there is one: it connects, and cannot be taken in
-	held = held[:len(held)-1]
+	_ = syscall.Close(descriptors[len(descriptors)-1]) // one is free: enough to connect, not enough for the poller
+	descriptors = descriptors[:len(descriptors)-1]
 	l.Do(func() { d.net.Dial(&core.Conn{}, ln.Addr().String()) })
 	if err := <-d.done; !errors.Is(err, syscall.EMFILE) {
-		t.Fatal("it came out as", err)
+		t.Fatal("dial result is not EMFILE:", err)
 	}
 	release()
 	c, err := ln.Accept()
@@ -252,11 +255,12 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Error("the connection goes on:", err)
+		t.Error("the connection was not closed:", err)
 	}
 }
 
-// halving is a core that ends its way of each connection that comes up, and tells what still comes and how it ends.
+// halfCloseCore is a core that shuts down the sending side of each connection that it dials, and passes on what is
+// received after that and the error at the end.
 type halfCloseCore struct {
 	core.Core
 	net      core.Net
@@ -275,7 +279,7 @@
 func (h *halfCloseCore) Closed(_ *core.Conn, err error)  { h.received <- err.Error() }
 func (h *halfCloseCore) Settle() core.Time               { return core.Never }
 
-// A connection of which one way is ended brings what the peer still sends, and ends when the peer ends it.
+// After CloseWrite a connection still receives what the peer sends, and ends when the peer closes it.
 func TestCloseWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -295,7 +299,7 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatal("the peer is not told:", err)
+		t.Fatal("the peer did not read the end of the stream:", err)
 	}
 	if _, err := c.Write([]byte("late")); err != nil {
 		t.Fatal(err)
@@ -305,10 +309,10 @@
 		select {
 		case got := <-h.received:
 			if got != want {
-				t.Errorf("%q came, not %q", got, want)
+				t.Errorf("received %q, want %q", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%q did not come", want)
+			t.Fatalf("%q was not received", want)
 		}
 	}
 }
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -17,44 +17,45 @@
 	"pierlink/session"
 )
 
-// Tenants have labels up to the bound, those with most requests; the rest are one, odd names among them.
+// Guards against an unbounded number of label values: only the tenants with most requests have a label of their own. The
+// others, and those whose names are not valid labels, are summed up as one.
 func TestMetricsAreBounded(t *testing.T) {
 	site := session.Site{Fronts: 1, Plans: []session.Plan{{Startup: core.Second, Revenue: 1, RateFactor: 1}},
 		Ladder: session.Ladder{RateKB: []float64{1}, Worth: []float64{1}, Join: 1},
 		Fleet:  session.Fleet{Cells: 1, Racks: 1, LinksKB: 1, UplinkKB: 1, Places: []float64{1}, NoteDelay: 1e6}, Terms: session.Terms{WarmUp: 1e6, FallSpan: 1e6, TrySpan: 1e6}}
-	s := &front.Service{Name: "f", Site: site, Secret: []byte("s"), SessionTimeout: core.Second,
+	service := &front.Service{Name: "f", Site: site, Secret: []byte("s"), SessionTimeout: core.Second,
 		Queue: &fair.Terms{Waiting: 1000, Bytes: 1 << 20, Tenants: 500, Clients: 100, Startup: core.Second, Secret: []byte("s")}}
-	var f *front.Front
-	l, err := edge.New("", func(n core.Net) core.Core {
-		f = front.New(s, policy.New(&s.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
-		return f
+	var frontCore *front.Front
+	loop, err := edge.New("", func(n core.Net) core.Core {
+		frontCore = front.New(service, policy.New(&service.Site, 1, edge.Now()), n, zap.NewNop(), edge.Now())
+		return frontCore
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Stop(false)
-	l.Do(func() {
-		q, _ := f.Door()
+	defer loop.Stop(false)
+	loop.Do(func() {
+		queue, _ := frontCore.Door()
 		for i := range 300 {
-			q.Offer(fair.Ask{ID: i + 1, Tenant: "t" + strconv.Itoa(i%100), Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
+			queue.Offer(fair.Ask{ID: i + 1, Tenant: "t" + strconv.Itoa(i%100), Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
 		}
 		for i := range 50 {
-			q.Offer(fair.Ask{ID: i + 1000, Tenant: "odd\x00\xff", Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
-			q.Offer(fair.Ask{ID: i + 2000, Tenant: "large", Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
+			queue.Offer(fair.Ask{ID: i + 1000, Tenant: "odd\x00\xff", Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
+			queue.Offer(fair.Ask{ID: i + 2000, Tenant: "large", Startup: edge.Now() + core.Second, Abandon: edge.Now() + core.Second})
 		}
 	})
-	m, err := edge.NewMetrics("127.0.0.1:0", l, f, nil, 3)
+	metrics, err := edge.NewMetrics("127.0.0.1:0", loop, frontCore, nil, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.Close()
-	r, err := http.Get("http://" + m.Addr() + "/metrics")
+	defer metrics.Close()
+	response, err := http.Get("http://" + metrics.Addr() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Body.Close()
-	b, _ := io.ReadAll(r.Body)
-	text := string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	text := string(body)
 	if n := strings.Count(text, `what="asked"`); n != 4 || !strings.Contains(text, `tenant="large",what="asked"} 50`) ||
 		!strings.Contains(text, `tenant="other",what="asked"} 344`) {
 		t.Error(n, text)
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -21,11 +21,11 @@
 	"pierlink/internal/tenants"
 )
 
-// keyed is a pair in files, and who vouches for it.
-func writeKeyPair(t *testing.T, a *authority.Authority) (k *edge.Keys, cert, key string) {
+// writeKeyPair writes a certificate issued by the authority and its key to files, and loads them.
+func writeKeyPair(t *testing.T, issuer *authority.Authority) (k *edge.Keys, cert, key string) {
 	t.Helper()
 	cert, key = filepath.Join(t.TempDir(), "cert"), filepath.Join(t.TempDir(), "key")
-	writeCertificate(t, a, cert, key)
+	writeCertificate(t, issuer, cert, key)
 	k, err := edge.ReadKeys(cert, key)
 	if err != nil {
 		t.Fatal(err)
@@ -33,9 +33,9 @@
 	return k, cert, key
 }
 
-func writeCertificate(t *testing.T, a *authority.Authority, cert, key string) {
+func writeCertificate(t *testing.T, issuer *authority.Authority, cert, key string) {
 	t.Helper()
-	c, err := a.Pair()
+	c, err := issuer.Pair()
 	if err == nil {
 		err = authority.Write(c, cert, key)
 	}
@@ -53,7 +53,8 @@
 	return a
 }
 
-// hello asks for OPTIONS on a connection under TLS, and tells the number of the certificate that it was shown.
+// requestOverTLS sends OPTIONS on a TLS connection, checks the answer and returns the serial number of the server's
+// certificate.
 func requestOverTLS(c *tls.Conn) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.WriteString(c, "OPTIONS * RTSP/1.0\r\nCSeq: 1\r\n\r\n"); err != nil {
@@ -67,21 +68,21 @@
 	return c.ConnectionState().PeerCertificates[0].SerialNumber.String(), err
 }
 
-// New keys count for new connections, old connections go on; half a change, or a broken file, changes nothing; and a
-// process that takes over serves the same door.
+// A reloaded certificate is used for new connections while open ones go on; a key that does not match its certificate
+// leaves the old pair in use; and a process that takes over serves the same TLS listener.
 func TestTLSListener(t *testing.T) {
-	a := newAuthority(t)
-	keys, cert, key := writeKeyPair(t, a)
+	issuer := newAuthority(t)
+	keys, cert, key := writeKeyPair(t, issuer)
 	socket := filepath.Join(t.TempDir(), "c")
 	var old *process
-	old = newProcess(t, func(d *process) error {
-		if err := d.loop.Listen("127.0.0.1:0", nil); err != nil {
+	old = newProcess(t, func(p *process) error {
+		if err := p.loop.Listen("127.0.0.1:0", nil); err != nil {
 			return err
 		}
-		if err := d.loop.Listen("127.0.0.1:0", keys.Door()); err != nil {
+		if err := p.loop.Listen("127.0.0.1:0", keys.Door()); err != nil {
 			return err
 		}
-		_, err := edge.NewControl(socket, d.loop, d.front, func() edge.Status { return edge.Status{Name: "f"} })
+		_, err := edge.NewControl(socket, p.loop, p.front, func() edge.Status { return edge.Status{Name: "f"} })
 		return err
 	})
 	addr := old.loop.SecureAddr()
@@ -90,7 +91,7 @@
 	}
 	open := func() *tls.Conn {
 		t.Helper()
-		c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: a.Pool()})
+		c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: issuer.Pool()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,44 +99,44 @@
 		return c
 	}
 	first := open()
-	one, err := requestOverTLS(first)
+	oldSerial, err := requestOverTLS(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, err := os.ReadFile(key)
+	oldKey, err := os.ReadFile(key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeCertificate(t, a, cert, key)
-	now, _ := os.ReadFile(key)
-	if err := os.WriteFile(key, was, 0o600); err != nil {
+	writeCertificate(t, issuer, cert, key)
+	newKey, _ := os.ReadFile(key)
+	if err := os.WriteFile(key, oldKey, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := keys.Reload(); err == nil {
 		t.Error("a key that does not belong to its certificate was taken")
 	}
-	if two, err := requestOverTLS(open()); err != nil || two != one {
-		t.Error("half a change", two, one, err)
+	if newSerial, err := requestOverTLS(open()); err != nil || newSerial != oldSerial {
+		t.Error("certificate while the pair does not match", newSerial, oldSerial, err)
 	}
-	if err := os.WriteFile(key, now, 0o600); err != nil {
+	if err := os.WriteFile(key, newKey, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := keys.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	two, err := requestOverTLS(open())
-	if err != nil || two == one {
-		t.Error("the new keys", two, err)
+	newSerial, err := requestOverTLS(open())
+	if err != nil || newSerial == oldSerial {
+		t.Error("certificate after the reload", newSerial, err)
 	}
 	if _, err := requestOverTLS(first); err != nil {
-		t.Error("the old connection:", err)
+		t.Error("the connection opened before the reload:", err)
 	}
 	if err := requestOptions(addr); err == nil {
-		t.Error("it answers in the clear")
+		t.Error("the TLS listener answers a request without TLS")
 	}
 	if c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: newAuthority(t).Pool()}); err == nil {
 		_ = c.Close()
-		t.Error("another authority vouched for it")
+		t.Error("the certificate was accepted by a client that trusts another authority only")
 	}
 	for range 200 {
 		if old.loop.Unshaken() >= 2 {
@@ -144,95 +145,95 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n := old.loop.Unshaken(); n != 2 {
-		t.Errorf("%d handshakes were not done", n)
+		t.Errorf("%d broken handshakes, want 2", n)
 	}
-	heir := newProcess(t, func(d *process) error {
-		h, err := edge.TakeOver(socket)
+	successor := newProcess(t, func(p *process) error {
+		handover, err := edge.TakeOver(socket)
 		if err != nil {
 			return err
 		}
-		if len(h.Listeners) != 2 {
-			t.Error(len(h.Listeners), "listeners")
+		if len(handover.Listeners) != 2 {
+			t.Error(len(handover.Listeners), "listeners, want 2")
 		}
-		d.loop.Accept(h.Listeners[0], nil)
-		d.loop.Accept(h.Listeners[1], keys.Door())
-		return h.Serving(func(map[life.Seat]int) {})
+		p.loop.Accept(handover.Listeners[0], nil)
+		p.loop.Accept(handover.Listeners[1], keys.Door())
+		return handover.Serving(func(map[life.Seat]int) {})
 	})
 	<-old.acceptStopped
-	if heir.loop.SecureAddr() != addr {
-		t.Error(heir.loop.SecureAddr(), addr)
+	if successor.loop.SecureAddr() != addr {
+		t.Error(successor.loop.SecureAddr(), addr)
 	}
-	if got, err := requestOverTLS(open()); err != nil || got != two {
-		t.Error("after the takeover", got, err)
+	if got, err := requestOverTLS(open()); err != nil || got != newSerial {
+		t.Error("certificate after the takeover", got, err)
 	}
 }
 
-// Those who do not get on with their handshake hold no more places than the half-open limit has: the oldest goes.
+// Stalled handshakes must not occupy connections without bound: beyond the half-open limit the oldest is closed.
 func TestStalledHandshakesEvicted(t *testing.T) {
 	keys, _, _ := writeKeyPair(t, newAuthority(t))
-	d := newProcess(t, func(d *process) error {
-		d.front.Limits.HalfOpen = 4
-		return d.loop.Listen("127.0.0.1:0", keys.Door())
+	p := newProcess(t, func(p *process) error {
+		p.front.Limits.HalfOpen = 4
+		return p.loop.Listen("127.0.0.1:0", keys.Door())
 	})
-	var all []net.Conn
+	var conns []net.Conn
 	for range 5 {
-		c, err := net.Dial("tcp", d.loop.SecureAddr())
+		c, err := net.Dial("tcp", p.loop.SecureAddr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		all = append(all, c)
+		conns = append(conns, c)
 	}
-	_ = all[0].SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := all[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the oldest: %v", err)
+	_ = conns[0].SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := conns[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the oldest connection was not closed: %v", err)
 	}
-	_ = all[4].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := all[4].Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the newest: %v", err)
+	_ = conns[4].SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if _, err := conns[4].Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the newest connection did not stay open: %v", err)
 	}
 }
 
-// Players under TLS play, by Digest and by a password; in the clear a password is not taken, nor asked for.
+// Over TLS players authenticate by Digest or Basic; without TLS Basic is neither offered nor accepted.
 func TestPlaybackOverTLS(t *testing.T) {
-	x := newTestbed(t, 1)
-	a := newAuthority(t)
-	keys, _, _ := writeKeyPair(t, a)
+	bed := newTestbed(t, 1)
+	issuer := newAuthority(t)
+	keys, _, _ := writeKeyPair(t, issuer)
 	gate := tenants.New(tenants.Terms{Longest: 1e12, Renew: 1e9, Timeout: 1e6, Waiting: 10, Lookups: 1, Entries: 10}, edge.Now())
 	gate.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
 		{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "t", Digest: player.HA1("pier", "ann", "pass", sha256.New)}}, tenants.Mark{End: -1}, edge.Now())
-	x.front.Do(func() {
-		x.frontCore.Gate = &front.Gate{Core: gate, Ask: func(tenants.Want) {}, Realm: "pier", Basic: true, Guesses: tenants.Guesses{Span: core.Second}}
+	bed.front.Do(func() {
+		bed.frontCore.Gate = &front.Gate{Core: gate, Ask: func(tenants.Want) {}, Realm: "pier", Basic: true, Guesses: tenants.Guesses{Span: core.Second}}
 	})
-	if err := x.front.Listen("127.0.0.1:0", keys.Door()); err != nil {
+	if err := bed.front.Listen("127.0.0.1:0", keys.Door()); err != nil {
 		t.Fatal(err)
 	}
-	x.crowd.Trust(&tls.Config{RootCAs: a.Pool()})
+	bed.crowd.Trust(&tls.Config{RootCAs: issuer.Pool()})
 	done := make(chan player.Seen, 10)
 	play := func(w player.Want) player.Seen {
 		w.Plan, w.Title, w.Tracks, w.Watch, w.Abandon = "live", "t", 1, core.Second/5, 4*core.Second
-		x.crowd.Post(func() {
-			x.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
-			x.players.Start(&w)
+		bed.crowd.Post(func() {
+			bed.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
+			bed.players.Start(&w)
 		})
 		return <-done
 	}
-	plain, secure := []string{x.front.Addr()}, []string{x.front.SecureAddr()}
-	for name, c := range map[string]struct {
-		w    player.Want
-		want player.State
+	plain, secure := []string{bed.front.Addr()}, []string{bed.front.SecureAddr()}
+	for name, test := range map[string]struct {
+		player player.Want
+		want   player.State
 	}{
 		"digest":          {player.Want{Fronts: plain, Account: "ann", Password: "pass"}, player.Done},
 		"digest, TLS":     {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "pass"}, player.Done},
 		"password, TLS":   {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "pass", Basic: true}, player.Done},
 		"wrong, TLS":      {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "no", Basic: true}, player.Refused},
 		"password, clear": {player.Want{Fronts: plain, Account: "ann", Password: "pass", Basic: true}, player.Failed},
-		"nobody, TLS":     {player.Want{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Refused}, // nobody can be asked, as with a wrong password
+		"nobody, TLS":     {player.Want{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Refused}, // the directory cannot be asked about an unknown account: refused like a wrong password
 		"nothing to show": {player.Want{Fronts: secure, Secure: true}, player.Failed},
 		"in clear at TLS": {player.Want{Fronts: secure, Account: "ann", Password: "pass"}, player.Failed},
 	} {
-		c.w.ID = strings.ReplaceAll(name, " ", "-")
-		if s := play(c.w); s.State != c.want || c.want == player.Done && (s.Packets == 0 || s.Gaps > 0) {
+		test.player.ID = strings.ReplaceAll(name, " ", "-")
+		if s := play(test.player); s.State != test.want || test.want == player.Done && (s.Packets == 0 || s.Gaps > 0) {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
