--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -30,7 +30,7 @@
 	Playing   int           `json:"playing"`
 	SentOn    int           `json:"sent_on"`         // of those playing
 	Orphans   int           `json:"orphans_left"`    // not torn down yet
-	BehindMS  float64       `json:"behind_ms"`       // highest processing lag of late, in milliseconds
+	BehindMS  float64       `json:"behind_ms"`       // highest processing lag within the current window, in milliseconds
 	Starved   int64         `json:"starved"`         // connections closed for lack of file descriptors
 	ListAge   float64       `json:"list_age_s"`      // age of the registry view; -1 where the server list comes from a file
 	Directory float64       `json:"directory_age_s"` // age of the directory view; -1 where there is none
--- a/internal/edge/lifecycle_test.go
+++ b/internal/edge/lifecycle_test.go
@@ -160,7 +160,7 @@
 	if err := requestOptions(addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("connection after both processes stopped: %v", err)
 	}
-	if _, err := edge.TakeOver(filepath.Join(t.TempDir(), "nobody")); err == nil {
+	if _, err := edge.TakeOver(filepath.Join(t.TempDir(), "absent")); err == nil {
 		t.Error("takeover succeeded without a process to take over from")
 	}
 }
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -31,7 +31,7 @@
 type Room struct {
 	Read  int           // bytes of a receive buffer
 	Mail  int           // bytes of receive buffers in the mailbox beyond which reading stops, so that TCP slows the senders down
-	Dials time.Duration // for a dial; 0 for no timeout
+	Dials time.Duration // timeout of a dial; 0 for none
 	Doors int           // open accepted connections beyond which accepting waits; 0 for no limit
 }
 
@@ -49,14 +49,14 @@
 	listeners     []*listener
 	addr          string
 	secureAddr    string
-	spaceFreed    sync.Cond
+	spaceFreed    sync.Cond // broadcast when the mailbox is emptied, a connection closes or the loop stops
 	mailbox       []event
-	mailboxBytes  int
-	openAccepted  int // connections accepted and not closed yet
-	acceptStopped bool
+	mailboxBytes  int  // of the receive buffers held by events in the mailbox
+	openAccepted  int  // connections accepted and not closed yet
+	acceptStopped bool // no further connections are accepted
 	stopped       bool
-	wake          chan struct{}
-	done          chan struct{}
+	wake          chan struct{} // an event or the stop has to be handled
+	done          chan struct{} // closed when the loop's goroutine ends
 	buffers       sync.Pool
 	clientTLS     *tls.Config          // for connections that the core dials; nil for the system's certificate authorities
 	sockets       map[*socket]struct{} // open connections; used by the loop's goroutine only
@@ -69,8 +69,8 @@
 	data       *[]byte // a buffer of the pool
 	size       int     // bytes used in data
 	err        error
-	remoteAddr string
-	call       func()
+	remoteAddr string    // of an accepted connection
+	call       func()    // of a called event
 	arrivedAt  core.Time // when the event was posted
 }
 
@@ -80,9 +80,9 @@
 	accepted kind = iota
 	dialed
 	received
-	drained
+	drained // all bytes sent are written
 	closed
-	called
+	called // a posted function has to run
 )
 
 // socket is the state of the edge for a core.Conn.
--- a/internal/edge/loop_test.go
+++ b/internal/edge/loop_test.go
@@ -73,7 +73,7 @@
 	return bed
 }
 
-// playAll runs so many players at the same time and returns what each observed.
+// playAll runs n players at the same time and returns what each observed.
 func (bed *testbed) playAll(n int, span core.Time) []player.Seen {
 	done := make(chan player.Seen, n)
 	bed.crowd.Post(func() {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -44,7 +44,7 @@
 func NewMetrics(addr string, loop *Loop, frontCore *front.Front, registryClient *client.Client, tenantLabels int) (*Metrics, error) {
 	c := &collector{loop: loop, front: frontCore, registryClient: registryClient, tenantLabels: tenantLabels, descs: map[string]*prometheus.Desc{
 		"playbacks":          newDesc("playbacks_total", "Playbacks taken, by how they ended.", "outcome"),
-		"door":               newDesc("door_requests_total", "Requests at the door, by tenant and what became of them.", "tenant", "what"),
+		"door_requests":      newDesc("door_requests_total", "Requests at the door, by tenant and what became of them.", "tenant", "what"),
 		"refused":            newDesc("door_refused_total", "Requests refused, by cause.", "cause"),
 		"turned_away":        newDesc("door_turned_away_total", "Connections and requests turned away before they were read, by reason.", "reason"),
 		"waiting":            newDesc("door_waiting", "Requests that wait."),
@@ -262,7 +262,7 @@
 
 func (c *collector) tenantMetrics(count func(string, int64, ...string), name string, figures fair.TenantFigures) {
 	for what, v := range map[string]int64{"asked": figures.Asked, "admitted": figures.Admitted, "refused": figures.Refused, "returned": figures.Returned} {
-		count("door", v, name, what)
+		count("door_requests", v, name, what)
 	}
 }
 
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -228,7 +228,7 @@
 		"password, TLS":   {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "pass", Basic: true}, player.Done},
 		"wrong, TLS":      {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "no", Basic: true}, player.Refused},
 		"password, clear": {player.Want{Fronts: plain, Account: "ann", Password: "pass", Basic: true}, player.Failed},
-		"nobody, TLS":     {player.Want{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Refused}, // the directory cannot be asked about an unknown account: refused like a wrong password
+		"unknown, TLS":    {player.Want{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Refused}, // the directory cannot be asked about an unknown account: refused like a wrong password
 		"nothing to show": {player.Want{Fronts: secure, Secure: true}, player.Failed},
 		"in clear at TLS": {player.Want{Fronts: secure, Account: "ann", Password: "pass"}, player.Failed},
 	} {
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -30,9 +30,9 @@
 
 // The prerequisites.
 const (
-	Settings Prerequisite = iota
-	List                  // the server list, or a saved view of it
-	Module
+	Settings Prerequisite = iota // the settings are read
+	List                         // the server list, or a saved view of it, is loaded
+	Module                       // the policy module is created
 	prerequisiteCount
 )
 
@@ -66,7 +66,7 @@
 	TellNews                   // report the state to the supervisor
 	Hush                       // stop accepting, once connections that have arrived are accepted
 	Refuse                     // reject queued requests; redirect every new request
-	SendOn                     // redirect so many playing sessions to other session managers
+	SendOn                     // redirect the given number of playing sessions to other session managers
 	End                        // end all playbacks, here and at the media boxes
 	Exit                       // the process may exit
 )
