--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -101,7 +101,7 @@
 	if err != nil || fleet == nil {
 		return c, err
 	}
-	go func() { // session managers that have gone are still counted for some lease periods, then no more, whether or not changes arrive
+	go func() { // managers that have gone stop being counted after some lease periods, even if no change arrives
 		tick := time.NewTicker(time.Duration(fleet.Lease) * time.Microsecond)
 		defer tick.Stop()
 		for {
--- a/internal/kept/journal.go
+++ b/internal/kept/journal.go
@@ -36,7 +36,7 @@
 const (
 	journalSuffix    = ".dialogues"
 	queueCapacity    = 1 << 14 // records that may wait for the disk; further ones are dropped and counted
-	compactionFactor = 8       // the file is compacted once it has more lines than compactionFactor times the open entries + compactionSlack
+	compactionFactor = 8       // compaction starts beyond compactionFactor * open entries + compactionSlack lines
 	compactionSlack  = 1 << 10
 	batchInterval    = 10 * time.Millisecond // records that arrive within it are written together
 )
