--- a/internal/front/gate_test.go
+++ b/internal/front/access_test.go
@@ -13,12 +13,12 @@
 	"pierlink/session"
 )
 
-type nowhere struct{}
+type discardNetwork struct{}
 
-func (nowhere) Dial(*core.Conn, string) {}
-func (nowhere) Send(*core.Conn, []byte) {}
-func (nowhere) Pending(*core.Conn) int  { return 0 }
-func (nowhere) Close(*core.Conn)        {}
+func (discardNetwork) Dial(*core.Conn, string) {}
+func (discardNetwork) Send(*core.Conn, []byte) {}
+func (discardNetwork) Pending(*core.Conn) int  { return 0 }
+func (discardNetwork) Close(*core.Conn)        {}
 
 // Tenants' shares reach the module and the door in the turn in which they change, those that the settings name and
 // others, and still stand after a reload; who is not in the table is held to nothing.
@@ -34,7 +34,7 @@
 			Terms:  session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}},
 		Gate: &front.Gate{Core: gate, Ask: func(w tenants.Want) { try = w.Try }}}
 	now := core.Time(core.Second)
-	f := front.New(s, policy.New(&s.Site, 1, now), nowhere{}, zap.NewNop(), now)
+	f := front.New(s, policy.New(&s.Site, 1, now), discardNetwork{}, zap.NewNop(), now)
 	turn := func(call func()) {
 		now += core.Second
 		f.At(now)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -84,111 +84,111 @@
 // Front is one session manager. It is a core.Core; one goroutine owns it.
 type Front struct {
 	*Service
-	Figures  Figures
-	net      core.Net
-	log      *zap.Logger
-	module   session.Manager
-	now      Time
-	timers   core.Timers
-	again    []func() // events that came of the module's actions
-	servers  []box
-	byName   map[string]int
-	pbs      []*playback
-	free     []int
-	sessions map[string]*playback
-	titles   titles
-	lapsed   []*dialogue // oldest first
-	dirty    []*peer     // with bytes to send
-	buffers  [][]byte    // free
-	ids      uint64
-	players  map[*peer]struct{}
-	closed   bool
-	queue    *fair.Queue
-	shares   []tenants.Record // that have changed
-	records  int64            // of quality
-	mac      hash.Hash        // of nonces
-	scratch  []byte
-	door     *fair.Door
-	waiting  map[int]*playback // in the queue, by their number there
-	asks     int
-	life     *life.Life
-	daemon   Daemon
-	others   life.Others
-	heir     life.Heir
-	behind   life.Behind
-	orphans  life.Orphans
-	checking map[int]*playback // at the gate, by their question
-	settled  func()            // none of the orphans is left
-	draining bool
-	arrived  Time // when what is being taken came in, 0 for now
+	Figures        Figures
+	network        core.Net
+	log            *zap.Logger
+	module         session.Manager
+	now            Time
+	timers         core.Timers
+	deferred       []func() // events that came of the module's actions
+	boxes          []boxEntry
+	boxIndex       map[string]int
+	playbacks      []*playback
+	freeIDs        []int
+	sessions       map[string]*playback
+	titles         titleTable
+	lapsedTries    []*serverDialogue // oldest first
+	unflushed      []*peerConn       // with bytes to send
+	freeBuffers    [][]byte          // free
+	lastID         uint64
+	players        map[*peerConn]struct{}
+	stopped        bool
+	queue          *fair.Queue
+	changedShares  []tenants.Record // that have changed
+	qualityRecords int64            // of quality
+	nonceMAC       hash.Hash        // of nonces
+	scratch        []byte
+	limiter        *fair.Door
+	waiting        map[int]*playback // in the queue, by their number there
+	lastQueueID    int
+	lifecycle      *life.Life
+	process        Process
+	otherManagers  life.Others
+	handover       life.Heir
+	lag            life.Behind
+	orphans        life.Orphans
+	authorizing    map[int]*playback // at the gate, by their question
+	orphansEnded   func()            // none of the orphans is left
+	draining       bool
+	arrivedAt      Time // when what is being taken came in, 0 for now
 
 	orphanTimer *core.Timer
 
-	half []*peer // on which no request has come in whole, oldest first
+	halfOpen []*peerConn // on which no request has come in whole, oldest first
 }
 
 // peer is a connection's state: a player's, or a dialogue's with a box.
-type peer struct {
-	conn    *core.Conn
-	parser  rtsp.Parser
-	sink    sink
-	out     out
-	gone    bool
-	heard   Time
-	partial Time // since when a message waits for its rest, 0 for none
-	idle    *core.Timer
+type peerConn struct {
+	conn         *core.Conn
+	parser       rtsp.Parser
+	sink         sink
+	output       outputQueue
+	closed       bool
+	lastReceived Time
+	partialSince Time // since when a message waits for its rest, 0 for none
+	idleTimer    *core.Timer
 
 	// a player's
-	from     string
-	due      []*reply // in the order of the requests
-	channels []*leg   // by interleaved channel
-	told     [8]int   // CSeqs, plus one, of the latest SETUPs and PLAYs; those told again are not new requests
-	tells    int
-	rate     fair.Rate // of its requests
-	whole    bool      // a request has come in whole
-	refused  *refused  // the latest playback that did not play
-	pbs      []*playback
-	timeout  Time // of its sessions, as they are told
-	asks     int  // requests of our own to it
+	address         string
+	pendingReplies  []*pendingReply // in the order of the requests
+	channels        []*trackBinding // by interleaved channel
+	recentCSeqs     [8]int          // CSeqs, plus one, of the latest SETUPs and PLAYs; those told again are not new requests
+	recentCount     int
+	requestRate     fair.Rate        // of its requests
+	requestReceived bool             // a request has come in whole
+	lastRefused     *refusedPlayback // the latest playback that did not play
+	playbacks       []*playback
+	sessionTimeout  Time // of its sessions, as they are told
+	lastCSeq        int  // requests of our own to it
 
 	// a dialogue's
-	dialogue *dialogue
+	dialogue *serverDialogue
 }
 
 // refused is what a playback that does not play was told, for those of its SETUPs that are still on the way.
-type refused struct {
-	base   string
-	name   string
-	tracks uint64
-	answer *rtsp.Message
+type refusedPlayback struct {
+	baseURL   string
+	requestID string
+	tracks    uint64
+	response  *rtsp.Message
 }
 
 // reply is an answer that is due.
-type reply struct {
-	cseq  int
-	text  []byte
-	ready bool
+type pendingReply struct {
+	cseq    int
+	encoded []byte
+	ready   bool
 }
 
 // titles hands out small numbers for the titles in use.
-type titles struct {
-	known map[string]Title // as listed
-	ids   map[string]int
-	uses  []int
-	names []string
-	free  []int
+type titleTable struct {
+	catalogue map[string]Title // as listed
+	ids       map[string]int
+	refCounts []int
+	names     []string
+	freeIDs   []int
 }
 
 // New makes a front. The module is made for the service's site with a seed.
-func New(s *Service, module session.Manager, n core.Net, log *zap.Logger, now Time) *Front {
-	f := &Front{Service: s, net: n, log: log, module: module, now: now, byName: map[string]int{},
-		sessions: map[string]*playback{}, titles: titles{ids: map[string]int{}}, players: map[*peer]struct{}{},
-		waiting: map[int]*playback{}, checking: map[int]*playback{}}
-	f.behind.Startup = startup(s.Site.Plans)
-	f.others.Seed = xxhash.Sum64(s.Secret)
-	f.door = fair.NewDoor(s.Limits, xxhash.Sum64(s.Secret), now)
-	if s.Queue != nil {
-		f.queue = fair.New(*s.Queue, now)
+func New(config *Service, module session.Manager, network core.Net, log *zap.Logger, now Time) *Front {
+	f := &Front{Service: config, network: network, log: log, module: module, now: now, boxIndex: map[string]int{},
+		sessions: map[string]*playback{}, titles: titleTable{ids: map[string]int{}}, players: map[*peerConn]struct{}{},
+		waiting: map[int]*playback{}, authorizing: map[int]*playback{}}
+	f.lag.Startup = shortestStartupTarget(config.Site.Plans)
+	f.otherManagers.Seed = xxhash.Sum64(config.Secret)
+	f.limiter = fair.NewDoor(config.Limits, xxhash.Sum64(config.Secret), now)
+	if config.Queue != nil {
+		f.queue = fair.New(*config.Queue, now)
 	}
 	return f
 }
@@ -197,7 +197,7 @@
 func (f *Front) At(now Time) {
 	f.now = now
 	f.module.At(now)
-	f.behind.Turn(now, now-min(f.timers.Next(), now))
+	f.lag.Turn(now, now-min(f.timers.Next(), now))
 	if f.Gate != nil {
 		f.Gate.Core.At(now)
 	}
@@ -212,346 +212,346 @@
 }
 
 // Accepted takes a player's connection.
-func (f *Front) Accepted(c *core.Conn, from string) {
+func (f *Front) Accepted(c *core.Conn, address string) {
 	full := int(f.Figures.Connections) >= f.Bounds.Connections
 	if full {
-		f.door.Turn(fair.TooManyConnections)
+		f.limiter.Turn(fair.TooManyConnections)
 	}
-	if f.closed || full || !f.door.Connect(host(from), f.now) {
+	if f.stopped || full || !f.limiter.Connect(hostOf(address), f.now) {
 		f.Figures.Turned++
-		f.net.Close(c)
+		f.network.Close(c)
 		return
 	}
-	f.halfOpen()
+	f.evictHalfOpen()
 	f.Figures.Accepted++
 	f.Figures.Connections++
-	p := &peer{conn: c, from: from, heard: f.now, timeout: f.SessionTimeout, parser: rtsp.Parser{Bounds: rtsp.Usual}}
-	p.sink = sink{f, p}
-	c.Owner = p
-	f.players[p] = struct{}{}
-	f.half = append(f.half, p)
-	f.watch(p)
+	peer := &peerConn{conn: c, address: address, lastReceived: f.now, sessionTimeout: f.SessionTimeout, parser: rtsp.Parser{Bounds: rtsp.Usual}}
+	peer.sink = sink{f, peer}
+	c.Owner = peer
+	f.players[peer] = struct{}{}
+	f.halfOpen = append(f.halfOpen, peer)
+	f.armIdleTimer(peer)
 }
 
-// host is the address without the port.
-func host(from string) string {
-	if h, _, err := net.SplitHostPort(from); err == nil {
+// hostOf is the address without the port.
+func hostOf(address string) string {
+	if h, _, err := net.SplitHostPort(address); err == nil {
 		return h
 	}
-	return from
+	return address
 }
 
 // halfOpen makes room for a connection on which no request has come yet: the oldest of them goes.
-func (f *Front) halfOpen() {
-	live := f.half[:0]
-	for _, p := range f.half {
-		if !p.gone && !p.whole {
-			live = append(live, p)
+func (f *Front) evictHalfOpen() {
+	live := f.halfOpen[:0]
+	for _, peer := range f.halfOpen {
+		if !peer.closed && !peer.requestReceived {
+			live = append(live, peer)
 		}
 	}
-	clear(f.half[len(live):])
-	f.half = live
-	if n := f.Limits.HalfOpen; n > 0 && len(f.half) >= n {
-		f.door.Turn(fair.HalfOpenTooLong)
-		f.drop(f.half[0])
+	clear(f.halfOpen[len(live):])
+	f.halfOpen = live
+	if n := f.Limits.HalfOpen; n > 0 && len(f.halfOpen) >= n {
+		f.limiter.Turn(fair.HalfOpenTooLong)
+		f.closePlayer(f.halfOpen[0])
 	}
 }
 
 // Received takes bytes of a connection.
 func (f *Front) Received(c *core.Conn, b []byte) {
-	p, ok := c.Owner.(*peer)
-	if !ok || p.gone {
+	peer, ok := c.Owner.(*peerConn)
+	if !ok || peer.closed {
 		return
 	}
-	p.heard = f.now
+	peer.lastReceived = f.now
 	var err error
-	if p.dialogue != nil {
-		err = p.parser.Feed(b, (*boxSink)(&p.sink))
+	if peer.dialogue != nil {
+		err = peer.parser.Feed(b, (*boxSink)(&peer.sink))
 	} else {
-		err = p.parser.Feed(b, (*playerSink)(&p.sink))
+		err = peer.parser.Feed(b, (*playerSink)(&peer.sink))
 	}
-	if !p.parser.Waiting() {
-		p.partial = 0
-	} else if p.partial == 0 {
-		if p.partial = f.now; p.dialogue == nil && !p.gone {
-			f.watch(p)
+	if !peer.parser.Waiting() {
+		peer.partialSince = 0
+	} else if peer.partialSince == 0 {
+		if peer.partialSince = f.now; peer.dialogue == nil && !peer.closed {
+			f.armIdleTimer(peer)
 		}
 	}
-	if err == nil || p.gone {
+	if err == nil || peer.closed {
 		return
 	}
 	bad := err.(*rtsp.Malformed)
 	f.Figures.Malformed++
-	f.log.Info("connection ended: cannot be read on", zap.String("peer", p.from), zap.String("what", bad.What))
-	if p.dialogue != nil {
-		f.lost(p.dialogue, session.Failed)
+	f.log.Info("connection ended: cannot be read on", zap.String("peer", peer.address), zap.String("what", bad.Problem))
+	if peer.dialogue != nil {
+		f.dialogueLost(peer.dialogue, session.Failed)
 		return
 	}
-	f.door.Turn(fair.HeaderFlood)
+	f.limiter.Turn(fair.HeaderFlood)
 	if bad.Request {
-		f.fill(p, f.owe(p, bad.CSeq), rtsp.Answer(bad.Status, bad.CSeq))
+		f.completeReply(peer, f.reserveReply(peer, bad.CSeq), rtsp.Answer(bad.Status, bad.CSeq))
 	}
-	f.drop(p)
+	f.closePlayer(peer)
 }
 
 // sink takes what a peer's parser finds.
 type sink struct {
 	f *Front
-	p *peer
+	p *peerConn
 }
 
 // Drained tells that the network has taken all that was sent.
 func (f *Front) Drained(c *core.Conn) {
-	if p, ok := c.Owner.(*peer); ok && !p.gone && len(p.out.buf) > 0 {
-		f.touch(p)
+	if peer, ok := c.Owner.(*peerConn); ok && !peer.closed && len(peer.output.buf) > 0 {
+		f.markUnflushed(peer)
 	}
 }
 
 // Closed tells that a connection has ended.
 func (f *Front) Closed(c *core.Conn, err error) {
-	p, ok := c.Owner.(*peer)
-	if !ok || p.gone {
+	peer, ok := c.Owner.(*peerConn)
+	if !ok || peer.closed {
 		return
 	}
-	if p.dialogue != nil {
-		f.lost(p.dialogue, session.Reset)
+	if peer.dialogue != nil {
+		f.dialogueLost(peer.dialogue, session.Reset)
 		return
 	}
-	f.dropped(p)
+	f.playerClosed(peer)
 }
 
 // Settle ends a turn: what the module wants is carried out, and what waits goes out.
 func (f *Front) Settle() Time {
 	next := core.Never
 	for {
-		gate := core.Never
+		accessNext := core.Never
 		if f.Gate != nil {
-			gate = f.Gate.Core.Settle(f.Gate.Ask, f.admitted, func(r tenants.Record) { f.shares = append(f.shares, r) })
-			gate = min(gate, f.share())
+			accessNext = f.Gate.Core.Settle(f.Gate.Ask, f.authorized, func(record tenants.Record) { f.changedShares = append(f.changedShares, record) })
+			accessNext = min(accessNext, f.applyShares())
 		}
 		if f.queue != nil {
 			f.queue.Carrying(int(f.Figures.Playbacks))
-			next = f.queue.Settle(f.decided)
+			next = f.queue.Settle(f.queueDecided)
 		}
-		next = min(next, gate, f.live())
+		next = min(next, accessNext, f.settleLifecycle())
 		if f.Quality != nil {
 			next = min(next, f.settleQuality())
 		}
 		f.module.Settle((*actions)(f))
-		if len(f.again) == 0 && next > f.now {
+		if len(f.deferred) == 0 && next > f.now {
 			break
 		}
-		for i := 0; i < len(f.again); i++ {
-			f.again[i]()
+		for i := 0; i < len(f.deferred); i++ {
+			f.deferred[i]()
 		}
-		f.again = f.again[:0]
+		f.deferred = f.deferred[:0]
 	}
-	for i := 0; i < len(f.dirty); i++ {
-		p := f.dirty[i]
-		f.dirty[i] = nil
-		p.out.dirty = false
-		f.flush(p)
+	for i := 0; i < len(f.unflushed); i++ {
+		peer := f.unflushed[i]
+		f.unflushed[i] = nil
+		peer.output.flushPending = false
+		f.flush(peer)
 	}
-	f.dirty = f.dirty[:0]
+	f.unflushed = f.unflushed[:0]
 	return min(next, f.timers.Next())
 }
 
 // Came tells when what is taken next has come in.
-func (f *Front) Came(at Time) { f.arrived = min(at, f.now) }
+func (f *Front) Came(at Time) { f.arrivedAt = min(at, f.now) }
 
 // Turned tells how long the last turn took, by the edge's clock, and what it took had waited before.
 func (f *Front) Turned(waited, took Time) {
-	f.arrived = 0
-	f.behind.Turn(f.now+took, waited+took)
+	f.arrivedAt = 0
+	f.lag.Turn(f.now+took, waited+took)
 	if f.queue != nil {
 		f.queue.Turned(took)
 	}
 }
 
 // Tell gives the queue and the door new terms while requests wait.
-func (f *Front) Tell(t *fair.Terms, l fair.Limits) {
-	f.Limits, f.door.Limits = l, l
-	if f.queue != nil && t != nil {
-		f.queue.Tell(*t)
+func (f *Front) Tell(terms *fair.Terms, limits fair.Limits) {
+	f.Limits, f.limiter.Limits = limits, limits
+	if f.queue != nil && terms != nil {
+		f.queue.Tell(*terms)
 	}
 }
 
 // Door is the queue, nil without one, and what was turned away before it.
-func (f *Front) Door() (*fair.Queue, *fair.Door) { return f.queue, f.door }
+func (f *Front) Door() (*fair.Queue, *fair.Door) { return f.queue, f.limiter }
 
 // Stop answers what is owed and ends all dialogues; nothing is taken afterwards.
 func (f *Front) Stop() {
-	f.closed = true
-	for i := range f.servers {
-		if d := f.servers[i].control; d != nil {
-			f.hangUp(d)
+	f.stopped = true
+	for i := range f.boxes {
+		if dialogue := f.boxes[i].controlDialogue; dialogue != nil {
+			f.closeDialogue(dialogue)
 		}
 	}
-	for _, pb := range append([]*playback(nil), f.pbs...) {
+	for _, pb := range append([]*playback(nil), f.playbacks...) {
 		if pb != nil {
 			f.finish(pb, session.Cancelled)
 		}
 	}
-	for p := range f.players {
-		f.flush(p)
-		f.drop(p)
+	for peer := range f.players {
+		f.flush(peer)
+		f.closePlayer(peer)
 	}
 }
 
 // watch closes a player's connection that is silent for too long, or too slow with a message.
-func (f *Front) watch(p *peer) {
-	at := f.now + p.timeout
-	if len(p.due) == 0 {
-		at = p.heard + p.timeout
-	}
-	if p.partial > 0 {
-		at = min(at, p.partial+p.timeout/slowPart)
-	}
-	p.idle = f.timers.Set(p.idle, max(at, f.now+p.timeout/slowPart), func() {
-		slow := p.partial > 0 && f.now-p.partial >= p.timeout/slowPart
-		if !slow && (f.now-p.heard < p.timeout || len(p.due) > 0) {
-			f.watch(p)
+func (f *Front) armIdleTimer(peer *peerConn) {
+	deadline := f.now + peer.sessionTimeout
+	if len(peer.pendingReplies) == 0 {
+		deadline = peer.lastReceived + peer.sessionTimeout
+	}
+	if peer.partialSince > 0 {
+		deadline = min(deadline, peer.partialSince+peer.sessionTimeout/partialTimeoutDivisor)
+	}
+	peer.idleTimer = f.timers.Set(peer.idleTimer, max(deadline, f.now+peer.sessionTimeout/partialTimeoutDivisor), func() {
+		slow := peer.partialSince > 0 && f.now-peer.partialSince >= peer.sessionTimeout/partialTimeoutDivisor
+		if !slow && (f.now-peer.lastReceived < peer.sessionTimeout || len(peer.pendingReplies) > 0) {
+			f.armIdleTimer(peer)
 			return
 		}
 		if slow {
-			f.door.Turn(fair.SlowSender)
+			f.limiter.Turn(fair.SlowSender)
 			f.Figures.SlowSenders++
-			f.fill(p, f.owe(p, -1), rtsp.Answer(rtsp.StatusRequestTimeout, -1))
+			f.completeReply(peer, f.reserveReply(peer, -1), rtsp.Answer(rtsp.StatusRequestTimeout, -1))
 		} else {
 			f.Figures.SessionsOut++
 		}
-		f.log.Info("connection ended", zap.String("peer", p.from), zap.Bool("slow sender", slow))
-		f.drop(p)
+		f.log.Info("connection ended", zap.String("peer", peer.address), zap.Bool("slow sender", slow))
+		f.closePlayer(peer)
 	})
 }
 
 // drop ends a player's connection from this side.
-func (f *Front) drop(p *peer) {
-	if p.gone {
+func (f *Front) closePlayer(peer *peerConn) {
+	if peer.closed {
 		return
 	}
-	f.flush(p)
-	f.net.Close(p.conn)
-	f.dropped(p)
+	f.flush(peer)
+	f.network.Close(peer.conn)
+	f.playerClosed(peer)
 }
 
 // dropped forgets a player's connection and ends its playbacks.
-func (f *Front) dropped(p *peer) {
-	if p.gone {
+func (f *Front) playerClosed(peer *peerConn) {
+	if peer.closed {
 		return
 	}
-	p.gone = true
-	p.parser.Stop()
-	f.timers.Stop(p.idle)
+	peer.closed = true
+	peer.parser.Stop()
+	f.timers.Stop(peer.idleTimer)
 	f.Figures.Connections--
-	delete(f.players, p)
-	for len(p.pbs) > 0 {
-		f.finish(p.pbs[len(p.pbs)-1], session.Cancelled)
+	delete(f.players, peer)
+	for len(peer.playbacks) > 0 {
+		f.finish(peer.playbacks[len(peer.playbacks)-1], session.Cancelled)
 	}
-	f.release(p)
-	p.due, p.channels = nil, nil
+	f.releaseBuffer(peer)
+	peer.pendingReplies, peer.channels = nil, nil
 }
 
 // id is a name that cannot be guessed: of a session, or of a request that came without one.
-func (f *Front) id() string {
-	f.ids++
+func (f *Front) newID() string {
+	f.lastID++
 	h := hmac.New(sha256.New, f.Secret)
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], f.ids)
+	binary.BigEndian.PutUint64(b[:], f.lastID)
 	h.Write(b[:])
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
 // take gives a title its number.
-func (t *titles) take(name string) (int, uint64) {
+func (t *titleTable) acquire(name string) (int, uint64) {
 	i, ok := t.ids[name]
 	if !ok {
-		if n := len(t.free); n > 0 {
-			i, t.free = t.free[n-1], t.free[:n-1]
+		if n := len(t.freeIDs); n > 0 {
+			i, t.freeIDs = t.freeIDs[n-1], t.freeIDs[:n-1]
 		} else {
-			i = len(t.uses)
-			t.uses, t.names = append(t.uses, 0), append(t.names, "")
+			i = len(t.refCounts)
+			t.refCounts, t.names = append(t.refCounts, 0), append(t.names, "")
 		}
 		t.ids[name], t.names[i] = i, name
 	}
-	t.uses[i]++
+	t.refCounts[i]++
 	return i, xxhash.Sum64String(name)
 }
 
-func (t *titles) release(i int) {
-	if t.uses[i]--; t.uses[i] == 0 {
+func (t *titleTable) release(i int) {
+	if t.refCounts[i]--; t.refCounts[i] == 0 {
 		delete(t.ids, t.names[i])
 		t.names[i] = ""
-		t.free = append(t.free, i)
+		t.freeIDs = append(t.freeIDs, i)
 	}
 }
 
 // actions carries out what the module wants.
 type actions Front
 
-func (a *actions) f() *Front { return (*Front)(a) }
+func (a *actions) front() *Front { return (*Front)(a) }
 
-func (a *actions) SetRung(pb, rung int) { a.f().setRung(a.pbs[pb], rung) }
-func (a *actions) Try(pb, server int, limit Time) {
-	f := a.f()
-	if p := f.pbs[pb]; f.queue != nil && !p.answered && p.tries == 0 {
-		f.queue.Accepted()
+func (a *actions) SetRung(id, rung int) { a.front().setRung(a.playbacks[id], rung) }
+func (a *actions) Try(id, server int, limit Time) {
+	front := a.front()
+	if pb := front.playbacks[id]; front.queue != nil && !pb.answered && pb.tries == 0 {
+		front.queue.Accepted()
 	}
-	f.try(f.pbs[pb], server, limit)
+	front.startTry(front.playbacks[id], server, limit)
 }
-func (a *actions) Reject(pb int, comeAgain Time) {
-	f, p := a.f(), a.pbs[pb]
-	if p.answered { // it is under a session that plays already: a move that found no place
-		f.ended(p)
+func (a *actions) Reject(id int, retryAfter Time) {
+	front, pb := a.front(), a.playbacks[id]
+	if pb.answered { // it is under a session that plays already: a move that found no place
+		front.endPlayback(pb)
 		return
 	}
-	f.Figures.Refused++
-	plan := &f.Site.Plans[p.ask.plan]
-	if f.queue == nil {
-		f.answer(p, refusal(comeAgain))
+	front.Figures.Refused++
+	plan := &front.Site.Plans[pb.target.plan]
+	if front.queue == nil {
+		front.reject(pb, retryLaterResponse(retryAfter))
 		return
 	}
 	if plan.Seats == 0 { // otherwise it may be for want of seats
-		f.queue.Rejected()
+		front.queue.Rejected()
 	}
-	after, token := f.queue.Refuse(p.ask.standing, host(p.player.from))
-	f.answer(p, refusal(after).With("Come-Again", token))
+	retryAfterAdvice, token := front.queue.Refuse(pb.target.queueTenant, hostOf(pb.player.address))
+	front.reject(pb, retryLaterResponse(retryAfterAdvice).With("Come-Again", token))
 }
-func (a *actions) Abort(pb int) {
-	f, p := a.f(), a.pbs[pb]
-	if p.answered {
-		f.ended(p)
+func (a *actions) Abort(id int) {
+	front, pb := a.front(), a.playbacks[id]
+	if pb.answered {
+		front.endPlayback(pb)
 		return
 	}
-	f.Figures.Failed++
-	f.answer(p, rtsp.Answer(rtsp.StatusInternal, 0))
+	front.Figures.Failed++
+	front.reject(pb, rtsp.Answer(rtsp.StatusInternal, 0))
 }
-func (a *actions) Move(pb int) {
-	f, p := a.f(), a.pbs[pb]
-	f.again = append(f.again, func() { f.move(p) })
+func (a *actions) Move(id int) {
+	front, pb := a.front(), a.playbacks[id]
+	front.deferred = append(front.deferred, func() { front.move(pb) })
 }
-func (a *actions) Probe(server int) { a.f().probe(server) }
+func (a *actions) Probe(server int) { a.front().probe(server) }
 func (a *actions) Watch()           {} // the list is pushed
 func (a *actions) Wake(at Time, token uint64) {
-	f := a.f()
-	f.timers.Set(nil, max(at, f.now+1), func() { f.module.Woken(token) })
+	front := a.front()
+	front.timers.Set(nil, max(at, front.now+1), func() { front.module.Woken(token) })
 }
-func (a *actions) Forget(pb int) {
-	f, p := a.f(), a.pbs[pb]
-	f.pbs[pb] = nil
-	f.free = append(f.free, pb)
-	f.titles.release(p.request.Title)
-	f.Figures.Playbacks--
-	if p.again {
-		f.again = append(f.again, func() { f.request(p) })
+func (a *actions) Forget(id int) {
+	front, pb := a.front(), a.playbacks[id]
+	front.playbacks[id] = nil
+	front.freeIDs = append(front.freeIDs, id)
+	front.titles.release(pb.request.Title)
+	front.Figures.Playbacks--
+	if pb.moving {
+		front.deferred = append(front.deferred, func() { front.requestPlacement(pb) })
 	}
 }
 
-// refusal is an answer that says when to come back, in whole seconds (RFC 2326 section 12.31).
-func refusal(comeAgain Time) *rtsp.Message {
-	if comeAgain <= 0 {
+// retryLaterResponse is an answer that says when to come back, in whole seconds (RFC 2326 section 12.31).
+func retryLaterResponse(retryAfter Time) *rtsp.Message {
+	if retryAfter <= 0 {
 		return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, 0)
 	}
-	s := (comeAgain + core.Second - 1) / core.Second
-	return rtsp.Answer(rtsp.StatusUnavailable, 0).With("Retry-After", strconv.FormatInt(s, 10))
+	seconds := (retryAfter + core.Second - 1) / core.Second
+	return rtsp.Answer(rtsp.StatusUnavailable, 0).With("Retry-After", strconv.FormatInt(seconds, 10))
 }
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -33,59 +33,59 @@
 }
 
 // box is a server as the front keeps it.
-type box struct {
-	name, address string
-	state         session.ServerState
-	entry         session.Entry // as the module was last told
-	control       *dialogue
-	probing       bool
+type boxEntry struct {
+	name, address   string
+	state           session.ServerState
+	lastListed      session.Entry // as the module was last told
+	controlDialogue *serverDialogue
+	probing         bool
 }
 
 // Listed follows the server list. Lines of a zone or kind that the service does not know are left out and
 // said so.
-func (f *Front) Listed(l List) {
-	news := session.List{Whole: l.Whole}
-	if l.Whole {
-		f.Site.StartsTold = !l.Kept
+func (f *Front) Listed(update List) {
+	news := session.List{Whole: update.Whole}
+	if update.Whole {
+		f.Site.StartsTold = !update.Kept
 	}
-	if l.Whole {
-		for i := range f.servers {
-			f.servers[i].state = session.Gone
+	if update.Whole {
+		for i := range f.boxes {
+			f.boxes[i].state = session.Gone
 		}
 	}
-	for _, s := range l.Servers {
-		if i, ok := f.byName[s.Name]; s.State == session.Gone { // of such a one the name is enough
+	for _, server := range update.Servers {
+		if i, ok := f.boxIndex[server.Name]; server.State == session.Gone { // of such a one the name is enough
 			if ok {
-				b := &f.servers[i]
-				b.state, b.entry.State = session.Gone, session.Gone
-				news.Entries = append(news.Entries, b.entry)
+				box := &f.boxes[i]
+				box.state, box.lastListed.State = session.Gone, session.Gone
+				news.Entries = append(news.Entries, box.lastListed)
 			}
 			continue
 		}
-		zone, kind := slices.Index(f.Zones, s.Zone), slices.Index(f.Kinds, s.Kind)
-		if zone < 0 || kind < 0 || s.Cell < 0 {
-			f.log.Warn("server left out: unknown zone or kind", zap.String("server", s.Name),
-				zap.String("zone", s.Zone), zap.String("kind", s.Kind))
+		zone, kind := slices.Index(f.Zones, server.Zone), slices.Index(f.Kinds, server.Kind)
+		if zone < 0 || kind < 0 || server.Cell < 0 {
+			f.log.Warn("server left out: unknown zone or kind", zap.String("server", server.Name),
+				zap.String("zone", server.Zone), zap.String("kind", server.Kind))
 			continue
 		}
-		i, ok := f.byName[s.Name]
+		i, ok := f.boxIndex[server.Name]
 		if !ok {
-			i = len(f.servers)
-			f.byName[s.Name] = i
-			f.servers = append(f.servers, box{name: s.Name})
+			i = len(f.boxes)
+			f.boxIndex[server.Name] = i
+			f.boxes = append(f.boxes, boxEntry{name: server.Name})
 		}
-		b := &f.servers[i]
-		if b.address != s.Address && b.control != nil {
-			f.hangUp(b.control)
+		box := &f.boxes[i]
+		if box.address != server.Address && box.controlDialogue != nil {
+			f.closeDialogue(box.controlDialogue)
 		}
-		b.address, b.state = s.Address, s.State
-		b.entry = session.Entry{Server: i, Zone: zone, Kind: kind, Cell: s.Cell, State: s.State, Started: s.Started, Weight: s.Weight}
-		news.Entries = append(news.Entries, b.entry)
+		box.address, box.state = server.Address, server.State
+		box.lastListed = session.Entry{Server: i, Zone: zone, Kind: kind, Cell: server.Cell, State: server.State, Started: server.Started, Weight: server.Weight}
+		news.Entries = append(news.Entries, box.lastListed)
 	}
-	if l.Titles != nil {
-		f.titles.known = map[string]Title{}
-		for _, t := range l.Titles {
-			f.titles.known[t.Name] = t
+	if update.Titles != nil {
+		f.titles.catalogue = map[string]Title{}
+		for _, title := range update.Titles {
+			f.titles.catalogue[title.Name] = title
 		}
 	}
 	f.module.Listed(news)
@@ -97,8 +97,8 @@
 
 // Each calls for each server that is not gone.
 func (f *Front) Each(call func()) {
-	for i := range f.servers {
-		if f.servers[i].state != session.Gone {
+	for i := range f.boxes {
+		if f.boxes[i].state != session.Gone {
 			call()
 		}
 	}
--- a/internal/front/player.go
+++ b/internal/front/player.go
@@ -20,170 +20,170 @@
 
 // playback is one playback of a player, from its first SETUP on. Its number is the module's.
 type playback struct {
-	id         int
-	request    session.Request
-	player     *peer
-	session    string // "" until it is answered with 200
-	name       string // the request's, the same upstream
-	moves      int
-	place      int // its number in the queue, 0 for none
-	ask        ask
-	taken      Time
-	setups     []*setup
-	legs       []*leg
-	rung       int
-	tries      int
-	up         *dialogue // the try out, or what plays
-	answered   bool
-	plays      bool // the player has said PLAY
-	begun      bool // it has said so before
-	held       []byte
-	heldAt     []unit
-	again      bool // asked for anew under the same session: a move
-	over       bool
-	sentOn     bool // told to go elsewhere
-	question   int  // at the gate, 0 for none
-	proof      proof
-	account    string // at the gate
-	record     string // its name in the figures of quality, "" for none
-	lastServer int    // that was tried
-	doubted    bool   // its proof did not hold against what was known: it is looked up
-	seat       string // of its tenant
-	admitted   Time
-	attempts   []Attempt
-	abandon    Time // as it was taken with
-	guard      *core.Timer
+	id              int
+	request         session.Request
+	player          *peerConn
+	sessionID       string // "" until it is answered with 200
+	requestID       string // the request's, the same upstream
+	moves           int
+	queueID         int // its number in the queue, 0 for none
+	target          playbackTarget
+	receivedAt      Time
+	pendingSetups   []*pendingSetup
+	bindings        []*trackBinding
+	rung            int
+	tries           int
+	upstream        *serverDialogue // the try out, or what plays
+	answered        bool
+	playing         bool // the player has said PLAY
+	hasPlayed       bool // it has said so before
+	heldFrames      []byte
+	heldUnits       []outputUnit
+	moving          bool // asked for anew under the same session: a move
+	finished        bool
+	redirected      bool // told to go elsewhere
+	authorizationID int  // at the gate, 0 for none
+	credentials     requestCredentials
+	account         string // at the gate
+	qualityRecord   string // its name in the figures of quality, "" for none
+	lastServer      int    // that was tried
+	rechecked       bool   // its proof did not hold against what was known: it is looked up
+	seat            string // of its tenant
+	admittedAt      Time
+	attempts        []Attempt
+	abandonTime     Time // as it was taken with
+	deadlineTimer   *core.Timer
 }
 
 // setup is a SETUP that waits for its playback's answer.
-type setup struct {
-	reply *reply
-	leg   *leg
+type pendingSetup struct {
+	reply   *pendingReply
+	binding *trackBinding
 }
 
 // ask is what a player's URL says.
-type ask struct {
-	plan, top, track int // track -1 for the whole
-	tenant           int
-	customer         string // as the URL names the tenant, or the directory
-	standing         string // its standing at the door belongs to: the same, or its entry in the directory
-	title, base      string
+type playbackTarget struct {
+	plan, topRung, track int // track -1 for the whole
+	tenant               int
+	tenantName           string // as the URL names the tenant, or the directory
+	queueTenant          string // its standing at the door belongs to: the same, or its entry in the directory
+	title, baseURL       string
 }
 
 type playerSink sink
 
-func (s *playerSink) Bad(e *rtsp.Malformed) {
-	f, p := s.f, s.p
+func (s *playerSink) Bad(malformed *rtsp.Malformed) {
+	f, peer := s.f, s.p
 	f.Figures.Malformed++
-	f.log.Info("malformed request", zap.String("peer", p.from), zap.String("what", e.What))
-	if e.Request {
-		f.fill(p, f.owe(p, e.CSeq), rtsp.Answer(e.Status, e.CSeq))
+	f.log.Info("malformed request", zap.String("peer", peer.address), zap.String("what", malformed.Problem))
+	if malformed.Request {
+		f.completeReply(peer, f.reserveReply(peer, malformed.CSeq), rtsp.Answer(malformed.Status, malformed.CSeq))
 	}
 }
 
 // Frame takes RTCP of a player to its box; RTP from players is not taken.
 func (s *playerSink) Frame(channel byte, payload []byte) {
-	f, p := s.f, s.p
-	if int(channel) >= len(p.channels) {
+	f, peer := s.f, s.p
+	if int(channel) >= len(peer.channels) {
 		return
 	}
-	g := p.channels[channel]
-	if g == nil || channel != g.rtcp || g.pb.up == nil || g.pb.up.state != plays {
+	binding := peer.channels[channel]
+	if binding == nil || channel != binding.rtcp || binding.pb.upstream == nil || binding.pb.upstream.state != statePlaying {
 		return
 	}
-	f.frame(g.pb.up.peer, byte(2*g.track+1), payload, control)
+	f.sendFrame(binding.pb.upstream.peer, byte(2*binding.track+1), payload, controlUnit)
 }
 
 // Message takes a player's request. Every request gets one answer, in the order of the requests.
-func (s *playerSink) Message(m *rtsp.Message) {
-	f, p := s.f, s.p
-	if !m.IsRequest() {
+func (s *playerSink) Message(message *rtsp.Message) {
+	f, peer := s.f, s.p
+	if !message.IsRequest() {
 		return // nothing was asked of the player that matters here
 	}
 	f.Figures.Requests++
-	p.whole = true
-	if !f.door.Request(&p.rate, f.now) {
-		f.log.Info("connection ended: too many requests a second", zap.String("peer", p.from))
-		f.drop(p)
+	peer.requestReceived = true
+	if !f.limiter.Request(&peer.requestRate, f.now) {
+		f.log.Info("connection ended: too many requests a second", zap.String("peer", peer.address))
+		f.closePlayer(peer)
 		return
 	}
-	for _, r := range p.due {
-		if r.cseq == m.CSeq { // told again: the one answer is on its way
+	for _, reply := range peer.pendingReplies {
+		if reply.cseq == message.CSeq { // told again: the one answer is on its way
 			f.Figures.Repeated++
 			return
 		}
 	}
-	if m.Method == rtsp.Setup || m.Method == rtsp.Play {
-		if slices.Contains(p.told[:], m.CSeq+1) { // told again: its answer has gone out (RFC 2326 section 12.17)
+	if message.Method == rtsp.Setup || message.Method == rtsp.Play {
+		if slices.Contains(peer.recentCSeqs[:], message.CSeq+1) { // told again: its answer has gone out (RFC 2326 section 12.17)
 			f.Figures.Repeated++
 			return
 		}
-		p.told[p.tells%len(p.told)] = m.CSeq + 1
-		p.tells++
+		peer.recentCSeqs[peer.recentCount%len(peer.recentCSeqs)] = message.CSeq + 1
+		peer.recentCount++
 	}
-	if len(p.due) >= f.Bounds.Pipelined {
-		f.log.Info("connection ended: too many requests at once", zap.String("peer", p.from))
-		f.drop(p)
+	if len(peer.pendingReplies) >= f.Bounds.Pipelined {
+		f.log.Info("connection ended: too many requests at once", zap.String("peer", peer.address))
+		f.closePlayer(peer)
 		return
 	}
-	r := f.owe(p, m.CSeq)
-	if a := f.serve(p, m, r); a != nil {
-		f.fill(p, r, a)
+	reply := f.reserveReply(peer, message.CSeq)
+	if a := f.handleRequest(peer, message, reply); a != nil {
+		f.completeReply(peer, reply, a)
 	}
 }
 
 // owe puts an answer in line.
-func (f *Front) owe(p *peer, cseq int) *reply {
-	r := &reply{cseq: cseq}
-	p.due = append(p.due, r)
-	return r
+func (f *Front) reserveReply(peer *peerConn, cseq int) *pendingReply {
+	reply := &pendingReply{cseq: cseq}
+	peer.pendingReplies = append(peer.pendingReplies, reply)
+	return reply
 }
 
 // fill gives a request its answer; answers go out in the order of the requests.
-func (f *Front) fill(p *peer, r *reply, m *rtsp.Message) {
-	if p.gone || r.ready {
+func (f *Front) completeReply(peer *peerConn, reply *pendingReply, response *rtsp.Message) {
+	if peer.closed || reply.ready {
 		return
 	}
-	m.CSeq = r.cseq
-	r.text, r.ready = m.With("Server", f.Name).Append(nil), true
+	response.CSeq = reply.cseq
+	reply.encoded, reply.ready = response.With("Server", f.Name).Append(nil), true
 	n := 0
-	for ; n < len(p.due) && p.due[n].ready; n++ {
-		f.buffer(&p.out)
-		p.out.buf = append(p.out.buf, p.due[n].text...)
-		f.queued(p, len(p.due[n].text), message)
+	for ; n < len(peer.pendingReplies) && peer.pendingReplies[n].ready; n++ {
+		f.ensureBuffer(&peer.output)
+		peer.output.buf = append(peer.output.buf, peer.pendingReplies[n].encoded...)
+		f.outputAppended(peer, len(peer.pendingReplies[n].encoded), messageUnit)
 	}
-	p.due = slices.Delete(p.due, 0, n)
+	peer.pendingReplies = slices.Delete(peer.pendingReplies, 0, n)
 }
 
 // serve answers a request, or returns nil where the answer comes later.
-func (f *Front) serve(p *peer, m *rtsp.Message, r *reply) *rtsp.Message {
-	if need := m.Get("Require"); need != "" {
+func (f *Front) handleRequest(peer *peerConn, message *rtsp.Message, reply *pendingReply) *rtsp.Message {
+	if need := message.Get("Require"); need != "" {
 		return rtsp.Answer(rtsp.StatusOptionNotSupported, 0).With("Unsupported", need)
 	}
 	var pb *playback
-	if id, _ := rtsp.SessionID(m.Get("Session")); id != "" {
-		if pb = f.sessions[id]; pb == nil && m.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.Known(id) {
-			return f.setParameters(nil, m, rtsp.Answer(rtsp.StatusOK, 0))
-		} else if pb == nil || pb.player != p {
+	if id, _ := rtsp.SessionID(message.Get("Session")); id != "" {
+		if pb = f.sessions[id]; pb == nil && message.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.Known(id) {
+			return f.setParameters(nil, message, rtsp.Answer(rtsp.StatusOK, 0))
+		} else if pb == nil || pb.player != peer {
 			return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
 		}
 	}
-	ok := rtsp.Answer(rtsp.StatusOK, 0)
+	response := rtsp.Answer(rtsp.StatusOK, 0)
 	if pb != nil {
-		ok.With("Session", f.sessionHeader(pb))
+		response.With("Session", f.sessionHeader(pb))
 	}
-	switch m.Method {
+	switch message.Method {
 	case rtsp.Options:
-		return ok.With("Public", rtsp.Supported(rtsp.Options, rtsp.Describe, rtsp.Setup, rtsp.Play, rtsp.Pause,
+		return response.With("Public", rtsp.Supported(rtsp.Options, rtsp.Describe, rtsp.Setup, rtsp.Play, rtsp.Pause,
 			rtsp.GetParameter, rtsp.SetParameter, rtsp.Teardown))
 	case rtsp.Describe:
-		return f.describe(m)
+		return f.describe(message)
 	case rtsp.Setup:
-		return f.setup(p, pb, m, r)
+		return f.setup(peer, pb, message, reply)
 	case rtsp.GetParameter:
-		return f.parameters(pb, m, ok)
+		return f.getParameters(pb, message, response)
 	case rtsp.SetParameter:
-		return f.setParameters(pb, m, ok)
+		return f.setParameters(pb, message, response)
 	case rtsp.Play, rtsp.Pause, rtsp.Teardown:
 	case "ANNOUNCE", "RECORD", rtsp.Redirect:
 		return rtsp.Answer(rtsp.StatusMethodNotAllowed, 0)
@@ -193,19 +193,19 @@
 	if pb == nil {
 		return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
 	}
-	switch m.Method {
+	switch message.Method {
 	case rtsp.Play:
-		f.play(pb, m.Get("Range"))
-		return ok.With("Range", m.Get("Range"))
+		f.play(pb, message.Get("Range"))
+		return response.With("Range", message.Get("Range"))
 	case rtsp.Pause:
-		if !pb.plays {
+		if !pb.playing {
 			return rtsp.Answer(rtsp.StatusNotValidInState, 0)
 		}
-		pb.plays = false
-		if pb.up != nil && pb.up.state == plays {
-			f.tell(pb.up, rtsp.Pause, nil)
+		pb.playing = false
+		if pb.upstream != nil && pb.upstream.state == statePlaying {
+			f.sendRequest(pb.upstream, rtsp.Pause, nil)
 		}
-		return ok
+		return response
 	default:
 		f.finish(pb, session.OK)
 		return rtsp.Answer(rtsp.StatusOK, 0)
@@ -213,240 +213,240 @@
 }
 
 func (f *Front) sessionHeader(pb *playback) string {
-	return pb.session + ";timeout=" + strconv.FormatInt(pb.player.timeout/core.Second, 10)
+	return pb.sessionID + ";timeout=" + strconv.FormatInt(pb.player.sessionTimeout/core.Second, 10)
 }
 
 // parameters answers GET_PARAMETER: without a body it keeps the session alive (RFC 2326 section 10.8).
-func (f *Front) parameters(pb *playback, m, ok *rtsp.Message) *rtsp.Message {
-	var all []rtsp.Field
-	for _, x := range rtsp.Parameters(m.Body) {
-		if pb == nil || x.Name != "rung" {
+func (f *Front) getParameters(pb *playback, message, response *rtsp.Message) *rtsp.Message {
+	var fields []rtsp.Field
+	for _, parameter := range rtsp.Parameters(message.Body) {
+		if pb == nil || parameter.Name != "rung" {
 			return rtsp.Answer(rtsp.StatusParameterUnknown, 0)
 		}
-		all = append(all, rtsp.Field{Name: "rung", Value: strconv.Itoa(pb.rung)})
+		fields = append(fields, rtsp.Field{Name: "rung", Value: strconv.Itoa(pb.rung)})
 	}
-	if ok.Body = rtsp.AppendParameters(nil, all...); len(all) > 0 {
-		ok.With("Content-Type", "text/parameters")
+	if response.Body = rtsp.AppendParameters(nil, fields...); len(fields) > 0 {
+		response.With("Content-Type", "text/parameters")
 	}
-	return ok
+	return response
 }
 
 // read takes a player's URL apart: rtsp://HOST/PLAN/TITLE[/trackN]?top=N&tenant=NAME.
-func (f *Front) read(uri string) (a ask, status int) {
-	u, err := url.Parse(uri)
-	if err != nil || u.Scheme != "rtsp" && u.Scheme != "rtsps" {
-		return a, rtsp.StatusBadRequest
+func (f *Front) parseURL(uri string) (target playbackTarget, status int) {
+	parsed, err := url.Parse(uri)
+	if err != nil || parsed.Scheme != "rtsp" && parsed.Scheme != "rtsps" {
+		return target, rtsp.StatusBadRequest
 	}
-	parts := strings.Split(strings.Trim(u.EscapedPath(), "/"), "/")
+	parts := strings.Split(strings.Trim(parsed.EscapedPath(), "/"), "/")
 	if len(parts) < 2 || len(parts) > 3 || parts[1] == "" {
-		return a, rtsp.StatusNotFound
+		return target, rtsp.StatusNotFound
 	}
-	a.plan, a.track, a.title = -1, -1, parts[1]
+	target.plan, target.track, target.title = -1, -1, parts[1]
 	for i := range f.Plans {
 		if f.Plans[i].Name == parts[0] {
-			a.plan = i
+			target.plan = i
 		}
 	}
-	if a.plan < 0 {
-		return a, rtsp.StatusNotFound
+	if target.plan < 0 {
+		return target, rtsp.StatusNotFound
 	}
-	if f.titles.known != nil {
-		if _, ok := f.titles.known[a.title]; !ok {
-			return a, rtsp.StatusNotFound
+	if f.titles.catalogue != nil {
+		if _, ok := f.titles.catalogue[target.title]; !ok {
+			return target, rtsp.StatusNotFound
 		}
 	}
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(strings.TrimPrefix(parts[2], "track"))
-		if err != nil || n < 0 || n >= len(f.Plans[a.plan].Tracks) || parts[2] != "track"+strconv.Itoa(n) {
-			return a, rtsp.StatusNotFound
+		if err != nil || n < 0 || n >= len(f.Plans[target.plan].Tracks) || parts[2] != "track"+strconv.Itoa(n) {
+			return target, rtsp.StatusNotFound
 		}
-		a.track = n
+		target.track = n
 	}
-	q := u.Query()
-	a.top = len(f.Site.Ladder.RateKB) - 1
-	if s := q.Get("top"); s != "" {
+	query := parsed.Query()
+	target.topRung = len(f.Site.Ladder.RateKB) - 1
+	if s := query.Get("top"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 {
-			return a, rtsp.StatusBadRequest
+			return target, rtsp.StatusBadRequest
 		}
-		a.top = min(a.top, n)
+		target.topRung = min(target.topRung, n)
 	}
-	a.customer = q.Get("tenant")
-	if a.standing = a.customer; len(a.customer) > 64 {
-		return a, rtsp.StatusBadRequest
+	target.tenantName = query.Get("tenant")
+	if target.queueTenant = target.tenantName; len(target.tenantName) > 64 {
+		return target, rtsp.StatusBadRequest
 	}
-	if a.tenant = slices.Index(f.Tenants, a.customer); a.tenant < 0 {
-		a.tenant = len(f.Site.Tenants) // not a customer's: no share to hold it against
+	if target.tenant = slices.Index(f.Tenants, target.tenantName); target.tenant < 0 {
+		target.tenant = len(f.Site.Tenants) // not a customer's: no share to hold it against
 	}
-	a.base = u.Scheme + "://" + u.Host + "/" + parts[0] + "/" + a.title
-	if u.RawQuery != "" {
-		a.base += "?" + u.RawQuery
+	target.baseURL = parsed.Scheme + "://" + parsed.Host + "/" + parts[0] + "/" + target.title
+	if parsed.RawQuery != "" {
+		target.baseURL += "?" + parsed.RawQuery
 	}
-	return a, 0
+	return target, 0
 }
 
 // describe tells a title's tracks (RFC 2326 section 10.2, SDP of RFC 4566). No box is chosen for it: all
 // boxes send the same tracks.
-func (f *Front) describe(m *rtsp.Message) *rtsp.Message {
-	a, status := f.read(m.URI)
+func (f *Front) describe(message *rtsp.Message) *rtsp.Message {
+	target, status := f.parseURL(message.URI)
 	if status != 0 {
 		return rtsp.Answer(status, 0)
 	}
-	if accept := m.Get("Accept"); accept != "" && !strings.Contains(accept, "application/sdp") &&
+	if accept := message.Get("Accept"); accept != "" && !strings.Contains(accept, "application/sdp") &&
 		!strings.Contains(accept, "*/*") {
 		return rtsp.Answer(415, 0)
 	}
-	base, query, _ := strings.Cut(a.base, "?")
+	base, query, _ := strings.Cut(target.baseURL, "?")
 	if query != "" {
 		query = "?" + query
 	}
-	d := sdp.SessionDescription{Origin: sdp.Origin{Username: "-", SessionID: 1, SessionVersion: 1, NetworkType: "IN",
-		AddressType: "IP4", UnicastAddress: "0.0.0.0"}, SessionName: sdp.SessionName(a.title),
-		TimeDescriptions: []sdp.TimeDescription{{}}, Attributes: []sdp.Attribute{{Key: "control", Value: a.base}}}
-	for i, t := range f.Plans[a.plan].Tracks {
-		pt := strconv.Itoa(int(t.Payload))
-		d.MediaDescriptions = append(d.MediaDescriptions, &sdp.MediaDescription{
-			MediaName: sdp.MediaName{Media: t.Media, Protos: []string{"RTP", "AVP"}, Formats: []string{pt}},
-			Attributes: []sdp.Attribute{{Key: "rtpmap", Value: pt + " " + t.Encoding},
+	description := sdp.SessionDescription{Origin: sdp.Origin{Username: "-", SessionID: 1, SessionVersion: 1, NetworkType: "IN",
+		AddressType: "IP4", UnicastAddress: "0.0.0.0"}, SessionName: sdp.SessionName(target.title),
+		TimeDescriptions: []sdp.TimeDescription{{}}, Attributes: []sdp.Attribute{{Key: "control", Value: target.baseURL}}}
+	for i, track := range f.Plans[target.plan].Tracks {
+		payloadType := strconv.Itoa(int(track.Payload))
+		description.MediaDescriptions = append(description.MediaDescriptions, &sdp.MediaDescription{
+			MediaName: sdp.MediaName{Media: track.Media, Protos: []string{"RTP", "AVP"}, Formats: []string{payloadType}},
+			Attributes: []sdp.Attribute{{Key: "rtpmap", Value: payloadType + " " + track.Encoding},
 				{Key: "control", Value: base + "/track" + strconv.Itoa(i) + query}}})
 	}
-	body, err := d.Marshal()
+	body, err := description.Marshal()
 	if err != nil {
 		return rtsp.Answer(rtsp.StatusInternal, 0)
 	}
-	ok := rtsp.Answer(rtsp.StatusOK, 0).With("Content-Type", "application/sdp").With("Content-Base", a.base)
-	ok.Body = body
-	return ok
+	response := rtsp.Answer(rtsp.StatusOK, 0).With("Content-Type", "application/sdp").With("Content-Base", target.baseURL)
+	response.Body = body
+	return response
 }
 
 // setup takes a SETUP. The first of a playback asks the module; further ones of the same playback, for
 // another track or told again, wait for the same answer. There is never a second try for them.
-func (f *Front) setup(p *peer, pb *playback, m *rtsp.Message, r *reply) *rtsp.Message {
-	a, status := f.read(m.URI)
+func (f *Front) setup(peer *peerConn, pb *playback, message *rtsp.Message, reply *pendingReply) *rtsp.Message {
+	target, status := f.parseURL(message.URI)
 	if status != 0 {
 		return rtsp.Answer(status, 0)
 	}
-	if a.track < 0 && len(f.Plans[a.plan].Tracks) > 1 {
+	if target.track < 0 && len(f.Plans[target.plan].Tracks) > 1 {
 		return rtsp.Answer(rtsp.StatusAggregateNotAllowed, 0)
 	}
-	a.track = max(a.track, 0)
-	var way rtsp.Transport
-	for _, t := range rtsp.Transports(m.Get("Transport")) {
-		if t.TCP() && way.Profile == "" {
-			way = t
+	target.track = max(target.track, 0)
+	var transport rtsp.Transport
+	for _, choice := range rtsp.Transports(message.Get("Transport")) {
+		if choice.TCP() && transport.Profile == "" {
+			transport = choice
 		}
 	}
-	if way.Profile == "" { // RTP on UDP is not carried
+	if transport.Profile == "" { // RTP on UDP is not carried
 		return rtsp.Answer(rtsp.StatusUnsupportedTransport, 0)
 	}
-	if old := p.refused; old != nil && pb == nil && old.base == a.base && old.tracks&(1<<a.track) == 0 {
-		old.tracks |= 1 << a.track // a further track of the playback just refused: told before it was
-		x := *old.answer
-		x.Header = slices.Clone(old.answer.Header)
-		return x.With("Request-Id", old.name)
+	if refused := peer.lastRefused; refused != nil && pb == nil && refused.baseURL == target.baseURL && refused.tracks&(1<<target.track) == 0 {
+		refused.tracks |= 1 << target.track // a further track of the playback just refused: told before it was
+		x := *refused.response
+		x.Header = slices.Clone(refused.response.Header)
+		return x.With("Request-Id", refused.requestID)
 	}
 	if pb == nil {
-		for _, x := range p.pbs {
-			if !x.answered && x.ask.base == a.base {
+		for _, x := range peer.playbacks {
+			if !x.answered && x.target.baseURL == target.baseURL {
 				pb = x
 			}
 		}
-	} else if pb.ask.base != a.base {
+	} else if pb.target.baseURL != target.baseURL {
 		return rtsp.Answer(rtsp.StatusAggregateNotAllowed, 0)
 	}
 	if pb != nil {
-		for _, g := range pb.legs {
-			if g.track == a.track {
+		for _, binding := range pb.bindings {
+			if binding.track == target.track {
 				f.Figures.Repeated++
-				return f.join(pb, &setup{r, g})
+				return f.awaitSetup(pb, &pendingSetup{reply, binding})
 			}
 		}
 	}
-	for !way.Interleaved { // the client leaves the choice to us
-		way.RTP, way.RTCP, way.Interleaved = f.channel(p), f.channel(p)+1, true
+	for !transport.Interleaved { // the client leaves the choice to us
+		transport.RTP, transport.RTCP, transport.Interleaved = f.freeChannel(peer), f.freeChannel(peer)+1, true
 	}
-	if c := max(way.RTP, way.RTCP); int(c) >= len(p.channels) {
-		p.channels = append(p.channels, make([]*leg, int(c)+1-len(p.channels))...)
+	if c := max(transport.RTP, transport.RTCP); int(c) >= len(peer.channels) {
+		peer.channels = append(peer.channels, make([]*trackBinding, int(c)+1-len(peer.channels))...)
 	}
-	if p.channels[way.RTP] != nil || p.channels[way.RTCP] != nil {
+	if peer.channels[transport.RTP] != nil || peer.channels[transport.RTCP] != nil {
 		return rtsp.Answer(rtsp.StatusBadRequest, 0)
 	}
 	if pb == nil {
 		taken := f.now
-		if f.arrived > 0 {
-			taken = f.arrived
+		if f.arrivedAt > 0 {
+			taken = f.arrivedAt
 		}
-		abandon := f.Plans[a.plan].Abandon
+		abandon := f.Plans[target.plan].Abandon
 		switch {
 		case f.draining:
 			f.Figures.DoorRefused++
-			return f.elsewhere(p, a.base)
-		case f.closed, int(f.Figures.Playbacks) >= f.Bounds.Playbacks, f.seated(&a), due(taken, abandon) <= f.now:
+			return f.redirectOrRefuse(peer, target.baseURL)
+		case f.stopped, int(f.Figures.Playbacks) >= f.Bounds.Playbacks, f.seatsExhausted(&target), decisionDeadline(taken, abandon) <= f.now:
 			f.Figures.DoorRefused++
-			return refusal(f.comeAgain())
-		case f.queue == nil && f.behind.Shed(f.now): // a queue slows down by itself, and keeps its promises
+			return retryLaterResponse(f.retryAdvice())
+		case f.queue == nil && f.lag.Shed(f.now): // a queue slows down by itself, and keeps its promises
 			f.Figures.Shed++
-			return refusal(f.comeAgain())
+			return retryLaterResponse(f.retryAdvice())
 		}
-		pb = &playback{id: -1, lastServer: -1, player: p, ask: a, name: m.Get("Request-Id"), taken: taken, abandon: abandon}
-		if pb.name == "" || len(pb.name) > 64 {
-			pb.name = f.id()
+		pb = &playback{id: -1, lastServer: -1, player: peer, target: target, requestID: message.Get("Request-Id"), receivedAt: taken, abandonTime: abandon}
+		if pb.requestID == "" || len(pb.requestID) > 64 {
+			pb.requestID = f.newID()
 		}
-		p.pbs = append(p.pbs, pb)
+		peer.playbacks = append(peer.playbacks, pb)
 	}
-	g := &leg{pb: pb, track: a.track, rtp: way.RTP, rtcp: way.RTCP, kind: audio}
-	if f.Plans[a.plan].Tracks[a.track].Media == "video" {
-		g.kind = video
+	binding := &trackBinding{pb: pb, track: target.track, rtp: transport.RTP, rtcp: transport.RTCP, kind: audioUnit}
+	if f.Plans[target.plan].Tracks[target.track].Media == "video" {
+		binding.kind = videoUnit
 	}
-	p.channels[way.RTP], p.channels[way.RTCP] = g, g
-	pb.legs = append(pb.legs, g)
-	late := f.join(pb, &setup{r, g})
-	if len(pb.legs) == 1 {
+	peer.channels[transport.RTP], peer.channels[transport.RTCP] = binding, binding
+	pb.bindings = append(pb.bindings, binding)
+	response := f.awaitSetup(pb, &pendingSetup{reply, binding})
+	if len(pb.bindings) == 1 {
 		f.Figures.Taken++
 		if f.Gate != nil {
-			f.gated(pb, m)
-			return late
+			f.authorize(pb, message)
+			return response
 		}
-		pb.proof = proof{token: m.Get("Come-Again"), size: size(m)}
-		f.offer(pb)
+		pb.credentials = requestCredentials{token: message.Get("Come-Again"), requestBytes: requestSize(message)}
+		f.enqueue(pb)
 	}
-	return late
+	return response
 }
 
 // offer puts a playback in the queue, which says when the module is asked.
-func (f *Front) offer(pb *playback) {
-	f.figured(pb)
-	plan := &f.Site.Plans[pb.ask.plan]
+func (f *Front) enqueue(pb *playback) {
+	f.startQualityRecord(pb)
+	plan := &f.Site.Plans[pb.target.plan]
 	if f.queue == nil {
-		f.request(pb)
+		f.requestPlacement(pb)
 		return
 	}
-	f.asks++
-	pb.place = f.asks
-	f.waiting[pb.place] = pb
-	f.queue.Offer(fair.Ask{ID: pb.place, Tenant: pb.ask.standing, Client: host(pb.player.from), Bytes: pb.proof.size, Token: pb.proof.token,
-		Startup: pb.taken + plan.Startup, Abandon: due(pb.taken, pb.abandon)})
+	f.lastQueueID++
+	pb.queueID = f.lastQueueID
+	f.waiting[pb.queueID] = pb
+	f.queue.Offer(fair.Ask{ID: pb.queueID, Tenant: pb.target.queueTenant, Client: hostOf(pb.player.address), Bytes: pb.credentials.requestBytes, Token: pb.credentials.token,
+		Startup: pb.receivedAt + plan.Startup, Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime)})
 }
 
 // decided carries out what the queue has decided.
-func (f *Front) decided(v fair.Verdict) {
-	pb := f.waiting[v.ID]
-	delete(f.waiting, v.ID)
-	if pb == nil || pb.over {
+func (f *Front) queueDecided(verdict fair.Verdict) {
+	pb := f.waiting[verdict.ID]
+	delete(f.waiting, verdict.ID)
+	if pb == nil || pb.finished {
 		return
 	}
-	if pb.place = 0; v.Admit {
-		f.request(pb)
+	if pb.queueID = 0; verdict.Admit {
+		f.requestPlacement(pb)
 		return
 	}
 	f.Figures.Refused++
-	f.answer(pb, refusal(v.ComeAgain).With("Come-Again", v.Token))
+	f.reject(pb, retryLaterResponse(verdict.ComeAgain).With("Come-Again", verdict.Token))
 }
 
 // channel is the first even channel that is free on a connection.
-func (f *Front) channel(p *peer) byte {
+func (f *Front) freeChannel(peer *peerConn) byte {
 	for c := 0; c < 254; c += 2 {
-		if c >= len(p.channels) || p.channels[c] == nil && (c+1 >= len(p.channels) || p.channels[c+1] == nil) {
+		if c >= len(peer.channels) || peer.channels[c] == nil && (c+1 >= len(peer.channels) || peer.channels[c+1] == nil) {
 			return byte(c)
 		}
 	}
@@ -454,258 +454,258 @@
 }
 
 // join has a SETUP wait for its playback's answer; the answer at once if it is known.
-func (f *Front) join(pb *playback, s *setup) *rtsp.Message {
+func (f *Front) awaitSetup(pb *playback, pending *pendingSetup) *rtsp.Message {
 	if !pb.answered {
-		pb.setups = append(pb.setups, s)
+		pb.pendingSetups = append(pb.pendingSetups, pending)
 		return nil
 	}
-	return f.welcome(pb, s.leg)
+	return f.setupResponse(pb, pending.binding)
 }
 
 // welcome answers a SETUP of a playback that plays.
-func (f *Front) welcome(pb *playback, g *leg) *rtsp.Message {
-	g.ready = true
-	t := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: g.rtp, RTCP: g.rtcp}
+func (f *Front) setupResponse(pb *playback, binding *trackBinding) *rtsp.Message {
+	binding.ready = true
+	t := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: binding.rtp, RTCP: binding.rtcp}
 	return rtsp.Answer(rtsp.StatusOK, 0).With("Session", f.sessionHeader(pb)).With("Transport", t.String()).
-		With("Request-Id", pb.name)
+		With("Request-Id", pb.requestID)
 }
 
 // request asks the module for a place.
-func (f *Front) request(pb *playback) {
-	if pb.over {
+func (f *Front) requestPlacement(pb *playback) {
+	if pb.finished {
 		return
 	}
-	if pb.id, pb.tries = len(f.pbs), 0; pb.again {
-		pb.again, pb.taken = false, f.now
+	if pb.id, pb.tries = len(f.playbacks), 0; pb.moving {
+		pb.moving, pb.receivedAt = false, f.now
 	}
-	if n := len(f.free); n > 0 {
-		pb.id, f.free = f.free[n-1], f.free[:n-1]
-		f.pbs[pb.id] = pb
+	if n := len(f.freeIDs); n > 0 {
+		pb.id, f.freeIDs = f.freeIDs[n-1], f.freeIDs[:n-1]
+		f.playbacks[pb.id] = pb
 	} else {
-		f.pbs = append(f.pbs, pb)
+		f.playbacks = append(f.playbacks, pb)
 	}
 	f.Figures.Playbacks++
-	title, show := f.titles.take(pb.ask.title)
-	held := f.titles.known[pb.ask.title]
-	pb.rung = f.Site.Plans[pb.ask.plan].Floor
-	pb.request = session.Request{Playback: pb.id, Plan: pb.ask.plan, Tenant: pb.ask.tenant, Title: title, Show: show,
-		Abandon: due(pb.taken, pb.abandon), Top: pb.ask.top, Base: held.Base, Span: held.Span}
+	titleID, titleHash := f.titles.acquire(pb.target.title)
+	title := f.titles.catalogue[pb.target.title]
+	pb.rung = f.Site.Plans[pb.target.plan].Floor
+	pb.request = session.Request{Playback: pb.id, Plan: pb.target.plan, Tenant: pb.target.tenant, Title: titleID, Show: titleHash,
+		Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime), Top: pb.target.topRung, Base: title.Base, Span: title.Span}
 	f.module.Requested(pb.request)
 	if !pb.answered {
-		pb.admitted = f.now
+		pb.admittedAt = f.now
 	}
 	if !pb.answered {
-		pb.guard = f.timers.Set(pb.guard, pb.request.Abandon, func() { f.late(pb) })
+		pb.deadlineTimer = f.timers.Set(pb.deadlineTimer, pb.request.Abandon, func() { f.deadlineReached(pb) })
 	}
 }
 
 // late ends a try that is out when the module must have decided; the module answers then. If no answer
 // came of it the front gives one: the player is never left without.
-func (f *Front) late(pb *playback) {
-	if pb.answered || pb.over {
+func (f *Front) deadlineReached(pb *playback) {
+	if pb.answered || pb.finished {
 		return
 	}
-	if f.now < overdue(pb.taken, pb.abandon) {
-		pb.guard = f.timers.Set(pb.guard, overdue(pb.taken, pb.abandon), func() { f.late(pb) })
-		if pb.up != nil {
-			f.timedOut(pb.up)
+	if f.now < fallbackDeadline(pb.receivedAt, pb.abandonTime) {
+		pb.deadlineTimer = f.timers.Set(pb.deadlineTimer, fallbackDeadline(pb.receivedAt, pb.abandonTime), func() { f.deadlineReached(pb) })
+		if pb.upstream != nil {
+			f.tryTimedOut(pb.upstream)
 		}
 		return
 	}
 	f.Figures.Overdue++
-	f.log.Warn("answered in the module's place", zap.String("request", pb.name))
+	f.log.Warn("answered in the module's place", zap.String("request", pb.requestID))
 	f.Figures.Failed++
-	f.leave(pb)
-	f.answer(pb, rtsp.Answer(rtsp.StatusInternal, 0))
+	f.withdraw(pb)
+	f.reject(pb, rtsp.Answer(rtsp.StatusInternal, 0))
 }
 
 // answer gives the one answer that a playback's SETUPs wait for, and forgets it: it does not play.
-func (f *Front) answer(pb *playback, m *rtsp.Message) {
-	pb.answered, pb.over = true, true
-	f.told(pb, m.Status)
-	old := &refused{base: pb.ask.base, name: pb.name, answer: m}
-	pb.player.refused = old
-	for _, s := range pb.setups {
-		old.tracks |= 1 << s.leg.track
-		x := *m
-		x.Header = slices.Clone(m.Header)
-		f.fill(pb.player, s.reply, x.With("Request-Id", pb.name))
+func (f *Front) reject(pb *playback, response *rtsp.Message) {
+	pb.answered, pb.finished = true, true
+	f.reportTrace(pb, response.Status)
+	refused := &refusedPlayback{baseURL: pb.target.baseURL, requestID: pb.requestID, response: response}
+	pb.player.lastRefused = refused
+	for _, pending := range pb.pendingSetups {
+		refused.tracks |= 1 << pending.binding.track
+		reply := *response
+		reply.Header = slices.Clone(response.Header)
+		f.completeReply(pb.player, pending.reply, reply.With("Request-Id", pb.requestID))
 	}
-	f.unbind(pb)
+	f.detach(pb)
 }
 
 // ready answers the SETUPs of a playback whose first packet has come.
-func (f *Front) ready(pb *playback) {
-	f.timers.Stop(pb.guard)
+func (f *Front) started(pb *playback) {
+	f.timers.Stop(pb.deadlineTimer)
 	if pb.answered {
-		f.placed(pb)
+		f.recordPlacement(pb)
 		return
 	}
 	f.Figures.Plays++
-	pb.answered, pb.session = true, f.id()
-	f.told(pb, rtsp.StatusOK)
-	f.sessions[pb.session] = pb
-	f.placed(pb)
-	for _, s := range pb.setups {
-		f.fill(pb.player, s.reply, f.welcome(pb, s.leg))
+	pb.answered, pb.sessionID = true, f.newID()
+	f.reportTrace(pb, rtsp.StatusOK)
+	f.sessions[pb.sessionID] = pb
+	f.recordPlacement(pb)
+	for _, pending := range pb.pendingSetups {
+		f.completeReply(pb.player, pending.reply, f.setupResponse(pb, pending.binding))
 	}
-	pb.setups = nil
+	pb.pendingSetups = nil
 }
 
 // play lets the packets through, those first that came before the player's PLAY.
-func (f *Front) play(pb *playback, at string) {
-	if pb.plays {
+func (f *Front) play(pb *playback, rangeHeader string) {
+	if pb.playing {
 		return
 	}
-	pb.plays = true
-	rest := pb.held
-	for _, u := range pb.heldAt {
-		f.deliver(pb, rest[0], rest[4:u.size])
-		rest = rest[u.size:]
+	pb.playing = true
+	frames := pb.heldFrames
+	for _, u := range pb.heldUnits {
+		f.deliver(pb, frames[0], frames[4:u.size])
+		frames = frames[u.size:]
 	}
-	first := !pb.begun
-	pb.begun, pb.held, pb.heldAt = true, nil, nil
-	if pb.up != nil && pb.up.state == plays && (!first || at != "" && at != "npt=0-" && at != "npt=0.000-") {
-		f.tell(pb.up, rtsp.Play, []rtsp.Field{{Name: "Range", Value: at}})
+	first := !pb.hasPlayed
+	pb.hasPlayed, pb.heldFrames, pb.heldUnits = true, nil, nil
+	if pb.upstream != nil && pb.upstream.state == statePlaying && (!first || rangeHeader != "" && rangeHeader != "npt=0-" && rangeHeader != "npt=0.000-") {
+		f.sendRequest(pb.upstream, rtsp.Play, []rtsp.Field{{Name: "Range", Value: rangeHeader}})
 	}
 }
 
 // deliver takes a frame of the box to the player. The channel is the box's: two for each track.
 func (f *Front) deliver(pb *playback, channel byte, payload []byte) {
-	for _, g := range pb.legs {
-		if g.track != int(channel/2) || !g.ready {
+	for _, binding := range pb.bindings {
+		if binding.track != int(channel/2) || !binding.ready {
 			continue
 		}
 		f.Figures.Packets++
 		if channel&1 == 1 {
-			f.frame(pb.player, g.rtcp, payload, control)
+			f.sendFrame(pb.player, binding.rtcp, payload, controlUnit)
 		} else {
-			f.frame(pb.player, g.rtp, payload, g.kind)
+			f.sendFrame(pb.player, binding.rtp, payload, binding.kind)
 		}
 	}
 }
 
 // hold keeps what comes before the player's PLAY, up to a part of its buffer.
-func (f *Front) hold(pb *playback, channel byte, payload []byte) {
-	if len(pb.held)+len(payload)+4 > f.Bounds.PlayerBytes/holdPart {
+func (f *Front) holdFrame(pb *playback, channel byte, payload []byte) {
+	if len(pb.heldFrames)+len(payload)+4 > f.Bounds.PlayerBytes/heldBufferDivisor {
 		return
 	}
-	n := len(pb.held)
-	pb.held = rtsp.AppendFrame(pb.held, channel, payload)
-	pb.held[n] = channel // where AppendFrame has the mark of a frame
-	pb.heldAt = append(pb.heldAt, unit{size: len(pb.held) - n})
+	n := len(pb.heldFrames)
+	pb.heldFrames = rtsp.AppendFrame(pb.heldFrames, channel, payload)
+	pb.heldFrames[n] = channel // where AppendFrame has the mark of a frame
+	pb.heldUnits = append(pb.heldUnits, outputUnit{size: len(pb.heldFrames) - n})
 }
 
 // leave tells the module that a playback has gone: what is out for it ends.
-func (f *Front) leave(pb *playback) {
-	f.timers.Stop(pb.guard)
-	if pb.question > 0 {
-		f.Gate.Core.Cancel(pb.question)
-		delete(f.checking, pb.question)
-		pb.question = 0
-	}
-	if pb.place > 0 {
-		f.queue.Gone(pb.place)
-		delete(f.waiting, pb.place)
-		pb.place = 0
-	}
-	if pb.id >= 0 && pb.id < len(f.pbs) && f.pbs[pb.id] == pb {
+func (f *Front) withdraw(pb *playback) {
+	f.timers.Stop(pb.deadlineTimer)
+	if pb.authorizationID > 0 {
+		f.Gate.Core.Cancel(pb.authorizationID)
+		delete(f.authorizing, pb.authorizationID)
+		pb.authorizationID = 0
+	}
+	if pb.queueID > 0 {
+		f.queue.Gone(pb.queueID)
+		delete(f.waiting, pb.queueID)
+		pb.queueID = 0
+	}
+	if pb.id >= 0 && pb.id < len(f.playbacks) && f.playbacks[pb.id] == pb {
 		f.module.Left(pb.id)
-		if d := pb.up; d != nil {
-			f.result(d, session.Cancelled, true)
-			f.teardown(d)
+		if dialogue := pb.upstream; dialogue != nil {
+			f.reportResult(dialogue, session.Cancelled, true)
+			f.teardown(dialogue)
 		}
 	}
 }
 
 // finish ends a playback whose player has gone, or has had enough (outcome OK).
-func (f *Front) finish(pb *playback, o session.Outcome) {
-	if pb.over {
+func (f *Front) finish(pb *playback, outcome session.Outcome) {
+	if pb.finished {
 		return
 	}
-	pb.over = true
+	pb.finished = true
 	if !pb.answered {
 		f.Figures.Left++
-		if f.closed {
-			pb.over = false
-			f.leave(pb)
-			f.answer(pb, f.cutShort(pb))
+		if f.stopped {
+			pb.finished = false
+			f.withdraw(pb)
+			f.reject(pb, f.stopResponse(pb))
 			return
 		}
 	}
-	if d := pb.up; d != nil && d.state == plays {
-		f.result(d, o, true)
-		f.teardown(d)
+	if dialogue := pb.upstream; dialogue != nil && dialogue.state == statePlaying {
+		f.reportResult(dialogue, outcome, true)
+		f.teardown(dialogue)
 	} else {
-		f.leave(pb)
+		f.withdraw(pb)
 	}
-	f.unbind(pb)
+	f.detach(pb)
 }
 
 // cutShort is the answer to a playback that a stop ends before it was decided. One that must not happen twice
 // and may have run fails: a refusal would have it come again.
-func (f *Front) cutShort(pb *playback) *rtsp.Message {
-	if pb.tries > 0 && f.Site.Plans[pb.ask.plan].Repeat == session.Unsafe {
+func (f *Front) stopResponse(pb *playback) *rtsp.Message {
+	if pb.tries > 0 && f.Site.Plans[pb.target.plan].Repeat == session.Unsafe {
 		return rtsp.Answer(rtsp.StatusInternal, 0)
 	}
-	return f.elsewhere(pb.player, pb.ask.base)
+	return f.redirectOrRefuse(pb.player, pb.target.baseURL)
 }
 
 // ended tells a player that a playback of its has come to an end: RTCP BYE on its tracks (RFC 3550 section
 // 6.6), then the connection's end if nothing else plays on it.
-func (f *Front) ended(pb *playback) {
-	if pb.over {
+func (f *Front) endPlayback(pb *playback) {
+	if pb.finished {
 		return
 	}
-	pb.over = true
-	p := pb.player
+	pb.finished = true
+	peer := pb.player
 	if bye, err := (&rtcp.Goodbye{Sources: []uint32{0}, Reason: "ended"}).Marshal(); err == nil {
-		for _, g := range pb.legs {
-			f.frame(p, g.rtcp, bye, control)
+		for _, binding := range pb.bindings {
+			f.sendFrame(peer, binding.rtcp, bye, controlUnit)
 		}
 	}
-	f.unbind(pb)
-	if len(p.pbs) == 0 && len(p.due) == 0 {
-		f.again = append(f.again, func() { f.drop(p) })
+	f.detach(pb)
+	if len(peer.playbacks) == 0 && len(peer.pendingReplies) == 0 {
+		f.deferred = append(f.deferred, func() { f.closePlayer(peer) })
 	}
 }
 
 // unbind takes a playback off its connection.
-func (f *Front) unbind(pb *playback) {
-	f.timers.Stop(pb.guard)
-	f.closeRecord(pb)
+func (f *Front) detach(pb *playback) {
+	f.timers.Stop(pb.deadlineTimer)
+	f.closeQualityRecord(pb)
 	if pb.seat != "" {
 		f.Gate.Core.Over(pb.seat)
 		pb.seat = ""
 	}
-	delete(f.sessions, pb.session)
-	p := pb.player
-	p.pbs = slices.DeleteFunc(p.pbs, func(x *playback) bool { return x == pb })
-	for i, g := range p.channels {
-		if g != nil && g.pb == pb {
-			p.channels[i] = nil
+	delete(f.sessions, pb.sessionID)
+	peer := pb.player
+	peer.playbacks = slices.DeleteFunc(peer.playbacks, func(x *playback) bool { return x == pb })
+	for i, binding := range peer.channels {
+		if binding != nil && binding.pb == pb {
+			peer.channels[i] = nil
 		}
 	}
-	pb.setups, pb.held, pb.heldAt = nil, nil, nil
+	pb.pendingSetups, pb.heldFrames, pb.heldUnits = nil, nil, nil
 }
 
 // upstreamName is the request's name at the boxes; each move is a request of its own there.
-func (pb *playback) upstreamName() string {
+func (pb *playback) upstreamRequestID() string {
 	if pb.moves == 0 {
-		return pb.name
+		return pb.requestID
 	}
-	return pb.name + "/m" + strconv.Itoa(pb.moves)
+	return pb.requestID + "/m" + strconv.Itoa(pb.moves)
 }
 
 // move asks for a new place under the same session; the old one ends. The direction on moving sessions is
 // to have the old one play until the new one does.
 func (f *Front) move(pb *playback) {
-	d := pb.up
-	if pb.over || d == nil || d.state != plays {
+	dialogue := pb.upstream
+	if pb.finished || dialogue == nil || dialogue.state != statePlaying {
 		return
 	}
-	pb.again = true
+	pb.moving = true
 	pb.moves++
-	f.result(d, session.Cancelled, true)
-	f.teardown(d)
+	f.reportResult(dialogue, session.Cancelled, true)
+	f.teardown(dialogue)
 }
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -6,144 +6,144 @@
 // payloads go first, oldest first, then the other media payloads; messages and RTCP stay. It guards against
 // receivers that are slower than what they asked for, whatever slows them; a receiver that is only a burst
 // behind loses pictures that it might have caught up with.
-type out struct {
-	buf   []byte
-	units []unit
-	dirty bool
+type outputQueue struct {
+	buf          []byte
+	units        []outputUnit
+	flushPending bool
 }
 
-type unit struct {
+type outputUnit struct {
 	size int
-	kind kind
+	kind unitKind
 }
 
-type kind uint8
+type unitKind uint8
 
 const (
-	message kind = iota
-	control      // RTCP
-	audio
-	video
+	messageUnit unitKind = iota
+	controlUnit          // RTCP
+	audioUnit
+	videoUnit
 )
 
 // leg ties a player's channels to a track of a playback.
-type leg struct {
+type trackBinding struct {
 	pb        *playback
 	track     int
 	rtp, rtcp byte
-	kind      kind
+	kind      unitKind
 	ready     bool // its SETUP is answered
 }
 
 // buffer makes sure that an out has room to write to.
-func (f *Front) buffer(o *out) {
-	if o.buf == nil {
-		if n := len(f.buffers); n > 0 {
-			o.buf, f.buffers = f.buffers[n-1], f.buffers[:n-1]
+func (f *Front) ensureBuffer(queue *outputQueue) {
+	if queue.buf == nil {
+		if n := len(f.freeBuffers); n > 0 {
+			queue.buf, f.freeBuffers = f.freeBuffers[n-1], f.freeBuffers[:n-1]
 		} else {
-			o.buf = make([]byte, 0, 2048)
+			queue.buf = make([]byte, 0, 2048)
 		}
 	}
 }
 
 // release gives an out's buffer back.
-func (f *Front) release(p *peer) {
-	if p.out.buf != nil && cap(p.out.buf) <= f.Bounds.PlayerBytes*2 && len(f.buffers) < 1024 {
-		f.buffers = append(f.buffers, p.out.buf[:0])
+func (f *Front) releaseBuffer(peer *peerConn) {
+	if peer.output.buf != nil && cap(peer.output.buf) <= f.Bounds.PlayerBytes*2 && len(f.freeBuffers) < 1024 {
+		f.freeBuffers = append(f.freeBuffers, peer.output.buf[:0])
 	}
-	p.out.buf, p.out.units = nil, p.out.units[:0]
+	peer.output.buf, peer.output.units = nil, peer.output.units[:0]
 }
 
-func (f *Front) touch(p *peer) {
-	if !p.out.dirty {
-		p.out.dirty = true
-		f.dirty = append(f.dirty, p)
+func (f *Front) markUnflushed(peer *peerConn) {
+	if !peer.output.flushPending {
+		peer.output.flushPending = true
+		f.unflushed = append(f.unflushed, peer)
 	}
 }
 
 // send puts a message in line.
-func (f *Front) send(p *peer, m *rtsp.Message) {
-	if p.gone {
+func (f *Front) send(peer *peerConn, message *rtsp.Message) {
+	if peer.closed {
 		return
 	}
-	f.buffer(&p.out)
-	n := len(p.out.buf)
-	p.out.buf = m.Append(p.out.buf)
-	f.queued(p, len(p.out.buf)-n, message)
+	f.ensureBuffer(&peer.output)
+	n := len(peer.output.buf)
+	peer.output.buf = message.Append(peer.output.buf)
+	f.outputAppended(peer, len(peer.output.buf)-n, messageUnit)
 }
 
 // frame puts a frame in line.
-func (f *Front) frame(p *peer, channel byte, payload []byte, k kind) {
-	if p.gone {
+func (f *Front) sendFrame(peer *peerConn, channel byte, payload []byte, kind unitKind) {
+	if peer.closed {
 		return
 	}
-	f.buffer(&p.out)
-	p.out.buf = rtsp.AppendFrame(p.out.buf, channel, payload)
-	f.queued(p, 4+len(payload), k)
+	f.ensureBuffer(&peer.output)
+	peer.output.buf = rtsp.AppendFrame(peer.output.buf, channel, payload)
+	f.outputAppended(peer, 4+len(payload), kind)
 }
 
-func (f *Front) queued(p *peer, size int, k kind) {
-	p.out.units = append(p.out.units, unit{size, k})
-	f.touch(p)
-	if len(p.out.buf) <= f.Bounds.PlayerBytes {
+func (f *Front) outputAppended(peer *peerConn, size int, kind unitKind) {
+	peer.output.units = append(peer.output.units, outputUnit{size, kind})
+	f.markUnflushed(peer)
+	if len(peer.output.buf) <= f.Bounds.PlayerBytes {
 		return
 	}
-	if f.net.Pending(p.conn) == 0 { // the network has room: the bound is for what does not go out
-		f.flush(p)
+	if f.network.Pending(peer.conn) == 0 { // the network has room: the bound is for what does not go out
+		f.flush(peer)
 		return
 	}
-	for k := video; k >= audio && len(p.out.buf) > f.Bounds.PlayerBytes; k-- {
-		f.shed(p, k)
+	for kind := videoUnit; kind >= audioUnit && len(peer.output.buf) > f.Bounds.PlayerBytes; kind-- {
+		f.dropOldest(peer, kind)
 	}
-	if len(p.out.buf) > 2*f.Bounds.PlayerBytes { // answers and RTCP alone: it takes nothing at all
+	if len(peer.output.buf) > 2*f.Bounds.PlayerBytes { // answers and RTCP alone: it takes nothing at all
 		f.Figures.Overflowed++
-		f.again = append(f.again, func() { f.hang(p) })
+		f.deferred = append(f.deferred, func() { f.closeOverflowed(peer) })
 	}
 }
 
 // shed takes the oldest payloads of a kind out until half of the bound is free.
-func (f *Front) shed(p *peer, k kind) {
-	o := &p.out
-	over := len(o.buf) - f.Bounds.PlayerBytes/2
-	from, to, n := 0, 0, 0
-	for _, u := range o.units {
-		if u.kind == k && over > 0 {
-			over -= u.size
-			if from += u.size; k == video {
+func (f *Front) dropOldest(peer *peerConn, kind unitKind) {
+	queue := &peer.output
+	excess := len(queue.buf) - f.Bounds.PlayerBytes/2
+	readOffset, writeOffset, kept := 0, 0, 0
+	for _, u := range queue.units {
+		if u.kind == kind && excess > 0 {
+			excess -= u.size
+			if readOffset += u.size; kind == videoUnit {
 				f.Figures.LostVideo++
 			} else {
 				f.Figures.LostAudio++
 			}
 			continue
 		}
-		copy(o.buf[to:], o.buf[from:from+u.size])
-		from, to = from+u.size, to+u.size
-		o.units[n] = u
-		n++
+		copy(queue.buf[writeOffset:], queue.buf[readOffset:readOffset+u.size])
+		readOffset, writeOffset = readOffset+u.size, writeOffset+u.size
+		queue.units[kept] = u
+		kept++
 	}
-	o.buf, o.units = o.buf[:to], o.units[:n]
+	queue.buf, queue.units = queue.buf[:writeOffset], queue.units[:kept]
 }
 
 // flush sends what waits, unless the network still has to take what was sent before.
-func (f *Front) flush(p *peer) {
-	if p.gone || len(p.out.buf) == 0 || f.net.Pending(p.conn) > 0 {
+func (f *Front) flush(peer *peerConn) {
+	if peer.closed || len(peer.output.buf) == 0 || f.network.Pending(peer.conn) > 0 {
 		return
 	}
-	if d := p.dialogue; d != nil && !d.connected {
+	if dialogue := peer.dialogue; dialogue != nil && !dialogue.connected {
 		return
 	}
-	f.net.Send(p.conn, p.out.buf)
-	f.release(p)
+	f.network.Send(peer.conn, peer.output.buf)
+	f.releaseBuffer(peer)
 }
 
 // hang ends a connection of either side.
-func (f *Front) hang(p *peer) {
-	if p.gone {
+func (f *Front) closeOverflowed(peer *peerConn) {
+	if peer.closed {
 		return
 	}
-	if p.dialogue != nil {
-		f.lost(p.dialogue, sessionReset)
+	if peer.dialogue != nil {
+		f.dialogueLost(peer.dialogue, sessionReset)
 		return
 	}
-	f.drop(p)
+	f.closePlayer(peer)
 }
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -27,42 +27,42 @@
 
 // Transports reads a Transport header: the choices in the client's order. Multicast ones and those with
 // malformed channels are left out.
-func Transports(value string) (all []Transport) {
+func Transports(value string) (choices []Transport) {
 	for spec := range strings.SplitSeq(value, ",") {
 		parts := strings.Split(spec, ";")
-		t := Transport{Profile: strings.TrimSpace(parts[0])}
-		ok := t.Profile != ""
-		for _, x := range parts[1:] {
-			k, v, _ := strings.Cut(strings.TrimSpace(x), "=")
+		transport := Transport{Profile: strings.TrimSpace(parts[0])}
+		ok := transport.Profile != ""
+		for _, parameter := range parts[1:] {
+			k, v, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 			switch strings.ToLower(k) {
 			case "multicast":
 				ok = false
 			case "interleaved":
-				lo, hi, two := strings.Cut(v, "-")
-				a, err := strconv.ParseUint(lo, 10, 8)
-				b := a + 1
-				if two && err == nil {
-					b, err = strconv.ParseUint(hi, 10, 8)
+				lo, hi, hasRTCP := strings.Cut(v, "-")
+				rtpChannel, err := strconv.ParseUint(lo, 10, 8)
+				rtcpChannel := rtpChannel + 1
+				if hasRTCP && err == nil {
+					rtcpChannel, err = strconv.ParseUint(hi, 10, 8)
 				}
-				ok = ok && err == nil && a != b && b < 256
-				t.Interleaved, t.RTP, t.RTCP = true, byte(a), byte(b)
+				ok = ok && err == nil && rtpChannel != rtcpChannel && rtcpChannel < 256
+				transport.Interleaved, transport.RTP, transport.RTCP = true, byte(rtpChannel), byte(rtcpChannel)
 			}
 		}
 		if ok {
-			all = append(all, t)
+			choices = append(choices, transport)
 		}
 	}
-	return all
+	return choices
 }
 
 // SessionID reads a Session header (section 12.37): the id, and the time-out in seconds, 60 if not told.
 func SessionID(value string) (id string, timeout int) {
 	id, rest, _ := strings.Cut(value, ";")
 	timeout = 60
-	for p := range strings.SplitSeq(rest, ";") {
-		if k, v, ok := strings.Cut(strings.TrimSpace(p), "="); ok && strings.EqualFold(k, "timeout") {
-			if n, err := strconv.ParseUint(v, 10, 31); err == nil && n > 0 {
-				timeout = int(n)
+	for parameter := range strings.SplitSeq(rest, ";") {
+		if k, v, ok := strings.Cut(strings.TrimSpace(parameter), "="); ok && strings.EqualFold(k, "timeout") {
+			if seconds, err := strconv.ParseUint(v, 10, 31); err == nil && seconds > 0 {
+				timeout = int(seconds)
 			}
 		}
 	}
@@ -71,32 +71,32 @@
 
 // Parameters reads a text/parameters body: one `name: value` a line (section 10.8). A line without a colon
 // names a parameter that is asked for; its value is empty.
-func Parameters(body []byte) (all []Field) {
-	for l := range strings.SplitSeq(string(body), "\n") {
-		if l = strings.TrimSpace(l); l != "" {
-			k, v, _ := strings.Cut(l, ":")
-			all = append(all, Field{strings.TrimSpace(k), strings.TrimSpace(v)})
+func Parameters(body []byte) (fields []Field) {
+	for line := range strings.SplitSeq(string(body), "\n") {
+		if line = strings.TrimSpace(line); line != "" {
+			k, v, _ := strings.Cut(line, ":")
+			fields = append(fields, Field{strings.TrimSpace(k), strings.TrimSpace(v)})
 		}
 	}
-	return all
+	return fields
 }
 
 // AppendParameters writes such a body.
-func AppendParameters(dst []byte, all ...Field) []byte {
-	for _, f := range all {
-		dst = append(append(append(append(dst, f.Name...), ": "...), f.Value...), "\r\n"...)
+func AppendParameters(dst []byte, fields ...Field) []byte {
+	for _, field := range fields {
+		dst = append(append(append(append(dst, field.Name...), ": "...), field.Value...), "\r\n"...)
 	}
 	return dst
 }
 
 // Pairs reads a header of the form k=v;k=v.
-func Pairs(value string) (all []Field) {
-	for p := range strings.SplitSeq(value, ";") {
-		if k, v, _ := strings.Cut(strings.TrimSpace(p), "="); k != "" {
-			all = append(all, Field{strings.ToLower(k), v})
+func Pairs(value string) (pairs []Field) {
+	for pair := range strings.SplitSeq(value, ";") {
+		if k, v, _ := strings.Cut(strings.TrimSpace(pair), "="); k != "" {
+			pairs = append(pairs, Field{strings.ToLower(k), v})
 		}
 	}
-	return all
+	return pairs
 }
 
 // Supported lists methods for a Public header (section 12.28).
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -36,7 +36,7 @@
 	StatusNotFound             = 404
 	StatusMethodNotAllowed     = 405
 	StatusRequestTimeout       = 408
-	StatusTooLarge             = 413
+	StatusEntityTooLarge       = 413
 	StatusURITooLong           = 414
 	StatusParameterUnknown     = 451
 	StatusNotEnoughBandwidth   = 453
@@ -47,11 +47,11 @@
 	StatusInternal             = 500
 	StatusNotImplemented       = 501
 	StatusUnavailable          = 503
-	StatusVersion              = 505
+	StatusVersionNotSupported  = 505
 	StatusOptionNotSupported   = 551
 )
 
-var reasons = map[int]string{200: "OK", 302: "Moved Temporarily", 400: "Bad Request", 401: "Unauthorized",
+var reasonPhrases = map[int]string{200: "OK", 302: "Moved Temporarily", 400: "Bad Request", 401: "Unauthorized",
 	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Time-out",
 	413: "Request Entity Too Large", 414: "Request-URI Too Large", 415: "Unsupported Media Type",
 	451: "Parameter Not Understood", 453: "Not Enough Bandwidth", 454: "Session Not Found",
@@ -100,27 +100,27 @@
 
 // Answer begins an answer.
 func Answer(status, cseq int) *Message {
-	return &Message{Status: status, Reason: reasons[status], CSeq: cseq}
+	return &Message{Status: status, Reason: reasonPhrases[status], CSeq: cseq}
 }
 
 // Append writes the message behind dst. CSeq and Content-Length are written from the fields of their own.
 // A line break within a name or value is written as a blank, so that no header can bring in another.
 func (m *Message) Append(dst []byte) []byte {
 	if m.IsRequest() {
-		dst = line(line(dst, m.Method), " ")
-		dst = append(line(dst, m.URI), " "+Version+"\r\n"...)
+		dst = appendSingleLine(appendSingleLine(dst, m.Method), " ")
+		dst = append(appendSingleLine(dst, m.URI), " "+Version+"\r\n"...)
 	} else {
 		dst = append(dst, Version+" "...)
 		dst = append(strconv.AppendInt(dst, int64(m.Status), 10), ' ')
-		dst = append(line(dst, m.Reason), "\r\n"...)
+		dst = append(appendSingleLine(dst, m.Reason), "\r\n"...)
 	}
 	if m.CSeq >= 0 {
 		dst = append(dst, "CSeq: "...)
 		dst = append(strconv.AppendInt(dst, int64(m.CSeq), 10), "\r\n"...)
 	}
 	for _, f := range m.Header {
-		dst = append(line(dst, f.Name), ": "...)
-		dst = append(line(dst, f.Value), "\r\n"...)
+		dst = append(appendSingleLine(dst, f.Name), ": "...)
+		dst = append(appendSingleLine(dst, f.Value), "\r\n"...)
 	}
 	if len(m.Body) > 0 {
 		dst = append(dst, "Content-Length: "...)
@@ -129,7 +129,7 @@
 	return append(append(dst, "\r\n"...), m.Body...)
 }
 
-func line(dst []byte, s string) []byte {
+func appendSingleLine(dst []byte, s string) []byte {
 	for i := range len(s) {
 		if s[i] == '\r' || s[i] == '\n' {
 			dst = append(dst, ' ')
--- a/internal/rtsp/parser.go
+++ b/internal/rtsp/parser.go
@@ -11,16 +11,16 @@
 type Bounds struct {
 	Line, Head    int  // bytes of one line, of all lines of a message
 	Fields, Body  int  // header lines, bytes of a body
-	FrameInBuffer int  // bytes of a part of a frame kept between two reads, before its buffer is given back
+	RetainedBytes int  // bytes of a part of a frame kept between two reads, before its buffer is given back
 	NoFrames      bool // interleaved data is malformed
 }
 
 // Usual bounds; messages of this protocol are a fraction of them.
-var Usual = Bounds{Line: 2048, Head: 8192, Fields: 48, Body: 32768, FrameInBuffer: 4096}
+var Usual = Bounds{Line: 2048, Head: 8192, Fields: 48, Body: 32768, RetainedBytes: 4096}
 
 // Sink takes what a parser finds, in order. What it is given is the parser's: a frame's payload and a
 // message's body are good until the call returns.
-type Sink interface {
+type Handler interface {
 	Message(m *Message)
 	Frame(channel byte, payload []byte)
 	// Bad is a message that is malformed while its end is known: the dialogue can go on. Its CSeq is -1
@@ -32,90 +32,90 @@
 type Malformed struct {
 	Status, CSeq int
 	Request      bool
-	What         string
+	Problem      string
 }
 
 func (e *Malformed) Error() string {
-	return fmt.Sprintf("malformed message (%d): %s", e.Status, e.What)
+	return fmt.Sprintf("malformed message (%d): %s", e.Status, e.Problem)
 }
 
 // Parser reads one direction of a connection. Its zero value with Bounds set is ready.
 type Parser struct {
-	Bounds  Bounds
-	rest    []byte // the beginning of what is not whole yet
-	scanned int    // of rest, known to hold no end of a head
-	skip    int    // bytes of a body that is passed over
-	stopped bool
+	Bounds    Bounds
+	pending   []byte // the beginning of what is not whole yet
+	scanned   int    // of rest, known to hold no end of a head
+	skipBytes int    // bytes of a body that is passed over
+	stopped   bool
 }
 
 // Held is how many bytes of a message or frame that is not whole are kept.
-func (p *Parser) Held() int { return len(p.rest) }
+func (p *Parser) Held() int { return len(p.pending) }
 
 // Waiting tells whether a message or frame has begun and is not whole.
-func (p *Parser) Waiting() bool { return len(p.rest) > 0 || p.skip > 0 }
+func (p *Parser) Waiting() bool { return len(p.pending) > 0 || p.skipBytes > 0 }
 
 // Stop makes the parser pass over all that is still to come; a sink may call it.
 func (p *Parser) Stop() { p.stopped = true }
 
 // Feed reads on. An error ends the connection: where messages begin is not known any more; it is a
 // *Malformed whose status may still be sent.
-func (p *Parser) Feed(b []byte, s Sink) error {
+func (p *Parser) Feed(b []byte, handler Handler) error {
 	if p.stopped {
 		return nil
 	}
-	if len(p.rest) > 0 && p.rest[0] == '$' { // the rest of a frame, without what comes behind it
-		n := min(max(4-len(p.rest), 0), len(b))
-		p.rest, b = append(p.rest, b[:n]...), b[n:]
-		if len(p.rest) < 4 {
+	if len(p.pending) > 0 && p.pending[0] == '$' { // the rest of a frame, without what comes behind it
+		n := min(max(4-len(p.pending), 0), len(b))
+		p.pending, b = append(p.pending, b[:n]...), b[n:]
+		if len(p.pending) < 4 {
 			return nil
 		}
-		size := 4 + int(p.rest[2])<<8 + int(p.rest[3])
-		n = min(size-len(p.rest), len(b))
-		p.rest, b = append(p.rest, b[:n]...), b[n:]
-		if len(p.rest) < size {
+		size := 4 + int(p.pending[2])<<8 + int(p.pending[3])
+		n = min(size-len(p.pending), len(b))
+		p.pending, b = append(p.pending, b[:n]...), b[n:]
+		if len(p.pending) < size {
 			return nil
 		}
-		s.Frame(p.rest[1], p.rest[4:size])
-		if p.rest = p.rest[:0]; cap(p.rest) > p.Bounds.FrameInBuffer {
-			p.rest = nil
+		handler.Frame(p.pending[1], p.pending[4:size])
+		if p.pending = p.pending[:0]; cap(p.pending) > p.Bounds.RetainedBytes {
+			p.pending = nil
 		}
 		if p.stopped || len(b) == 0 {
 			return nil
 		}
 	}
-	kept := len(p.rest) > 0
+	kept := len(p.pending) > 0
 	if kept {
-		p.rest = append(p.rest, b...)
-		b = p.rest
+		p.pending = append(p.pending, b...)
+		b = p.pending
 	}
-	done, err := p.all(b, s)
+	done, err := p.parseMessages(b, handler)
 	if err != nil || p.stopped {
-		p.rest, p.stopped = nil, true
+		p.pending, p.stopped = nil, true
 		return err
 	}
 	left := b[done:]
 	switch {
 	case len(left) == 0:
-		if cap(p.rest) > p.Bounds.FrameInBuffer {
-			p.rest = nil
+		if cap(p.pending) > p.Bounds.RetainedBytes {
+			p.pending = nil
 		}
-		p.rest = p.rest[:0]
+		p.pending = p.pending[:0]
 	case kept:
-		p.rest = p.rest[:copy(p.rest, left)]
+		p.pending = p.pending[:copy(p.pending, left)]
 	default:
-		p.rest = append(p.rest[:0], left...)
+		p.pending = append(p.pending[:0], left...)
 	}
 	return nil
 }
 
 // all reads what is whole and returns how many bytes that was.
-func (p *Parser) all(b []byte, s Sink) (done int, err error) {
+func (p *Parser) parseMessages(b []byte, handler Handler) (done int, err error) {
 	for !p.stopped {
-		if n := min(p.skip, len(b)-done); n > 0 {
-			p.skip -= n
+		if n := min(p.skipBytes, len(b)-done); n > 0 {
+			p.skipBytes -= n
 			done += n
 		}
-		if p.skip > 0 || done == len(b) {
+		if p.skipBytes > 0 || done == len(b) {
 			return done, nil
 		}
 		switch b[done] {
@@ -123,20 +123,20 @@
 			if p.Bounds.NoFrames {
 				return done, &Malformed{StatusBadRequest, -1, true, "interleaved data"}
 			}
-			at := b[done:]
-			if len(at) < 4 {
+			frame := b[done:]
+			if len(frame) < 4 {
 				return done, nil
 			}
-			size := 4 + int(at[2])<<8 + int(at[3])
-			if len(at) < size {
+			size := 4 + int(frame[2])<<8 + int(frame[3])
+			if len(frame) < size {
 				return done, nil
 			}
-			s.Frame(at[1], at[4:size])
+			handler.Frame(frame[1], frame[4:size])
 			done += size
 		case '\r', '\n': // blank lines between messages (RFC 2326 section 4)
 			done++
 		default:
-			n, err := p.message(b[done:], s)
+			n, err := p.parseMessage(b[done:], handler)
 			if n == 0 || err != nil {
 				return done, err
 			}
@@ -147,42 +147,42 @@
 }
 
 // message reads one message if its head and body are whole; 0 if more bytes are needed.
-func (p *Parser) message(b []byte, s Sink) (int, error) {
+func (p *Parser) parseMessage(b []byte, handler Handler) (int, error) {
 	if first := bytes.IndexByte(b, '\n'); first > p.Bounds.Line || first < 0 && len(b) > p.Bounds.Line {
-		return 0, &Malformed{StatusURITooLong, -1, !isAnswer(b), "first line too long"}
+		return 0, &Malformed{StatusURITooLong, -1, !isResponse(b), "first line too long"}
 	}
-	end, next := headEnd(b, p.scanned)
+	end, next := findHeadEnd(b, p.scanned)
 	if end > p.Bounds.Head || end < 0 && len(b) > p.Bounds.Head+3 {
-		return 0, &Malformed{StatusBadRequest, -1, !isAnswer(b), "head too long"}
+		return 0, &Malformed{StatusBadRequest, -1, !isResponse(b), "head too long"}
 	}
 	if end < 0 {
 		p.scanned = max(len(b)-3, 0)
 		return 0, nil
 	}
-	m, size, bad := p.head(b[:end])
+	message, size, malformed := p.parseHead(b[:end])
 	if size < 0 { // where the next message begins cannot be known
-		return 0, bad
+		return 0, malformed
 	}
 	if size > p.Bounds.Body {
-		bad = &Malformed{StatusTooLarge, bad.cseq(m), !isAnswer(b), "body too long"}
+		malformed = &Malformed{StatusEntityTooLarge, malformed.cseq(message), !isResponse(b), "body too long"}
 		if size > 16*p.Bounds.Body {
-			return 0, bad
+			return 0, malformed
 		}
-		p.skip = size
+		p.skipBytes = size
 	} else if len(b)-next < size {
 		p.scanned = max(end-4, 0)
 		return 0, nil
-	} else if bad == nil {
-		m.Body = b[next : next+size]
+	} else if malformed == nil {
+		message.Body = b[next : next+size]
 		next += size
 	} else {
 		next += size
 	}
 	p.scanned = 0
-	if bad != nil {
-		s.Bad(bad)
+	if malformed != nil {
+		handler.Bad(malformed)
 	} else {
-		s.Message(m)
+		handler.Message(message)
 	}
 	return next, nil
 }
@@ -194,10 +194,10 @@
 	return m.CSeq
 }
 
-func isAnswer(b []byte) bool { return bytes.HasPrefix(b, []byte("RTSP/")) }
+func isResponse(b []byte) bool { return bytes.HasPrefix(b, []byte("RTSP/")) }
 
 // headEnd finds the blank line that ends a head: where the head's lines end and where what follows begins.
-func headEnd(b []byte, from int) (end, next int) {
+func findHeadEnd(b []byte, from int) (end, next int) {
 	for i := max(from, 0); i < len(b); i++ {
 		j := bytes.IndexByte(b[i:], '\n')
 		if j < 0 {
@@ -215,42 +215,42 @@
 }
 
 // head reads the lines of a message. The size of the body is -1 if it cannot be known.
-func (p *Parser) head(b []byte) (m *Message, size int, bad *Malformed) {
-	m = &Message{CSeq: -1}
-	request := !isAnswer(b)
-	fail := func(status int, what string) {
-		if bad == nil {
-			bad = &Malformed{Status: status, Request: request, What: what}
+func (p *Parser) parseHead(b []byte) (message *Message, size int, malformed *Malformed) {
+	message = &Message{CSeq: -1}
+	request := !isResponse(b)
+	fail := func(status int, problem string) {
+		if malformed == nil {
+			malformed = &Malformed{Status: status, Request: request, Problem: problem}
 		}
 	}
 	text := string(b)
 	first, rest, _ := strings.Cut(text, "\n")
-	if e := m.first(strings.TrimSuffix(first, "\r"), request); e != "" {
+	if problem := message.parseStartLine(strings.TrimSuffix(first, "\r"), request); problem != "" {
 		status := StatusBadRequest
-		if e == badVersion {
-			status = StatusVersion
+		if problem == unsupportedVersion {
+			status = StatusVersionNotSupported
 		}
-		fail(status, e)
+		fail(status, problem)
 	}
-	lengths := 0
+	contentLengths := 0
 	for len(rest) > 0 {
-		var l string
-		l, rest, _ = strings.Cut(rest, "\n")
-		l = strings.TrimSuffix(l, "\r")
-		if len(l) > p.Bounds.Line {
+		var line string
+		line, rest, _ = strings.Cut(rest, "\n")
+		line = strings.TrimSuffix(line, "\r")
+		if len(line) > p.Bounds.Line {
 			fail(StatusBadRequest, "header line too long")
 			continue
 		}
-		if l != "" && (l[0] == ' ' || l[0] == '\t') { // a folded line
-			if n := len(m.Header); n > 0 {
-				m.Header[n-1].Value += " " + strings.TrimSpace(l)
+		if line != "" && (line[0] == ' ' || line[0] == '\t') { // a folded line
+			if n := len(message.Header); n > 0 {
+				message.Header[n-1].Value += " " + strings.TrimSpace(line)
 			} else {
 				fail(StatusBadRequest, "folded line before the first header")
 			}
 			continue
 		}
-		name, value, ok := strings.Cut(l, ":")
-		if !ok || !token(name) {
+		name, value, ok := strings.Cut(line, ":")
+		if !ok || !isToken(name) {
 			fail(StatusBadRequest, "header line without a name")
 			continue
 		}
@@ -261,35 +261,35 @@
 			if err != nil {
 				fail(StatusBadRequest, "CSeq is not a number")
 			} else {
-				m.CSeq = int(n)
+				message.CSeq = int(n)
 			}
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
-			if lengths++; err != nil || lengths > 1 && int(n) != size {
-				return m, -1, &Malformed{StatusBadRequest, m.CSeq, request, "Content-Length is not one number"}
+			if contentLengths++; err != nil || contentLengths > 1 && int(n) != size {
+				return message, -1, &Malformed{StatusBadRequest, message.CSeq, request, "Content-Length is not one number"}
 			}
 			size = int(n)
-		case len(m.Header) == p.Bounds.Fields:
+		case len(message.Header) == p.Bounds.Fields:
 			fail(StatusBadRequest, "too many header lines")
 		default:
-			m.Header = append(m.Header, Field{name, value})
+			message.Header = append(message.Header, Field{name, value})
 		}
 	}
-	if request && m.CSeq < 0 {
+	if request && message.CSeq < 0 {
 		fail(StatusBadRequest, "no CSeq")
 	}
-	if bad != nil {
-		bad.CSeq = m.CSeq
+	if malformed != nil {
+		malformed.CSeq = message.CSeq
 	}
-	return m, size, bad
+	return message, size, malformed
 }
 
-const badVersion = "version is not " + Version
+const unsupportedVersion = "version is not " + Version
 
 // first reads a request line or a status line (RFC 2326 sections 6.1, 7.1); empty if it is well formed.
-func (m *Message) first(l string, request bool) string {
+func (m *Message) parseStartLine(line string, request bool) string {
 	if !request {
-		version, rest, _ := strings.Cut(l, " ")
+		version, rest, _ := strings.Cut(line, " ")
 		code, reason, _ := strings.Cut(rest, " ")
 		n, err := strconv.ParseUint(code, 10, 16)
 		if err != nil || len(code) != 3 || n < 100 || n > 599 {
@@ -297,18 +297,18 @@
 		}
 		m.Status, m.Reason = int(n), reason
 		if version != Version {
-			return badVersion
+			return unsupportedVersion
 		}
 		return ""
 	}
-	w := strings.Fields(l)
-	if len(w) != 3 || !token(w[0]) {
+	words := strings.Fields(line)
+	if len(words) != 3 || !isToken(words[0]) {
 		return "request line is not METHOD URI VERSION"
 	}
-	m.Method, m.URI = w[0], w[1]
-	if w[2] != Version {
-		if strings.HasPrefix(w[2], "RTSP/") {
-			return badVersion
+	m.Method, m.URI = words[0], words[1]
+	if words[2] != Version {
+		if strings.HasPrefix(words[2], "RTSP/") {
+			return unsupportedVersion
 		}
 		return "request line is not METHOD URI VERSION"
 	}
@@ -316,9 +316,9 @@
 }
 
 // token tells whether s is a token (RFC 2326 section 15.1).
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
-		if c := s[i]; c <= ' ' || c >= 127 || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
+		if char := s[i]; char <= ' ' || char >= 127 || strings.IndexByte(`()<>@,;:\"/[]?={}`, char) >= 0 {
 			return false
 		}
 	}
--- a/internal/rtsp/parser_test.go
+++ b/internal/rtsp/parser_test.go
@@ -9,30 +9,30 @@
 )
 
 // log writes down what a parser finds.
-type log struct{ lines []string }
+type recorder struct{ lines []string }
 
-func (l *log) Message(m *Message) {
+func (l *recorder) Message(m *Message) {
 	l.lines = append(l.lines, fmt.Sprintf("message %s %s %d %d %v %q", m.Method, m.URI, m.Status, m.CSeq, m.Header, m.Body))
 }
-func (l *log) Frame(c byte, p []byte) {
+func (l *recorder) Frame(c byte, p []byte) {
 	l.lines = append(l.lines, fmt.Sprintf("frame %d %x", c, p))
 }
-func (l *log) Bad(e *Malformed) {
+func (l *recorder) Bad(e *Malformed) {
 	l.lines = append(l.lines, fmt.Sprintf("bad %d %d %t", e.Status, e.CSeq, e.Request))
 }
 
 func feed(chunks ...[]byte) string {
-	p, l := &Parser{Bounds: Usual}, &log{}
+	parser, rec := &Parser{Bounds: Usual}, &recorder{}
 	for _, c := range chunks {
-		if err := p.Feed(c, l); err != nil {
-			l.lines = append(l.lines, fmt.Sprintf("end %d", err.(*Malformed).Status))
+		if err := parser.Feed(c, rec); err != nil {
+			rec.lines = append(rec.lines, fmt.Sprintf("end %d", err.(*Malformed).Status))
 			break
 		}
 	}
-	return strings.Join(l.lines, "\n")
+	return strings.Join(rec.lines, "\n")
 }
 
-func mixed() []byte {
+func mixedMessages() []byte {
 	var b []byte
 	b = Request(Setup, "rtsp://a/live/t/track0?top=2", 7).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(b)
 	b = AppendFrame(b, 3, []byte("\r\n\r\n$$"))
@@ -45,19 +45,19 @@
 }
 
 func TestAnySplit(t *testing.T) {
-	all := mixed()
-	want := feed(all)
+	encoded := mixedMessages()
+	want := feed(encoded)
 	if n := strings.Count(want, "\n"); n != 4 || strings.Contains(want, "bad") {
 		t.Fatal(want)
 	}
-	for i := range all {
-		if got := feed(all[:i], all[i:]); got != want {
+	for i := range encoded {
+		if got := feed(encoded[:i], encoded[i:]); got != want {
 			t.Fatalf("split at %d: %s", i, got)
 		}
 	}
-	single := make([][]byte, len(all))
-	for i := range all {
-		single[i] = all[i : i+1]
+	single := make([][]byte, len(encoded))
+	for i := range encoded {
+		single[i] = encoded[i : i+1]
 	}
 	if got := feed(single...); got != want {
 		t.Fatal("byte by byte:", got)
@@ -97,13 +97,13 @@
 // A sender that never ends a message makes the parser hold no more than its bounds.
 func TestBounded(t *testing.T) {
 	for _, unit := range []string{"x", "A: b\r\n", "$\x00\xff\xff", "\r\n", "RTSP/1.0 200 OK\r\n"} {
-		p, l := &Parser{Bounds: Usual}, &log{}
+		parser, rec := &Parser{Bounds: Usual}, &recorder{}
 		for i := range 100_000 {
-			if p.Feed([]byte(unit), l) != nil {
+			if parser.Feed([]byte(unit), rec) != nil {
 				break
 			}
-			if p.Held() > 1<<16+4+len(unit) {
-				t.Fatalf("%q: %d bytes held after %d", unit, p.Held(), i)
+			if parser.Held() > 1<<16+4+len(unit) {
+				t.Fatalf("%q: %d bytes held after %d", unit, parser.Held(), i)
 			}
 		}
 	}
@@ -126,16 +126,16 @@
 	}
 }
 
-func fuzz(f *testing.F, seeds ...[]byte) {
+func fuzzSplits(f *testing.F, seeds ...[]byte) {
 	for _, s := range seeds {
 		f.Add(s, uint64(1))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, seed uint64) {
 		want := feed(b)
-		r := rand.New(rand.NewPCG(seed, 2))
+		random := rand.New(rand.NewPCG(seed, 2))
 		var parts [][]byte
 		for rest := b; len(rest) > 0; {
-			n := 1 + r.IntN(len(rest))
+			n := 1 + random.IntN(len(rest))
 			parts = append(parts, bytes.Clone(rest[:n]))
 			rest = rest[n:]
 		}
@@ -146,7 +146,7 @@
 }
 
 func FuzzRequests(f *testing.F) {
-	fuzz(f, Request(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
+	fuzzSplits(f, Request(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
 }
-func FuzzAnswers(f *testing.F) { fuzz(f, Answer(453, 2).With("Retry-After", "2").Append(nil)) }
-func FuzzMixed(f *testing.F)   { fuzz(f, mixed()) }
+func FuzzAnswers(f *testing.F) { fuzzSplits(f, Answer(453, 2).With("Retry-After", "2").Append(nil)) }
+func FuzzMixed(f *testing.F)   { fuzzSplits(f, mixedMessages()) }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -25,15 +25,15 @@
 	"pierlink/session"
 )
 
-const queued = 1 << 12 // stories that wait for the file; beyond, they are lost and counted
+const queueCapacity = 1 << 12 // stories that wait for the file; beyond, they are lost and counted
 
-var outcomes = map[session.Outcome]string{-1: "plays", session.OK: "ended", session.Failed: "failed", session.Full: "full", session.TimedOut: "timed out",
+var outcomeNames = map[session.Outcome]string{-1: "plays", session.OK: "ended", session.Failed: "failed", session.Full: "full", session.TimedOut: "timed out",
 	session.NoConnection: "no connection", session.Reset: "reset", session.Cancelled: "cancelled", session.NotSent: "not sent"}
 
 // File writes stories to a file as spans: one for the playback, and under it door, decision and each try.
-type File struct {
-	part     float64
-	in       chan *front.Story
+type Writer struct {
+	ratio    float64
+	queue    chan *front.Story
 	done     chan struct{}
 	file     *os.File
 	provider *sdk.TracerProvider
@@ -43,79 +43,79 @@
 
 // NewFile appends to a file the stories of a part of the playbacks. Which ones follows from their names, so that
 // all session managers keep the same ones.
-func NewFile(path string, part float64) (*File, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func NewFile(path string, ratio float64) (*Writer, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	x, err := stdouttrace.New(stdouttrace.WithWriter(f))
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		return nil, errors.Join(err, f.Close())
+		return nil, errors.Join(err, file.Close())
 	}
-	w := &File{part: part, in: make(chan *front.Story, queued), done: make(chan struct{}), file: f,
-		provider: sdk.NewTracerProvider(sdk.WithSyncer(x), sdk.WithSampler(sdk.AlwaysSample()))}
-	go w.run()
-	return w, nil
+	writer := &Writer{ratio: ratio, queue: make(chan *front.Story, queueCapacity), done: make(chan struct{}), file: file,
+		provider: sdk.NewTracerProvider(sdk.WithSyncer(exporter), sdk.WithSampler(sdk.AlwaysSample()))}
+	go writer.run()
+	return writer, nil
 }
 
 // Sampled tells whether a playback of a name is of the part that is kept.
-func Sampled(name string, part float64) bool {
-	return float64(xxhash.Sum64String(name)>>11)/(1<<53) < part
+func Sampled(requestID string, ratio float64) bool {
+	return float64(xxhash.Sum64String(requestID)>>11)/(1<<53) < ratio
 }
 
 // Tell takes a story, without waiting for the file.
-func (w *File) Tell(s *front.Story) {
-	if !Sampled(s.Name, w.part) {
+func (w *Writer) Tell(playback *front.Story) {
+	if !Sampled(playback.Name, w.ratio) {
 		return
 	}
 	select {
-	case w.in <- s:
+	case w.queue <- playback:
 	default:
 		w.Lost.Add(1)
 	}
 }
 
 // Close writes what waits. Nothing is told afterwards.
-func (w *File) Close() error {
+func (w *Writer) Close() error {
 	var err error
 	w.closing.Do(func() {
-		close(w.in)
+		close(w.queue)
 		<-w.done
 		err = errors.Join(w.provider.Shutdown(context.Background()), w.file.Close())
 	})
 	return err
 }
 
-func (w *File) run() {
+func (w *Writer) run() {
 	defer close(w.done)
-	t := w.provider.Tracer("pierlink")
-	at := func(x front.Time) time.Time { return time.UnixMicro(x) }
-	for s := range w.in {
-		ctx, root := t.Start(context.Background(), "playback", trace.WithTimestamp(at(s.Taken)), trace.WithAttributes(
-			attribute.String("request", s.Name), attribute.String("front", s.Front), attribute.String("plan", s.Plan),
-			attribute.String("title", s.Title), attribute.String("tenant", s.Tenant), attribute.Int("status", s.Status),
-			attribute.Int("rung", s.Rung), attribute.Int("top", s.Top), attribute.Int64("startup_us", s.Startup),
-			attribute.Int64("abandon_us", s.Abandon)))
-		child := func(name string, from, to front.Time, a ...attribute.KeyValue) {
-			_, c := t.Start(ctx, name, trace.WithTimestamp(at(from)), trace.WithAttributes(a...))
-			c.End(trace.WithTimestamp(at(to)))
+	tracer := w.provider.Tracer("pierlink")
+	timestamp := func(attempt front.Time) time.Time { return time.UnixMicro(attempt) }
+	for playback := range w.queue {
+		ctx, root := tracer.Start(context.Background(), "playback", trace.WithTimestamp(timestamp(playback.ReceivedAt)), trace.WithAttributes(
+			attribute.String("request", playback.Name), attribute.String("front", playback.Front), attribute.String("plan", playback.Plan),
+			attribute.String("title", playback.Title), attribute.String("tenant", playback.Tenant), attribute.Int("status", playback.Status),
+			attribute.Int("rung", playback.Rung), attribute.Int("top", playback.TopRung), attribute.Int64("startup_us", playback.StartupTarget),
+			attribute.Int64("abandon_us", playback.AbandonTime)))
+		child := func(name string, from, to front.Time, attributes ...attribute.KeyValue) {
+			_, child := tracer.Start(ctx, name, trace.WithTimestamp(timestamp(from)), trace.WithAttributes(attributes...))
+			child.End(trace.WithTimestamp(timestamp(to)))
 		}
-		end := s.Answered
-		if s.Admitted > 0 {
-			end = s.Admitted
+		end := playback.AnsweredAt
+		if playback.AdmittedAt > 0 {
+			end = playback.AdmittedAt
 		}
-		child("door", s.Taken, end)
-		from := s.Admitted
-		for i, x := range s.Attempts {
-			child("decision", from, x.At)
-			child("try", x.At, x.At+x.Took, attribute.Int("number", i), attribute.String("box", x.Box), attribute.Int("rung", x.Rung),
-				attribute.String("outcome", outcomes[x.Outcome]))
-			from = x.At + x.Took
+		child("door", playback.ReceivedAt, end)
+		from := playback.AdmittedAt
+		for i, attempt := range playback.Attempts {
+			child("decision", from, attempt.StartedAt)
+			child("try", attempt.StartedAt, attempt.StartedAt+attempt.Duration, attribute.Int("number", i), attribute.String("box", attempt.Box), attribute.Int("rung", attempt.Rung),
+				attribute.String("outcome", outcomeNames[attempt.Outcome]))
+			from = attempt.StartedAt + attempt.Duration
 		}
-		if s.Admitted > 0 && s.Answered > from {
-			child("decision", from, s.Answered)
+		if playback.AdmittedAt > 0 && playback.AnsweredAt > from {
+			child("decision", from, playback.AnsweredAt)
 		}
-		root.End(trace.WithTimestamp(at(s.Answered)))
+		root.End(trace.WithTimestamp(timestamp(playback.AnsweredAt)))
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *span) get(key string) string {
+func (s *span) attribute(key string) string {
 	for _, a := range s.Attributes {
 		if a.Key == key {
 			switch v := a.Value.Value.(type) {
@@ -150,118 +150,118 @@
 var ErrNone = errors.New("no such playback is kept; perhaps it was not sampled, or is not answered yet")
 
 // Read finds a playback's stories in a file of spans: one for each asking of that name.
-func Read(r io.Reader, name string) (all []*front.Story, err error) {
+func Read(r io.Reader, requestID string) (playbacks []*front.Story, err error) {
 	spans := map[string][]*span{}
 	roots := []*span{}
 	rows := bufio.NewReader(r)
-	for d := json.NewDecoder(rows); ; {
-		s := &span{}
-		if err := d.Decode(s); errors.Is(err, io.EOF) {
+	for decoder := json.NewDecoder(rows); ; {
+		record := &span{}
+		if err := decoder.Decode(record); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return nil, fmt.Errorf("not a file of spans: %w", err)
 		}
-		if s.Name == "playback" && s.get("request") == name {
-			roots = append(roots, s)
+		if record.Name == "playback" && record.attribute("request") == requestID {
+			roots = append(roots, record)
 			continue
 		}
-		spans[s.SpanContext.TraceID] = append(spans[s.SpanContext.TraceID], s)
+		spans[record.SpanContext.TraceID] = append(spans[record.SpanContext.TraceID], record)
 	}
 	for _, root := range roots {
-		n := func(key string) int { x, _ := strconv.Atoi(root.get(key)); return x }
-		s := &front.Story{Front: root.get("front"), Name: name, Plan: root.get("plan"), Title: root.get("title"), Tenant: root.get("tenant"),
-			Taken: root.StartTime.UnixMicro(), Answered: root.EndTime.UnixMicro(), Status: n("status"), Rung: n("rung"), Top: n("top"),
-			Startup: front.Time(n("startup_us")), Abandon: front.Time(n("abandon_us"))}
-		for _, c := range spans[root.SpanContext.TraceID] {
-			switch c.Name {
+		number := func(key string) int { x, _ := strconv.Atoi(root.attribute(key)); return x }
+		playback := &front.Story{Front: root.attribute("front"), Name: requestID, Plan: root.attribute("plan"), Title: root.attribute("title"), Tenant: root.attribute("tenant"),
+			ReceivedAt: root.StartTime.UnixMicro(), AnsweredAt: root.EndTime.UnixMicro(), Status: number("status"), Rung: number("rung"), TopRung: number("top"),
+			StartupTarget: front.Time(number("startup_us")), AbandonTime: front.Time(number("abandon_us"))}
+		for _, child := range spans[root.SpanContext.TraceID] {
+			switch child.Name {
 			case "decision":
-				if s.Admitted == 0 {
-					s.Admitted = c.StartTime.UnixMicro()
+				if playback.AdmittedAt == 0 {
+					playback.AdmittedAt = child.StartTime.UnixMicro()
 				}
 			case "try":
-				x := front.Attempt{Box: c.get("box"), At: c.StartTime.UnixMicro(), Took: c.EndTime.Sub(c.StartTime).Microseconds()}
-				x.Rung, _ = strconv.Atoi(c.get("rung"))
-				for o, word := range outcomes {
-					if word == c.get("outcome") {
-						x.Outcome = o
+				attempt := front.Attempt{Box: child.attribute("box"), StartedAt: child.StartTime.UnixMicro(), Duration: child.EndTime.Sub(child.StartTime).Microseconds()}
+				attempt.Rung, _ = strconv.Atoi(child.attribute("rung"))
+				for o, word := range outcomeNames {
+					if word == child.attribute("outcome") {
+						attempt.Outcome = o
 					}
 				}
-				s.Attempts = append(s.Attempts, x)
+				playback.Attempts = append(playback.Attempts, attempt)
 			}
 		}
-		all = append(all, s)
+		playbacks = append(playbacks, playback)
 	}
-	if len(all) == 0 {
+	if len(playbacks) == 0 {
 		return nil, ErrNone
 	}
-	return all, nil
+	return playbacks, nil
 }
 
-func ms(t front.Time) string {
-	if t >= 1_000_000 {
-		return fmt.Sprintf("%.2f s", float64(t)/1e6)
+func formatDuration(duration front.Time) string {
+	if duration >= 1_000_000 {
+		return fmt.Sprintf("%.2f s", float64(duration)/1e6)
 	}
-	return fmt.Sprintf("%.1f ms", float64(t)/1e3)
+	return fmt.Sprintf("%.1f ms", float64(duration)/1e3)
 }
 
 // Words tells a story.
-func Words(s *front.Story) string {
-	var b strings.Builder
-	say := func(format string, a ...any) { fmt.Fprintf(&b, format+"\n", a...) }
-	who := ""
-	if s.Tenant != "" {
-		who = " of " + s.Tenant
+func Words(playback *front.Story) string {
+	var text strings.Builder
+	writeLine := func(format string, a ...any) { fmt.Fprintf(&text, format+"\n", a...) }
+	tenant := ""
+	if playback.Tenant != "" {
+		tenant = " of " + playback.Tenant
 	}
-	say("%s%s asked %s for %s/%s, up to rung %d; it had to play within %s, and be answered within %s.", s.Name, who, s.Front, s.Plan, s.Title, s.Top,
-		ms(s.Startup), ms(s.Abandon))
-	if s.Admitted == 0 {
-		say("It was not put before the decisions: after %s at the door it was answered %d.", ms(s.Answered-s.Taken), s.Status)
-		return b.String()
+	writeLine("%s%s asked %s for %s/%s, up to rung %d; it had to play within %s, and be answered within %s.", playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
+		formatDuration(playback.StartupTarget), formatDuration(playback.AbandonTime))
+	if playback.AdmittedAt == 0 {
+		writeLine("It was not put before the decisions: after %s at the door it was answered %d.", formatDuration(playback.AnsweredAt-playback.ReceivedAt), playback.Status)
+		return text.String()
 	}
-	if w := s.Admitted - s.Taken; w > 0 {
-		say("It waited at the door for %s.", ms(w))
+	if wait := playback.AdmittedAt - playback.ReceivedAt; wait > 0 {
+		writeLine("It waited at the door for %s.", formatDuration(wait))
 	}
-	from := s.Admitted
-	for i, x := range s.Attempts {
-		if w := x.At - from; w > 0 {
-			say("The decision where to try took %s.", ms(w))
+	from := playback.AdmittedAt
+	for i, attempt := range playback.Attempts {
+		if wait := attempt.StartedAt - from; wait > 0 {
+			writeLine("The decision where to try took %s.", formatDuration(wait))
 		}
-		what := outcomes[x.Outcome]
-		if x.Outcome < 0 {
-			what = "played"
+		outcome := outcomeNames[attempt.Outcome]
+		if attempt.Outcome < 0 {
+			outcome = "played"
 		}
-		say("Try %d, at %s and rung %d: %s after %s.", i, x.Box, x.Rung, what, ms(x.Took))
-		from = x.At + x.Took
+		writeLine("Try %d, at %s and rung %d: %s after %s.", i, attempt.Box, attempt.Rung, outcome, formatDuration(attempt.Duration))
+		from = attempt.StartedAt + attempt.Duration
 	}
-	if len(s.Attempts) == 0 {
-		say("No try was made.")
+	if len(playback.Attempts) == 0 {
+		writeLine("No try was made.")
 	}
-	all := s.Answered - s.Taken
+	total := playback.AnsweredAt - playback.ReceivedAt
 	switch {
-	case s.Status == 200 && all <= s.Startup:
-		say("It played after %s, within its startup target.", ms(all))
-	case s.Status == 200:
-		say("It played after %s, %s past its startup target. Most of the time went to %s.", ms(all), ms(all-s.Startup), most(s))
-	case s.Status == 453 || s.Status == 503 || s.Status == 302:
-		say("It was refused (%d) after %s.", s.Status, ms(all))
+	case playback.Status == 200 && total <= playback.StartupTarget:
+		writeLine("It played after %s, within its startup target.", formatDuration(total))
+	case playback.Status == 200:
+		writeLine("It played after %s, %s past its startup target. Most of the time went to %s.", formatDuration(total), formatDuration(total-playback.StartupTarget), longestPhase(playback))
+	case playback.Status == 453 || playback.Status == 503 || playback.Status == 302:
+		writeLine("It was refused (%d) after %s.", playback.Status, formatDuration(total))
 	default:
-		say("It failed (%d) after %s. Most of the time went to %s.", s.Status, ms(all), most(s))
+		writeLine("It failed (%d) after %s. Most of the time went to %s.", playback.Status, formatDuration(total), longestPhase(playback))
 	}
-	return b.String()
+	return text.String()
 }
 
 // most names what took most of a playback's time.
-func most(s *front.Story) string {
-	door, tries, failed := s.Admitted-s.Taken, front.Time(0), front.Time(0)
-	for _, x := range s.Attempts {
-		tries += x.Took
-		if x.Outcome >= 0 {
-			failed += x.Took
+func longestPhase(playback *front.Story) string {
+	admission, tries, failed := playback.AdmittedAt-playback.ReceivedAt, front.Time(0), front.Time(0)
+	for _, attempt := range playback.Attempts {
+		tries += attempt.Duration
+		if attempt.Outcome >= 0 {
+			failed += attempt.Duration
 		}
 	}
-	decisions := s.Answered - s.Admitted - tries
-	switch max(door, decisions, tries-failed, failed) {
-	case door:
+	decisions := playback.AnsweredAt - playback.AdmittedAt - tries
+	switch max(admission, decisions, tries-failed, failed) {
+	case admission:
 		return "the door"
 	case decisions:
 		return "decisions"
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,21 +13,21 @@
 // A story comes back from its file as it was told, among others; its words name what took the time.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans")
-	w, err := NewFile(path, 1)
+	writer, err := NewFile(path, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &front.Story{Front: "f", Name: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, Top: 3, Taken: 1_000_000, Admitted: 1_300_000,
-		Answered: 4_000_000, Status: 200, Startup: 1_000_000, Abandon: 4_000_000, Attempts: []front.Attempt{
-			{Box: "box-1", Rung: 2, At: 1_310_000, Took: 2_000_000, Outcome: session.TimedOut}, {Box: "box-2", Rung: 1, At: 3_400_000, Took: 600_000, Outcome: -1}}}
+	playback := &front.Story{Front: "f", Name: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, TopRung: 3, ReceivedAt: 1_000_000, AdmittedAt: 1_300_000,
+		AnsweredAt: 4_000_000, Status: 200, StartupTarget: 1_000_000, AbandonTime: 4_000_000, Attempts: []front.Attempt{
+			{Box: "box-1", Rung: 2, StartedAt: 1_310_000, Duration: 2_000_000, Outcome: session.TimedOut}, {Box: "box-2", Rung: 1, StartedAt: 3_400_000, Duration: 600_000, Outcome: -1}}}
 	for _, name := range []string{"pb6", "pb8"} {
-		x := *s
-		x.Name = name
-		w.Tell(&x)
+		other := *playback
+		other.Name = name
+		writer.Tell(&other)
 	}
-	w.Tell(s)
-	w.Tell(&front.Story{Name: "pb9", Front: "f", Taken: 1, Answered: 500_001, Status: 503})
-	if err := w.Close(); err != nil {
+	writer.Tell(playback)
+	writer.Tell(&front.Story{Name: "pb9", Front: "f", ReceivedAt: 1, AnsweredAt: 500_001, Status: 503})
+	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	read := func(name string) (*front.Story, error) {
@@ -43,8 +43,8 @@
 		return all[0], nil
 	}
 	got, err := read("pb7")
-	if err != nil || len(got.Attempts) != 2 || got.Attempts[0] != s.Attempts[0] || got.Attempts[1] != s.Attempts[1] || got.Admitted != s.Admitted ||
-		got.Answered != s.Answered || got.Tenant != "x" {
+	if err != nil || len(got.Attempts) != 2 || got.Attempts[0] != playback.Attempts[0] || got.Attempts[1] != playback.Attempts[1] || got.AdmittedAt != playback.AdmittedAt ||
+		got.AnsweredAt != playback.AnsweredAt || got.Tenant != "x" {
 		t.Fatalf("%+v %v", got, err)
 	}
 	if _, err := read("pb1"); err == nil {
