--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -17,23 +17,24 @@
 	"pierlink/internal/tenants"
 )
 
-// Gate is who may play what. Its core is the front's own: asked in its turns, and settled with it.
+// Gate authenticates accounts and checks which titles they may play. Its core belongs to the front: it is
+// called and settled in the front's turns.
 type Gate struct {
 	Core    *tenants.Core
-	Ask     func(tenants.Want) // carries out what the core wants to know
-	Realm   string             // of authentication; empty for none: accounts are taken at their word
-	Basic   bool               // passwords are taken too, over encrypted connections only
-	Guesses tenants.Guesses
-	Rows    tenants.Rows // of tenants that the settings do not name, in the module's table
+	Ask     func(tenants.Want) // starts the directory requests that the core wants
+	Realm   string             // authentication realm; empty disables authentication and trusts the account in the URL
+	Basic   bool               // also accept Basic authentication, over encrypted connections only
+	Guesses tenants.Guesses    // limits failed authentication attempts
+	Rows    tenants.Rows       // rows in the module's tenant table for tenants that the settings do not name
 }
 
-// nonceFor is how long a nonce is good, in session time-outs.
+// nonceSessionTimeouts is the lifetime of a nonce, in session timeouts.
 const nonceSessionTimeouts = 8
 
-// gated puts a new playback before the gate.
-func (f *Front) authorize(pb *playback, message *rtsp.Message) {
-	authorization := parseAuthorization(message.Get("Authorization"))
-	pb.credentials = requestCredentials{authorization: authorization, method: message.Method, token: message.Get("Come-Again"), requestBytes: requestSize(message)}
+// authorize starts access control for a new playback.
+func (f *Front) authorize(pb *playback, request *rtsp.Message) {
+	authorization := parseAuthorization(request.Get("Authorization"))
+	pb.credentials = requestCredentials{authorization: authorization, method: request.Method, token: request.Get("Come-Again"), requestBytes: requestSize(request)}
 	account := pb.target.tenantName
 	if f.Gate.Realm != "" {
 		if account = authorization["username"]; account == "" || !f.Gate.Guesses.May(tenants.Fold(account), hostOf(pb.player.address), f.now) {
@@ -45,7 +46,7 @@
 	f.requestAuthorization(pb)
 }
 
-// question asks the gate's core.
+// requestAuthorization asks the core of the access control; the answer may come in a later turn.
 func (f *Front) requestAuthorization(pb *playback) {
 	f.lastQueueID++
 	pb.authorizationID = f.lastQueueID
@@ -54,7 +55,8 @@
 		Until: decisionDeadline(pb.receivedAt, pb.abandonTime), Doubt: pb.rechecked}))
 }
 
-// admitted takes the gate's answer. What an account may not do and one that does not exist get the same.
+// authorized handles the answer of the access control. An account without permission and an account that does
+// not exist get the same response.
 func (f *Front) authorized(answer tenants.Answer) {
 	pb := f.authorizing[answer.ID]
 	if pb == nil || answer.Verdict == tenants.Wait {
@@ -66,7 +68,7 @@
 	}
 	if f.Gate.Realm != "" && answer.Verdict != tenants.Busy {
 		if ok, stale := f.verifyCredentials(pb); !ok {
-			if !stale && !pb.rechecked { // the password may be new; and one that is not there has been looked up too
+			if !stale && !pb.rechecked { // the password may have changed: look the account up again, known or not
 				pb.rechecked = true
 				f.requestAuthorization(pb)
 				return
@@ -87,7 +89,7 @@
 			f.reject(pb, retryLaterResponse(f.retryAdvice()))
 			return
 		}
-		pb.target.queueTenant = pb.seat // over a rename too
+		pb.target.queueTenant = pb.seat // the directory entry's id survives a rename
 		if pb.target.tenant = slices.Index(f.Tenants, answer.Tenant); pb.target.tenant < 0 {
 			pb.target.tenant = f.Gate.Rows.Row(pb.seat)
 		}
@@ -101,7 +103,7 @@
 	}
 }
 
-// unauthorised asks for credentials (RFC 2326 section 11.3, RFC 7616 section 3.3).
+// challenge answers 401 with a request for credentials (RFC 2326 section 11.3, RFC 7616 section 3.3).
 func (f *Front) challenge(pb *playback, stale bool) {
 	f.Figures.Refused++
 	challenge := `nonce="` + f.newNonce(f.now) + `", algorithm=SHA-256, qop="auth"`
@@ -113,10 +115,10 @@
 		response.With("WWW-Authenticate", `Basic realm="`+f.Gate.Realm+`"`)
 	}
 	f.reject(pb, response)
-	pb.player.lastRefused = nil // the same playback may come again at once, with credentials
+	pb.player.lastRefused = nil // the player may retry the playback at once, with credentials
 }
 
-// nonce says when it was made, under a key: nothing is kept for it.
+// newNonce returns a nonce that holds its time of issue and a MAC of it, so that the front stores no nonces.
 func (f *Front) newNonce(at Time) string {
 	if f.nonceMAC == nil {
 		f.nonceMAC = hmac.New(sha256.New, f.Secret)
@@ -127,7 +129,8 @@
 	return base64.RawURLEncoding.EncodeToString(append(b[:8], f.nonceMAC.Sum(nil)[:12]...))
 }
 
-// credentials reads an Authorization header: the scheme under "", a Basic's parts as username and password.
+// parseAuthorization parses an Authorization header into its parameters. The scheme is under the empty name,
+// and Basic credentials are under username and password.
 func parseAuthorization(header string) map[string]string {
 	scheme, rest, _ := strings.Cut(strings.TrimSpace(header), " ")
 	parameters := map[string]string{"": strings.ToLower(scheme)}
@@ -139,7 +142,7 @@
 		parameters["username"], parameters["password"], _ = strings.Cut(string(b), ":")
 		return parameters
 	}
-	for len(rest) > 0 { // name=value or name="value", with commas between
+	for len(rest) > 0 { // name=value or name="value", separated by commas
 		name, after, ok := strings.Cut(rest, "=")
 		if !ok {
 			break
@@ -163,39 +166,40 @@
 	return parameters
 }
 
-// unknown stands for the secret of an account that is not there: what is done for it takes as long.
+// unknownAccountDigest replaces the digest of an unknown account, so that the check takes as long as for a
+// known one.
 var unknownAccountDigest = strings.Repeat("0", 64)
 
-// proved checks a playback's credentials against what the directory has. stale tells of a nonce that is too old,
-// or another process's, under which the proof itself may be good.
+// verifyCredentials checks a playback's credentials against the directory's digest. stale reports that they are
+// valid but for a nonce that is too old or was issued by another process.
 func (f *Front) verifyCredentials(pb *playback) (ok, stale bool) {
 	authorization := pb.credentials.authorization
 	ha1, known := f.Gate.Core.Digest(authorization["username"])
 	if !known {
 		ha1 = unknownAccountDigest
 	}
-	legacyMD5 := len(ha1) == 2*md5.Size // a directory of before RFC 7616
+	legacyMD5 := len(ha1) == 2*md5.Size // the directory holds MD5 digests, from before RFC 7616
 	hash := func(parts ...string) string {
 		b := f.scratch[:0]
-		for i, p := range parts {
+		for i, part := range parts {
 			if i > 0 {
 				b = append(b, ':')
 			}
-			b = append(b, p...)
+			b = append(b, part...)
 		}
 		if f.scratch = b; legacyMD5 {
-			x := md5.Sum(b)
-			return hex.EncodeToString(x[:])
+			sum := md5.Sum(b)
+			return hex.EncodeToString(sum[:])
 		}
-		x := sha256.Sum256(b)
-		return hex.EncodeToString(x[:])
+		sum := sha256.Sum256(b)
+		return hex.EncodeToString(sum[:])
 	}
 	equal := func(x, y string) bool { return subtle.ConstantTimeCompare([]byte(x), []byte(y)) == 1 }
 	if authorization[""] == "basic" {
 		return equal(hash(authorization["username"], f.Gate.Realm, authorization["password"]), ha1) && known && f.Gate.Basic && pb.player.conn.Secure, false
 	}
 	expected := hash(ha1, authorization["nonce"], authorization["nc"], authorization["cnonce"], authorization["qop"], hash(pb.credentials.method, authorization["uri"]))
-	if authorization["qop"] == "" { // RFC 2069
+	if authorization["qop"] == "" { // client of RFC 2069
 		expected = hash(ha1, authorization["nonce"], hash(pb.credentials.method, authorization["uri"]))
 	}
 	valid := equal(expected, authorization["response"]) && known && authorization[""] == "digest" && authorization["realm"] == f.Gate.Realm && strings.HasPrefix(authorization["uri"], pb.target.pathPrefix())
@@ -208,14 +212,14 @@
 	return valid && fresh, valid && !fresh
 }
 
-// path is the beginning of a playback's URLs, without query.
+// pathPrefix returns the common beginning of a playback's URLs, without query.
 func (target *playbackTarget) pathPrefix() string {
 	base, _, _ := strings.Cut(target.baseURL, "?")
 	return base
 }
 
-// share gives tenants' shares that have changed to the module and to the door, all of a turn in one go. It tells when
-// it wants to be called again.
+// applyShares passes the tenant shares that changed in a turn to the module and to the admission queue, all at
+// once. It returns when it is due next.
 func (f *Front) applyShares() Time {
 	rows := &f.Gate.Rows
 	rows.First, rows.Size, rows.Rest = len(f.Tenants), len(f.Site.Tenants), f.SessionTimeout
@@ -227,7 +231,7 @@
 			rows.Want(record.ID, record.Quota)
 		}
 		weights[record.ID] = record.Weight
-		if record.Weight == 0 && f.Queue != nil && record.Kind == tenants.Tenant { // none of its own: what the settings say for its name
+		if record.Weight == 0 && f.Queue != nil && record.Kind == tenants.Tenant { // no weight in the directory: use the one in the settings
 			weights[record.ID] = f.Queue.Weights[record.Name]
 		}
 	}
@@ -253,27 +257,27 @@
 	return next
 }
 
-// Named is the name of who has a standing at the door.
-func (f *Front) Named(standing string) string {
+// Named returns the name of a tenant in the admission queue: the directory entry's name, or the id itself.
+func (f *Front) Named(id string) string {
 	if f.Gate != nil {
-		if name := f.Gate.Core.Name(standing); name != "" {
+		if name := f.Gate.Core.Name(id); name != "" {
 			return name
 		}
 	}
-	return standing
+	return id
 }
 
-// proof is what a playback brought to show who it is, and what is needed of its request later.
+// requestCredentials holds the credentials of a playback's first SETUP and what is needed of that request later.
 type requestCredentials struct {
-	authorization map[string]string
-	method, token string
+	authorization map[string]string // parameters of the Authorization header
+	method, token string            // the token is that of Come-Again
 	requestBytes  int
 }
 
-func requestSize(message *rtsp.Message) int {
-	bytes := len(message.URI) + len(message.Body)
-	for i := range message.Header {
-		bytes += len(message.Header[i].Name) + len(message.Header[i].Value)
+func requestSize(request *rtsp.Message) int {
+	bytes := len(request.URI) + len(request.Body)
+	for i := range request.Header {
+		bytes += len(request.Header[i].Name) + len(request.Header[i].Value)
 	}
 	return bytes
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
-// Package front is one session manager without its sockets: the players' dialogues, the dialogues with the
-// boxes (media servers), the map between both and the decision module's events and actions, and the relay
-// of interleaved RTP and RTCP. It keeps protocol state; every product decision is the module's, and what
-// the front decides on its own stands in rules.go.
+// Package front implements one session manager without its sockets: the RTSP connections of players, the
+// dialogues with boxes (media servers), the mapping of both to the events and actions of the decision module,
+// and the relay of interleaved RTP and RTCP. It holds protocol state; product decisions are made by the
+// module, and the few that the front makes itself are in rules.go.
 package front
 
 import (
@@ -25,63 +25,63 @@
 	"pierlink/session"
 )
 
-// Time is a clock value or span in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = core.Time
 
 // Track is one media stream of a title.
 type Track struct {
-	Media, Encoding string // as in SDP: video or audio; H264/90000
-	Payload         uint8
+	Media, Encoding string // as in SDP: video or audio; for example H264/90000
+	Payload         uint8  // RTP payload type
 }
 
-// Face is how a plan shows on the wire.
+// Face describes a plan as players see it: its name in URLs, its abandon time and its tracks.
 type Face struct {
 	Name    string
-	Abandon Time
+	Abandon Time // time after which a player gives up waiting for the SETUP response
 	Tracks  []Track
 }
 
-// Bounds are what a front may hold.
+// Bounds limits the resources that a front may use.
 type Bounds struct {
 	Connections, Playbacks int
-	Pipelined              int // requests of one connection not answered yet
-	PlayerBytes            int // waiting for one connection to take them
+	Pipelined              int // unanswered requests per connection
+	PlayerBytes            int // bytes queued for sending per connection
 }
 
-// Service is what a front is told at its start.
+// Service is the configuration of a front.
 type Service struct {
 	Name           string
 	Site           session.Site
-	Plans          []Face // in the site's order
+	Plans          []Face // in the order of Site.Plans
 	Tenants        []string
 	Zones, Kinds   []string
 	SessionTimeout Time
 	Bounds         Bounds
-	Secret         []byte      // of the session ids
-	Queue          *fair.Terms // of the door; nil asks the module at once
+	Secret         []byte      // key for session ids and nonces
+	Queue          *fair.Terms // terms of the admission queue; nil passes requests to the module at once
 	Limits         fair.Limits
-	Silent         bool          // no answer says when to come again
-	Journal        Journal       // nil for none
-	Gate           *Gate         // who may play what; nil for all
-	Quality        *quality.Core // service by rack and title; nil for none
-	Told           func(*Story)  // of each playback once it is answered; nil for none
+	Silent         bool          // refusals carry no Retry-After advice
+	Journal        Journal       // nil disables the journal
+	Gate           *Gate         // access control; nil allows all playbacks
+	Quality        *quality.Core // service quality by rack and title; nil disables it
+	Told           func(*Story)  // called for each playback once it is answered; may be nil
 }
 
-// Figures count what happened since the start.
+// Figures counts events since the start; its last line holds current values.
 type Figures struct {
-	Accepted, Turned                     int64 // connections
+	Accepted, Turned                     int64 // connections accepted, turned away
 	Requests, Malformed, Repeated        int64
-	Taken, Plays, Refused, Failed, Left  int64 // playbacks; each taken ends in one of the others
-	DoorRefused                          int64 // playbacks refused for want of numbers
-	Overdue                              int64 // answered in the module's place
+	Taken, Plays, Refused, Failed, Left  int64 // playbacks; each one taken is counted in one of the others too
+	DoorRefused                          int64 // playbacks refused at a limit of the front, before they are taken
+	Overdue                              int64 // playbacks answered by the front because the module did not decide in time
 	Tries, Lapsed, LateAnswers, Probes   int64
 	Packets, LostVideo, LostAudio        int64
 	SlowSenders, Overflowed, SessionsOut int64
-	SentOn, Shed                         int64 // told to go elsewhere; refused as the process is late with its work
-	Connections, Playbacks, Dialogues    int64 // now
+	SentOn, Shed                         int64 // sessions redirected; requests refused because the process is behind with its work
+	Connections, Playbacks, Dialogues    int64 // current numbers
 }
 
-// Front is one session manager. It is a core.Core; one goroutine owns it.
+// Front is one session manager. It implements core.Core and is owned by one goroutine.
 type Front struct {
 	*Service
 	Figures        Figures
@@ -90,26 +90,26 @@
 	module         session.Manager
 	now            Time
 	timers         core.Timers
-	deferred       []func() // events that came of the module's actions
+	deferred       []func() // events caused by the module's actions; run after them
 	boxes          []boxEntry
-	boxIndex       map[string]int
-	playbacks      []*playback
+	boxIndex       map[string]int // by name
+	playbacks      []*playback    // by the module's playback id; nil where the id is free
 	freeIDs        []int
 	sessions       map[string]*playback
 	titles         titleTable
-	lapsedTries    []*serverDialogue // oldest first
+	lapsedTries    []*serverDialogue // in stateLapsed, oldest first
 	unflushed      []*peerConn       // with bytes to send
-	freeBuffers    [][]byte          // free
+	freeBuffers    [][]byte
 	lastID         uint64
 	players        map[*peerConn]struct{}
 	stopped        bool
 	queue          *fair.Queue
-	changedShares  []tenants.Record // that have changed
-	qualityRecords int64            // of quality
-	nonceMAC       hash.Hash        // of nonces
+	changedShares  []tenants.Record // tenants whose shares changed in this turn
+	qualityRecords int64            // number of quality records begun
+	nonceMAC       hash.Hash
 	scratch        []byte
 	limiter        *fair.Door
-	waiting        map[int]*playback // in the queue, by their number there
+	waiting        map[int]*playback // in the admission queue, by queueID
 	lastQueueID    int
 	lifecycle      *life.Life
 	process        Process
@@ -117,17 +117,17 @@
 	handover       life.Heir
 	lag            life.Behind
 	orphans        life.Orphans
-	authorizing    map[int]*playback // at the gate, by their question
-	orphansEnded   func()            // none of the orphans is left
+	authorizing    map[int]*playback // waiting for access control, by authorizationID
+	orphansEnded   func()            // called once no orphan is left
 	draining       bool
-	arrivedAt      Time // when what is being taken came in, 0 for now
+	arrivedAt      Time // arrival of the event being handled, 0 for now
 
 	orphanTimer *core.Timer
 
-	halfOpen []*peerConn // on which no request has come in whole, oldest first
+	halfOpen []*peerConn // player connections without a complete request yet, oldest first
 }
 
-// peer is a connection's state: a player's, or a dialogue's with a box.
+// peerConn is the state of a connection to a player or of a dialogue with a box.
 type peerConn struct {
 	conn         *core.Conn
 	parser       rtsp.Parser
@@ -135,51 +135,51 @@
 	output       outputQueue
 	closed       bool
 	lastReceived Time
-	partialSince Time // since when a message waits for its rest, 0 for none
+	partialSince Time // when the incomplete message began, 0 for none
 	idleTimer    *core.Timer
 
-	// a player's
+	// Of a player, except that a dialogue has the box's name as its address.
 	address         string
 	pendingReplies  []*pendingReply // in the order of the requests
 	channels        []*trackBinding // by interleaved channel
-	recentCSeqs     [8]int          // CSeqs, plus one, of the latest SETUPs and PLAYs; those told again are not new requests
-	recentCount     int
-	requestRate     fair.Rate        // of its requests
-	requestReceived bool             // a request has come in whole
+	recentCSeqs     [8]int          // ring of the latest SETUP and PLAY CSeqs, plus one, to detect repeated requests
+	recentCount     int             // number of CSeqs written to the ring so far
+	requestRate     fair.Rate
+	requestReceived bool             // a complete request has arrived
 	lastRefused     *refusedPlayback // the latest playback that did not play
 	playbacks       []*playback
-	sessionTimeout  Time // of its sessions, as they are told
-	lastCSeq        int  // requests of our own to it
+	sessionTimeout  Time // as announced in the Session headers
+	lastCSeq        int  // of the front's own requests to the player
 
-	// a dialogue's
-	dialogue *serverDialogue
+	dialogue *serverDialogue // nil for a player
 }
 
-// refused is what a playback that does not play was told, for those of its SETUPs that are still on the way.
+// refusedPlayback keeps the response to a playback that does not play, for those of its SETUPs that are still
+// on their way.
 type refusedPlayback struct {
 	baseURL   string
 	requestID string
-	tracks    uint64
+	tracks    uint64 // bit set of the tracks answered so far
 	response  *rtsp.Message
 }
 
-// reply is an answer that is due.
+// pendingReply is the place of a response among those of its connection.
 type pendingReply struct {
 	cseq    int
-	encoded []byte
+	encoded []byte // set once ready
 	ready   bool
 }
 
-// titles hands out small numbers for the titles in use.
+// titleTable assigns small ids to the titles in use.
 type titleTable struct {
-	catalogue map[string]Title // as listed
+	catalogue map[string]Title // nil if titles are not listed
 	ids       map[string]int
 	refCounts []int
 	names     []string
 	freeIDs   []int
 }
 
-// New makes a front. The module is made for the service's site with a seed.
+// New returns a front. The module must have been created for the site of the same configuration.
 func New(config *Service, module session.Manager, network core.Net, log *zap.Logger, now Time) *Front {
 	f := &Front{Service: config, network: network, log: log, module: module, now: now, boxIndex: map[string]int{},
 		sessions: map[string]*playback{}, titles: titleTable{ids: map[string]int{}}, players: map[*peerConn]struct{}{},
@@ -193,7 +193,7 @@
 	return f
 }
 
-// At begins a turn.
+// At begins a turn: it sets the clock and runs the timers that are due.
 func (f *Front) At(now Time) {
 	f.now = now
 	f.module.At(now)
@@ -211,7 +211,7 @@
 	f.timers.Run(now)
 }
 
-// Accepted takes a player's connection.
+// Accepted handles a new connection from a player.
 func (f *Front) Accepted(c *core.Conn, address string) {
 	full := int(f.Figures.Connections) >= f.Bounds.Connections
 	if full {
@@ -233,7 +233,7 @@
 	f.armIdleTimer(peer)
 }
 
-// hostOf is the address without the port.
+// hostOf returns the address without the port.
 func hostOf(address string) string {
 	if h, _, err := net.SplitHostPort(address); err == nil {
 		return h
@@ -241,7 +241,8 @@
 	return address
 }
 
-// halfOpen makes room for a connection on which no request has come yet: the oldest of them goes.
+// evictHalfOpen makes room for a new connection: at the limit of connections without a complete request, it
+// closes the oldest of them.
 func (f *Front) evictHalfOpen() {
 	live := f.halfOpen[:0]
 	for _, peer := range f.halfOpen {
@@ -257,7 +258,7 @@
 	}
 }
 
-// Received takes bytes of a connection.
+// Received handles bytes read from a connection.
 func (f *Front) Received(c *core.Conn, b []byte) {
 	peer, ok := c.Owner.(*peerConn)
 	if !ok || peer.closed {
@@ -282,7 +283,7 @@
 	}
 	bad := err.(*rtsp.Malformed)
 	f.Figures.Malformed++
-	f.log.Info("connection ended: cannot be read on", zap.String("peer", peer.address), zap.String("what", bad.Problem))
+	f.log.Info("closing connection: malformed message without a known end", zap.String("peer", peer.address), zap.String("what", bad.Problem))
 	if peer.dialogue != nil {
 		f.dialogueLost(peer.dialogue, session.Failed)
 		return
@@ -294,20 +295,20 @@
 	f.closePlayer(peer)
 }
 
-// sink takes what a peer's parser finds.
+// sink receives the messages and frames that a connection's parser finds.
 type sink struct {
-	f *Front
-	p *peerConn
+	front *Front
+	peer  *peerConn
 }
 
-// Drained tells that the network has taken all that was sent.
+// Drained handles that the network has taken all bytes sent on a connection.
 func (f *Front) Drained(c *core.Conn) {
 	if peer, ok := c.Owner.(*peerConn); ok && !peer.closed && len(peer.output.buf) > 0 {
 		f.markUnflushed(peer)
 	}
 }
 
-// Closed tells that a connection has ended.
+// Closed handles the end of a connection.
 func (f *Front) Closed(c *core.Conn, err error) {
 	peer, ok := c.Owner.(*peerConn)
 	if !ok || peer.closed {
@@ -320,7 +321,8 @@
 	f.playerClosed(peer)
 }
 
-// Settle ends a turn: what the module wants is carried out, and what waits goes out.
+// Settle ends a turn: it carries out the module's actions, until they cause no more events, and sends the
+// queued output. It returns when the next turn is due at the latest.
 func (f *Front) Settle() Time {
 	next := core.Never
 	for {
@@ -356,10 +358,11 @@
 	return min(next, f.timers.Next())
 }
 
-// Came tells when what is taken next has come in.
+// Came sets the arrival time of the event that is handled next.
 func (f *Front) Came(at Time) { f.arrivedAt = min(at, f.now) }
 
-// Turned tells how long the last turn took, by the edge's clock, and what it took had waited before.
+// Turned reports how long the last turn took, by the clock of the caller, and how long its events had waited
+// before.
 func (f *Front) Turned(waited, took Time) {
 	f.arrivedAt = 0
 	f.lag.Turn(f.now+took, waited+took)
@@ -368,7 +371,7 @@
 	}
 }
 
-// Tell gives the queue and the door new terms while requests wait.
+// Tell changes the terms of the admission queue and the limits while requests wait.
 func (f *Front) Tell(terms *fair.Terms, limits fair.Limits) {
 	f.Limits, f.limiter.Limits = limits, limits
 	if f.queue != nil && terms != nil {
@@ -376,10 +379,10 @@
 	}
 }
 
-// Door is the queue, nil without one, and what was turned away before it.
+// Door returns the admission queue, nil without one, and the limiter in front of it.
 func (f *Front) Door() (*fair.Queue, *fair.Door) { return f.queue, f.limiter }
 
-// Stop answers what is owed and ends all dialogues; nothing is taken afterwards.
+// Stop answers all open requests and ends all dialogues; later requests and connections are refused.
 func (f *Front) Stop() {
 	f.stopped = true
 	for i := range f.boxes {
@@ -398,7 +401,8 @@
 	}
 }
 
-// watch closes a player's connection that is silent for too long, or too slow with a message.
+// armIdleTimer sets the timer that closes a player's connection that is idle for the session timeout, or that
+// takes too long to send a message.
 func (f *Front) armIdleTimer(peer *peerConn) {
 	deadline := f.now + peer.sessionTimeout
 	if len(peer.pendingReplies) == 0 {
@@ -420,12 +424,12 @@
 		} else {
 			f.Figures.SessionsOut++
 		}
-		f.log.Info("connection ended", zap.String("peer", peer.address), zap.Bool("slow sender", slow))
+		f.log.Info("closing idle or slow connection", zap.String("peer", peer.address), zap.Bool("slow sender", slow))
 		f.closePlayer(peer)
 	})
 }
 
-// drop ends a player's connection from this side.
+// closePlayer closes a player's connection from this side.
 func (f *Front) closePlayer(peer *peerConn) {
 	if peer.closed {
 		return
@@ -435,7 +439,7 @@
 	f.playerClosed(peer)
 }
 
-// dropped forgets a player's connection and ends its playbacks.
+// playerClosed releases a closed player connection and ends its playbacks.
 func (f *Front) playerClosed(peer *peerConn) {
 	if peer.closed {
 		return
@@ -452,7 +456,8 @@
 	peer.pendingReplies, peer.channels = nil, nil
 }
 
-// id is a name that cannot be guessed: of a session, or of a request that came without one.
+// newID returns an id that cannot be guessed: for a session, for a request without a Request-Id, or for the
+// journal.
 func (f *Front) newID() string {
 	f.lastID++
 	h := hmac.New(sha256.New, f.Secret)
@@ -462,7 +467,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:12])
 }
 
-// take gives a title its number.
+// acquire returns the id of a title and the hash of its name.
 func (t *titleTable) acquire(name string) (int, uint64) {
 	i, ok := t.ids[name]
 	if !ok {
@@ -486,7 +491,7 @@
 	}
 }
 
-// actions carries out what the module wants.
+// actions implements session.Actions on a Front.
 type actions Front
 
 func (a *actions) front() *Front { return (*Front)(a) }
@@ -501,7 +506,7 @@
 }
 func (a *actions) Reject(id int, retryAfter Time) {
 	front, pb := a.front(), a.playbacks[id]
-	if pb.answered { // it is under a session that plays already: a move that found no place
+	if pb.answered { // the session already plays: its move found no server
 		front.endPlayback(pb)
 		return
 	}
@@ -511,7 +516,7 @@
 		front.reject(pb, retryLaterResponse(retryAfter))
 		return
 	}
-	if plan.Seats == 0 { // otherwise it may be for want of seats
+	if plan.Seats == 0 { // with seats, the reason may be that they are all taken
 		front.queue.Rejected()
 	}
 	retryAfterAdvice, token := front.queue.Refuse(pb.target.queueTenant, hostOf(pb.player.address))
@@ -531,7 +536,7 @@
 	front.deferred = append(front.deferred, func() { front.move(pb) })
 }
 func (a *actions) Probe(server int) { a.front().probe(server) }
-func (a *actions) Watch()           {} // the list is pushed
+func (a *actions) Watch()           {} // the server list is pushed
 func (a *actions) Wake(at Time, token uint64) {
 	front := a.front()
 	front.timers.Set(nil, max(at, front.now+1), func() { front.module.Woken(token) })
@@ -547,7 +552,8 @@
 	}
 }
 
-// retryLaterResponse is an answer that says when to come back, in whole seconds (RFC 2326 section 12.31).
+// retryLaterResponse returns a refusal that advises when to try again, in whole seconds (RFC 2326 section
+// 12.31), or one without advice if retryAfter is not positive.
 func retryLaterResponse(retryAfter Time) *rtsp.Message {
 	if retryAfter <= 0 {
 		return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, 0)
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -11,42 +11,42 @@
 	"pierlink/session"
 )
 
-// Daemon carries out what a life wants of the process around a front.
+// Process controls the process around a front on behalf of its lifecycle.
 type Process interface {
-	Listen()         // accept connections
-	Hush()           // accept no more, after what has come already
-	News(life.State) // tell the supervisor
+	Listen()         // start accepting connections
+	Hush()           // stop accepting connections, after those that have already arrived
+	News(life.State) // report the new state to the supervisor
 	Exit()
 }
 
-// Journal notes what may run at boxes, so that a later process can end it should this one die. Opened is
-// called before anything leaves for the box.
+// Journal records the dialogues that may have a session at a box, so that a later process can tear the session
+// down if this one dies. Opened is called before anything is sent to the box.
 type Journal interface {
 	Opened(life.Orphan)
 	Ended(name string)
 }
 
-// Live has a front live a process's life: it is told what the life wants in its turns.
+// Live attaches the process lifecycle, which is settled in the front's turns.
 func (f *Front) Live(lifecycle *life.Life, process Process) {
 	f.lifecycle, f.process = lifecycle, process
 }
 
-// Life is the process's, nil where the front has none.
+// Life returns the process lifecycle, nil where none is attached.
 func (f *Front) Life() *life.Life { return f.lifecycle }
 
-// Others are those that viewers are sent to when this one drains.
+// Others returns the session managers that viewers are redirected to when this one drains.
 func (f *Front) Others() *life.Others { return &f.otherManagers }
 
-// Heir is what this process leaves to the one whose place it took.
+// Heir returns the seats and free tries that the draining process before this one still uses.
 func (f *Front) Heir() *life.Heir { return &f.handover }
 
-// Behind is how late this process is with its work.
+// Behind returns the measurement of how late this process is with its work.
 func (f *Front) Behind() *life.Behind { return &f.lag }
 
-// Orphans are what dead processes left behind at boxes.
+// Orphans returns the sessions that dead processes left at boxes.
 func (f *Front) Orphans() *life.Orphans { return &f.orphans }
 
-// Carried is what is open now.
+// Carried returns the numbers of open connections, requests, playbacks and dialogues.
 func (f *Front) Carried() life.Load {
 	work := life.Load{Waiting: len(f.waiting) + len(f.authorizing), Dialogues: int(f.Figures.Dialogues)}
 	for _, peer := range f.halfOpen {
@@ -69,14 +69,14 @@
 	return work
 }
 
-// live has the life emit what it wants.
+// settleLifecycle carries out what the lifecycle decides and returns when it is due next.
 func (f *Front) settleLifecycle() Time {
 	if f.lifecycle == nil {
 		return core.Never
 	}
 	f.lifecycle.At(f.now)
 	work := life.Load{}
-	if s, _ := f.lifecycle.State(); s > life.Ready {
+	if state, _ := f.lifecycle.State(); state > life.Ready {
 		work = f.Carried()
 	} else {
 		work.Playing = int(f.Figures.Playbacks)
@@ -86,8 +86,8 @@
 		case life.Listen:
 			f.process.Listen()
 		case life.TellNews:
-			s, _ := f.lifecycle.State()
-			f.process.News(s)
+			state, _ := f.lifecycle.State()
+			f.process.News(state)
 		case life.Hush:
 			f.process.Hush()
 		case life.Refuse:
@@ -102,33 +102,33 @@
 	})
 }
 
-// refuse takes nothing new from now on: what waits in line is sent elsewhere at once, and so is every new
-// request. What has been put before the module goes on.
+// startDraining refuses new requests from now on: those in the admission queue are redirected at once, and so
+// is every later one. Playbacks that the module has already been asked about continue.
 func (f *Front) startDraining() {
 	f.draining = true
 	queueIDs := make([]int, 0, len(f.waiting))
-	for n := range f.waiting {
-		queueIDs = append(queueIDs, n)
+	for id := range f.waiting {
+		queueIDs = append(queueIDs, id)
 	}
 	slices.Sort(queueIDs)
-	for _, n := range queueIDs {
-		pb := f.waiting[n]
+	for _, id := range queueIDs {
+		pb := f.waiting[id]
 		f.withdraw(pb)
 		f.Figures.Refused++
 		f.reject(pb, f.redirectOrRefuse(pb.player, pb.target.baseURL))
 	}
 }
 
-// elsewhere is the answer to a request that is to go to another session manager (RFC 2326 section 11.3.3), or
-// to come again where none is known.
-func (f *Front) redirectOrRefuse(peer *peerConn, base string) *rtsp.Message {
-	if location := f.redirectURL(peer, base); location != "" {
+// redirectOrRefuse returns a redirect to another session manager (RFC 2326 section 11.3.3), or a refusal with
+// retry advice where none is known.
+func (f *Front) redirectOrRefuse(peer *peerConn, baseURL string) *rtsp.Message {
+	if location := f.redirectURL(peer, baseURL); location != "" {
 		return rtsp.Answer(rtsp.StatusMoved, 0).With("Location", location)
 	}
 	return retryLaterResponse(f.retryAdvice())
 }
 
-// comeAgain is the advice that the door itself gives.
+// retryAdvice returns the Retry-After advice of refusals that the front makes itself, 0 for none.
 func (f *Front) retryAdvice() Time {
 	if f.Silent {
 		return 0
@@ -136,13 +136,13 @@
 	return max(f.Site.Terms.MaxComeAgain, core.Second)
 }
 
-// place is a URL at another session manager; empty if none is ready.
-func (f *Front) redirectURL(peer *peerConn, base string) string {
+// redirectURL returns the URL of a title at another session manager; empty if none is ready.
+func (f *Front) redirectURL(peer *peerConn, baseURL string) string {
 	address := f.otherManagers.Next(peer.conn.Secure)
 	if address == "" {
 		return ""
 	}
-	scheme, rest, _ := strings.Cut(base, "://")
+	scheme, rest, _ := strings.Cut(baseURL, "://")
 	if peer.conn.Secure {
 		scheme = "rtsps"
 	}
@@ -150,8 +150,8 @@
 	return scheme + "://" + address + "/" + path
 }
 
-// sendOn tells some of the sessions that play to go elsewhere (RFC 2326 section 10.10). They play on here
-// until they do.
+// redirectSessions sends REDIRECT to count of the playing sessions (RFC 2326 section 10.10). They keep playing
+// here until the players leave.
 func (f *Front) redirectSessions(count int) {
 	for _, pb := range f.playbacks {
 		if count == 0 {
@@ -173,7 +173,8 @@
 	}
 }
 
-// seated tells whether a title's seats are all taken, with those of the process whose place this one took.
+// seatsExhausted reports whether all seats of a title are taken, together with those that the draining process
+// before this one holds.
 func (f *Front) seatsExhausted(target *playbackTarget) bool {
 	plan := &f.Site.Plans[target.plan]
 	taken := f.handover.Held(life.Seat{Plan: f.Plans[target.plan].Name, Title: target.title})
@@ -188,7 +189,7 @@
 	return taken >= plan.Seats
 }
 
-// Seats are those that this front's playbacks hold.
+// Seats returns the number of seats that this front's playbacks hold, by plan and title.
 func (f *Front) Seats() map[life.Seat]int {
 	seats := map[life.Seat]int{}
 	for _, pb := range f.playbacks {
@@ -199,8 +200,8 @@
 	return seats
 }
 
-// Succeed has the front take over from another process that drains: what both owe together as one session
-// manager is kept.
+// Succeed makes the front take over from another process, which drains. Seats and free tries are limited for
+// both processes together, as for one session manager.
 func (f *Front) Succeed() {
 	f.handover.TrySpan = f.Site.Terms.TrySpan
 	f.handover.Take(f.now)
@@ -215,8 +216,7 @@
 	update()
 }
 
-// Adopt takes what a dead process left behind at boxes: it is torn down there. settled is called once none is
-// left.
+// Adopt tears down the sessions that a dead process left at boxes. ended is called once none is left.
 func (f *Front) Adopt(orphans []life.Orphan, ended func()) {
 	f.orphans.Timeout = f.SessionTimeout
 	f.orphans.AtOnce = max(f.Bounds.Playbacks/orphanPlaybackDivisor, 1)
@@ -236,7 +236,7 @@
 	}
 }
 
-// free1 ends one of them: TEARDOWN by its name, on a connection of its own.
+// tearDownOrphan ends one orphan: it sends TEARDOWN with its journal name, on a connection of its own.
 func (f *Front) tearDownOrphan(orphan life.Orphan, done func(Time, bool)) {
 	dialogue := &serverDialogue{server: -1, state: stateOrphan, uri: orphan.URI, orphanName: orphan.Name}
 	dialogue.done = func(answered bool) {
@@ -250,19 +250,19 @@
 	})
 }
 
-// Next is what a reload changes: figures that hold from the next turn on. What is in set-up goes on under the
-// terms that it was taken with.
+// Next holds the settings that a reload changes, from the next turn on. Playbacks in set-up keep the settings
+// with which they were taken.
 type Next struct {
 	Bounds         Bounds
 	SessionTimeout Time
-	Abandon        []Time    // of the plans, in the site's order
-	Quotas         []float64 // of the tenants, in the site's order
+	Abandon        []Time    // of the plans, in the order of Site.Plans
+	Quotas         []float64 // of the tenants, in the order of Site.Tenants
 	Queue          *fair.Terms
 	Limits         fair.Limits
 	Life           life.Terms
 }
 
-// Reload takes new figures between two turns.
+// Reload applies new settings between two turns.
 func (f *Front) Reload(config *Next) {
 	f.Bounds, f.SessionTimeout = config.Bounds, config.SessionTimeout
 	for i := range f.Plans {
@@ -275,7 +275,7 @@
 	if config.Queue != nil {
 		f.Queue = config.Queue
 	}
-	if f.Gate != nil { // what the directory says goes before the settings
+	if f.Gate != nil { // shares from the directory take precedence over the settings
 		f.Gate.Rows.Again()
 		f.Gate.Core.TellAll()
 	}
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -8,41 +8,41 @@
 	"pierlink/session"
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
 	Weight                    float64
 	State                     session.ServerState
-	Started                   Time // by this front's clock, 0 for long ago
+	Started                   Time // start of the server by this front's clock, 0 if long ago
 }
 
-// Title is one line of the catalogue: the cells that hold a title, Span of them from Base on; all with a
-// Span of 0.
+// Title is one entry of the catalogue. Base and Span are the first cell that holds the title and the number of
+// cells from there on; a Span of 0 means all cells.
 type Title struct {
 	Name       string
 	Base, Span int
 }
 
-// List is news of servers and titles.
+// List is an update of the server list and the catalogue.
 type List struct {
 	Servers []Server
-	Titles  []Title // nil leaves the catalogue as it was
-	Whole   bool    // servers that it does not name are gone
-	Kept    bool    // of an earlier process: servers may have started anew since
+	Titles  []Title // nil leaves the catalogue unchanged
+	Whole   bool    // the update is complete: servers that it does not name are gone
+	Kept    bool    // saved by an earlier process: servers may have restarted since
 }
 
-// box is a server as the front keeps it.
+// boxEntry is the front's state of a server.
 type boxEntry struct {
 	name, address   string
 	state           session.ServerState
-	lastListed      session.Entry // as the module was last told
+	lastListed      session.Entry // as last reported to the module
 	controlDialogue *serverDialogue
 	probing         bool
 }
 
-// Listed follows the server list. Lines of a zone or kind that the service does not know are left out and
-// said so.
+// Listed applies an update of the server list and passes it to the module. Servers of an unknown zone or kind
+// are left out with a log message.
 func (f *Front) Listed(update List) {
 	news := session.List{Whole: update.Whole}
 	if update.Whole {
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, server := range update.Servers {
-		if i, ok := f.boxIndex[server.Name]; server.State == session.Gone { // of such a one the name is enough
+		if i, ok := f.boxIndex[server.Name]; server.State == session.Gone { // its name is enough, its other fields may be empty
 			if ok {
 				box := &f.boxes[i]
 				box.state, box.lastListed.State = session.Gone, session.Gone
@@ -64,7 +64,7 @@
 		}
 		zone, kind := slices.Index(f.Zones, server.Zone), slices.Index(f.Kinds, server.Kind)
 		if zone < 0 || kind < 0 || server.Cell < 0 {
-			f.log.Warn("server left out: unknown zone or kind", zap.String("server", server.Name),
+			f.log.Warn("ignoring server: unknown zone or kind, or negative cell", zap.String("server", server.Name),
 				zap.String("zone", server.Zone), zap.String("kind", server.Kind))
 			continue
 		}
@@ -91,11 +91,11 @@
 	f.module.Listed(news)
 }
 
-// Among tells how many fronts there are and which number this one has. The module reads both from the site
-// that it was made for, which is the service's own.
+// Among sets the number of fronts and the index of this one. The module reads both from the site that it was
+// created for, which is the one in the front's configuration.
 func (f *Front) Among(fronts, front int) { f.Site.Fronts, f.Site.Front = fronts, front }
 
-// Each calls for each server that is not gone.
+// Each calls a function once for each server that is not gone.
 func (f *Front) Each(call func()) {
 	for i := range f.boxes {
 		if f.boxes[i].state != session.Gone {
--- a/internal/front/playback_trace.go
+++ b/internal/front/playback_trace.go
@@ -4,16 +4,16 @@
 	"pierlink/session"
 )
 
-// Story is where the time of a playback went, from its first SETUP to its answer.
+// Story records where the time of a playback went, from its first SETUP to its answer.
 type Story struct {
 	Front, Name, Plan, Title, Tenant string
 	Rung, TopRung                    int
-	ReceivedAt                       Time // its first SETUP came in
-	AdmittedAt                       Time // it was put before the module; 0 if it never was
+	ReceivedAt                       Time // its first SETUP arrived
+	AdmittedAt                       Time // the module was asked; 0 if it never was
 	Attempts                         []Attempt
 	AnsweredAt                       Time
-	Status                           int
-	StartupTarget, AbandonTime       Time // spans, as it was taken with
+	Status                           int  // of the response to SETUP
+	StartupTarget, AbandonTime       Time // durations, as set when the playback was taken
 }
 
 // Attempt is one setup try.
@@ -21,10 +21,10 @@
 	Box                 string
 	Rung                int
 	StartedAt, Duration Time
-	Outcome             session.Outcome // -1 where it plays or is out
+	Outcome             session.Outcome // -1 while it is in progress, and if it plays
 }
 
-// told tells a playback's story as it is answered.
+// reportTrace passes the trace of a playback that is being answered to the configured function.
 func (f *Front) reportTrace(pb *playback, status int) {
 	if f.Told == nil {
 		return
--- a/internal/front/player.go
+++ b/internal/front/player.go
@@ -18,62 +18,63 @@
 
 const sessionReset = session.Reset
 
-// playback is one playback of a player, from its first SETUP on. Its number is the module's.
+// playback is one playback of a player, from its first SETUP on.
 type playback struct {
-	id              int
+	id              int // of the module, -1 before the first request to it
 	request         session.Request
 	player          *peerConn
-	sessionID       string // "" until it is answered with 200
-	requestID       string // the request's, the same upstream
+	sessionID       string // empty until the SETUP is answered with 200
+	requestID       string // Request-Id of the player or one assigned here; also sent to boxes
 	moves           int
-	queueID         int // its number in the queue, 0 for none
+	queueID         int // id in the admission queue, 0 for none
 	target          playbackTarget
 	receivedAt      Time
 	pendingSetups   []*pendingSetup
 	bindings        []*trackBinding
 	rung            int
 	tries           int
-	upstream        *serverDialogue // the try out, or what plays
+	upstream        *serverDialogue // the current try, or the dialogue that plays
 	answered        bool
-	playing         bool // the player has said PLAY
-	hasPlayed       bool // it has said so before
-	heldFrames      []byte
+	playing         bool   // the player has sent PLAY and no PAUSE since
+	hasPlayed       bool   // the player has sent a PLAY
+	heldFrames      []byte // frames received before the first PLAY, with the box's channel in the first byte
 	heldUnits       []outputUnit
-	moving          bool // asked for anew under the same session: a move
+	moving          bool // a new placement under the same session is due
 	finished        bool
-	redirected      bool // told to go elsewhere
-	authorizationID int  // at the gate, 0 for none
+	redirected      bool // REDIRECT was sent
+	authorizationID int  // id of the pending access control request, 0 for none
 	credentials     requestCredentials
-	account         string // at the gate
-	qualityRecord   string // its name in the figures of quality, "" for none
-	lastServer      int    // that was tried
-	rechecked       bool   // its proof did not hold against what was known: it is looked up
-	seat            string // of its tenant
-	admittedAt      Time
+	account         string // checked by access control
+	qualityRecord   string // key of its record in the quality core, empty for none
+	lastServer      int    // last box tried, -1 for none
+	rechecked       bool   // the credentials did not match the known digest, so the account was looked up again
+	seat            string // directory id of the tenant whose seat it holds, empty for none
+	admittedAt      Time   // when the module was asked, 0 before
 	attempts        []Attempt
-	abandonTime     Time // as it was taken with
+	abandonTime     Time // of the plan when the playback was taken
 	deadlineTimer   *core.Timer
 }
 
-// setup is a SETUP that waits for its playback's answer.
+// pendingSetup is a SETUP that waits for the answer to its playback.
 type pendingSetup struct {
 	reply   *pendingReply
 	binding *trackBinding
 }
 
-// ask is what a player's URL says.
+// playbackTarget is what a player's URL asks for.
 type playbackTarget struct {
-	plan, topRung, track int // track -1 for the whole
-	tenant               int
-	tenantName           string // as the URL names the tenant, or the directory
-	queueTenant          string // its standing at the door belongs to: the same, or its entry in the directory
-	title, baseURL       string
+	plan, topRung, track int    // track is -1 for the aggregate URL
+	tenant               int    // row in the module's tenant table
+	tenantName           string // from the URL, or from the directory
+	queueTenant          string // key of the tenant in the admission queue: the name, or the id of the directory entry
+	title, baseURL       string // baseURL is the URL without its track
 }
 
+// playerSink handles what a player sends.
 type playerSink sink
 
 func (s *playerSink) Bad(malformed *rtsp.Malformed) {
-	f, peer := s.f, s.p
+	f, peer := s.front, s.peer
 	f.Figures.Malformed++
 	f.log.Info("malformed request", zap.String("peer", peer.address), zap.String("what", malformed.Problem))
 	if malformed.Request {
@@ -81,9 +82,9 @@
 	}
 }
 
-// Frame takes RTCP of a player to its box; RTP from players is not taken.
+// Frame relays RTCP from a player to its box; RTP from players is discarded.
 func (s *playerSink) Frame(channel byte, payload []byte) {
-	f, peer := s.f, s.p
+	f, peer := s.front, s.peer
 	if int(channel) >= len(peer.channels) {
 		return
 	}
@@ -94,27 +95,27 @@
 	f.sendFrame(binding.pb.upstream.peer, byte(2*binding.track+1), payload, controlUnit)
 }
 
-// Message takes a player's request. Every request gets one answer, in the order of the requests.
+// Message handles a player's request. Every request gets one response, in the order of the requests.
 func (s *playerSink) Message(message *rtsp.Message) {
-	f, peer := s.f, s.p
+	f, peer := s.front, s.peer
 	if !message.IsRequest() {
-		return // nothing was asked of the player that matters here
+		return // responses to the front's own requests need no handling
 	}
 	f.Figures.Requests++
 	peer.requestReceived = true
 	if !f.limiter.Request(&peer.requestRate, f.now) {
-		f.log.Info("connection ended: too many requests a second", zap.String("peer", peer.address))
+		f.log.Info("closing connection: request rate above the limit", zap.String("peer", peer.address))
 		f.closePlayer(peer)
 		return
 	}
 	for _, reply := range peer.pendingReplies {
-		if reply.cseq == message.CSeq { // told again: the one answer is on its way
+		if reply.cseq == message.CSeq { // repeated request: its only response is still due
 			f.Figures.Repeated++
 			return
 		}
 	}
 	if message.Method == rtsp.Setup || message.Method == rtsp.Play {
-		if slices.Contains(peer.recentCSeqs[:], message.CSeq+1) { // told again: its answer has gone out (RFC 2326 section 12.17)
+		if slices.Contains(peer.recentCSeqs[:], message.CSeq+1) { // repeated request: its response has been sent (RFC 2326 section 12.17)
 			f.Figures.Repeated++
 			return
 		}
@@ -122,24 +123,24 @@
 		peer.recentCount++
 	}
 	if len(peer.pendingReplies) >= f.Bounds.Pipelined {
-		f.log.Info("connection ended: too many requests at once", zap.String("peer", peer.address))
+		f.log.Info("closing connection: too many unanswered requests", zap.String("peer", peer.address))
 		f.closePlayer(peer)
 		return
 	}
 	reply := f.reserveReply(peer, message.CSeq)
-	if a := f.handleRequest(peer, message, reply); a != nil {
-		f.completeReply(peer, reply, a)
+	if response := f.handleRequest(peer, message, reply); response != nil {
+		f.completeReply(peer, reply, response)
 	}
 }
 
-// owe puts an answer in line.
+// reserveReply reserves the next place among the responses on a connection.
 func (f *Front) reserveReply(peer *peerConn, cseq int) *pendingReply {
 	reply := &pendingReply{cseq: cseq}
 	peer.pendingReplies = append(peer.pendingReplies, reply)
 	return reply
 }
 
-// fill gives a request its answer; answers go out in the order of the requests.
+// completeReply sets the response for a reserved place; responses are sent in the order of the requests.
 func (f *Front) completeReply(peer *peerConn, reply *pendingReply, response *rtsp.Message) {
 	if peer.closed || reply.ready {
 		return
@@ -155,15 +156,15 @@
 	peer.pendingReplies = slices.Delete(peer.pendingReplies, 0, n)
 }
 
-// serve answers a request, or returns nil where the answer comes later.
-func (f *Front) handleRequest(peer *peerConn, message *rtsp.Message, reply *pendingReply) *rtsp.Message {
-	if need := message.Get("Require"); need != "" {
-		return rtsp.Answer(rtsp.StatusOptionNotSupported, 0).With("Unsupported", need)
+// handleRequest returns the response to a request, or nil if it is sent later.
+func (f *Front) handleRequest(peer *peerConn, request *rtsp.Message, reply *pendingReply) *rtsp.Message {
+	if required := request.Get("Require"); required != "" {
+		return rtsp.Answer(rtsp.StatusOptionNotSupported, 0).With("Unsupported", required)
 	}
 	var pb *playback
-	if id, _ := rtsp.SessionID(message.Get("Session")); id != "" {
-		if pb = f.sessions[id]; pb == nil && message.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.Known(id) {
-			return f.setParameters(nil, message, rtsp.Answer(rtsp.StatusOK, 0))
+	if id, _ := rtsp.SessionID(request.Get("Session")); id != "" {
+		if pb = f.sessions[id]; pb == nil && request.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.Known(id) {
+			return f.setParameters(nil, request, rtsp.Answer(rtsp.StatusOK, 0))
 		} else if pb == nil || pb.player != peer {
 			return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
 		}
@@ -172,18 +173,18 @@
 	if pb != nil {
 		response.With("Session", f.sessionHeader(pb))
 	}
-	switch message.Method {
+	switch request.Method {
 	case rtsp.Options:
 		return response.With("Public", rtsp.Supported(rtsp.Options, rtsp.Describe, rtsp.Setup, rtsp.Play, rtsp.Pause,
 			rtsp.GetParameter, rtsp.SetParameter, rtsp.Teardown))
 	case rtsp.Describe:
-		return f.describe(message)
+		return f.describe(request)
 	case rtsp.Setup:
-		return f.setup(peer, pb, message, reply)
+		return f.setup(peer, pb, request, reply)
 	case rtsp.GetParameter:
-		return f.getParameters(pb, message, response)
+		return f.getParameters(pb, request, response)
 	case rtsp.SetParameter:
-		return f.setParameters(pb, message, response)
+		return f.setParameters(pb, request, response)
 	case rtsp.Play, rtsp.Pause, rtsp.Teardown:
 	case "ANNOUNCE", "RECORD", rtsp.Redirect:
 		return rtsp.Answer(rtsp.StatusMethodNotAllowed, 0)
@@ -193,10 +194,10 @@
 	if pb == nil {
 		return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
 	}
-	switch message.Method {
+	switch request.Method {
 	case rtsp.Play:
-		f.play(pb, message.Get("Range"))
-		return response.With("Range", message.Get("Range"))
+		f.play(pb, request.Get("Range"))
+		return response.With("Range", request.Get("Range"))
 	case rtsp.Pause:
 		if !pb.playing {
 			return rtsp.Answer(rtsp.StatusNotValidInState, 0)
@@ -212,14 +213,15 @@
 	}
 }
 
+// sessionHeader returns the value of the Session header.
 func (f *Front) sessionHeader(pb *playback) string {
 	return pb.sessionID + ";timeout=" + strconv.FormatInt(pb.player.sessionTimeout/core.Second, 10)
 }
 
-// parameters answers GET_PARAMETER: without a body it keeps the session alive (RFC 2326 section 10.8).
-func (f *Front) getParameters(pb *playback, message, response *rtsp.Message) *rtsp.Message {
+// getParameters answers GET_PARAMETER; without a body it is a keepalive (RFC 2326 section 10.8).
+func (f *Front) getParameters(pb *playback, request, response *rtsp.Message) *rtsp.Message {
 	var fields []rtsp.Field
-	for _, parameter := range rtsp.Parameters(message.Body) {
+	for _, parameter := range rtsp.Parameters(request.Body) {
 		if pb == nil || parameter.Name != "rung" {
 			return rtsp.Answer(rtsp.StatusParameterUnknown, 0)
 		}
@@ -231,7 +233,8 @@
 	return response
 }
 
-// read takes a player's URL apart: rtsp://HOST/PLAN/TITLE[/trackN]?top=N&tenant=NAME.
+// parseURL parses a player's URL: rtsp://HOST/PLAN/TITLE[/trackN]?top=N&tenant=NAME. status is 0 if it is valid,
+// else the status of the response.
 func (f *Front) parseURL(uri string) (target playbackTarget, status int) {
 	parsed, err := url.Parse(uri)
 	if err != nil || parsed.Scheme != "rtsp" && parsed.Scheme != "rtsps" {
@@ -276,7 +279,7 @@
 		return target, rtsp.StatusBadRequest
 	}
 	if target.tenant = slices.Index(f.Tenants, target.tenantName); target.tenant < 0 {
-		target.tenant = len(f.Site.Tenants) // not a customer's: no share to hold it against
+		target.tenant = len(f.Site.Tenants) // unknown tenant: the row after the last, which no share limits
 	}
 	target.baseURL = parsed.Scheme + "://" + parsed.Host + "/" + parts[0] + "/" + target.title
 	if parsed.RawQuery != "" {
@@ -285,14 +288,14 @@
 	return target, 0
 }
 
-// describe tells a title's tracks (RFC 2326 section 10.2, SDP of RFC 4566). No box is chosen for it: all
-// boxes send the same tracks.
-func (f *Front) describe(message *rtsp.Message) *rtsp.Message {
-	target, status := f.parseURL(message.URI)
+// describe answers DESCRIBE with a title's tracks as SDP (RFC 2326 section 10.2, RFC 4566). It needs no box, as
+// all boxes send the same tracks.
+func (f *Front) describe(request *rtsp.Message) *rtsp.Message {
+	target, status := f.parseURL(request.URI)
 	if status != 0 {
 		return rtsp.Answer(status, 0)
 	}
-	if accept := message.Get("Accept"); accept != "" && !strings.Contains(accept, "application/sdp") &&
+	if accept := request.Get("Accept"); accept != "" && !strings.Contains(accept, "application/sdp") &&
 		!strings.Contains(accept, "*/*") {
 		return rtsp.Answer(415, 0)
 	}
@@ -319,10 +322,10 @@
 	return response
 }
 
-// setup takes a SETUP. The first of a playback asks the module; further ones of the same playback, for
-// another track or told again, wait for the same answer. There is never a second try for them.
-func (f *Front) setup(peer *peerConn, pb *playback, message *rtsp.Message, reply *pendingReply) *rtsp.Message {
-	target, status := f.parseURL(message.URI)
+// setup handles SETUP. The first SETUP of a playback starts its admission; further ones of the same playback,
+// for another track or repeated, wait for the same answer and never cause a second try.
+func (f *Front) setup(peer *peerConn, pb *playback, request *rtsp.Message, reply *pendingReply) *rtsp.Message {
+	target, status := f.parseURL(request.URI)
 	if status != 0 {
 		return rtsp.Answer(status, 0)
 	}
@@ -331,24 +334,24 @@
 	}
 	target.track = max(target.track, 0)
 	var transport rtsp.Transport
-	for _, choice := range rtsp.Transports(message.Get("Transport")) {
+	for _, choice := range rtsp.Transports(request.Get("Transport")) {
 		if choice.TCP() && transport.Profile == "" {
 			transport = choice
 		}
 	}
-	if transport.Profile == "" { // RTP on UDP is not carried
+	if transport.Profile == "" { // RTP over UDP is not supported
 		return rtsp.Answer(rtsp.StatusUnsupportedTransport, 0)
 	}
 	if refused := peer.lastRefused; refused != nil && pb == nil && refused.baseURL == target.baseURL && refused.tracks&(1<<target.track) == 0 {
-		refused.tracks |= 1 << target.track // a further track of the playback just refused: told before it was
-		x := *refused.response
-		x.Header = slices.Clone(refused.response.Header)
-		return x.With("Request-Id", refused.requestID)
+		refused.tracks |= 1 << target.track // a further track of the playback just refused, sent before the refusal arrived
+		reply := *refused.response
+		reply.Header = slices.Clone(refused.response.Header)
+		return reply.With("Request-Id", refused.requestID)
 	}
 	if pb == nil {
-		for _, x := range peer.playbacks {
-			if !x.answered && x.target.baseURL == target.baseURL {
-				pb = x
+		for _, candidate := range peer.playbacks {
+			if !candidate.answered && candidate.target.baseURL == target.baseURL {
+				pb = candidate
 			}
 		}
 	} else if pb.target.baseURL != target.baseURL {
@@ -362,7 +365,7 @@
 			}
 		}
 	}
-	for !transport.Interleaved { // the client leaves the choice to us
+	for !transport.Interleaved { // the client leaves the choice of channels to the server
 		transport.RTP, transport.RTCP, transport.Interleaved = f.freeChannel(peer), f.freeChannel(peer)+1, true
 	}
 	if c := max(transport.RTP, transport.RTCP); int(c) >= len(peer.channels) {
@@ -372,23 +375,23 @@
 		return rtsp.Answer(rtsp.StatusBadRequest, 0)
 	}
 	if pb == nil {
-		taken := f.now
+		receivedAt := f.now
 		if f.arrivedAt > 0 {
-			taken = f.arrivedAt
+			receivedAt = f.arrivedAt
 		}
-		abandon := f.Plans[target.plan].Abandon
+		abandonTime := f.Plans[target.plan].Abandon
 		switch {
 		case f.draining:
 			f.Figures.DoorRefused++
 			return f.redirectOrRefuse(peer, target.baseURL)
-		case f.stopped, int(f.Figures.Playbacks) >= f.Bounds.Playbacks, f.seatsExhausted(&target), decisionDeadline(taken, abandon) <= f.now:
+		case f.stopped, int(f.Figures.Playbacks) >= f.Bounds.Playbacks, f.seatsExhausted(&target), decisionDeadline(receivedAt, abandonTime) <= f.now:
 			f.Figures.DoorRefused++
 			return retryLaterResponse(f.retryAdvice())
-		case f.queue == nil && f.lag.Shed(f.now): // a queue slows down by itself, and keeps its promises
+		case f.queue == nil && f.lag.Shed(f.now): // an admission queue slows down by itself, and must keep its promises
 			f.Figures.Shed++
 			return retryLaterResponse(f.retryAdvice())
 		}
-		pb = &playback{id: -1, lastServer: -1, player: peer, target: target, requestID: message.Get("Request-Id"), receivedAt: taken, abandonTime: abandon}
+		pb = &playback{id: -1, lastServer: -1, player: peer, target: target, requestID: request.Get("Request-Id"), receivedAt: receivedAt, abandonTime: abandonTime}
 		if pb.requestID == "" || len(pb.requestID) > 64 {
 			pb.requestID = f.newID()
 		}
@@ -404,16 +407,16 @@
 	if len(pb.bindings) == 1 {
 		f.Figures.Taken++
 		if f.Gate != nil {
-			f.authorize(pb, message)
+			f.authorize(pb, request)
 			return response
 		}
-		pb.credentials = requestCredentials{token: message.Get("Come-Again"), requestBytes: requestSize(message)}
+		pb.credentials = requestCredentials{token: request.Get("Come-Again"), requestBytes: requestSize(request)}
 		f.enqueue(pb)
 	}
 	return response
 }
 
-// offer puts a playback in the queue, which says when the module is asked.
+// enqueue puts a playback into the admission queue, which decides when the module is asked.
 func (f *Front) enqueue(pb *playback) {
 	f.startQualityRecord(pb)
 	plan := &f.Site.Plans[pb.target.plan]
@@ -428,7 +431,7 @@
 		Startup: pb.receivedAt + plan.Startup, Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime)})
 }
 
-// decided carries out what the queue has decided.
+// queueDecided handles a decision of the admission queue.
 func (f *Front) queueDecided(verdict fair.Verdict) {
 	pb := f.waiting[verdict.ID]
 	delete(f.waiting, verdict.ID)
@@ -443,7 +446,7 @@
 	f.reject(pb, retryLaterResponse(verdict.ComeAgain).With("Come-Again", verdict.Token))
 }
 
-// channel is the first even channel that is free on a connection.
+// freeChannel returns the first free pair's even channel on a connection, 254 if all are taken.
 func (f *Front) freeChannel(peer *peerConn) byte {
 	for c := 0; c < 254; c += 2 {
 		if c >= len(peer.channels) || peer.channels[c] == nil && (c+1 >= len(peer.channels) || peer.channels[c+1] == nil) {
@@ -453,7 +456,7 @@
 	return 254
 }
 
-// join has a SETUP wait for its playback's answer; the answer at once if it is known.
+// awaitSetup makes a SETUP wait for the answer to its playback, or returns the response if it is known.
 func (f *Front) awaitSetup(pb *playback, pending *pendingSetup) *rtsp.Message {
 	if !pb.answered {
 		pb.pendingSetups = append(pb.pendingSetups, pending)
@@ -462,7 +465,7 @@
 	return f.setupResponse(pb, pending.binding)
 }
 
-// welcome answers a SETUP of a playback that plays.
+// setupResponse returns the response to a SETUP of a playback that plays.
 func (f *Front) setupResponse(pb *playback, binding *trackBinding) *rtsp.Message {
 	binding.ready = true
 	t := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: binding.rtp, RTCP: binding.rtcp}
@@ -470,7 +473,7 @@
 		With("Request-Id", pb.requestID)
 }
 
-// request asks the module for a place.
+// requestPlacement asks the module for a server and a rung.
 func (f *Front) requestPlacement(pb *playback) {
 	if pb.finished {
 		return
@@ -499,8 +502,9 @@
 	}
 }
 
-// late ends a try that is out when the module must have decided; the module answers then. If no answer
-// came of it the front gives one: the player is never left without.
+// deadlineReached ends a try that is still open at the decision deadline, which makes the module decide. If the
+// module has not decided at the fallback deadline either, the front answers, so that the player always gets a
+// response.
 func (f *Front) deadlineReached(pb *playback) {
 	if pb.answered || pb.finished {
 		return
@@ -513,13 +517,13 @@
 		return
 	}
 	f.Figures.Overdue++
-	f.log.Warn("answered in the module's place", zap.String("request", pb.requestID))
+	f.log.Warn("no decision by the module before the fallback deadline; answered 500", zap.String("request", pb.requestID))
 	f.Figures.Failed++
 	f.withdraw(pb)
 	f.reject(pb, rtsp.Answer(rtsp.StatusInternal, 0))
 }
 
-// answer gives the one answer that a playback's SETUPs wait for, and forgets it: it does not play.
+// reject sends the response of a playback that does not play to all its SETUPs, and releases the playback.
 func (f *Front) reject(pb *playback, response *rtsp.Message) {
 	pb.answered, pb.finished = true, true
 	f.reportTrace(pb, response.Status)
@@ -534,7 +538,7 @@
 	f.detach(pb)
 }
 
-// ready answers the SETUPs of a playback whose first packet has come.
+// started answers the SETUPs of a playback whose first packet has arrived.
 func (f *Front) started(pb *playback) {
 	f.timers.Stop(pb.deadlineTimer)
 	if pb.answered {
@@ -552,16 +556,16 @@
 	pb.pendingSetups = nil
 }
 
-// play lets the packets through, those first that came before the player's PLAY.
+// play starts the delivery of packets, beginning with those that arrived before the player's PLAY.
 func (f *Front) play(pb *playback, rangeHeader string) {
 	if pb.playing {
 		return
 	}
 	pb.playing = true
 	frames := pb.heldFrames
-	for _, u := range pb.heldUnits {
-		f.deliver(pb, frames[0], frames[4:u.size])
-		frames = frames[u.size:]
+	for _, unit := range pb.heldUnits {
+		f.deliver(pb, frames[0], frames[4:unit.size])
+		frames = frames[unit.size:]
 	}
 	first := !pb.hasPlayed
 	pb.hasPlayed, pb.heldFrames, pb.heldUnits = true, nil, nil
@@ -570,7 +574,7 @@
 	}
 }
 
-// deliver takes a frame of the box to the player. The channel is the box's: two for each track.
+// deliver relays a frame from the box to the player. The channel is that of the box: two for each track.
 func (f *Front) deliver(pb *playback, channel byte, payload []byte) {
 	for _, binding := range pb.bindings {
 		if binding.track != int(channel/2) || !binding.ready {
@@ -585,18 +589,19 @@
 	}
 }
 
-// hold keeps what comes before the player's PLAY, up to a part of its buffer.
+// holdFrame keeps a frame that arrives before the player's PLAY, up to a share of the player's buffer.
 func (f *Front) holdFrame(pb *playback, channel byte, payload []byte) {
 	if len(pb.heldFrames)+len(payload)+4 > f.Bounds.PlayerBytes/heldBufferDivisor {
 		return
 	}
 	n := len(pb.heldFrames)
 	pb.heldFrames = rtsp.AppendFrame(pb.heldFrames, channel, payload)
-	pb.heldFrames[n] = channel // where AppendFrame has the mark of a frame
+	pb.heldFrames[n] = channel // replaces the '$' that AppendFrame writes there
 	pb.heldUnits = append(pb.heldUnits, outputUnit{size: len(pb.heldFrames) - n})
 }
 
-// leave tells the module that a playback has gone: what is out for it ends.
+// withdraw cancels everything that is pending for a playback: access control, admission and tries. It reports to
+// the module that the playback has left.
 func (f *Front) withdraw(pb *playback) {
 	f.timers.Stop(pb.deadlineTimer)
 	if pb.authorizationID > 0 {
@@ -618,7 +623,7 @@
 	}
 }
 
-// finish ends a playback whose player has gone, or has had enough (outcome OK).
+// finish ends a playback whose player has disconnected, or has sent TEARDOWN (outcome OK).
 func (f *Front) finish(pb *playback, outcome session.Outcome) {
 	if pb.finished {
 		return
@@ -642,8 +647,8 @@
 	f.detach(pb)
 }
 
-// cutShort is the answer to a playback that a stop ends before it was decided. One that must not happen twice
-// and may have run fails: a refusal would have it come again.
+// stopResponse returns the response to a playback that a stop ends before its decision. If its set-up must not
+// be repeated and may have run, the response is an error: after a refusal the player would try again.
 func (f *Front) stopResponse(pb *playback) *rtsp.Message {
 	if pb.tries > 0 && f.Site.Plans[pb.target.plan].Repeat == session.Unsafe {
 		return rtsp.Answer(rtsp.StatusInternal, 0)
@@ -651,8 +656,8 @@
 	return f.redirectOrRefuse(pb.player, pb.target.baseURL)
 }
 
-// ended tells a player that a playback of its has come to an end: RTCP BYE on its tracks (RFC 3550 section
-// 6.6), then the connection's end if nothing else plays on it.
+// endPlayback ends a playback whose stream has ended: it sends RTCP BYE on the playback's tracks (RFC 3550
+// section 6.6) and closes the connection if nothing else plays on it.
 func (f *Front) endPlayback(pb *playback) {
 	if pb.finished {
 		return
@@ -670,7 +675,7 @@
 	}
 }
 
-// unbind takes a playback off its connection.
+// detach removes a playback from its connection and gives back its seat and its channels.
 func (f *Front) detach(pb *playback) {
 	f.timers.Stop(pb.deadlineTimer)
 	f.closeQualityRecord(pb)
@@ -680,7 +685,7 @@
 	}
 	delete(f.sessions, pb.sessionID)
 	peer := pb.player
-	peer.playbacks = slices.DeleteFunc(peer.playbacks, func(x *playback) bool { return x == pb })
+	peer.playbacks = slices.DeleteFunc(peer.playbacks, func(other *playback) bool { return other == pb })
 	for i, binding := range peer.channels {
 		if binding != nil && binding.pb == pb {
 			peer.channels[i] = nil
@@ -689,7 +694,7 @@
 	pb.pendingSetups, pb.heldFrames, pb.heldUnits = nil, nil, nil
 }
 
-// upstreamName is the request's name at the boxes; each move is a request of its own there.
+// upstreamRequestID returns the Request-Id sent to boxes; each move is a separate request there.
 func (pb *playback) upstreamRequestID() string {
 	if pb.moves == 0 {
 		return pb.requestID
@@ -697,8 +702,8 @@
 	return pb.requestID + "/m" + strconv.Itoa(pb.moves)
 }
 
-// move asks for a new place under the same session; the old one ends. The direction on moving sessions is
-// to have the old one play until the new one does.
+// move requests a new placement under the same session and ends the old stream at once. The intended behaviour,
+// not implemented yet, is that the old stream plays until the new one does.
 func (f *Front) move(pb *playback) {
 	dialogue := pb.upstream
 	if pb.finished || dialogue == nil || dialogue.state != statePlaying {
--- a/internal/front/quality.go
+++ b/internal/front/quality.go
@@ -11,7 +11,7 @@
 	"pierlink/internal/rtsp"
 )
 
-// figured begins a playback's record of quality, under a name of its own until it has a session.
+// startQualityRecord begins the quality record of a playback, under a temporary name until it has a session id.
 func (f *Front) startQualityRecord(pb *playback) {
 	if f.Quality == nil {
 		return
@@ -21,7 +21,7 @@
 	f.Quality.Taken(pb.qualityRecord, pb.target.plan, pb.target.title, pb.receivedAt)
 }
 
-// rack is a server's, -1 for none.
+// rackOf returns the rack of a server, -1 if unknown.
 func (f *Front) rackOf(server int) int {
 	if server < 0 || server >= len(f.boxes) || f.Site.Fleet.Racks < 1 {
 		return -1
@@ -29,7 +29,7 @@
 	return f.boxes[server].lastListed.Cell % f.Site.Fleet.Racks
 }
 
-// placed notes where a playback plays now, and at which rung.
+// recordPlacement records in which rack and at which rung a playback plays now.
 func (f *Front) recordPlacement(pb *playback) {
 	if f.Quality == nil || pb.qualityRecord == "" || pb.sessionID == "" {
 		return
@@ -45,27 +45,27 @@
 	f.Quality.Plays(pb.qualityRecord, rack, pb.rung, f.now)
 }
 
-// closeRecord ends a playback's record.
+// closeQualityRecord ends the quality record of a playback.
 func (f *Front) closeQualityRecord(pb *playback) {
 	if f.Quality == nil || pb.qualityRecord == "" {
 		return
 	}
-	if pb.sessionID == "" { // it never played
+	if pb.sessionID == "" { // never played
 		f.Quality.Failed(pb.qualityRecord, f.rackOf(pb.lastServer))
 	}
 	f.Quality.Ended(pb.qualityRecord, f.now)
 	pb.qualityRecord = ""
 }
 
-// setParameters answers SET_PARAMETER (RFC 2326 section 10.9): an empty one keeps the session alive, and players may
-// report what they saw (docs/wire.md). Reports are heard for a while after a session's end, under its name. Where any
-// parameter is not known none is taken.
-func (f *Front) setParameters(pb *playback, message, response *rtsp.Message) *rtsp.Message {
-	parameters := rtsp.Parameters(message.Body)
+// setParameters answers SET_PARAMETER (RFC 2326 section 10.9). An empty one is a keepalive; others are reports of
+// the quality that the player saw (docs/wire.md). Reports are accepted for a while after the end of their session.
+// If any parameter is unknown, none is applied.
+func (f *Front) setParameters(pb *playback, request, response *rtsp.Message) *rtsp.Message {
+	parameters := rtsp.Parameters(request.Body)
 	if len(parameters) == 0 {
 		return response
 	}
-	id, _ := rtsp.SessionID(message.Get("Session"))
+	id, _ := rtsp.SessionID(request.Get("Session"))
 	var reports []quality.Report
 	for _, parameter := range parameters {
 		report, valid := parseReport(parameter.Value)
@@ -80,8 +80,8 @@
 	return response
 }
 
-// report reads SEQ CLOCK AT KIND VALUE: the player's clock as it sent the report and as it happened, in seconds;
-// startup and stall take seconds, rung a rung.
+// parseReport parses SEQ CLOCK AT KIND VALUE. CLOCK and AT are the player's clock in seconds, when it sent the
+// report and when the event happened. VALUE is in seconds for startup and stall, and a rung for rung.
 func parseReport(value string) (result quality.Report, ok bool) {
 	words := strings.Fields(value)
 	if len(words) != 5 {
@@ -113,7 +113,8 @@
 	return result, true
 }
 
-// settleQuality tells the log which racks and titles stand out.
+// settleQuality logs the racks and titles whose service is worse than that of the others, and when it no longer
+// is.
 func (f *Front) settleQuality() Time {
 	return f.Quality.Settle(func(alarm quality.Alarm) {
 		kind, name := "rack", strconv.Itoa(alarm.Rack)
@@ -121,9 +122,9 @@
 			kind, name = "title", alarm.Title
 		}
 		if !alarm.Raised {
-			f.log.Info("does as well as the others again", zap.String(kind, name))
+			f.log.Info("service quality back to that of the others", zap.String(kind, name))
 			return
 		}
-		f.log.Warn("does worse than the others", zap.String(kind, name), zap.Float64("lost", alarm.Lost), zap.Float64("others", alarm.Rest))
+		f.log.Warn("service quality worse than that of the others", zap.String(kind, name), zap.Float64("lost", alarm.Lost), zap.Float64("others", alarm.Rest))
 	})
 }
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -2,16 +2,17 @@
 
 import "pierlink/internal/rtsp"
 
-// out is what waits for a connection to take it. It holds whole messages and frames. At its bound, video
-// payloads go first, oldest first, then the other media payloads; messages and RTCP stay. It guards against
-// receivers that are slower than what they asked for, whatever slows them; a receiver that is only a burst
-// behind loses pictures that it might have caught up with.
+// outputQueue holds the bytes that wait to be sent on a connection, in complete messages and frames. At its limit
+// it drops video payloads, oldest first, then other media payloads; messages and RTCP are never dropped. This
+// guards against receivers that are slower than the stream, for whatever reason. The cost: a receiver that is
+// behind by one burst loses pictures that it might have caught up with.
 type outputQueue struct {
 	buf          []byte
 	units        []outputUnit
 	flushPending bool
 }
 
+// outputUnit is one message or frame in an outputQueue.
 type outputUnit struct {
 	size int
 	kind unitKind
@@ -26,16 +27,16 @@
 	videoUnit
 )
 
-// leg ties a player's channels to a track of a playback.
+// trackBinding binds a pair of the player's interleaved channels to a track of a playback.
 type trackBinding struct {
 	pb        *playback
 	track     int
 	rtp, rtcp byte
 	kind      unitKind
-	ready     bool // its SETUP is answered
+	ready     bool // its SETUP was answered with success
 }
 
-// buffer makes sure that an out has room to write to.
+// ensureBuffer gives a queue a buffer if it has none.
 func (f *Front) ensureBuffer(queue *outputQueue) {
 	if queue.buf == nil {
 		if n := len(f.freeBuffers); n > 0 {
@@ -46,7 +47,7 @@
 	}
 }
 
-// release gives an out's buffer back.
+// releaseBuffer returns the buffer of a connection's queue to the free list, unless it has grown too large.
 func (f *Front) releaseBuffer(peer *peerConn) {
 	if peer.output.buf != nil && cap(peer.output.buf) <= f.Bounds.PlayerBytes*2 && len(f.freeBuffers) < 1024 {
 		f.freeBuffers = append(f.freeBuffers, peer.output.buf[:0])
@@ -54,6 +55,7 @@
 	peer.output.buf, peer.output.units = nil, peer.output.units[:0]
 }
 
+// markUnflushed has a connection flushed at the end of the turn.
 func (f *Front) markUnflushed(peer *peerConn) {
 	if !peer.output.flushPending {
 		peer.output.flushPending = true
@@ -61,7 +63,7 @@
 	}
 }
 
-// send puts a message in line.
+// send queues a message for sending.
 func (f *Front) send(peer *peerConn, message *rtsp.Message) {
 	if peer.closed {
 		return
@@ -72,7 +74,7 @@
 	f.outputAppended(peer, len(peer.output.buf)-n, messageUnit)
 }
 
-// frame puts a frame in line.
+// sendFrame queues an interleaved frame for sending.
 func (f *Front) sendFrame(peer *peerConn, channel byte, payload []byte, kind unitKind) {
 	if peer.closed {
 		return
@@ -82,26 +84,27 @@
 	f.outputAppended(peer, 4+len(payload), kind)
 }
 
+// outputAppended accounts for a unit written to a connection's queue, and enforces the queue's limit.
 func (f *Front) outputAppended(peer *peerConn, size int, kind unitKind) {
 	peer.output.units = append(peer.output.units, outputUnit{size, kind})
 	f.markUnflushed(peer)
 	if len(peer.output.buf) <= f.Bounds.PlayerBytes {
 		return
 	}
-	if f.network.Pending(peer.conn) == 0 { // the network has room: the bound is for what does not go out
+	if f.network.Pending(peer.conn) == 0 { // the network has room; the limit is for output that cannot be sent
 		f.flush(peer)
 		return
 	}
 	for kind := videoUnit; kind >= audioUnit && len(peer.output.buf) > f.Bounds.PlayerBytes; kind-- {
 		f.dropOldest(peer, kind)
 	}
-	if len(peer.output.buf) > 2*f.Bounds.PlayerBytes { // answers and RTCP alone: it takes nothing at all
+	if len(peer.output.buf) > 2*f.Bounds.PlayerBytes { // messages and RTCP alone exceed the limit: the receiver reads nothing
 		f.Figures.Overflowed++
 		f.deferred = append(f.deferred, func() { f.closeOverflowed(peer) })
 	}
 }
 
-// shed takes the oldest payloads of a kind out until half of the bound is free.
+// dropOldest drops the oldest payloads of a kind until the queue is down to half of its limit.
 func (f *Front) dropOldest(peer *peerConn, kind unitKind) {
 	queue := &peer.output
 	excess := len(queue.buf) - f.Bounds.PlayerBytes/2
@@ -124,7 +127,7 @@
 	queue.buf, queue.units = queue.buf[:writeOffset], queue.units[:kept]
 }
 
-// flush sends what waits, unless the network still has to take what was sent before.
+// flush sends the queued output, unless the network has not taken the previous output yet.
 func (f *Front) flush(peer *peerConn) {
 	if peer.closed || len(peer.output.buf) == 0 || f.network.Pending(peer.conn) > 0 {
 		return
@@ -136,7 +139,7 @@
 	f.releaseBuffer(peer)
 }
 
-// hang ends a connection of either side.
+// closeOverflowed closes a connection, to a player or to a box, whose queue has overflowed.
 func (f *Front) closeOverflowed(peer *peerConn) {
 	if peer.closed {
 		return
--- a/internal/front/rules.go
+++ b/internal/front/rules.go
@@ -2,31 +2,31 @@
 
 import "pierlink/session"
 
-// What the front decides by itself: how long it waits for what the module does not time, and what it
-// gives up at a bound. Each value is a ratio of something told. Where playbacks go, at which rung, and
-// whether they are taken at all is the module's.
+// The decisions that the front makes itself: timeouts that the module does not set, and resource limits. Each
+// value is a ratio to a configured one. Which server and rung a playback gets, and whether it is accepted, is
+// decided by the module.
 
 const (
-	replyAbandonDivisor   = 16 // this part of the abandon time is kept for the answer's way to the player
-	probeStartupDivisor   = 4  // a probe may take this part of the longest startup target
-	lapsedPlaybackDivisor = 8  // tries given up whose answer is still awaited, as a part of the playbacks allowed
-	partialTimeoutDivisor = 4  // a message may take this part of the session time-out to come in whole
-	heldBufferDivisor     = 4  // what a player's buffer keeps for it before its PLAY
-	orphanPlaybackDivisor = 64 // what dead processes left is ended so many at once, as a part of the playbacks allowed
-	controlIdleTimeouts   = 2  // a control dialogue unused for so many session time-outs is closed
+	replyAbandonDivisor   = 16 // 1/16 of the abandon time is reserved for the response's way to the player
+	probeStartupDivisor   = 4  // a probe times out after 1/4 of the longest startup target
+	lapsedPlaybackDivisor = 8  // at most 1/8 of Bounds.Playbacks lapsed tries wait for a late response
+	partialTimeoutDivisor = 4  // a message must be complete within 1/4 of the session timeout
+	heldBufferDivisor     = 4  // at most 1/4 of Bounds.PlayerBytes is held for a player before its PLAY
+	orphanPlaybackDivisor = 64 // at most 1/64 of Bounds.Playbacks orphans are torn down at once
+	controlIdleTimeouts   = 2  // a control dialogue is closed after 2 idle session timeouts
 )
 
-// due is the moment by which the module must have decided a playback taken now: what is left of the
-// abandon time after it brings the answer to the player. It guards against answers that are on their way
-// when the player gives up, whatever made them late; it costs a sixteenth of the time for a last try.
-func decisionDeadline(taken, abandon Time) Time { return taken + abandon - abandon/replyAbandonDivisor }
+// decisionDeadline is the time by which the module must have decided on a playback. The rest of the abandon time
+// is for sending the response. This guards against responses that arrive after the player has given up, whatever
+// delayed them; the cost is a sixteenth of the abandon time for a last try.
+func decisionDeadline(receivedAt, abandonTime Time) Time { return receivedAt + abandonTime - abandonTime/replyAbandonDivisor }
 
-// overdue is when the front answers in the module's place.
-func fallbackDeadline(taken, abandon Time) Time {
-	return taken + abandon - abandon/replyAbandonDivisor/2
+// fallbackDeadline is the time at which the front answers if the module has not decided.
+func fallbackDeadline(receivedAt, abandonTime Time) Time {
+	return receivedAt + abandonTime - abandonTime/replyAbandonDivisor/2
 }
 
-// probeLimit is how long a probe may take.
+// probeLimit returns the timeout of a probe.
 func probeLimit(site *session.Site) Time {
 	longest := Time(0)
 	for _, plan := range site.Plans {
@@ -35,7 +35,7 @@
 	return longest / probeStartupDivisor
 }
 
-// outcome tells what a box's status proves of a try.
+// outcomeOf returns the outcome of a try or a probe that a box's status shows.
 func outcomeOf(status int) session.Outcome {
 	switch {
 	case status >= 200 && status < 300:
--- a/internal/front/upstream.go
+++ b/internal/front/upstream.go
@@ -12,46 +12,46 @@
 	"pierlink/session"
 )
 
-// state of a dialogue with a box.
+// dialogueState is the state of a dialogue with a box.
 type dialogueState uint8
 
 const (
-	stateTrying  dialogueState = iota // a try is out
+	stateTrying  dialogueState = iota // a setup try is in progress
 	statePlaying                      // its playback plays
-	stateLapsed                       // given up while its answer is open
-	stateClosing                      // TEARDOWN is sent
-	stateControl                      // a control dialogue: probes
-	stateOrphan                       // ends what a dead process left
+	stateLapsed                       // the try was given up before the box responded
+	stateClosing                      // TEARDOWN was sent
+	stateControl                      // control dialogue, for probes
+	stateOrphan                       // tears down a session that a dead process left
 )
 
-// dialogue is a connection to a box. A try has one of its own, so that its loss or a stall concerns one
-// playback; probes of a box share one.
+// serverDialogue is a connection to a box. Each try has its own, so that a lost or stalled connection affects
+// one playback only; the probes of a box share one.
 type serverDialogue struct {
 	peer           *peerConn
-	server         int
-	playback       *playback
-	try            int
+	server         int       // index in Front.boxes, -1 for an orphan
+	playback       *playback // nil for probes and orphans
+	try            int       // number of the try within its playback
 	state          dialogueState
 	connected      bool
-	requestsSent   bool // the requests have left: something may run
+	requestsSent   bool // the box may have acted on them
 	startedAt      Time
 	timer          *core.Timer
 	lastCSeq       int
-	firstCSeq      int // CSeq of the first SETUP; the last is PLAY's
-	playCSeq       int
+	firstCSeq      int // of the first SETUP
+	playCSeq       int // of PLAY, the last request of the try
 	okResponses    int
-	playAnswered   bool // PLAY is answered
-	packetReceived bool // a packet has come
-	sessionID      string
+	playAnswered   bool   // PLAY was answered with success
+	packetReceived bool   // a media packet has arrived
+	sessionID      string // assigned by the box
 	uri            string
-	rung           int // as told to the box
+	rung           int // as last sent to the box
 	load           session.Load
-	journalName    string // its name in the journal, if it is there
-	orphanName     string // of freeing: the name there
-	done           func(answered bool)
+	journalName    string              // empty if the dialogue is not in the journal
+	orphanName     string              // in stateOrphan: the journal name that the dead process gave it
+	done           func(answered bool) // in stateOrphan: called at the end
 }
 
-const pipelineID = "1" // of Pipelined-Requests: one session a connection
+const pipelineID = "1" // value of Pipelined-Requests; constant, as each connection has one session
 
 func (f *Front) dial(dialogue *serverDialogue) {
 	f.dialAddress(dialogue, f.boxes[dialogue.server].name, f.boxes[dialogue.server].address)
@@ -67,7 +67,8 @@
 	f.network.Dial(c, address)
 }
 
-// try sets a playback up at a box: SETUP for each track and PLAY, all in one go (RFC 7826 section 18.33).
+// startTry starts a setup try at a box. Once connected, SETUP for each track and PLAY are sent as pipelined
+// requests (RFC 7826 section 18.33).
 func (f *Front) startTry(pb *playback, server int, limit Time) {
 	f.Figures.Tries++
 	pb.lastServer = server
@@ -86,7 +87,7 @@
 	dialogue.timer = f.timers.Set(nil, max(deadline, f.now), func() { f.tryTimedOut(dialogue) })
 }
 
-// Dialed tells how a connection to a box came out.
+// Dialed handles the result of connecting to a box.
 func (f *Front) Dialed(c *core.Conn, err error) {
 	peer, ok := c.Owner.(*peerConn)
 	if !ok || peer.closed {
@@ -123,13 +124,13 @@
 	f.markUnflushed(peer)
 }
 
-// next begins the next request of a dialogue.
+// newRequest returns the next request of a dialogue.
 func (f *Front) newRequest(dialogue *serverDialogue, method string) *rtsp.Message {
 	dialogue.lastCSeq++
 	return rtsp.Request(method, dialogue.uri, dialogue.lastCSeq).With("User-Agent", f.Name).With("Session", dialogue.sessionID)
 }
 
-// tell sends a request whose answer changes nothing.
+// sendRequest sends a request whose response needs no handling.
 func (f *Front) sendRequest(dialogue *serverDialogue, method string, header []rtsp.Field) {
 	message := f.newRequest(dialogue, method)
 	if dialogue.sessionID == "" {
@@ -141,6 +142,7 @@
 	f.send(dialogue.peer, message)
 }
 
+// setRung changes the rung of a playback, at its box too if the requests were sent.
 func (f *Front) setRung(pb *playback, rung int) {
 	pb.rung = rung
 	f.recordPlacement(pb)
@@ -155,19 +157,19 @@
 	}
 }
 
-// boxSink takes what a box sends.
+// boxSink handles what a box sends.
 type boxSink sink
 
 func (s *boxSink) Bad(malformed *rtsp.Malformed) {
-	s.f.Figures.Malformed++
-	s.f.log.Info("malformed message of a box", zap.String("server", s.p.address), zap.String("what", malformed.Problem))
-	if dialogue := s.p.dialogue; !malformed.Request && dialogue.playback != nil && dialogue.state == stateTrying {
-		s.f.tryFailed(dialogue, session.Failed)
+	s.front.Figures.Malformed++
+	s.front.log.Info("malformed message from box", zap.String("server", s.peer.address), zap.String("what", malformed.Problem))
+	if dialogue := s.peer.dialogue; !malformed.Request && dialogue.playback != nil && dialogue.state == stateTrying {
+		s.front.tryFailed(dialogue, session.Failed)
 	}
 }
 
 func (s *boxSink) Frame(channel byte, payload []byte) {
-	f, dialogue := s.f, s.p.dialogue
+	f, dialogue := s.front, s.peer.dialogue
 	switch {
 	case dialogue.state != stateTrying && dialogue.state != statePlaying:
 		return
@@ -187,7 +189,7 @@
 }
 
 func (s *boxSink) Message(message *rtsp.Message) {
-	f, dialogue := s.f, s.p.dialogue
+	f, dialogue := s.front, s.peer.dialogue
 	load, reported := ParseLoad(message.Get("Load"))
 	if message.IsRequest() {
 		f.handleBoxRequest(dialogue, message)
@@ -197,18 +199,18 @@
 		dialogue.load = load
 	}
 	switch dialogue.state {
-	case stateOrphan: // whatever it answers, nothing of that name runs there any more
+	case stateOrphan: // whatever the status, the session of that name no longer runs at the box
 		f.closeDialogue(dialogue)
 		dialogue.done(true)
 	case stateControl:
 		f.probeEnded(dialogue, outcomeOf(message.Status))
 	case stateTrying:
 		if message.CSeq < dialogue.firstCSeq || message.CSeq > dialogue.playCSeq {
-			return // of a change of rung
+			return // response to a change of rung
 		}
 		if outcome := outcomeOf(message.Status); outcome != session.OK {
 			if outcome == session.Full && (message.CSeq != dialogue.firstCSeq || dialogue.sessionID != "") {
-				outcome = session.Failed // only that of the first SETUP proves that nothing ran
+				outcome = session.Failed // only a 453 to the first SETUP proves that nothing ran
 			}
 			f.tryFailed(dialogue, outcome)
 			return
@@ -222,7 +224,8 @@
 			}
 		}
 	case stateLapsed:
-		// The answer to a try that was given up: TEARDOWN is under way, nothing else comes of it.
+		// A late response to a try that was given up: the first TEARDOWN may not have matched a session, so a
+		// success is followed by TEARDOWN with the session id. The response has no other effect.
 		f.Figures.LateAnswers++
 		if dialogue.state = stateClosing; message.Status < 300 {
 			dialogue.sessionID, _ = rtsp.SessionID(message.Get("Session"))
@@ -236,7 +239,7 @@
 	}
 }
 
-// bye takes the end of a stream: RTCP BYE of the box (RFC 3550 section 6.6).
+// handleBye ends the playback if the RTCP packets hold a BYE from the box (RFC 3550 section 6.6).
 func (f *Front) handleBye(dialogue *serverDialogue, payload []byte) {
 	for len(payload) >= 4 {
 		packetBytes := 4 * (int(payload[2])<<8 + int(payload[3]) + 1)
@@ -254,7 +257,7 @@
 	}
 }
 
-// begun notes that a try has come out: PLAY is answered and the first packet is here.
+// tryStarted handles the success of a try: PLAY is answered and the first packet has arrived.
 func (f *Front) tryStarted(dialogue *serverDialogue) {
 	dialogue.state = statePlaying
 	f.timers.Stop(dialogue.timer)
@@ -269,7 +272,7 @@
 	}
 }
 
-// noted passes on what a box says of its link and its rack's uplink.
+// reportLoad passes the load that a box reports of its link and its rack's uplink to the module.
 func (f *Front) reportLoad(dialogue *serverDialogue, load session.Load) {
 	note := session.Note{Playback: dialogue.playback.id, Server: dialogue.server, Kind: session.LinkAsked, Value: load.Link}
 	if load.HasLink {
@@ -280,12 +283,12 @@
 	}
 }
 
-// boxAsks takes a box's own request: SET_PARAMETER with notes on a session.
-func (f *Front) handleBoxRequest(dialogue *serverDialogue, message *rtsp.Message) {
+// handleBoxRequest handles a request from a box: SET_PARAMETER with notes on a session, or TEARDOWN.
+func (f *Front) handleBoxRequest(dialogue *serverDialogue, request *rtsp.Message) {
 	status := rtsp.StatusOK
-	switch message.Method {
+	switch request.Method {
 	case rtsp.SetParameter:
-		for _, parameter := range rtsp.Parameters(message.Body) {
+		for _, parameter := range rtsp.Parameters(request.Body) {
 			number, err := strconv.ParseFloat(parameter.Value, 64)
 			if err != nil || number < 0 || number > 1e6 {
 				status = rtsp.StatusParameterUnknown
@@ -318,10 +321,11 @@
 	default:
 		status = rtsp.StatusNotImplemented
 	}
-	f.send(dialogue.peer, rtsp.Answer(status, message.CSeq))
+	f.send(dialogue.peer, rtsp.Answer(status, request.CSeq))
 }
 
-// Load reads a Load header: link=0.8;uplink=0.4;capped (docs/wire.md). False if it is empty or malformed.
+// ParseLoad parses a Load header such as link=0.8;uplink=0.4;capped (docs/wire.md). ok is false if it is
+// malformed or has neither link nor uplink.
 func ParseLoad(value string) (load session.Load, ok bool) {
 	for _, pair := range rtsp.Pairs(value) {
 		number, err := strconv.ParseFloat(pair.Value, 64)
@@ -340,7 +344,7 @@
 	return load, ok
 }
 
-// result tells the module how a try, or the playback that came of it, has ended.
+// reportResult reports to the module how a try, or the playback that it started, has ended.
 func (f *Front) reportResult(dialogue *serverDialogue, outcome session.Outcome, final bool) {
 	pb := dialogue.playback
 	f.timers.Stop(dialogue.timer)
@@ -358,7 +362,7 @@
 		Final: final, Load: dialogue.load})
 }
 
-// failed ends a try that the box has answered with an error.
+// tryFailed ends a try that the box answered with an error or that timed out.
 func (f *Front) tryFailed(dialogue *serverDialogue, outcome session.Outcome) {
 	pb := dialogue.playback
 	f.reportResult(dialogue, outcome, false)
@@ -370,22 +374,23 @@
 	pb.heldFrames, pb.heldUnits = nil, nil
 }
 
-// timedOut gives a try up.
+// tryTimedOut gives up a try whose time limit has passed.
 func (f *Front) tryTimedOut(dialogue *serverDialogue) {
 	if dialogue.state != stateTrying || dialogue.playback.upstream != dialogue {
 		return
 	}
 	outcome := session.TimedOut
 	if !dialogue.requestsSent {
-		outcome = session.NoConnection // nothing has left: nothing can run
+		outcome = session.NoConnection // no request was sent, so nothing can run at the box
 	}
 	f.tryFailed(dialogue, outcome)
 }
 
-// teardown ends a dialogue at the box. A box that has answered gets TEARDOWN for its session. One that has
-// not gets it for the pipelined requests at once, so that what it has yet to do it need not, and again for
-// its session should the answer come: the dialogue is kept for that while, within a bound. It guards
-// against places that stay taken at boxes that are slow, stuck or cut off.
+// teardown ends a dialogue at the box. A box that has responded gets TEARDOWN for its session. One that has not
+// gets TEARDOWN for the pipelined requests at once, so that it can skip those it has not handled yet, and again
+// for its session if the response arrives; the dialogue is kept open for that for a limited time, and the
+// number of such dialogues is limited too. This guards against capacity that stays reserved at boxes that are
+// slow, hung or unreachable.
 func (f *Front) teardown(dialogue *serverDialogue) {
 	if !dialogue.requestsSent {
 		f.closeDialogue(dialogue)
@@ -406,7 +411,7 @@
 	dialogue.timer = f.timers.Set(dialogue.timer, f.now+timeout, func() { f.closeDialogue(dialogue) })
 }
 
-// hangUp closes a dialogue's connection.
+// closeDialogue closes a dialogue's connection.
 func (f *Front) closeDialogue(dialogue *serverDialogue) {
 	if dialogue.peer.closed {
 		return
@@ -416,7 +421,7 @@
 	f.releaseDialogue(dialogue)
 }
 
-// unhook forgets a dialogue's connection.
+// releaseDialogue releases a closed dialogue and ends its journal entry.
 func (f *Front) releaseDialogue(dialogue *serverDialogue) {
 	dialogue.peer.closed = true
 	dialogue.peer.parser.Stop()
@@ -434,7 +439,7 @@
 	}
 }
 
-// lost takes the loss of a dialogue's connection.
+// dialogueLost handles the loss of a dialogue's connection.
 func (f *Front) dialogueLost(dialogue *serverDialogue, outcome session.Outcome) {
 	previous := dialogue.state
 	if outcome == session.Reset && !dialogue.requestsSent && dialogue.playback != nil {
@@ -458,7 +463,7 @@
 	}
 }
 
-// probe asks a box for its load: OPTIONS on a dialogue kept for that.
+// probe asks a box for its load, with OPTIONS on its control dialogue.
 func (f *Front) probe(server int) {
 	f.Figures.Probes++
 	box := &f.boxes[server]
@@ -476,7 +481,7 @@
 	})
 }
 
-// probed tells the module how a probe came out.
+// probeEnded reports the result of a probe to the module.
 func (f *Front) probeEnded(dialogue *serverDialogue, outcome session.Outcome) {
 	box := &f.boxes[dialogue.server]
 	if !box.probing {
