--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -10,13 +10,13 @@
 	"pierlink/session"
 )
 
-// idleModule stands in for the module where nothing is to be decided.
+// idleModule is a module that makes no decisions.
 type idleModule struct{ session.Manager }
 
 func (idleModule) At(session.Time)        {}
 func (idleModule) Settle(session.Actions) {}
 
-// counting is a network that takes all and counts it.
+// countingNetwork is a network that counts the bytes sent.
 type countingNetwork struct {
 	sentBytes int
 	full      bool
@@ -34,24 +34,26 @@
 }
 func (n *countingNetwork) Close(*core.Conn) {}
 
-func newRelay(n *countingNetwork) (*Front, *core.Conn) {
+// newRelay returns a front with one playing playback, and the connection to its box.
+func newRelay(network *countingNetwork) (*Front, *core.Conn) {
 	f := New(&Service{SessionTimeout: core.Second, Bounds: Bounds{Connections: 9, Playbacks: 9, Pipelined: 9, PlayerBytes: 1 << 16}},
-		idleModule{}, n, zap.NewNop(), 1)
-	a := &core.Conn{}
+		idleModule{}, network, zap.NewNop(), 1)
+	playerConn := &core.Conn{}
 	f.At(1)
-	f.Accepted(a, "a")
-	peer := a.Owner.(*peerConn)
+	f.Accepted(playerConn, "a")
+	peer := playerConn.Owner.(*peerConn)
 	pb := &playback{player: peer, playing: true, answered: true}
 	pb.bindings = []*trackBinding{{pb: pb, rtcp: 1, kind: videoUnit, ready: true}}
-	up := &core.Conn{}
+	boxConn := &core.Conn{}
 	dialogue := &serverDialogue{playback: pb, state: statePlaying, connected: true}
-	dialogue.peer = &peerConn{conn: up, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.Usual}}
+	dialogue.peer = &peerConn{conn: boxConn, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.Usual}}
 	dialogue.peer.sink = sink{f, dialogue.peer}
-	up.Owner, pb.upstream = dialogue.peer, dialogue
+	boxConn.Owner, pb.upstream = dialogue.peer, dialogue
 	f.Settle()
-	return f, up
+	return f, boxConn
 }
 
+// mediaChunk returns 20 frames of 1200 bytes of payload.
 func mediaChunk() []byte {
 	var b []byte
 	for range 20 {
@@ -60,18 +62,18 @@
 	return b
 }
 
-// A packet on its way from box to player costs no allocation, wherever the reads cut it.
-func TestRelayAllocatesNothing(t *testing.T) {
-	n := &countingNetwork{}
-	f, up := newRelay(n)
-	b := mediaChunk()
-	at := Time(2)
+// Relaying a packet from box to player must not allocate, also where a read ends within a frame.
+func TestRelayDoesNotAllocate(t *testing.T) {
+	network := &countingNetwork{}
+	f, boxConn := newRelay(network)
+	chunk := mediaChunk()
+	now := Time(2)
 	turn := func() {
-		f.At(at)
-		f.Received(up, b[:len(b)/2+300])
+		f.At(now)
+		f.Received(boxConn, chunk[:len(chunk)/2+300])
 		f.Settle()
-		f.At(at)
-		f.Received(up, b[len(b)/2+300:])
+		f.At(now)
+		f.Received(boxConn, chunk[len(chunk)/2+300:])
 		f.Settle()
 	}
 	for range 100 {
@@ -80,20 +82,20 @@
 	if got := testing.AllocsPerRun(200, turn); got > 0 {
 		t.Errorf("%.2f allocations for 20 packets", got)
 	}
-	if want := int(f.Figures.Packets) * 1204; n.sentBytes != want {
-		t.Errorf("%d bytes sent of %d packets", n.sentBytes, f.Figures.Packets)
+	if want := int(f.Figures.Packets) * 1204; network.sentBytes != want {
+		t.Errorf("%d bytes sent for %d packets", network.sentBytes, f.Figures.Packets)
 	}
 }
 
 func BenchmarkRelay(b *testing.B) {
-	n := &countingNetwork{}
-	f, up := newRelay(n)
-	c := mediaChunk()
-	b.SetBytes(int64(len(c)))
+	network := &countingNetwork{}
+	f, boxConn := newRelay(network)
+	chunk := mediaChunk()
+	b.SetBytes(int64(len(chunk)))
 	b.ReportAllocs()
 	for b.Loop() {
 		f.At(2)
-		f.Received(up, c)
+		f.Received(boxConn, chunk)
 		f.Settle()
 	}
 }
--- a/internal/front/scenario_test.go
+++ b/internal/front/scenario_test.go
@@ -23,100 +23,102 @@
 	"pierlink/session"
 )
 
-// stage plays one scenario file: `T who event ...` lets time pass to T seconds and tells the front an
-// event; `> action` wants an action of that start since then, `! action` wants none, `= N action` exactly
-// N; `|` parts what stands on one line. Players are named by their open line; dialogues with boxes are d1, d2, ...
-// in the order of their dials. `set key value` comes first. There are three boxes, box-0 to box-2.
+// scenario runs one scenario file. `T who event ...` advances the clock to T seconds and passes an event to the
+// front. `> action` expects an action with that beginning since the event, `! action` expects none, and
+// `= N action` expects exactly N. `|` separates the statements of a line. Players are named by their open
+// statement; dialogues with boxes are d1, d2, ... in the order in which they are dialed. `set key value`
+// statements come first. There are three boxes, box-0 to box-2.
 type scenario struct {
-	testing       *testing.T
-	line          string
-	service       *front.Service
-	manager       *front.Front
-	now           core.Time
-	nextTurn      core.Time
-	conns         map[string]*core.Conn
-	names         map[*core.Conn]string
-	dials         int
-	pending       map[string]int
-	readers       map[string]*rtsp.Parser
-	cseq          map[string]int
-	heldBack      map[string][]byte
-	sessionIDs    map[string]string
-	actions       []string
-	bytes         map[string]int
-	lifecycle     *life.Life // where the scenario has one
-	otherManagers []string
-	tenants       *tenants.Core
-	lookup        tenants.Want
-	nonce         string
+	t               *testing.T
+	line            string
+	config          *front.Service
+	manager         *front.Front
+	now             core.Time
+	nextTurn        core.Time
+	conns           map[string]*core.Conn
+	connNames       map[*core.Conn]string
+	dialCount       int
+	unsentBytes     map[string]int
+	parsers         map[string]*rtsp.Parser
+	cseq            map[string]int
+	heldBack        map[string][]byte
+	sessionIDs      map[string]string
+	recordedActions []string
+	receivedBytes   map[string]int
+	lifecycle       *life.Life // where the scenario has one
+	otherManagers   []string
+	access          *tenants.Core
+	lookup          tenants.Want
+	nonce           string
 }
 
 func digestHex(parts ...string) string {
-	h := sha256.Sum256([]byte(strings.Join(parts, ":")))
-	return hex.EncodeToString(h[:])
+	sum := sha256.Sum256([]byte(strings.Join(parts, ":")))
+	return hex.EncodeToString(sum[:])
 }
 
 func (s *scenario) record(format string, a ...any) {
-	s.actions = append(s.actions, fmt.Sprintf(format, a...))
+	s.recordedActions = append(s.recordedActions, fmt.Sprintf(format, a...))
 }
 
 func (s *scenario) Dial(c *core.Conn, addr string) {
-	s.dials++
-	name := "d" + strconv.Itoa(s.dials)
-	s.conns[name], s.names[c] = c, name
+	s.dialCount++
+	name := "d" + strconv.Itoa(s.dialCount)
+	s.conns[name], s.connNames[c] = c, name
 	s.record("%s dial %s", name, addr)
 }
 
 func (s *scenario) Send(c *core.Conn, b []byte) {
-	name := s.names[c]
-	if s.readers[name] == nil {
-		s.readers[name] = &rtsp.Parser{Bounds: rtsp.Usual}
+	name := s.connNames[c]
+	if s.parsers[name] == nil {
+		s.parsers[name] = &rtsp.Parser{Bounds: rtsp.Usual}
 	}
-	s.bytes[name] += len(b)
-	if s.pending[name] > 0 {
-		s.testing.Errorf("%s: sent to %s while the network is full", s.line, name)
+	s.receivedBytes[name] += len(b)
+	if s.unsentBytes[name] > 0 {
+		s.t.Errorf("%s: sent to %s while the network is full", s.line, name)
 	}
-	if _, stuck := s.pending[name]; stuck {
-		s.pending[name] += len(b)
+	if _, stuck := s.unsentBytes[name]; stuck {
+		s.unsentBytes[name] += len(b)
 	}
-	if err := s.readers[name].Feed(b, &messageRecorder{s, name}); err != nil {
-		s.testing.Errorf("%s: %s got what cannot be read: %v", s.line, name, err)
+	if err := s.parsers[name].Feed(b, &messageRecorder{s, name}); err != nil {
+		s.t.Errorf("%s: %s received malformed output: %v", s.line, name, err)
 	}
 }
 func (s *scenario) Listen()                  {}
 func (s *scenario) Hush()                    { s.record("hush"); s.manager.Life().Hushed() }
 func (s *scenario) Exit()                    { s.record("exit") }
-func (s *scenario) News(x life.State)        { s.record("state %s", x) }
-func (s *scenario) Pending(c *core.Conn) int { return s.pending[s.names[c]] }
-func (s *scenario) Close(c *core.Conn)       { s.record("%s closed", s.names[c]) }
+func (s *scenario) News(state life.State)        { s.record("state %s", state) }
+func (s *scenario) Pending(c *core.Conn) int { return s.unsentBytes[s.connNames[c]] }
+func (s *scenario) Close(c *core.Conn)       { s.record("%s closed", s.connNames[c]) }
 
+// messageRecorder records the messages and frames that the front sends on one connection.
 type messageRecorder struct {
 	scenario *scenario
-	name     string
+	party    string
 }
 
 func (r *messageRecorder) Bad(malformed *rtsp.Malformed) {
-	r.scenario.testing.Errorf("%s: malformed: %v", r.scenario.line, malformed)
+	r.scenario.t.Errorf("%s: the front sent a malformed message: %v", r.scenario.line, malformed)
 }
-func (r *messageRecorder) Frame(c byte, p []byte) {
-	r.scenario.record("%s frame %d", r.name, c)
+func (r *messageRecorder) Frame(channel byte, payload []byte) {
+	r.scenario.record("%s frame %d", r.party, channel)
 }
 func (r *messageRecorder) Message(message *rtsp.Message) {
-	text := r.name + " "
+	text := r.party + " "
 	if message.IsRequest() {
 		text += message.Method
 	} else {
 		text += strconv.Itoa(message.Status)
 		if id, _ := rtsp.SessionID(message.Get("Session")); id != "" {
-			r.scenario.sessionIDs[r.name] = id
+			r.scenario.sessionIDs[r.party] = id
 		}
 	}
 	text += " cseq=" + strconv.Itoa(message.CSeq)
 	if i := strings.LastIndex(message.URI, "/track"); i >= 0 {
 		text += " " + message.URI[i+1:]
 	}
-	if _, n, ok := strings.Cut(message.Get("WWW-Authenticate"), `nonce="`); ok {
-		r.scenario.nonce, _, _ = strings.Cut(n, `"`)
+	if _, nonce, ok := strings.Cut(message.Get("WWW-Authenticate"), `nonce="`); ok {
+		r.scenario.nonce, _, _ = strings.Cut(nonce, `"`)
 	}
 	for _, h := range []string{"Try", "Rung", "Retry-After"} {
 		if v := message.Get(h); v != "" {
@@ -141,21 +143,21 @@
 }
 
 func (s *scenario) updateList(state map[string]session.ServerState, whole bool) {
-	l := front.List{Whole: whole}
+	update := front.List{Whole: whole}
 	for i := range 3 {
 		name := "box-" + strconv.Itoa(i)
-		if st, ok := state[name]; ok {
-			if st == session.Gone {
-				l.Servers = append(l.Servers, front.Server{Name: name, State: st}) // all that a registry tells of one
+		if serverState, ok := state[name]; ok {
+			if serverState == session.Gone {
+				update.Servers = append(update.Servers, front.Server{Name: name, State: serverState}) // a registry reports nothing else of it
 				continue
 			}
-			l.Servers = append(l.Servers, front.Server{Name: name, Address: name, Zone: "z", Kind: "std", Cell: i, Weight: 1, State: st})
+			update.Servers = append(update.Servers, front.Server{Name: name, Address: name, Zone: "z", Kind: "std", Cell: i, Weight: 1, State: serverState})
 		}
 	}
-	s.manager.Listed(l)
+	s.manager.Listed(update)
 }
 
-// turn runs one turn of the front at the clock's moment.
+// turn runs one turn of the front at the present time of the scenario's clock.
 func (s *scenario) turn(event func()) {
 	s.manager.At(s.now)
 	if event != nil {
@@ -172,7 +174,7 @@
 	s.now = until
 }
 
-// message builds what a player or a box sends: METHOD or STATUS, a path, and key=value words.
+// message encodes a message from a player or a box, given as METHOD or STATUS, a path, and key=value words.
 func (s *scenario) message(party string, words []string) []byte {
 	options, path := map[string]string{}, ""
 	for _, x := range words[1:] {
@@ -213,9 +215,9 @@
 	}
 	if user, pass, ok := strings.Cut(options["auth"], ":"); ok {
 		uri := message.URI
-		r := digestHex(digestHex(user, "pier", pass), s.nonce, "00000001", "cn", "auth", digestHex(message.Method, uri))
+		digest := digestHex(digestHex(user, "pier", pass), s.nonce, "00000001", "cn", "auth", digestHex(message.Method, uri))
 		message.With("Authorization", fmt.Sprintf(`Digest username="%s", realm="pier", nonce="%s", uri="%s", qop=auth, nc=00000001, cnonce="cn", response="%s", algorithm=SHA-256`,
-			user, s.nonce, uri, r))
+			user, s.nonce, uri, digest))
 		delete(options, "auth")
 	}
 	for k, v := range options {
@@ -245,49 +247,49 @@
 	case party == "handed":
 		s.turn(func() { s.manager.Life().TakenOver() })
 	case party == "late":
-		by, _ := strconv.ParseFloat(words[1], 64)
-		s.manager.Turned(core.Time(by*1e6), 0)
-	case party == "came": // came SECONDS-AGO who event: it has waited
-		by, _ := strconv.ParseFloat(words[1], 64)
+		seconds, _ := strconv.ParseFloat(words[1], 64)
+		s.manager.Turned(core.Time(seconds*1e6), 0)
+	case party == "came": // came SECONDS who event: the event arrived SECONDS ago
+		seconds, _ := strconv.ParseFloat(words[1], 64)
 		s.manager.At(s.now)
-		s.manager.Came(s.now - core.Time(by*1e6))
+		s.manager.Came(s.now - core.Time(seconds*1e6))
 		s.manager.Received(s.conns[words[2]], s.message(words[2], words[3:]))
 		s.nextTurn = s.manager.Settle()
 		s.manager.Turned(0, 0)
-	case party == "found" || party == "none": // the directory answers the look-up that is out
+	case party == "found" || party == "none": // the directory answers the pending look-up
 		s.turn(func() {
 			switch {
 			case party == "none":
-				s.tenants.Looked(s.lookup.Try, nil)
+				s.access.Looked(s.lookup.Try, nil)
 				return
 			case words[1] == "ann":
-				s.tenants.Looked(s.lookup.Try, &tenants.Record{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")})
+				s.access.Looked(s.lookup.Try, &tenants.Record{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")})
 				return
 			}
-			s.tenants.Looked(s.lookup.Try, &tenants.Record{ID: "9", Kind: tenants.Member, Name: words[1], Tenant: "school"})
+			s.access.Looked(s.lookup.Try, &tenants.Record{ID: "9", Kind: tenants.Member, Name: words[1], Tenant: "school"})
 		})
 	case party == "orphan":
 		s.turn(func() {
 			s.manager.Adopt([]life.Orphan{{Name: words[2], Address: words[1], URI: "rtsp://" + words[1] + "/live/t"}}, func() { s.record("settled") })
 		})
 	case party == "reload":
-		to, _ := strconv.ParseFloat(words[2], 64)
-		n := &front.Next{Bounds: s.service.Bounds, SessionTimeout: s.service.SessionTimeout}
-		for range s.service.Plans {
-			n.Abandon = append(n.Abandon, core.Time(to*1e6))
+		abandonSeconds, _ := strconv.ParseFloat(words[2], 64)
+		config := &front.Next{Bounds: s.config.Bounds, SessionTimeout: s.config.SessionTimeout}
+		for range s.config.Plans {
+			config.Abandon = append(config.Abandon, core.Time(abandonSeconds*1e6))
 		}
-		s.turn(func() { s.manager.Reload(n) })
-	case party == "left": // left KEY VALUE: a figure as it stands now
+		s.turn(func() { s.manager.Reload(config) })
+	case party == "left": // left KEY VALUE: checks a counter or a current value
 		got := map[string]int64{"playbacks": s.manager.Figures.Playbacks, "dialogues": s.manager.Figures.Dialogues,
 			"connections": s.manager.Figures.Connections, "late": s.manager.Figures.LateAnswers, "video": s.manager.Figures.LostVideo,
 			"audio": s.manager.Figures.LostAudio, "slow": s.manager.Figures.SlowSenders, "tries": s.manager.Figures.Tries,
 			"taken": s.manager.Figures.Taken, "overdue": s.manager.Figures.Overdue}[words[1]]
 		if want := words[2]; strconv.FormatInt(got, 10) != want && !(want == "some" && got > 0) {
-			s.testing.Errorf("%s: %d", s.line, got)
+			s.t.Errorf("%s: the value is %d", s.line, got)
 		}
 	case words[1] == "open":
 		conn := &core.Conn{}
-		s.conns[party], s.names[conn] = conn, party
+		s.conns[party], s.connNames[conn] = conn, party
 		s.turn(func() { s.manager.Accepted(conn, party) })
 	case words[1] == "up":
 		s.turn(func() { s.manager.Dialed(conn, nil) })
@@ -296,14 +298,14 @@
 	case words[1] == "close":
 		s.turn(func() { s.manager.Closed(conn, core.ErrEnded) })
 	case words[1] == "stuck":
-		s.pending[party] = 1
+		s.unsentBytes[party] = 1
 	case words[1] == "drains":
-		delete(s.pending, party)
+		delete(s.unsentBytes, party)
 		s.turn(func() { s.manager.Drained(conn) })
 	case words[1] == "raw":
 		text, err := strconv.Unquote(`"` + strings.Join(words[2:], " ") + `"`)
 		if err != nil {
-			s.testing.Fatal(s.line, err)
+			s.t.Fatal(s.line, err)
 		}
 		receive([]byte(text))
 	case words[1] == "frame" || words[1] == "frames": // frame CHANNEL SIZE [COUNT]
@@ -320,14 +322,14 @@
 		receive(b)
 	case words[1] == "bye":
 		receive(rtsp.AppendFrame(nil, 1, []byte{0x81, 203, 0, 1, 0, 0, 0, 0}))
-	case words[1] == "half": // the first N bytes of what follows; `rest` brings the others
+	case words[1] == "half": // the first N bytes of the message; `rest` sends the others
 		n, _ := strconv.Atoi(words[2])
 		b := s.message(party, words[3:])
 		s.heldBack[party] = b[n:]
 		receive(b[:n])
 	case words[1] == "rest":
 		receive(s.heldBack[party])
-	case words[1] == "all": // several messages, parted by &, in one go
+	case words[1] == "all": // several messages, separated by &, received at once
 		var b []byte
 		for part := range strings.SplitSeq(strings.Join(words[2:], " "), "&") {
 			b = append(b, s.message(party, strings.Fields(part))...)
@@ -344,54 +346,54 @@
 	if words[0] == "=" {
 		expected = strings.Join(words[2:], " ")
 	}
-	for _, a := range s.actions {
-		if strings.HasPrefix(a+" ", expected+" ") {
+	for _, action := range s.recordedActions {
+		if strings.HasPrefix(action+" ", expected+" ") {
 			matches++
 		}
 	}
 	failed := false
 	switch words[0] {
 	case "set":
-		x, _ := strconv.Atoi(words[2])
+		value, _ := strconv.Atoi(words[2])
 		switch words[1] {
 		case "connections":
-			s.service.Bounds.Connections = x
+			s.config.Bounds.Connections = value
 		case "playbacks":
-			s.service.Bounds.Playbacks = x
+			s.config.Bounds.Playbacks = value
 		case "halfopen":
-			s.service.Limits.HalfOpen = x
-		case "silent": // no advice to come again
-			s.service.Silent, s.service.Site.Terms.MaxComeAgain = true, 0
+			s.config.Limits.HalfOpen = value
+		case "silent": // no Retry-After advice
+			s.config.Silent, s.config.Site.Terms.MaxComeAgain = true, 0
 		case "queue":
-			s.service.Queue = &fair.Terms{Waiting: x, Bytes: 1 << 20, Tenants: 9, Clients: 9, Silent: s.service.Silent}
-		case "seats": // of the paid plan
-			s.service.Site.Plans[1].Seats = x
-		case "ration": // further tries, over 10 s
-			t := &s.service.Site.Terms
-			t.Rationed, t.FreeTries, t.TrySpan, t.MaxTries = true, float64(x), 10*core.Second, 9
+			s.config.Queue = &fair.Terms{Waiting: value, Bytes: 1 << 20, Tenants: 9, Clients: 9, Silent: s.config.Silent}
+		case "seats": // per title of the paid plan
+			s.config.Site.Plans[1].Seats = value
+		case "ration": // budget of further tries per 10 s
+			terms := &s.config.Site.Terms
+			terms.Rationed, terms.FreeTries, terms.TrySpan, terms.MaxTries = true, float64(value), 10*core.Second, 9
 		case "drain":
-			s.lifecycle = life.New(life.Terms{Drain: core.Time(x) * core.Second, Finish: 4 * core.Second}, core.Second)
-			for p := life.Settings; p <= life.Module; p++ {
-				s.lifecycle.Has(p)
+			s.lifecycle = life.New(life.Terms{Drain: core.Time(value) * core.Second, Finish: 4 * core.Second}, core.Second)
+			for part := life.Settings; part <= life.Module; part++ {
+				s.lifecycle.Has(part)
 			}
 		case "others":
 			s.otherManagers = strings.Split(words[2], ",")
-		case "gate": // 0: accounts are taken at their word; 1: they prove themselves
-			s.tenants = tenants.New(tenants.Terms{Longest: 60e6, Renew: 30e6, Timeout: 1e6, Negative: 1e6, Waiting: 10, Lookups: 2}, core.Second)
-			s.tenants.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "school", Plans: []string{"live"}, Seats: 2},
+		case "gate": // 0: access control without authentication; 1: with it
+			s.access = tenants.New(tenants.Terms{Longest: 60e6, Renew: 30e6, Timeout: 1e6, Negative: 1e6, Waiting: 10, Lookups: 2}, core.Second)
+			s.access.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "school", Plans: []string{"live"}, Seats: 2},
 				{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")}}, tenants.Mark{Cookie: []byte("c")}, core.Second)
-			s.service.Gate = &front.Gate{Core: s.tenants, Realm: map[int]string{1: "pier"}[x], Guesses: tenants.Guesses{Span: 60e6}, Ask: func(words tenants.Want) {
-				if s.lookup = words; words.Act == tenants.Look {
-					s.record("asks %s", words.Account)
+			s.config.Gate = &front.Gate{Core: s.access, Realm: map[int]string{1: "pier"}[value], Guesses: tenants.Guesses{Span: 60e6}, Ask: func(want tenants.Want) {
+				if s.lookup = want; want.Act == tenants.Look {
+					s.record("asks %s", want.Account)
 				}
 			}}
-		case "quality": // so many seconds after its end a playback is open to reports
-			s.service.Quality = quality.New(quality.Terms{Plans: make([]quality.Plan, len(s.service.Site.Plans)), Worth: s.service.Site.Ladder.Worth, Racks: 1, Titles: 9,
-				Playbacks: 9, Width: core.Second, Buckets: 60, Late: core.Time(x) * core.Second}, core.Second)
-		case "requests": // a second on one connection
-			s.service.Limits.PerConnection = float64(x)
+		case "quality": // seconds after a session's end in which reports are accepted
+			s.config.Quality = quality.New(quality.Terms{Plans: make([]quality.Plan, len(s.config.Site.Plans)), Worth: s.config.Site.Ladder.Worth, Racks: 1, Titles: 9,
+				Playbacks: 9, Width: core.Second, Buckets: 60, Late: core.Time(value) * core.Second}, core.Second)
+		case "requests": // limit per second and connection
+			s.config.Limits.PerConnection = float64(value)
 		default:
-			s.testing.Fatal(s.line)
+			s.t.Fatal(s.line)
 		}
 	case ">":
 		failed = matches == 0
@@ -400,17 +402,17 @@
 	case "=":
 		failed = strconv.Itoa(matches) != words[1]
 	default:
-		still := words[0] == "stands" // T: the front's turns until then do not come
+		still := words[0] == "stands" // stands T: the clock advances to T without turns of the front
 		if still {
 			words = words[1:]
 		}
-		at, err := strconv.ParseFloat(words[0], 64)
+		seconds, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
-			s.testing.Fatalf("%s: not understood", s.line)
+			s.t.Fatalf("%s: expected a time in seconds", s.line)
 		}
 		if s.manager == nil {
 			s.now = core.Second
-			s.manager = front.New(s.service, policy.New(&s.service.Site, 7, s.now), s, zap.NewNop(), s.now)
+			s.manager = front.New(s.config, policy.New(&s.config.Site, 7, s.now), s, zap.NewNop(), s.now)
 			if s.manager.Others().Set(s.otherManagers); s.lifecycle != nil {
 				s.manager.Live(s.lifecycle, s)
 			}
@@ -418,8 +420,8 @@
 				s.updateList(map[string]session.ServerState{"box-0": session.Ready, "box-1": session.Ready, "box-2": session.Ready}, true)
 			})
 		}
-		s.actions = nil
-		if until := core.Second + core.Time(at*1e6); still {
+		s.recordedActions = nil
+		if until := core.Second + core.Time(seconds*1e6); still {
 			s.now = until
 		} else {
 			s.advance(until)
@@ -427,14 +429,14 @@
 		s.applyEvent(words[1:])
 	}
 	if failed {
-		s.testing.Errorf("%s: %d of them (since the event: %s)", s.line, matches, strings.Join(s.actions, "; "))
+		s.t.Errorf("%s: %d matching actions (since the event: %s)", s.line, matches, strings.Join(s.recordedActions, "; "))
 	}
 }
 
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("no scenario files in testdata:", err)
 	}
 	for _, name := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(name), ".txt"), func(t *testing.T) {
@@ -442,9 +444,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &scenario{testing: t, service: newConfig(), conns: map[string]*core.Conn{}, names: map[*core.Conn]string{},
-				pending: map[string]int{}, readers: map[string]*rtsp.Parser{}, cseq: map[string]int{}, heldBack: map[string][]byte{},
-				sessionIDs: map[string]string{}, bytes: map[string]int{}}
+			s := &scenario{t: t, config: newConfig(), conns: map[string]*core.Conn{}, connNames: map[*core.Conn]string{},
+				unsentBytes: map[string]int{}, parsers: map[string]*rtsp.Parser{}, cseq: map[string]int{}, heldBack: map[string][]byte{},
+				sessionIDs: map[string]string{}, receivedBytes: map[string]int{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
 				for part := range strings.SplitSeq(line, "|") {
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Transport is one choice of a Transport header (RFC 2326 section 12.39).
+// Transport is one transport specification of a Transport header (RFC 2326 section 12.39).
 type Transport struct {
-	Profile     string // such as RTP/AVP/TCP
-	Interleaved bool   // channels are given
-	RTP, RTCP   byte   // the channels
+	Profile     string // for example RTP/AVP/TCP
+	Interleaved bool   // the specification names channels
+	RTP, RTCP   byte   // the interleaved channels
 }
 
-// TCP tells whether it is RTP interleaved on the RTSP connection.
+// TCP reports whether the profile is RTP interleaved on the RTSP connection.
 func (t Transport) TCP() bool { return strings.EqualFold(t.Profile, "RTP/AVP/TCP") }
 
-// String writes the choice for a header.
+// String returns the specification as a header value.
 func (t Transport) String() string {
 	s := t.Profile + ";unicast"
 	if t.Interleaved {
@@ -25,8 +25,8 @@
 	return s
 }
 
-// Transports reads a Transport header: the choices in the client's order. Multicast ones and those with
-// malformed channels are left out.
+// Transports parses a Transport header into its specifications, in the client's order. It leaves out multicast
+// ones and those with malformed channels.
 func Transports(value string) (choices []Transport) {
 	for spec := range strings.SplitSeq(value, ",") {
 		parts := strings.Split(spec, ";")
@@ -55,7 +55,7 @@
 	return choices
 }
 
-// SessionID reads a Session header (section 12.37): the id, and the time-out in seconds, 60 if not told.
+// SessionID parses a Session header (RFC 2326 section 12.37) into the id and the timeout in seconds, 60 by default.
 func SessionID(value string) (id string, timeout int) {
 	id, rest, _ := strings.Cut(value, ";")
 	timeout = 60
@@ -69,8 +69,8 @@
 	return strings.TrimSpace(id), timeout
 }
 
-// Parameters reads a text/parameters body: one `name: value` a line (section 10.8). A line without a colon
-// names a parameter that is asked for; its value is empty.
+// Parameters parses a text/parameters body: one `name: value` per line (RFC 2326 section 10.8). A line without a
+// colon names a requested parameter; its value is empty.
 func Parameters(body []byte) (fields []Field) {
 	for line := range strings.SplitSeq(string(body), "\n") {
 		if line = strings.TrimSpace(line); line != "" {
@@ -81,7 +81,7 @@
 	return fields
 }
 
-// AppendParameters writes such a body.
+// AppendParameters appends a text/parameters body to dst.
 func AppendParameters(dst []byte, fields ...Field) []byte {
 	for _, field := range fields {
 		dst = append(append(append(append(dst, field.Name...), ": "...), field.Value...), "\r\n"...)
@@ -89,7 +89,7 @@
 	return dst
 }
 
-// Pairs reads a header of the form k=v;k=v.
+// Pairs parses a header value of the form k=v;k=v. Keys are converted to lower case.
 func Pairs(value string) (pairs []Field) {
 	for pair := range strings.SplitSeq(value, ";") {
 		if k, v, _ := strings.Cut(strings.TrimSpace(pair), "="); k != "" {
@@ -99,5 +99,5 @@
 	return pairs
 }
 
-// Supported lists methods for a Public header (section 12.28).
+// Supported returns the value of a Public header that lists the methods (RFC 2326 section 12.28).
 func Supported(methods ...string) string { return strings.Join(slices.Clip(methods), ", ") }
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -1,7 +1,7 @@
-// Package rtsp is a codec for RTSP 1.0 (RFC 2326): requests, answers and interleaved binary data (section
-// 10.12) on one connection, read at any split of the bytes and within bounds. Of RTSP 2.0 (RFC 7826) it
-// knows the Pipelined-Requests header (section 18.33), which lets several requests of one session that is
-// not yet named go out at once.
+// Package rtsp implements a codec for RTSP 1.0 (RFC 2326): requests, responses and interleaved binary data
+// (section 10.12) on one connection. Its parser is incremental and uses limited memory. Of RTSP 2.0 (RFC 7826),
+// dialogues with boxes use the Pipelined-Requests header (section 18.33), which allows sending several requests
+// of a session before its id is known.
 package rtsp
 
 import (
@@ -59,23 +59,23 @@
 	461: "Unsupported transport", 500: "Internal Server Error", 501: "Not Implemented",
 	503: "Service Unavailable", 505: "RTSP Version not supported", 551: "Option not supported"}
 
-// Field is one header line.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Message is a request (Method and URI set) or an answer (Status set).
+// Message is a request (Method and URI are set) or a response (Status is set).
 type Message struct {
 	Method, URI string
 	Status      int
 	Reason      string
-	CSeq        int // -1 where an answer has none
+	CSeq        int // -1 for a response without one
 	Header      []Field
 	Body        []byte
 }
 
-// IsRequest tells a request from an answer.
+// IsRequest reports whether the message is a request.
 func (m *Message) IsRequest() bool { return m.Method != "" }
 
-// Get is the first header of the name, whatever its case; empty if there is none.
+// Get returns the first header field of a name, ignoring case; empty if there is none.
 func (m *Message) Get(name string) string {
 	for i := range m.Header {
 		if strings.EqualFold(m.Header[i].Name, name) {
@@ -85,7 +85,7 @@
 	return ""
 }
 
-// With adds a header line; an empty value adds nothing.
+// With appends a header field, unless its value is empty, and returns the message.
 func (m *Message) With(name, value string) *Message {
 	if value != "" {
 		m.Header = append(m.Header, Field{name, value})
@@ -93,18 +93,18 @@
 	return m
 }
 
-// Request begins a request.
+// Request returns a request without header fields.
 func Request(method, uri string, cseq int) *Message {
 	return &Message{Method: method, URI: uri, CSeq: cseq}
 }
 
-// Answer begins an answer.
+// Answer returns a response without header fields.
 func Answer(status, cseq int) *Message {
 	return &Message{Status: status, Reason: reasonPhrases[status], CSeq: cseq}
 }
 
-// Append writes the message behind dst. CSeq and Content-Length are written from the fields of their own.
-// A line break within a name or value is written as a blank, so that no header can bring in another.
+// Append appends the encoded message to dst. CSeq and Content-Length are encoded from CSeq and Body. A line break
+// in a name or value is encoded as a space, to prevent header injection.
 func (m *Message) Append(dst []byte) []byte {
 	if m.IsRequest() {
 		dst = appendSingleLine(appendSingleLine(dst, m.Method), " ")
@@ -129,6 +129,7 @@
 	return append(append(dst, "\r\n"...), m.Body...)
 }
 
+// appendSingleLine appends s to dst with line breaks replaced by spaces.
 func appendSingleLine(dst []byte, s string) []byte {
 	for i := range len(s) {
 		if s[i] == '\r' || s[i] == '\n' {
@@ -140,8 +141,8 @@
 	return dst
 }
 
-// AppendFrame writes one interleaved frame behind dst (RFC 2326 section 10.12). Payloads over 65535 bytes
-// do not fit a frame and are left out.
+// AppendFrame appends an interleaved frame to dst (RFC 2326 section 10.12). Payloads over 65535 bytes do not fit
+// into a frame and are dropped.
 func AppendFrame(dst []byte, channel byte, payload []byte) []byte {
 	if len(payload) > 0xffff {
 		return dst
--- a/internal/rtsp/parser.go
+++ b/internal/rtsp/parser.go
@@ -7,63 +7,63 @@
 	"strings"
 )
 
-// Bounds of what one connection may make a parser hold.
+// Bounds limits the memory that the peer of a connection can make a parser use.
 type Bounds struct {
-	Line, Head    int  // bytes of one line, of all lines of a message
-	Fields, Body  int  // header lines, bytes of a body
-	RetainedBytes int  // bytes of a part of a frame kept between two reads, before its buffer is given back
-	NoFrames      bool // interleaved data is malformed
+	Line, Head    int  // bytes of one line, and of a message without its body
+	Fields, Body  int  // number of header fields, bytes of a body
+	RetainedBytes int  // an empty buffer larger than this is released
+	NoFrames      bool // treat interleaved frames as malformed
 }
 
-// Usual bounds; messages of this protocol are a fraction of them.
+// Usual is a set of bounds that leaves ample room: RTSP messages are usually a fraction of them.
 var Usual = Bounds{Line: 2048, Head: 8192, Fields: 48, Body: 32768, RetainedBytes: 4096}
 
-// Sink takes what a parser finds, in order. What it is given is the parser's: a frame's payload and a
-// message's body are good until the call returns.
+// Handler receives the messages and frames that a parser finds, in order. The parser owns their memory: a frame's
+// payload and a message's body are valid until the call returns.
 type Handler interface {
 	Message(m *Message)
 	Frame(channel byte, payload []byte)
-	// Bad is a message that is malformed while its end is known: the dialogue can go on. Its CSeq is -1
-	// if that could not be read; request tells whether an answer is due.
+	// Bad receives a malformed message whose end is known, so that the connection can continue.
 	Bad(e *Malformed)
 }
 
-// Malformed says what is wrong with a message, and the status that answers it.
+// Malformed is the error for a malformed message.
 type Malformed struct {
-	Status, CSeq int
-	Request      bool
-	Problem      string
+	Status, CSeq int    // status for the response; CSeq is -1 if it could not be read
+	Request      bool   // the message is a request, so a response is due
+	Problem      string // description, for logs
 }
 
+// Error describes the problem together with the status for the response.
 func (e *Malformed) Error() string {
 	return fmt.Sprintf("malformed message (%d): %s", e.Status, e.Problem)
 }
 
-// Parser reads one direction of a connection. Its zero value with Bounds set is ready.
+// Parser parses one direction of a connection. Its zero value with Bounds set is ready for use.
 type Parser struct {
 	Bounds    Bounds
-	pending   []byte // the beginning of what is not whole yet
-	scanned   int    // of rest, known to hold no end of a head
-	skipBytes int    // bytes of a body that is passed over
+	pending   []byte // the incomplete message or frame
+	scanned   int    // bytes of pending known not to hold the end of a message head
+	skipBytes int    // remaining bytes of a body that is discarded
 	stopped   bool
 }
 
-// Held is how many bytes of a message or frame that is not whole are kept.
+// Held returns the number of buffered bytes of an incomplete message or frame.
 func (p *Parser) Held() int { return len(p.pending) }
 
-// Waiting tells whether a message or frame has begun and is not whole.
+// Waiting reports whether a message or frame is incomplete.
 func (p *Parser) Waiting() bool { return len(p.pending) > 0 || p.skipBytes > 0 }
 
-// Stop makes the parser pass over all that is still to come; a sink may call it.
+// Stop makes the parser discard all further input; a handler may call it.
 func (p *Parser) Stop() { p.stopped = true }
 
-// Feed reads on. An error ends the connection: where messages begin is not known any more; it is a
-// *Malformed whose status may still be sent.
+// Feed parses further input. After an error the connection must be closed, as the start of the next message is
+// unknown. The error is a *Malformed, whose status may still be sent.
 func (p *Parser) Feed(b []byte, handler Handler) error {
 	if p.stopped {
 		return nil
 	}
-	if len(p.pending) > 0 && p.pending[0] == '$' { // the rest of a frame, without what comes behind it
+	if len(p.pending) > 0 && p.pending[0] == '$' { // complete a frame first, without copying the input after it
 		n := min(max(4-len(p.pending), 0), len(b))
 		p.pending, b = append(p.pending, b[:n]...), b[n:]
 		if len(p.pending) < 4 {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// all reads what is whole and returns how many bytes that was.
+// parseMessages parses the complete messages and frames and returns the number of bytes used.
 func (p *Parser) parseMessages(b []byte, handler Handler) (done int, err error) {
 	for !p.stopped {
 		if n := min(p.skipBytes, len(b)-done); n > 0 {
@@ -121,7 +121,7 @@
 		switch b[done] {
 		case '$':
 			if p.Bounds.NoFrames {
-				return done, &Malformed{StatusBadRequest, -1, true, "interleaved data"}
+				return done, &Malformed{StatusBadRequest, -1, true, "interleaved frame not allowed"}
 			}
 			frame := b[done:]
 			if len(frame) < 4 {
@@ -146,25 +146,25 @@
 	return done, nil
 }
 
-// message reads one message if its head and body are whole; 0 if more bytes are needed.
+// parseMessage parses one message and returns its size, or 0 if more input is needed.
 func (p *Parser) parseMessage(b []byte, handler Handler) (int, error) {
 	if first := bytes.IndexByte(b, '\n'); first > p.Bounds.Line || first < 0 && len(b) > p.Bounds.Line {
-		return 0, &Malformed{StatusURITooLong, -1, !isResponse(b), "first line too long"}
+		return 0, &Malformed{StatusURITooLong, -1, !isResponse(b), "start line too long"}
 	}
 	end, next := findHeadEnd(b, p.scanned)
 	if end > p.Bounds.Head || end < 0 && len(b) > p.Bounds.Head+3 {
-		return 0, &Malformed{StatusBadRequest, -1, !isResponse(b), "head too long"}
+		return 0, &Malformed{StatusBadRequest, -1, !isResponse(b), "message head too long"}
 	}
 	if end < 0 {
 		p.scanned = max(len(b)-3, 0)
 		return 0, nil
 	}
 	message, size, malformed := p.parseHead(b[:end])
-	if size < 0 { // where the next message begins cannot be known
+	if size < 0 { // the start of the next message is unknown
 		return 0, malformed
 	}
 	if size > p.Bounds.Body {
-		malformed = &Malformed{StatusEntityTooLarge, malformed.cseq(message), !isResponse(b), "body too long"}
+		malformed = &Malformed{StatusEntityTooLarge, malformed.cseq(message), !isResponse(b), "message body too long"}
 		if size > 16*p.Bounds.Body {
 			return 0, malformed
 		}
@@ -187,6 +187,7 @@
 	return next, nil
 }
 
+// cseq returns the CSeq of the malformed message, or of m if e is nil.
 func (e *Malformed) cseq(m *Message) int {
 	if e != nil {
 		return e.CSeq
@@ -196,7 +197,8 @@
 
 func isResponse(b []byte) bool { return bytes.HasPrefix(b, []byte("RTSP/")) }
 
-// headEnd finds the blank line that ends a head: where the head's lines end and where what follows begins.
+// findHeadEnd finds the blank line that ends a message head. It returns the end of the head's lines and the start
+// of the input after the blank line, or an end of -1 if there is no blank line yet.
 func findHeadEnd(b []byte, from int) (end, next int) {
 	for i := max(from, 0); i < len(b); i++ {
 		j := bytes.IndexByte(b[i:], '\n')
@@ -214,7 +216,7 @@
 	return -1, 0
 }
 
-// head reads the lines of a message. The size of the body is -1 if it cannot be known.
+// parseHead parses the start line and header of a message. The size of its body is -1 if it is unknown.
 func (p *Parser) parseHead(b []byte) (message *Message, size int, malformed *Malformed) {
 	message = &Message{CSeq: -1}
 	request := !isResponse(b)
@@ -241,17 +243,17 @@
 			fail(StatusBadRequest, "header line too long")
 			continue
 		}
-		if line != "" && (line[0] == ' ' || line[0] == '\t') { // a folded line
+		if line != "" && (line[0] == ' ' || line[0] == '\t') { // folded header line
 			if n := len(message.Header); n > 0 {
 				message.Header[n-1].Value += " " + strings.TrimSpace(line)
 			} else {
-				fail(StatusBadRequest, "folded line before the first header")
+				fail(StatusBadRequest, "folded line before the first header field")
 			}
 			continue
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			fail(StatusBadRequest, "header line without a name")
+			fail(StatusBadRequest, "header line without a valid field name")
 			continue
 		}
 		value = strings.TrimSpace(value)
@@ -266,17 +268,17 @@
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
 			if contentLengths++; err != nil || contentLengths > 1 && int(n) != size {
-				return message, -1, &Malformed{StatusBadRequest, message.CSeq, request, "Content-Length is not one number"}
+				return message, -1, &Malformed{StatusBadRequest, message.CSeq, request, "Content-Length is not a single valid number"}
 			}
 			size = int(n)
 		case len(message.Header) == p.Bounds.Fields:
-			fail(StatusBadRequest, "too many header lines")
+			fail(StatusBadRequest, "too many header fields")
 		default:
 			message.Header = append(message.Header, Field{name, value})
 		}
 	}
 	if request && message.CSeq < 0 {
-		fail(StatusBadRequest, "no CSeq")
+		fail(StatusBadRequest, "CSeq header missing")
 	}
 	if malformed != nil {
 		malformed.CSeq = message.CSeq
@@ -284,16 +286,17 @@
 	return message, size, malformed
 }
 
-const unsupportedVersion = "version is not " + Version
+const unsupportedVersion = "protocol version is not " + Version
 
-// first reads a request line or a status line (RFC 2326 sections 6.1, 7.1); empty if it is well formed.
+// parseStartLine parses a request line or a status line (RFC 2326 sections 6.1, 7.1). It returns a description of
+// the problem, empty if the line is well formed.
 func (m *Message) parseStartLine(line string, request bool) string {
 	if !request {
 		version, rest, _ := strings.Cut(line, " ")
 		code, reason, _ := strings.Cut(rest, " ")
 		n, err := strconv.ParseUint(code, 10, 16)
 		if err != nil || len(code) != 3 || n < 100 || n > 599 {
-			return "status line without a status"
+			return "status line without a valid status code"
 		}
 		m.Status, m.Reason = int(n), reason
 		if version != Version {
@@ -303,19 +306,19 @@
 	}
 	words := strings.Fields(line)
 	if len(words) != 3 || !isToken(words[0]) {
-		return "request line is not METHOD URI VERSION"
+		return "request line is not of the form METHOD URI VERSION"
 	}
 	m.Method, m.URI = words[0], words[1]
 	if words[2] != Version {
 		if strings.HasPrefix(words[2], "RTSP/") {
 			return unsupportedVersion
 		}
-		return "request line is not METHOD URI VERSION"
+		return "request line is not of the form METHOD URI VERSION"
 	}
 	return ""
 }
 
-// token tells whether s is a token (RFC 2326 section 15.1).
+// isToken reports whether s is a token (RFC 2326 section 15.1).
 func isToken(s string) bool {
 	for i := range len(s) {
 		if char := s[i]; char <= ' ' || char >= 127 || strings.IndexByte(`()<>@,;:\"/[]?={}`, char) >= 0 {
--- a/internal/rtsp/parser_test.go
+++ b/internal/rtsp/parser_test.go
@@ -8,19 +8,20 @@
 	"testing"
 )
 
-// log writes down what a parser finds.
+// recorder records the messages and frames that a parser finds, one per line.
 type recorder struct{ lines []string }
 
-func (l *recorder) Message(m *Message) {
-	l.lines = append(l.lines, fmt.Sprintf("message %s %s %d %d %v %q", m.Method, m.URI, m.Status, m.CSeq, m.Header, m.Body))
+func (r *recorder) Message(message *Message) {
+	r.lines = append(r.lines, fmt.Sprintf("message %s %s %d %d %v %q", message.Method, message.URI, message.Status, message.CSeq, message.Header, message.Body))
 }
-func (l *recorder) Frame(c byte, p []byte) {
-	l.lines = append(l.lines, fmt.Sprintf("frame %d %x", c, p))
+func (r *recorder) Frame(channel byte, payload []byte) {
+	r.lines = append(r.lines, fmt.Sprintf("frame %d %x", channel, payload))
 }
-func (l *recorder) Bad(e *Malformed) {
-	l.lines = append(l.lines, fmt.Sprintf("bad %d %d %t", e.Status, e.CSeq, e.Request))
+func (r *recorder) Bad(malformed *Malformed) {
+	r.lines = append(r.lines, fmt.Sprintf("bad %d %d %t", malformed.Status, malformed.CSeq, malformed.Request))
 }
 
+// feed parses the chunks in order and returns what the parser found.
 func feed(chunks ...[]byte) string {
 	parser, rec := &Parser{Bounds: Usual}, &recorder{}
 	for _, c := range chunks {
@@ -32,19 +33,21 @@
 	return strings.Join(rec.lines, "\n")
 }
 
+// mixedMessages returns requests, a response and frames, with several kinds of line ends.
 func mixedMessages() []byte {
 	var b []byte
 	b = Request(Setup, "rtsp://a/live/t/track0?top=2", 7).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(b)
 	b = AppendFrame(b, 3, []byte("\r\n\r\n$$"))
 	b = append(b, "\r\n"...)
-	m := Answer(200, 7).With("Session", "abc;timeout=30")
-	m.Body = []byte("delivered: 0.9\r\n")
-	b = m.Append(b)
+	message := Answer(200, 7).With("Session", "abc;timeout=30")
+	message.Body = []byte("delivered: 0.9\r\n")
+	b = message.Append(b)
 	b = AppendFrame(b, 0, nil)
 	return append(b, "OPTIONS * RTSP/1.0\nCSeq: 8\nX: a\n  b\n\n"...)
 }
 
-func TestAnySplit(t *testing.T) {
+// The parser must find the same messages however the input is split.
+func TestParserAcceptsAnySplit(t *testing.T) {
 	encoded := mixedMessages()
 	want := feed(encoded)
 	if n := strings.Count(want, "\n"); n != 4 || strings.Contains(want, "bad") {
@@ -60,11 +63,13 @@
 		single[i] = encoded[i : i+1]
 	}
 	if got := feed(single...); got != want {
-		t.Fatal("byte by byte:", got)
+		t.Fatal("fed byte by byte:", got)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// Malformed messages must get the right status. After most of them the parser continues with the next message; after
+// those listed with end it cannot, as the end of the message is unknown or too far.
+func TestMalformedMessages(t *testing.T) {
 	ok := "\r\nOPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n"
 	long := strings.Repeat("x", Usual.Line+1)
 	for in, want := range map[string]string{
@@ -94,8 +99,8 @@
 	}
 }
 
-// A sender that never ends a message makes the parser hold no more than its bounds.
-func TestBounded(t *testing.T) {
+// A sender that never completes a message must not make the parser buffer more than its bounds.
+func TestParserMemoryBounded(t *testing.T) {
 	for _, unit := range []string{"x", "A: b\r\n", "$\x00\xff\xff", "\r\n", "RTSP/1.0 200 OK\r\n"} {
 		parser, rec := &Parser{Bounds: Usual}, &recorder{}
 		for i := range 100_000 {
@@ -109,7 +114,8 @@
 	}
 }
 
-func TestNoSplitHeaders(t *testing.T) {
+// A line break in a header value must not add a header field.
+func TestHeaderInjectionPrevented(t *testing.T) {
 	b := Answer(200, 1).With("X", "a\r\nSession: stolen").Append(nil)
 	if got := feed(b); strings.Contains(got, "{Session") {
 		t.Error(got)
@@ -126,6 +132,7 @@
 	}
 }
 
+// fuzzSplits checks that the way in which the input is split does not change what the parser finds.
 func fuzzSplits(f *testing.F, seeds ...[]byte) {
 	for _, s := range seeds {
 		f.Add(s, uint64(1))
@@ -140,7 +147,7 @@
 			rest = rest[n:]
 		}
 		if got := feed(parts...); got != want {
-			t.Fatalf("split %d: %q, whole %q", seed, got, want)
+			t.Fatalf("split with seed %d: %q, unsplit %q", seed, got, want)
 		}
 	})
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,5 @@
-// Package trace keeps stories of playbacks: as OpenTelemetry spans in a file, sampled, and in words.
+// Package trace writes sampled traces of playbacks to a file as OpenTelemetry spans, reads them back, and describes
+// them in sentences.
 package trace
 
 import (
@@ -25,24 +26,25 @@
 	"pierlink/session"
 )
 
-const queueCapacity = 1 << 12 // stories that wait for the file; beyond, they are lost and counted
+const queueCapacity = 1 << 12 // traces that wait to be written; further ones are dropped and counted in Lost
 
 var outcomeNames = map[session.Outcome]string{-1: "plays", session.OK: "ended", session.Failed: "failed", session.Full: "full", session.TimedOut: "timed out",
 	session.NoConnection: "no connection", session.Reset: "reset", session.Cancelled: "cancelled", session.NotSent: "not sent"}
 
-// File writes stories to a file as spans: one for the playback, and under it door, decision and each try.
+// Writer writes traces to a file as spans: one for the playback, with child spans for the time before admission,
+// for decisions and for each try.
 type Writer struct {
 	ratio    float64
 	queue    chan *front.Story
 	done     chan struct{}
 	file     *os.File
 	provider *sdk.TracerProvider
-	Lost     atomic.Int64
+	Lost     atomic.Int64 // traces dropped because the queue was full
 	closing  sync.Once
 }
 
-// NewFile appends to a file the stories of a part of the playbacks. Which ones follows from their names, so that
-// all session managers keep the same ones.
+// NewFile returns a Writer that appends the traces of a share of the playbacks to a file. The request ids select
+// the playbacks, so that all session managers keep the same ones.
 func NewFile(path string, ratio float64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -58,12 +60,12 @@
 	return writer, nil
 }
 
-// Sampled tells whether a playback of a name is of the part that is kept.
+// Sampled reports whether the playback of a request id is in the share that is kept.
 func Sampled(requestID string, ratio float64) bool {
 	return float64(xxhash.Sum64String(requestID)>>11)/(1<<53) < ratio
 }
 
-// Tell takes a story, without waiting for the file.
+// Tell queues a trace for writing, without waiting for the file.
 func (w *Writer) Tell(playback *front.Story) {
 	if !Sampled(playback.Name, w.ratio) {
 		return
@@ -75,7 +77,7 @@
 	}
 }
 
-// Close writes what waits. Nothing is told afterwards.
+// Close writes the queued traces and closes the file. Tell must not be called afterwards.
 func (w *Writer) Close() error {
 	var err error
 	w.closing.Do(func() {
@@ -89,7 +91,7 @@
 func (w *Writer) run() {
 	defer close(w.done)
 	tracer := w.provider.Tracer("pierlink")
-	timestamp := func(attempt front.Time) time.Time { return time.UnixMicro(attempt) }
+	timestamp := func(t front.Time) time.Time { return time.UnixMicro(t) }
 	for playback := range w.queue {
 		ctx, root := tracer.Start(context.Background(), "playback", trace.WithTimestamp(timestamp(playback.ReceivedAt)), trace.WithAttributes(
 			attribute.String("request", playback.Name), attribute.String("front", playback.Front), attribute.String("plan", playback.Plan),
@@ -119,7 +121,7 @@
 	}
 }
 
-// span is what is read back of one.
+// span is the part of an exported span that is read back.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -132,6 +134,7 @@
 	}
 }
 
+// attribute returns the value of an attribute as text, empty if there is none.
 func (s *span) attribute(key string) string {
 	for _, a := range s.Attributes {
 		if a.Key == key {
@@ -146,10 +149,10 @@
 	return ""
 }
 
-// ErrNone says that no such playback is kept.
-var ErrNone = errors.New("no such playback is kept; perhaps it was not sampled, or is not answered yet")
+// ErrNone is returned if the file holds no trace of the playback.
+var ErrNone = errors.New("no trace of this playback; it may not have been sampled, or not answered yet")
 
-// Read finds a playback's stories in a file of spans: one for each asking of that name.
+// Read finds the traces of a request id in a file of spans: one for each playback requested under that id.
 func Read(r io.Reader, requestID string) (playbacks []*front.Story, err error) {
 	spans := map[string][]*span{}
 	roots := []*span{}
@@ -159,7 +162,7 @@
 		if err := decoder.Decode(record); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			return nil, fmt.Errorf("not a file of spans: %w", err)
+			return nil, fmt.Errorf("expected a file of JSON spans: %w", err)
 		}
 		if record.Name == "playback" && record.attribute("request") == requestID {
 			roots = append(roots, record)
@@ -204,33 +207,33 @@
 	return fmt.Sprintf("%.1f ms", float64(duration)/1e3)
 }
 
-// Words tells a story.
+// Words describes a trace in sentences.
 func Words(playback *front.Story) string {
 	var text strings.Builder
 	writeLine := func(format string, a ...any) { fmt.Fprintf(&text, format+"\n", a...) }
 	tenant := ""
 	if playback.Tenant != "" {
-		tenant = " of " + playback.Tenant
+		tenant = " of tenant " + playback.Tenant
 	}
-	writeLine("%s%s asked %s for %s/%s, up to rung %d; it had to play within %s, and be answered within %s.", playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
+	writeLine("%s%s was requested from %s for %s/%s, up to rung %d, with a startup target of %s and an abandon time of %s.", playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
 		formatDuration(playback.StartupTarget), formatDuration(playback.AbandonTime))
 	if playback.AdmittedAt == 0 {
-		writeLine("It was not put before the decisions: after %s at the door it was answered %d.", formatDuration(playback.AnsweredAt-playback.ReceivedAt), playback.Status)
+		writeLine("It was not admitted: after %s it was answered with status %d.", formatDuration(playback.AnsweredAt-playback.ReceivedAt), playback.Status)
 		return text.String()
 	}
 	if wait := playback.AdmittedAt - playback.ReceivedAt; wait > 0 {
-		writeLine("It waited at the door for %s.", formatDuration(wait))
+		writeLine("It waited for admission for %s.", formatDuration(wait))
 	}
 	from := playback.AdmittedAt
 	for i, attempt := range playback.Attempts {
 		if wait := attempt.StartedAt - from; wait > 0 {
-			writeLine("The decision where to try took %s.", formatDuration(wait))
+			writeLine("The decision on a server took %s.", formatDuration(wait))
 		}
 		outcome := outcomeNames[attempt.Outcome]
 		if attempt.Outcome < 0 {
 			outcome = "played"
 		}
-		writeLine("Try %d, at %s and rung %d: %s after %s.", i, attempt.Box, attempt.Rung, outcome, formatDuration(attempt.Duration))
+		writeLine("Try %d on %s at rung %d: %s after %s.", i, attempt.Box, attempt.Rung, outcome, formatDuration(attempt.Duration))
 		from = attempt.StartedAt + attempt.Duration
 	}
 	if len(playback.Attempts) == 0 {
@@ -241,16 +244,16 @@
 	case playback.Status == 200 && total <= playback.StartupTarget:
 		writeLine("It played after %s, within its startup target.", formatDuration(total))
 	case playback.Status == 200:
-		writeLine("It played after %s, %s past its startup target. Most of the time went to %s.", formatDuration(total), formatDuration(total-playback.StartupTarget), longestPhase(playback))
+		writeLine("It played after %s, %s past its startup target. Most of the time was spent on %s.", formatDuration(total), formatDuration(total-playback.StartupTarget), longestPhase(playback))
 	case playback.Status == 453 || playback.Status == 503 || playback.Status == 302:
 		writeLine("It was refused (%d) after %s.", playback.Status, formatDuration(total))
 	default:
-		writeLine("It failed (%d) after %s. Most of the time went to %s.", playback.Status, formatDuration(total), longestPhase(playback))
+		writeLine("It failed (%d) after %s. Most of the time was spent on %s.", playback.Status, formatDuration(total), longestPhase(playback))
 	}
 	return text.String()
 }
 
-// most names what took most of a playback's time.
+// longestPhase names the phase that took most of a playback's time.
 func longestPhase(playback *front.Story) string {
 	admission, tries, failed := playback.AdmittedAt-playback.ReceivedAt, front.Time(0), front.Time(0)
 	for _, attempt := range playback.Attempts {
@@ -262,11 +265,11 @@
 	decisions := playback.AnsweredAt - playback.AdmittedAt - tries
 	switch max(admission, decisions, tries-failed, failed) {
 	case admission:
-		return "the door"
+		return "admission"
 	case decisions:
 		return "decisions"
 	case failed:
-		return "tries that came to nothing"
+		return "failed tries"
 	}
-	return "the box that played it"
+	return "the successful try"
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -10,8 +10,9 @@
 	"pierlink/session"
 )
 
-// A story comes back from its file as it was told, among others; its words name what took the time.
-func TestFile(t *testing.T) {
+// A trace is read back from the file as it was written, among others, and its description names the phase that took
+// most of the time.
+func TestWriterRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans")
 	writer, err := NewFile(path, 1)
 	if err != nil {
@@ -48,12 +49,12 @@
 		t.Fatalf("%+v %v", got, err)
 	}
 	if _, err := read("pb1"); err == nil {
-		t.Error("a story that nobody told")
+		t.Error("read a trace that was never written")
 	}
-	if text := Words(got); !strings.Contains(text, "2.00 s past its startup target. Most of the time went to tries that came to nothing") {
+	if text := Words(got); !strings.Contains(text, "2.00 s past its startup target. Most of the time was spent on failed tries") {
 		t.Error(text)
 	}
-	if got, err := read("pb9"); err != nil || !strings.Contains(Words(got), "at the door") {
+	if got, err := read("pb9"); err != nil || !strings.Contains(Words(got), "It was not admitted") {
 		t.Error(got, err)
 	}
 	kept := 0
@@ -63,6 +64,6 @@
 		}
 	}
 	if kept < 800 || kept > 1200 {
-		t.Error("sampled", kept, "of 4000 for a quarter")
+		t.Error("sampled", kept, "of 4000 at a ratio of 0.25")
 	}
 }
