--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -34,7 +34,8 @@
 // authorize starts access control for a new playback.
 func (f *Front) authorize(pb *playback, request *rtsp.Message) {
 	authorization := parseAuthorization(request.Get("Authorization"))
-	pb.credentials = requestCredentials{authorization: authorization, method: request.Method, token: request.Get("Come-Again"), requestBytes: requestSize(request)}
+	pb.credentials = requestCredentials{authorization: authorization, method: request.Method,
+		token: request.Get("Come-Again"), requestBytes: requestSize(request)}
 	account := pb.target.tenantName
 	if f.Gate.Realm != "" {
 		if account = authorization["username"]; account == "" || !f.Gate.Guesses.May(tenants.Fold(account), hostOf(pb.player.address), f.now) {
@@ -173,8 +174,8 @@
 // verifyCredentials checks a playback's credentials against the directory's digest. stale reports that they are
 // valid but for a nonce that is too old or was issued by another process.
 func (f *Front) verifyCredentials(pb *playback) (ok, stale bool) {
-	authorization := pb.credentials.authorization
-	ha1, known := f.Gate.Core.Digest(authorization["username"])
+	params := pb.credentials.authorization
+	ha1, known := f.Gate.Core.Digest(params["username"])
 	if !known {
 		ha1 = unknownAccountDigest
 	}
@@ -195,20 +196,23 @@
 		return hex.EncodeToString(sum[:])
 	}
 	equal := func(x, y string) bool { return subtle.ConstantTimeCompare([]byte(x), []byte(y)) == 1 }
-	if authorization[""] == "basic" {
-		return equal(hash(authorization["username"], f.Gate.Realm, authorization["password"]), ha1) && known && f.Gate.Basic && pb.player.conn.Secure, false
+	if params[""] == "basic" {
+		return equal(hash(params["username"], f.Gate.Realm, params["password"]), ha1) && known &&
+			f.Gate.Basic && pb.player.conn.Secure, false
 	}
-	expected := hash(ha1, authorization["nonce"], authorization["nc"], authorization["cnonce"], authorization["qop"], hash(pb.credentials.method, authorization["uri"]))
-	if authorization["qop"] == "" { // client of RFC 2069
-		expected = hash(ha1, authorization["nonce"], hash(pb.credentials.method, authorization["uri"]))
+	expected := hash(ha1, params["nonce"], params["nc"], params["cnonce"], params["qop"],
+		hash(pb.credentials.method, params["uri"]))
+	if params["qop"] == "" { // client of RFC 2069
+		expected = hash(ha1, params["nonce"], hash(pb.credentials.method, params["uri"]))
 	}
-	valid := equal(expected, authorization["response"]) && known && authorization[""] == "digest" && authorization["realm"] == f.Gate.Realm && strings.HasPrefix(authorization["uri"], pb.target.pathPrefix())
-	b, err := base64.RawURLEncoding.DecodeString(authorization["nonce"])
+	valid := equal(expected, params["response"]) && known && params[""] == "digest" &&
+		params["realm"] == f.Gate.Realm && strings.HasPrefix(params["uri"], pb.target.pathPrefix())
+	b, err := base64.RawURLEncoding.DecodeString(params["nonce"])
 	if err != nil || len(b) != 20 {
 		return false, valid
 	}
 	issuedAt := Time(binary.BigEndian.Uint64(b))
-	fresh := equal(f.newNonce(issuedAt), authorization["nonce"]) && issuedAt <= f.now && f.now-issuedAt < nonceSessionTimeouts*f.SessionTimeout
+	fresh := equal(f.newNonce(issuedAt), params["nonce"]) && issuedAt <= f.now && f.now-issuedAt < nonceSessionTimeouts*f.SessionTimeout
 	return valid && fresh, valid && !fresh
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -301,7 +301,7 @@
 	peer  *peerConn
 }
 
-// Drained handles that the network has taken all bytes sent on a connection.
+// Drained handles that the network has no unsent bytes of a connection any more.
 func (f *Front) Drained(c *core.Conn) {
 	if peer, ok := c.Owner.(*peerConn); ok && !peer.closed && len(peer.output.buf) > 0 {
 		f.markUnflushed(peer)
@@ -328,7 +328,9 @@
 	for {
 		accessNext := core.Never
 		if f.Gate != nil {
-			accessNext = f.Gate.Core.Settle(f.Gate.Ask, f.authorized, func(record tenants.Record) { f.changedShares = append(f.changedShares, record) })
+			accessNext = f.Gate.Core.Settle(f.Gate.Ask, f.authorized, func(record tenants.Record) {
+				f.changedShares = append(f.changedShares, record)
+			})
 			accessNext = min(accessNext, f.applyShares())
 		}
 		if f.queue != nil {
@@ -460,11 +462,11 @@
 // journal.
 func (f *Front) newID() string {
 	f.lastID++
-	h := hmac.New(sha256.New, f.Secret)
+	mac := hmac.New(sha256.New, f.Secret)
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], f.lastID)
-	h.Write(b[:])
-	return hex.EncodeToString(h.Sum(nil)[:12])
+	mac.Write(b[:])
+	return hex.EncodeToString(mac.Sum(nil)[:12])
 }
 
 // acquire returns the id of a title and the hash of its name.
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -17,8 +17,8 @@
 	Started                   Time // start of the server by this front's clock, 0 if long ago
 }
 
-// Title is one entry of the catalogue. Base and Span are the first cell that holds the title and the number of
-// cells from there on; a Span of 0 means all cells.
+// Title is one entry of the catalogue: a title's name, the first cell that holds it, and the number of cells from
+// there on. With a number of 0 all cells hold it.
 type Title struct {
 	Name       string
 	Base, Span int
--- a/internal/front/playback_trace.go
+++ b/internal/front/playback_trace.go
@@ -30,7 +30,8 @@
 		return
 	}
 	plan := pb.target.plan
-	trace := &Story{Front: f.Name, Name: pb.requestID, Plan: f.Plans[plan].Name, Title: pb.target.title, Tenant: pb.target.tenantName, Rung: pb.rung, TopRung: pb.target.topRung,
+	trace := &Story{Front: f.Name, Name: pb.requestID, Plan: f.Plans[plan].Name, Title: pb.target.title,
+		Tenant: pb.target.tenantName, Rung: pb.rung, TopRung: pb.target.topRung,
 		ReceivedAt: pb.receivedAt, AdmittedAt: pb.admittedAt, Attempts: pb.attempts, AnsweredAt: f.now, Status: status,
 		StartupTarget: f.Site.Plans[plan].Startup, AbandonTime: pb.abandonTime}
 	if n := len(trace.Attempts); n > 0 && trace.Attempts[n-1].Outcome < 0 {
--- a/internal/front/player.go
+++ b/internal/front/player.go
@@ -387,11 +387,12 @@
 		case f.stopped, int(f.Figures.Playbacks) >= f.Bounds.Playbacks, f.seatsExhausted(&target), decisionDeadline(receivedAt, abandonTime) <= f.now:
 			f.Figures.DoorRefused++
 			return retryLaterResponse(f.retryAdvice())
-		case f.queue == nil && f.lag.Shed(f.now): // an admission queue slows down by itself, and must keep its promises
+		case f.queue == nil && f.lag.Shed(f.now): // an admission queue adapts to the delay itself, and must keep the promises it has given
 			f.Figures.Shed++
 			return retryLaterResponse(f.retryAdvice())
 		}
-		pb = &playback{id: -1, lastServer: -1, player: peer, target: target, requestID: request.Get("Request-Id"), receivedAt: receivedAt, abandonTime: abandonTime}
+		pb = &playback{id: -1, lastServer: -1, player: peer, target: target, requestID: request.Get("Request-Id"),
+			receivedAt: receivedAt, abandonTime: abandonTime}
 		if pb.requestID == "" || len(pb.requestID) > 64 {
 			pb.requestID = f.newID()
 		}
@@ -427,7 +428,8 @@
 	f.lastQueueID++
 	pb.queueID = f.lastQueueID
 	f.waiting[pb.queueID] = pb
-	f.queue.Offer(fair.Ask{ID: pb.queueID, Tenant: pb.target.queueTenant, Client: hostOf(pb.player.address), Bytes: pb.credentials.requestBytes, Token: pb.credentials.token,
+	f.queue.Offer(fair.Ask{ID: pb.queueID, Tenant: pb.target.queueTenant, Client: hostOf(pb.player.address),
+		Bytes: pb.credentials.requestBytes, Token: pb.credentials.token,
 		Startup: pb.receivedAt + plan.Startup, Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime)})
 }
 
@@ -468,8 +470,8 @@
 // setupResponse returns the response to a SETUP of a playback that plays.
 func (f *Front) setupResponse(pb *playback, binding *trackBinding) *rtsp.Message {
 	binding.ready = true
-	t := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: binding.rtp, RTCP: binding.rtcp}
-	return rtsp.Answer(rtsp.StatusOK, 0).With("Session", f.sessionHeader(pb)).With("Transport", t.String()).
+	transport := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: binding.rtp, RTCP: binding.rtcp}
+	return rtsp.Answer(rtsp.StatusOK, 0).With("Session", f.sessionHeader(pb)).With("Transport", transport.String()).
 		With("Request-Id", pb.requestID)
 }
 
@@ -569,7 +571,8 @@
 	}
 	first := !pb.hasPlayed
 	pb.hasPlayed, pb.heldFrames, pb.heldUnits = true, nil, nil
-	if pb.upstream != nil && pb.upstream.state == statePlaying && (!first || rangeHeader != "" && rangeHeader != "npt=0-" && rangeHeader != "npt=0.000-") {
+	if pb.upstream != nil && pb.upstream.state == statePlaying &&
+		(!first || rangeHeader != "" && rangeHeader != "npt=0-" && rangeHeader != "npt=0.000-") {
 		f.sendRequest(pb.upstream, rtsp.Play, []rtsp.Field{{Name: "Range", Value: rangeHeader}})
 	}
 }
--- a/internal/front/quality.go
+++ b/internal/front/quality.go
@@ -92,8 +92,8 @@
 		return result, false
 	}
 	var numbers [3]Time
-	for i, x := range []string{words[1], words[2], words[4]} {
-		number, err := strconv.ParseFloat(x, 64)
+	for i, word := range []string{words[1], words[2], words[4]} {
+		number, err := strconv.ParseFloat(word, 64)
 		if err != nil || math.Abs(number) > 1e11 || math.IsNaN(number) {
 			return result, false
 		}
@@ -125,6 +125,7 @@
 			f.log.Info("service quality back to that of the others", zap.String(kind, name))
 			return
 		}
-		f.log.Warn("service quality worse than that of the others", zap.String(kind, name), zap.Float64("lost", alarm.Lost), zap.Float64("others", alarm.Rest))
+		f.log.Warn("service quality worse than that of the others", zap.String(kind, name), zap.Float64("lost", alarm.Lost),
+			zap.Float64("others", alarm.Rest))
 	})
 }
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -109,19 +109,19 @@
 	queue := &peer.output
 	excess := len(queue.buf) - f.Bounds.PlayerBytes/2
 	readOffset, writeOffset, kept := 0, 0, 0
-	for _, u := range queue.units {
-		if u.kind == kind && excess > 0 {
-			excess -= u.size
-			if readOffset += u.size; kind == videoUnit {
+	for _, unit := range queue.units {
+		if unit.kind == kind && excess > 0 {
+			excess -= unit.size
+			if readOffset += unit.size; kind == videoUnit {
 				f.Figures.LostVideo++
 			} else {
 				f.Figures.LostAudio++
 			}
 			continue
 		}
-		copy(queue.buf[writeOffset:], queue.buf[readOffset:readOffset+u.size])
-		readOffset, writeOffset = readOffset+u.size, writeOffset+u.size
-		queue.units[kept] = u
+		copy(queue.buf[writeOffset:], queue.buf[readOffset:readOffset+unit.size])
+		readOffset, writeOffset = readOffset+unit.size, writeOffset+unit.size
+		queue.units[kept] = unit
 		kept++
 	}
 	queue.buf, queue.units = queue.buf[:writeOffset], queue.units[:kept]
--- a/internal/front/rules.go
+++ b/internal/front/rules.go
@@ -19,7 +19,9 @@
 // decisionDeadline is the time by which the module must have decided on a playback. The rest of the abandon time
 // is for sending the response. This guards against responses that arrive after the player has given up, whatever
 // delayed them; the cost is a sixteenth of the abandon time for a last try.
-func decisionDeadline(receivedAt, abandonTime Time) Time { return receivedAt + abandonTime - abandonTime/replyAbandonDivisor }
+func decisionDeadline(receivedAt, abandonTime Time) Time {
+	return receivedAt + abandonTime - abandonTime/replyAbandonDivisor
+}
 
 // fallbackDeadline is the time at which the front answers if the module has not decided.
 func fallbackDeadline(receivedAt, abandonTime Time) Time {
--- a/internal/front/scenario_test.go
+++ b/internal/front/scenario_test.go
@@ -45,7 +45,7 @@
 	sessionIDs      map[string]string
 	recordedActions []string
 	receivedBytes   map[string]int
-	lifecycle       *life.Life // where the scenario has one
+	lifecycle       *life.Life // nil unless the scenario sets one
 	otherManagers   []string
 	access          *tenants.Core
 	lookup          tenants.Want
@@ -87,7 +87,7 @@
 func (s *scenario) Listen()                  {}
 func (s *scenario) Hush()                    { s.record("hush"); s.manager.Life().Hushed() }
 func (s *scenario) Exit()                    { s.record("exit") }
-func (s *scenario) News(state life.State)        { s.record("state %s", state) }
+func (s *scenario) News(state life.State)    { s.record("state %s", state) }
 func (s *scenario) Pending(c *core.Conn) int { return s.unsentBytes[s.connNames[c]] }
 func (s *scenario) Close(c *core.Conn)       { s.record("%s closed", s.connNames[c]) }
 
@@ -382,11 +382,12 @@
 			s.access = tenants.New(tenants.Terms{Longest: 60e6, Renew: 30e6, Timeout: 1e6, Negative: 1e6, Waiting: 10, Lookups: 2}, core.Second)
 			s.access.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "school", Plans: []string{"live"}, Seats: 2},
 				{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")}}, tenants.Mark{Cookie: []byte("c")}, core.Second)
-			s.config.Gate = &front.Gate{Core: s.access, Realm: map[int]string{1: "pier"}[value], Guesses: tenants.Guesses{Span: 60e6}, Ask: func(want tenants.Want) {
-				if s.lookup = want; want.Act == tenants.Look {
-					s.record("asks %s", want.Account)
-				}
-			}}
+			s.config.Gate = &front.Gate{Core: s.access, Realm: map[int]string{1: "pier"}[value],
+				Guesses: tenants.Guesses{Span: 60e6}, Ask: func(want tenants.Want) {
+					if s.lookup = want; want.Act == tenants.Look {
+						s.record("asks %s", want.Account)
+					}
+				}}
 		case "quality": // seconds after a session's end in which reports are accepted
 			s.config.Quality = quality.New(quality.Terms{Plans: make([]quality.Plan, len(s.config.Site.Plans)), Worth: s.config.Site.Ladder.Worth, Racks: 1, Titles: 9,
 				Playbacks: 9, Width: core.Second, Buckets: 60, Late: core.Time(value) * core.Second}, core.Second)
--- a/internal/front/upstream.go
+++ b/internal/front/upstream.go
@@ -136,8 +136,8 @@
 	if dialogue.sessionID == "" {
 		message.With("Pipelined-Requests", pipelineID)
 	}
-	for _, h := range header {
-		message.With(h.Name, h.Value)
+	for _, field := range header {
+		message.With(field.Name, field.Value)
 	}
 	f.send(dialogue.peer, message)
 }
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -118,9 +118,9 @@
 		dst = append(dst, "CSeq: "...)
 		dst = append(strconv.AppendInt(dst, int64(m.CSeq), 10), "\r\n"...)
 	}
-	for _, f := range m.Header {
-		dst = append(appendSingleLine(dst, f.Name), ": "...)
-		dst = append(appendSingleLine(dst, f.Value), "\r\n"...)
+	for _, field := range m.Header {
+		dst = append(appendSingleLine(dst, field.Name), ": "...)
+		dst = append(appendSingleLine(dst, field.Value), "\r\n"...)
 	}
 	if len(m.Body) > 0 {
 		dst = append(dst, "Content-Length: "...)
--- a/internal/rtsp/parser.go
+++ b/internal/rtsp/parser.go
@@ -11,7 +11,7 @@
 type Bounds struct {
 	Line, Head    int  // bytes of one line, and of a message without its body
 	Fields, Body  int  // number of header fields, bytes of a body
-	RetainedBytes int  // an empty buffer larger than this is released
+	RetainedBytes int  // capacity above which an emptied buffer is released
 	NoFrames      bool // treat interleaved frames as malformed
 }
 
@@ -58,7 +58,7 @@
 func (p *Parser) Stop() { p.stopped = true }
 
 // Feed parses further input. After an error the connection must be closed, as the start of the next message is
-// unknown. The error is a *Malformed, whose status may still be sent.
+// unknown; the status that the error holds may still be sent.
 func (p *Parser) Feed(b []byte, handler Handler) error {
 	if p.stopped {
 		return nil
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Close writes the queued traces and closes the file. Tell must not be called afterwards.
+// Close writes the queued traces and closes the file. No trace may be queued afterwards.
 func (w *Writer) Close() error {
 	var err error
 	w.closing.Do(func() {
@@ -110,7 +110,8 @@
 		from := playback.AdmittedAt
 		for i, attempt := range playback.Attempts {
 			child("decision", from, attempt.StartedAt)
-			child("try", attempt.StartedAt, attempt.StartedAt+attempt.Duration, attribute.Int("number", i), attribute.String("box", attempt.Box), attribute.Int("rung", attempt.Rung),
+			child("try", attempt.StartedAt, attempt.StartedAt+attempt.Duration, attribute.Int("number", i), attribute.String("box", attempt.Box),
+				attribute.Int("rung", attempt.Rung),
 				attribute.String("outcome", outcomeNames[attempt.Outcome]))
 			from = attempt.StartedAt + attempt.Duration
 		}
@@ -172,8 +173,10 @@
 	}
 	for _, root := range roots {
 		number := func(key string) int { x, _ := strconv.Atoi(root.attribute(key)); return x }
-		playback := &front.Story{Front: root.attribute("front"), Name: requestID, Plan: root.attribute("plan"), Title: root.attribute("title"), Tenant: root.attribute("tenant"),
-			ReceivedAt: root.StartTime.UnixMicro(), AnsweredAt: root.EndTime.UnixMicro(), Status: number("status"), Rung: number("rung"), TopRung: number("top"),
+		playback := &front.Story{Front: root.attribute("front"), Name: requestID, Plan: root.attribute("plan"),
+			Title: root.attribute("title"), Tenant: root.attribute("tenant"),
+			ReceivedAt: root.StartTime.UnixMicro(), AnsweredAt: root.EndTime.UnixMicro(),
+			Status: number("status"), Rung: number("rung"), TopRung: number("top"),
 			StartupTarget: front.Time(number("startup_us")), AbandonTime: front.Time(number("abandon_us"))}
 		for _, child := range spans[root.SpanContext.TraceID] {
 			switch child.Name {
@@ -182,7 +185,8 @@
 					playback.AdmittedAt = child.StartTime.UnixMicro()
 				}
 			case "try":
-				attempt := front.Attempt{Box: child.attribute("box"), StartedAt: child.StartTime.UnixMicro(), Duration: child.EndTime.Sub(child.StartTime).Microseconds()}
+				attempt := front.Attempt{Box: child.attribute("box"), StartedAt: child.StartTime.UnixMicro(),
+					Duration: child.EndTime.Sub(child.StartTime).Microseconds()}
 				attempt.Rung, _ = strconv.Atoi(child.attribute("rung"))
 				for o, word := range outcomeNames {
 					if word == child.attribute("outcome") {
@@ -215,7 +219,8 @@
 	if playback.Tenant != "" {
 		tenant = " of tenant " + playback.Tenant
 	}
-	writeLine("%s%s was requested from %s for %s/%s, up to rung %d, with a startup target of %s and an abandon time of %s.", playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
+	writeLine("%s%s was requested from %s for %s/%s, up to rung %d, with a startup target of %s and an abandon time of %s.",
+		playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
 		formatDuration(playback.StartupTarget), formatDuration(playback.AbandonTime))
 	if playback.AdmittedAt == 0 {
 		writeLine("It was not admitted: after %s it was answered with status %d.", formatDuration(playback.AnsweredAt-playback.ReceivedAt), playback.Status)
@@ -244,7 +249,8 @@
 	case playback.Status == 200 && total <= playback.StartupTarget:
 		writeLine("It played after %s, within its startup target.", formatDuration(total))
 	case playback.Status == 200:
-		writeLine("It played after %s, %s past its startup target. Most of the time was spent on %s.", formatDuration(total), formatDuration(total-playback.StartupTarget), longestPhase(playback))
+		writeLine("It played after %s, %s past its startup target. Most of the time was spent on %s.",
+			formatDuration(total), formatDuration(total-playback.StartupTarget), longestPhase(playback))
 	case playback.Status == 453 || playback.Status == 503 || playback.Status == 302:
 		writeLine("It was refused (%d) after %s.", playback.Status, formatDuration(total))
 	default:
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -18,9 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	playback := &front.Story{Front: "f", Name: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, TopRung: 3, ReceivedAt: 1_000_000, AdmittedAt: 1_300_000,
+	playback := &front.Story{Front: "f", Name: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, TopRung: 3,
+		ReceivedAt: 1_000_000, AdmittedAt: 1_300_000,
 		AnsweredAt: 4_000_000, Status: 200, StartupTarget: 1_000_000, AbandonTime: 4_000_000, Attempts: []front.Attempt{
-			{Box: "box-1", Rung: 2, StartedAt: 1_310_000, Duration: 2_000_000, Outcome: session.TimedOut}, {Box: "box-2", Rung: 1, StartedAt: 3_400_000, Duration: 600_000, Outcome: -1}}}
+			{Box: "box-1", Rung: 2, StartedAt: 1_310_000, Duration: 2_000_000, Outcome: session.TimedOut},
+			{Box: "box-2", Rung: 1, StartedAt: 3_400_000, Duration: 600_000, Outcome: -1}}}
 	for _, name := range []string{"pb6", "pb8"} {
 		other := *playback
 		other.Name = name
@@ -44,7 +46,8 @@
 		return all[0], nil
 	}
 	got, err := read("pb7")
-	if err != nil || len(got.Attempts) != 2 || got.Attempts[0] != playback.Attempts[0] || got.Attempts[1] != playback.Attempts[1] || got.AdmittedAt != playback.AdmittedAt ||
+	if err != nil || len(got.Attempts) != 2 || got.Attempts[0] != playback.Attempts[0] || got.Attempts[1] != playback.Attempts[1] ||
+		got.AdmittedAt != playback.AdmittedAt ||
 		got.AnsweredAt != playback.AnsweredAt || got.Tenant != "x" {
 		t.Fatalf("%+v %v", got, err)
 	}
