--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -72,7 +72,7 @@
 	Accepted, Turned                     int64 // connections accepted, turned away
 	Requests, Malformed, Repeated        int64
 	Taken, Plays, Refused, Failed, Left  int64 // playbacks; each one taken is counted in one of the others too
-	DoorRefused                          int64 // playbacks refused at a limit of the front, before they are taken
+	DoorRefused                          int64 // playbacks refused before they are taken: at a limit, in a drain or too late
 	Overdue                              int64 // playbacks answered by the front because the module did not decide in time
 	Tries, Lapsed, LateAnswers, Probes   int64
 	Packets, LostVideo, LostAudio        int64
@@ -411,10 +411,10 @@
 		deadline = peer.lastReceived + peer.sessionTimeout
 	}
 	if peer.partialSince > 0 {
-		deadline = min(deadline, peer.partialSince+peer.sessionTimeout/partialTimeoutDivisor)
+		deadline = min(deadline, peer.partialSince+peer.sessionTimeout/messageTimeoutDivisor)
 	}
-	peer.idleTimer = f.timers.Set(peer.idleTimer, max(deadline, f.now+peer.sessionTimeout/partialTimeoutDivisor), func() {
-		slow := peer.partialSince > 0 && f.now-peer.partialSince >= peer.sessionTimeout/partialTimeoutDivisor
+	peer.idleTimer = f.timers.Set(peer.idleTimer, max(deadline, f.now+peer.sessionTimeout/messageTimeoutDivisor), func() {
+		slow := peer.partialSince > 0 && f.now-peer.partialSince >= peer.sessionTimeout/messageTimeoutDivisor
 		if !slow && (f.now-peer.lastReceived < peer.sessionTimeout || len(peer.pendingReplies) > 0) {
 			f.armIdleTimer(peer)
 			return
--- a/internal/front/rules.go
+++ b/internal/front/rules.go
@@ -10,7 +10,7 @@
 	replyAbandonDivisor   = 16 // 1/16 of the abandon time is reserved for the response's way to the player
 	probeStartupDivisor   = 4  // a probe times out after 1/4 of the longest startup target
 	lapsedPlaybackDivisor = 8  // at most 1/8 of Bounds.Playbacks lapsed tries wait for a late response
-	partialTimeoutDivisor = 4  // a message must be complete within 1/4 of the session timeout
+	messageTimeoutDivisor = 4  // a message must be complete, and a TEARDOWN answered, within 1/4 of the session timeout
 	heldBufferDivisor     = 4  // at most 1/4 of Bounds.PlayerBytes is held for a player before its PLAY
 	orphanPlaybackDivisor = 64 // at most 1/64 of Bounds.Playbacks orphans are torn down at once
 	controlIdleTimeouts   = 2  // a control dialogue is closed after 2 idle session timeouts
--- a/internal/front/upstream.go
+++ b/internal/front/upstream.go
@@ -224,8 +224,8 @@
 			}
 		}
 	case stateLapsed:
-		// A late response to a try that was given up: the first TEARDOWN may not have matched a session, so a
-		// success is followed by TEARDOWN with the session id. The response has no other effect.
+		// A late response to a try that was given up. TEARDOWN was already sent for the pipelined requests; if the
+		// try has succeeded nonetheless, it is sent for the session too. The response has no other effect.
 		f.Figures.LateAnswers++
 		if dialogue.state = stateClosing; message.Status < 300 {
 			dialogue.sessionID, _ = rtsp.SessionID(message.Get("Session"))
@@ -399,7 +399,7 @@
 	unanswered := !dialogue.playAnswered && dialogue.sessionID == ""
 	f.sendRequest(dialogue, rtsp.Teardown, nil)
 	dialogue.state = stateClosing
-	timeout := f.SessionTimeout / partialTimeoutDivisor
+	timeout := f.SessionTimeout / messageTimeoutDivisor
 	if unanswered {
 		dialogue.state = stateLapsed
 		f.Figures.Lapsed++
