--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -8,97 +8,97 @@
 	"pierlink/session"
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
 	Weight                    float64
 	State                     session.ServerState
-	Started                   Time // by this front's clock, 0 for long ago
+	Started                   Time // start of the server by this front's clock, 0 if long ago
 }
 
-// Title is one line of the catalogue: the cells that hold a title, Span of them from Base on; all with a
-// Span of 0.
+// Title is one entry of the catalogue: a title's name, the first cell that holds it, and the number of cells from
+// there on. With a number of 0 all cells hold it.
 type Title struct {
 	Name       string
 	Base, Span int
 }
 
-// List is news of servers and titles.
+// List is an update of the server list and the catalogue.
 type List struct {
 	Servers []Server
-	Titles  []Title // nil leaves the catalogue as it was
-	Whole   bool    // servers that it does not name are gone
-	Kept    bool    // of an earlier process: servers may have started anew since
+	Titles  []Title // nil leaves the catalogue unchanged
+	Whole   bool    // the update is complete: servers that it does not name are gone
+	Kept    bool    // saved by an earlier process: servers may have restarted since
 }
 
-// box is a server as the front keeps it.
-type box struct {
-	name, address string
-	state         session.ServerState
-	entry         session.Entry // as the module was last told
-	control       *dialogue
-	probing       bool
+// boxEntry is the front's state of a server.
+type boxEntry struct {
+	name, address   string
+	state           session.ServerState
+	lastListed      session.Entry // as last reported to the module
+	controlDialogue *serverDialogue
+	probing         bool
 }
 
-// Listed follows the server list. Lines of a zone or kind that the service does not know are left out and
-// said so.
-func (f *Front) Listed(l List) {
-	news := session.List{Whole: l.Whole}
-	if l.Whole {
-		f.Site.StartsTold = !l.Kept
+// Listed applies an update of the server list and passes it to the module. Servers of an unknown zone or kind
+// are left out with a log message.
+func (f *Front) Listed(update List) {
+	news := session.List{Whole: update.Whole}
+	if update.Whole {
+		f.Site.StartsTold = !update.Kept
 	}
-	if l.Whole {
-		for i := range f.servers {
-			f.servers[i].state = session.Gone
+	if update.Whole {
+		for i := range f.boxes {
+			f.boxes[i].state = session.Gone
 		}
 	}
-	for _, s := range l.Servers {
-		if i, ok := f.byName[s.Name]; s.State == session.Gone { // of such a one the name is enough
+	for _, server := range update.Servers {
+		if i, ok := f.boxIndex[server.Name]; server.State == session.Gone { // its name is enough, its other fields may be empty
 			if ok {
-				b := &f.servers[i]
-				b.state, b.entry.State = session.Gone, session.Gone
-				news.Entries = append(news.Entries, b.entry)
+				box := &f.boxes[i]
+				box.state, box.lastListed.State = session.Gone, session.Gone
+				news.Entries = append(news.Entries, box.lastListed)
 			}
 			continue
 		}
-		zone, kind := slices.Index(f.Zones, s.Zone), slices.Index(f.Kinds, s.Kind)
-		if zone < 0 || kind < 0 || s.Cell < 0 {
-			f.log.Warn("server left out: unknown zone or kind", zap.String("server", s.Name),
-				zap.String("zone", s.Zone), zap.String("kind", s.Kind))
+		zone, kind := slices.Index(f.Zones, server.Zone), slices.Index(f.Kinds, server.Kind)
+		if zone < 0 || kind < 0 || server.Cell < 0 {
+			f.log.Warn("ignoring server: unknown zone or kind, or negative cell", zap.String("server", server.Name),
+				zap.String("zone", server.Zone), zap.String("kind", server.Kind))
 			continue
 		}
-		i, ok := f.byName[s.Name]
+		i, ok := f.boxIndex[server.Name]
 		if !ok {
-			i = len(f.servers)
-			f.byName[s.Name] = i
-			f.servers = append(f.servers, box{name: s.Name})
+			i = len(f.boxes)
+			f.boxIndex[server.Name] = i
+			f.boxes = append(f.boxes, boxEntry{name: server.Name})
 		}
-		b := &f.servers[i]
-		if b.address != s.Address && b.control != nil {
-			f.hangUp(b.control)
+		box := &f.boxes[i]
+		if box.address != server.Address && box.controlDialogue != nil {
+			f.closeDialogue(box.controlDialogue)
 		}
-		b.address, b.state = s.Address, s.State
-		b.entry = session.Entry{Server: i, Zone: zone, Kind: kind, Cell: s.Cell, State: s.State, Started: s.Started, Weight: s.Weight}
-		news.Entries = append(news.Entries, b.entry)
+		box.address, box.state = server.Address, server.State
+		box.lastListed = session.Entry{Server: i, Zone: zone, Kind: kind, Cell: server.Cell, State: server.State, Started: server.Started, Weight: server.Weight}
+		news.Entries = append(news.Entries, box.lastListed)
 	}
-	if l.Titles != nil {
-		f.titles.known = map[string]Title{}
-		for _, t := range l.Titles {
-			f.titles.known[t.Name] = t
+	if update.Titles != nil {
+		f.titles.catalogue = map[string]Title{}
+		for _, title := range update.Titles {
+			f.titles.catalogue[title.Name] = title
 		}
 	}
 	f.module.Listed(news)
 }
 
-// Among tells how many fronts there are and which number this one has. The module reads both from the site
-// that it was made for, which is the service's own.
+// Among sets the number of fronts and the index of this one. The module reads both from the site that it was
+// created for, which is the one in the front's configuration.
 func (f *Front) Among(fronts, front int) { f.Site.Fronts, f.Site.Front = fronts, front }
 
-// Each calls for each server that is not gone.
+// Each calls a function once for each server that is not gone.
 func (f *Front) Each(call func()) {
-	for i := range f.servers {
-		if f.servers[i].state != session.Gone {
+	for i := range f.boxes {
+		if f.boxes[i].state != session.Gone {
 			call()
 		}
 	}
--- a/internal/rtsp/parser_test.go
+++ b/internal/rtsp/parser_test.go
@@ -8,63 +8,68 @@
 	"testing"
 )
 
-// log writes down what a parser finds.
-type log struct{ lines []string }
+// recorder records the messages and frames that a parser finds, one per line.
+type recorder struct{ lines []string }
 
-func (l *log) Message(m *Message) {
-	l.lines = append(l.lines, fmt.Sprintf("message %s %s %d %d %v %q", m.Method, m.URI, m.Status, m.CSeq, m.Header, m.Body))
+func (r *recorder) Message(message *Message) {
+	r.lines = append(r.lines, fmt.Sprintf("message %s %s %d %d %v %q", message.Method, message.URI, message.Status, message.CSeq, message.Header, message.Body))
 }
-func (l *log) Frame(c byte, p []byte) {
-	l.lines = append(l.lines, fmt.Sprintf("frame %d %x", c, p))
+func (r *recorder) Frame(channel byte, payload []byte) {
+	r.lines = append(r.lines, fmt.Sprintf("frame %d %x", channel, payload))
 }
-func (l *log) Bad(e *Malformed) {
-	l.lines = append(l.lines, fmt.Sprintf("bad %d %d %t", e.Status, e.CSeq, e.Request))
+func (r *recorder) Bad(malformed *Malformed) {
+	r.lines = append(r.lines, fmt.Sprintf("bad %d %d %t", malformed.Status, malformed.CSeq, malformed.Request))
 }
 
+// feed parses the chunks in order and returns what the parser found.
 func feed(chunks ...[]byte) string {
-	p, l := &Parser{Bounds: Usual}, &log{}
+	parser, rec := &Parser{Bounds: Usual}, &recorder{}
 	for _, c := range chunks {
-		if err := p.Feed(c, l); err != nil {
-			l.lines = append(l.lines, fmt.Sprintf("end %d", err.(*Malformed).Status))
+		if err := parser.Feed(c, rec); err != nil {
+			rec.lines = append(rec.lines, fmt.Sprintf("end %d", err.(*Malformed).Status))
 			break
 		}
 	}
-	return strings.Join(l.lines, "\n")
+	return strings.Join(rec.lines, "\n")
 }
 
-func mixed() []byte {
+// mixedMessages returns requests, a response and frames, with several kinds of line ends.
+func mixedMessages() []byte {
 	var b []byte
 	b = Request(Setup, "rtsp://a/live/t/track0?top=2", 7).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(b)
 	b = AppendFrame(b, 3, []byte("\r\n\r\n$$"))
 	b = append(b, "\r\n"...)
-	m := Answer(200, 7).With("Session", "abc;timeout=30")
-	m.Body = []byte("delivered: 0.9\r\n")
-	b = m.Append(b)
+	message := Answer(200, 7).With("Session", "abc;timeout=30")
+	message.Body = []byte("delivered: 0.9\r\n")
+	b = message.Append(b)
 	b = AppendFrame(b, 0, nil)
 	return append(b, "OPTIONS * RTSP/1.0\nCSeq: 8\nX: a\n  b\n\n"...)
 }
 
-func TestAnySplit(t *testing.T) {
-	all := mixed()
-	want := feed(all)
+// The parser must find the same messages however the input is split.
+func TestParserAcceptsAnySplit(t *testing.T) {
+	encoded := mixedMessages()
+	want := feed(encoded)
 	if n := strings.Count(want, "\n"); n != 4 || strings.Contains(want, "bad") {
 		t.Fatal(want)
 	}
-	for i := range all {
-		if got := feed(all[:i], all[i:]); got != want {
+	for i := range encoded {
+		if got := feed(encoded[:i], encoded[i:]); got != want {
 			t.Fatalf("split at %d: %s", i, got)
 		}
 	}
-	single := make([][]byte, len(all))
-	for i := range all {
-		single[i] = all[i : i+1]
+	single := make([][]byte, len(encoded))
+	for i := range encoded {
+		single[i] = encoded[i : i+1]
 	}
 	if got := feed(single...); got != want {
-		t.Fatal("byte by byte:", got)
+		t.Fatal("fed byte by byte:", got)
 	}
 }
 
-func TestMalformed(t *testing.T) {
+// Malformed messages must get the right status. After most of them the parser continues with the next message; after
+// those listed with end it cannot, as the end of the message is unknown or too far.
+func TestMalformedMessages(t *testing.T) {
 	ok := "\r\nOPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n"
 	long := strings.Repeat("x", Usual.Line+1)
 	for in, want := range map[string]string{
@@ -94,22 +99,23 @@
 	}
 }
 
-// A sender that never ends a message makes the parser hold no more than its bounds.
-func TestBounded(t *testing.T) {
+// A sender that never completes a message must not make the parser buffer more than its bounds.
+func TestParserMemoryBounded(t *testing.T) {
 	for _, unit := range []string{"x", "A: b\r\n", "$\x00\xff\xff", "\r\n", "RTSP/1.0 200 OK\r\n"} {
-		p, l := &Parser{Bounds: Usual}, &log{}
+		parser, rec := &Parser{Bounds: Usual}, &recorder{}
 		for i := range 100_000 {
-			if p.Feed([]byte(unit), l) != nil {
+			if parser.Feed([]byte(unit), rec) != nil {
 				break
 			}
-			if p.Held() > 1<<16+4+len(unit) {
-				t.Fatalf("%q: %d bytes held after %d", unit, p.Held(), i)
+			if parser.Held() > 1<<16+4+len(unit) {
+				t.Fatalf("%q: %d bytes held after %d", unit, parser.Held(), i)
 			}
 		}
 	}
 }
 
-func TestNoSplitHeaders(t *testing.T) {
+// A line break in a header value must not add a header field.
+func TestHeaderInjectionPrevented(t *testing.T) {
 	b := Answer(200, 1).With("X", "a\r\nSession: stolen").Append(nil)
 	if got := feed(b); strings.Contains(got, "{Session") {
 		t.Error(got)
@@ -126,27 +132,28 @@
 	}
 }
 
-func fuzz(f *testing.F, seeds ...[]byte) {
+// fuzzSplits checks that the way in which the input is split does not change what the parser finds.
+func fuzzSplits(f *testing.F, seeds ...[]byte) {
 	for _, s := range seeds {
 		f.Add(s, uint64(1))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, seed uint64) {
 		want := feed(b)
-		r := rand.New(rand.NewPCG(seed, 2))
+		random := rand.New(rand.NewPCG(seed, 2))
 		var parts [][]byte
 		for rest := b; len(rest) > 0; {
-			n := 1 + r.IntN(len(rest))
+			n := 1 + random.IntN(len(rest))
 			parts = append(parts, bytes.Clone(rest[:n]))
 			rest = rest[n:]
 		}
 		if got := feed(parts...); got != want {
-			t.Fatalf("split %d: %q, whole %q", seed, got, want)
+			t.Fatalf("split with seed %d: %q, unsplit %q", seed, got, want)
 		}
 	})
 }
 
 func FuzzRequests(f *testing.F) {
-	fuzz(f, Request(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
+	fuzzSplits(f, Request(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
 }
-func FuzzAnswers(f *testing.F) { fuzz(f, Answer(453, 2).With("Retry-After", "2").Append(nil)) }
-func FuzzMixed(f *testing.F)   { fuzz(f, mixed()) }
+func FuzzAnswers(f *testing.F) { fuzzSplits(f, Answer(453, 2).With("Retry-After", "2").Append(nil)) }
+func FuzzMixed(f *testing.F)   { fuzzSplits(f, mixedMessages()) }
