--- a/internal/fair/standing.go
+++ b/internal/fair/lead.go
@@ -11,8 +11,8 @@
 // process.
 func (q *Queue) Standing() (all []Standing) {
 	for _, t := range q.tenants {
-		if t.start > q.virtual {
-			all = append(all, Standing{t.name, t.start - q.virtual})
+		if t.startTag > q.virtualTime {
+			all = append(all, Standing{t.name, t.startTag - q.virtualTime})
 		}
 	}
 	return all
@@ -22,11 +22,11 @@
 // no queue can have had are passed over, and at most as many are taken as are remembered.
 func (q *Queue) Resume(all []Standing) {
 	for _, s := range all {
-		if !(s.Ahead > 0 && s.Ahead < 1e12) || q.tenants[s.Tenant] != nil || len(q.tenants) >= q.terms.Tenants {
+		if !(s.Ahead > 0 && s.Ahead < 1e12) || q.tenants[s.Tenant] != nil || len(q.tenants) >= q.config.Tenants {
 			continue
 		}
-		t := q.tenant(s.Tenant)
-		t.start = q.virtual + s.Ahead
+		t := q.lookup(s.Tenant)
+		t.startTag = q.virtualTime + s.Ahead
 		q.idle.fix(t)
 	}
 }
--- a/internal/fair/limits.go
+++ b/internal/fair/limits.go
@@ -32,10 +32,10 @@
 }
 
 const (
-	rows    = 4
-	columns = 4096
-	second  = 1_000_000
-	bursts  = 2 // seconds of an address's rate that may come at once
+	sketchRows      = 4
+	sketchColumns   = 4096
+	microsPerSecond = 1_000_000
+	burstSeconds    = 2 // seconds of an address's rate that may come at once
 )
 
 // Door counts new connections by address. The count is a sketch of fixed size (count-min, Cormode and
@@ -44,21 +44,21 @@
 // turned away with it, which a new key each turn keeps short.
 type Door struct {
 	Limits
-	counts  [2][rows][columns]uint32
-	keys    [2]uint64
-	turned  Time
-	seed    uint64
-	Refused [Reasons]int64
+	sketches   [2][sketchRows][sketchColumns]uint32
+	sketchKeys [2]uint64
+	rotatedAt  Time
+	seed       uint64
+	Refused    [Reasons]int64
 }
 
 // NewDoor makes a door; the seed keys its counts.
 func NewDoor(l Limits, seed uint64, now Time) *Door {
-	d := &Door{Limits: l, seed: seed, turned: now}
-	d.keys = [2]uint64{d.key(), d.key()}
+	d := &Door{Limits: l, seed: seed, rotatedAt: now}
+	d.sketchKeys = [2]uint64{d.nextKey(), d.nextKey()}
 	return d
 }
 
-func (d *Door) key() uint64 {
+func (d *Door) nextKey() uint64 {
 	d.seed = d.seed*6364136223846793005 + 1442695040888963407
 	return d.seed
 }
@@ -71,12 +71,12 @@
 	if d.PerAddress <= 0 {
 		return true
 	}
-	for ; now-d.turned >= bursts*second/2; d.turned = max(d.turned+bursts*second/2, now-bursts*second) {
-		d.counts[1], d.keys[1] = d.counts[0], d.keys[0]
-		d.counts[0], d.keys[0] = [rows][columns]uint32{}, d.key()
+	for ; now-d.rotatedAt >= burstSeconds*microsPerSecond/2; d.rotatedAt = max(d.rotatedAt+burstSeconds*microsPerSecond/2, now-burstSeconds*microsPerSecond) {
+		d.sketches[1], d.sketchKeys[1] = d.sketches[0], d.sketchKeys[0]
+		d.sketches[0], d.sketchKeys[0] = [sketchRows][sketchColumns]uint32{}, d.nextKey()
 	}
-	n := d.count(0, address, false) + d.count(1, address, false)
-	if float64(n)+1 > d.PerAddress*bursts {
+	count := d.count(0, address, false) + d.count(1, address, false)
+	if float64(count)+1 > d.PerAddress*burstSeconds {
 		d.Turn(AddressTooFast)
 		return false
 	}
@@ -85,25 +85,25 @@
 }
 
 // count is the least of an address's places, raised by one on demand.
-func (d *Door) count(table int, address string, raise bool) uint32 {
-	b := append(binary.BigEndian.AppendUint64(make([]byte, 0, 64), d.keys[table]), address...)
-	h := xxhash.Sum64(b)
+func (d *Door) count(sketch int, address string, increment bool) uint32 {
+	keyed := append(binary.BigEndian.AppendUint64(make([]byte, 0, 64), d.sketchKeys[sketch]), address...)
+	hash := xxhash.Sum64(keyed)
 	least := ^uint32(0)
-	var at [rows]*uint32
-	for i := range at {
-		at[i] = &d.counts[table][i][(h>>(16*i))%columns]
-		least = min(least, *at[i])
+	var cells [sketchRows]*uint32
+	for i := range cells {
+		cells[i] = &d.sketches[sketch][i][(hash>>(16*i))%sketchColumns]
+		least = min(least, *cells[i])
 	}
-	for i := 0; raise && i < rows; i++ {
-		*at[i] = max(*at[i], least+1)
+	for i := 0; increment && i < sketchRows; i++ {
+		*cells[i] = max(*cells[i], least+1)
 	}
 	return least
 }
 
 // Rate holds one connection to a rate: a bucket of a second's requests.
 type Rate struct {
-	saved float64
-	at    Time
+	tokens     float64
+	refilledAt Time
 }
 
 // Request tells whether one more may be taken now.
@@ -111,14 +111,14 @@
 	if d.PerConnection <= 0 {
 		return true
 	}
-	if r.at == 0 {
-		r.saved = max(d.PerConnection, 1)
+	if r.refilledAt == 0 {
+		r.tokens = max(d.PerConnection, 1)
 	}
-	r.saved = min(r.saved+float64(now-r.at)/second*d.PerConnection, max(d.PerConnection, 1))
-	if r.at = now; r.saved < 1 {
+	r.tokens = min(r.tokens+float64(now-r.refilledAt)/microsPerSecond*d.PerConnection, max(d.PerConnection, 1))
+	if r.refilledAt = now; r.tokens < 1 {
 		d.Turn(RequestsTooFast)
 		return false
 	}
-	r.saved--
+	r.tokens--
 	return true
 }
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -44,20 +44,20 @@
 	Count   int     // playbacks asked for
 }
 
-func (f *Figures) add(g *Figures) {
-	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due+g.Due, f.OnTime+g.OnTime, f.Watched+g.Watched, f.Stalled+g.Stalled
-	f.Worth, f.Changes, f.Count = f.Worth+g.Worth, f.Changes+g.Changes, f.Count+g.Count
-	f.Squares += g.Squares
+func (f *Figures) add(other *Figures) {
+	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due+other.Due, f.OnTime+other.OnTime, f.Watched+other.Watched, f.Stalled+other.Stalled
+	f.Worth, f.Changes, f.Count = f.Worth+other.Worth, f.Changes+other.Changes, f.Count+other.Count
+	f.Squares += other.Squares
 }
 
 // Service is the part of the revenue that started in time.
-func (f *Figures) Service() float64 { return part(f.OnTime, f.Due) }
+func (f *Figures) Service() float64 { return ratio(f.OnTime, f.Due) }
 
 // Stalls is the part of the time watched that stood still.
-func (f *Figures) Stalls() float64 { return part(f.Stalled, f.Watched) }
+func (f *Figures) Stalls() float64 { return ratio(f.Stalled, f.Watched) }
 
 // Rung is the mean worth of the rungs in force.
-func (f *Figures) Rung() float64 { return part(f.Worth, f.Watched) }
+func (f *Figures) Rung() float64 { return ratio(f.Worth, f.Watched) }
 
 // Lost is the part of what was due that was not given: not in time, or in time and then stalled.
 func (f *Figures) Lost() float64 {
@@ -67,11 +67,11 @@
 	return 1 - f.Service()*(1-f.Stalls())
 }
 
-func part(x, of float64) float64 {
-	if of == 0 {
+func ratio(value, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return x / of
+	return value / total
 }
 
 // Counts tell what reports were like.
@@ -100,12 +100,12 @@
 const Other = "other"
 
 // ring is a group's figures by buckets of time.
-type ring struct {
-	buckets []Figures
-	clean   []Figures // of a title without what played on racks that stand out, of a rack without such titles
-	at      Time      // the latest bucket's number
-	bad     bool
-	good    int // looks in a row at which it did not stand out
+type series struct {
+	buckets     []Figures
+	unblamed    []Figures // of a title without what played on racks that stand out, of a rack without such titles
+	latest      Time      // the latest bucket's number
+	outlier     bool
+	clearChecks int // looks in a row at which it did not stand out
 }
 
 // What a player reports.
@@ -125,92 +125,92 @@
 	Rung  int
 }
 
-type span struct{ from, to Time }
+type interval struct{ from, to Time }
 
 // step is what holds from a moment on: a rung, or a rack.
-type step struct {
-	at Time
-	n  int
+type change struct {
+	at    Time
+	value int
 }
 
 // at is the step in force at a moment; that before the first is the first.
-func at(steps []step, when Time) int {
-	n := steps[0].n
-	for _, x := range steps {
-		if x.at <= when {
-			n = x.n
+func valueAt(changes []change, moment Time) int {
+	value := changes[0].value
+	for _, entry := range changes {
+		if entry.at <= moment {
+			value = entry.value
 		}
 	}
-	return n
+	return value
 }
 
 // record is what is known of a playback.
 type record struct {
-	id                     string
-	plan                   int
-	rack                   int    // that started it, or failed it; -1 for none
-	racks                  []step // over its moves
-	title                  string
-	taken, answered, ended Time // 0 for not yet
-	startup                Time // as reported, -1 for not
-	stalls                 []span
-	rungs                  []step
-	told                   []step // rungs as the player reports them
-	last                   uint32
-	seen                   uint64 // of the sequence numbers up to last
+	id                              string
+	plan                            int
+	startRack                       int      // that started it, or failed it; -1 for none
+	rackChanges                     []change // over its moves
+	title                           string
+	requestedAt, startedAt, endedAt Time // 0 for not yet
+	reportedStartup                 Time // as reported, -1 for not
+	stalls                          []interval
+	rungChanges                     []change
+	reportedRungs                   []change // rungs as the player reports them
+	lastSeq                         uint32
+	seenMask                        uint64 // of the sequence numbers up to last
 }
 
 const (
-	stallsMost = 64 // apart from each other, of a playback; then the shortest are left out
-	rungsMost  = 64
-	window     = 64 // sequence numbers that a report may be behind the latest
+	maxStalls  = 64 // apart from each other, of a playback; then the shortest are left out
+	maxChanges = 64
+	seqWindow  = 64 // sequence numbers that a report may be behind the latest
 )
 
 // Core holds records and figures. One goroutine owns it.
 type Core struct {
 	Terms
-	Counts  Counts
-	now     Time
-	open    map[string]*record
-	over    []*record // ended, oldest first
-	groups  map[Group]*ring
-	titles  int
-	looked  Time
-	changed []Alarm
+	Counts     Counts
+	now        Time
+	open       map[string]*record
+	ended      []*record // ended, oldest first
+	groups     map[Group]*series
+	titleCount int
+	lastCheck  Time
+	changed    []Alarm
 }
 
 // New makes an empty one.
 func New(t Terms, now Time) *Core {
 	t.Buckets, t.Width = max(t.Buckets, 2), max(t.Width, 1)
-	return &Core{Terms: t, now: now, open: map[string]*record{}, groups: map[Group]*ring{}, looked: now / t.Width}
+	return &Core{Terms: t, now: now, open: map[string]*record{}, groups: map[Group]*series{}, lastCheck: now / t.Width}
 }
 
 // At begins a turn.
 func (c *Core) At(now Time) { c.now = max(c.now, now) }
 
 // Taken begins a playback.
-func (c *Core) Taken(id string, plan int, title string, at Time) {
+func (c *Core) Taken(id string, plan int, title string, requestedAt Time) {
 	if c.open[id] != nil || plan < 0 || plan >= len(c.Plans) {
 		return
 	}
 	for len(c.open) >= max(c.Playbacks, 1) {
-		if len(c.over) == 0 {
+		if len(c.ended) == 0 {
 			c.Counts.Early++
 			return
 		}
 		c.Counts.Early++
-		c.close(c.over[0])
-		c.over = c.over[1:]
+		c.close(c.ended[0])
+		c.ended = c.ended[1:]
 	}
-	c.open[id] = &record{id: id, plan: plan, rack: -1, title: title, taken: at, startup: -1}
+	c.open[id] = &record{id: id, plan: plan, startRack: -1, title: title, requestedAt: requestedAt, reportedStartup: -1}
 }
 
 // Name gives a playback another name.
-func (c *Core) Name(old, id string) {
-	if r := c.open[old]; r != nil && c.open[id] == nil {
-		delete(c.open, old)
-		r.id = id
-		c.open[id] = r
+func (c *Core) Name(oldID, newID string) {
+	if r := c.open[oldID]; r != nil && c.open[newID] == nil {
+		delete(c.open, oldID)
+		r.id = newID
+		c.open[newID] = r
 	}
 }
 
@@ -221,118 +221,118 @@
 func (c *Core) Open() int { return len(c.open) }
 
 // Plays tells where a playback plays, and at which rung: at first, after a move, and when the rung changes.
-func (c *Core) Plays(id string, rack, at int, when Time) {
+func (c *Core) Plays(id string, rack, rung int, startedAt Time) {
 	r := c.open[id]
-	if r == nil || r.ended > 0 {
+	if r == nil || r.endedAt > 0 {
 		return
 	}
-	if r.answered == 0 {
-		r.answered, r.rack = when, rack
+	if r.startedAt == 0 {
+		r.startedAt, r.startRack = startedAt, rack
 	}
-	if n := len(r.rungs); n == 0 || r.rungs[n-1].n != at && n < rungsMost {
-		r.rungs = append(r.rungs, step{when, at})
+	if n := len(r.rungChanges); n == 0 || r.rungChanges[n-1].value != rung && n < maxChanges {
+		r.rungChanges = append(r.rungChanges, change{startedAt, rung})
 	}
-	if n := len(r.racks); n == 0 || r.racks[n-1].n != rack && n < rungsMost {
-		r.racks = append(r.racks, step{when, rack})
+	if n := len(r.rackChanges); n == 0 || r.rackChanges[n-1].value != rack && n < maxChanges {
+		r.rackChanges = append(r.rackChanges, change{startedAt, rack})
 	}
 }
 
 // Failed tells the rack on which a playback came to nothing, where one is known.
 func (c *Core) Failed(id string, rack int) {
-	if r := c.open[id]; r != nil && r.answered == 0 {
-		r.rack = rack
+	if r := c.open[id]; r != nil && r.startedAt == 0 {
+		r.startRack = rack
 	}
 }
 
 // Ended ends a playback; reports are heard for a while after it.
-func (c *Core) Ended(id string, at Time) {
-	if r := c.open[id]; r != nil && r.ended == 0 {
-		r.ended = max(at, r.taken+1)
-		c.over = append(c.over, r)
+func (c *Core) Ended(id string, endedAt Time) {
+	if r := c.open[id]; r != nil && r.endedAt == 0 {
+		r.endedAt = max(endedAt, r.requestedAt+1)
+		c.ended = append(c.ended, r)
 	}
 }
 
 // Report takes a player's report that came in now.
-func (c *Core) Report(id string, x Report) {
+func (c *Core) Report(id string, report Report) {
 	r := c.open[id]
 	c.Counts.Reports++
 	switch {
 	case r == nil:
 		c.Counts.Late++
 		return
-	case x.Seq == 0 || x.Span < 0 || x.What < Startup || x.What > Rung || x.What == Rung && (x.Rung < 0 || x.Rung >= len(c.Worth)):
+	case report.Seq == 0 || report.Span < 0 || report.What < Startup || report.What > Rung || report.What == Rung && (report.Rung < 0 || report.Rung >= len(c.Worth)):
 		c.Counts.Strange++
 		return
-	case !r.fresh(x.Seq):
+	case !r.markSeen(report.Seq):
 		c.Counts.Duplicates++
 		return
 	}
 	// The player's clock may be an hour wrong: what counts is how long ago it says that something was. What would
 	// have been before the playback, or is yet to come, tells of a clock that was set in between.
-	age := x.Clock - x.At
-	at := c.now - age
-	if age < 0 || at < r.taken-c.Width {
+	age := report.Clock - report.At
+	occurredAt := c.now - age
+	if age < 0 || occurredAt < r.requestedAt-c.Width {
 		c.Counts.Clocks++
-		at = c.now - x.Span // as late as it can have been
+		occurredAt = c.now - report.Span // as late as it can have been
 	}
-	at = max(at, r.taken)
-	switch x.What {
+	occurredAt = max(occurredAt, r.requestedAt)
+	switch report.What {
 	case Startup:
-		r.startup = x.Span
+		r.reportedStartup = report.Span
 	case Stall:
-		r.stall(span{at, at + x.Span})
+		r.addStall(interval{occurredAt, occurredAt + report.Span})
 	case Rung:
-		if len(r.told) < rungsMost {
-			r.told = append(r.told, step{at, x.Rung})
+		if len(r.reportedRungs) < maxChanges {
+			r.reportedRungs = append(r.reportedRungs, change{occurredAt, report.Rung})
 		}
 	}
 }
 
 // fresh notes a sequence number, and tells whether it is new.
-func (r *record) fresh(seq uint32) bool {
+func (r *record) markSeen(seq uint32) bool {
 	switch {
-	case seq > r.last:
-		if d := seq - r.last; d < window {
-			r.seen = r.seen<<d | 1
+	case seq > r.lastSeq:
+		if ahead := seq - r.lastSeq; ahead < seqWindow {
+			r.seenMask = r.seenMask<<ahead | 1
 		} else {
-			r.seen = 1
+			r.seenMask = 1
 		}
-		r.last = seq
+		r.lastSeq = seq
 		return true
-	case r.last-seq >= window || r.seen>>(r.last-seq)&1 == 1:
+	case r.lastSeq-seq >= seqWindow || r.seenMask>>(r.lastSeq-seq)&1 == 1:
 		return false
 	}
-	r.seen |= 1 << (r.last - seq)
+	r.seenMask |= 1 << (r.lastSeq - seq)
 	return true
 }
 
 // stall adds one; those that overlap are one.
-func (r *record) stall(x span) {
-	if x.to <= x.from {
+func (r *record) addStall(stall interval) {
+	if stall.to <= stall.from {
 		return
 	}
-	var rest []span
-	for _, y := range r.stalls {
-		if y.to < x.from || y.from > x.to {
-			rest = append(rest, y)
+	var separate []interval
+	for _, other := range r.stalls {
+		if other.to < stall.from || other.from > stall.to {
+			separate = append(separate, other)
 			continue
 		}
-		x.from, x.to = min(x.from, y.from), max(x.to, y.to)
+		stall.from, stall.to = min(stall.from, other.from), max(stall.to, other.to)
 	}
-	r.stalls = append(rest, x)
-	if len(r.stalls) > stallsMost {
-		slices.SortFunc(r.stalls, func(a, b span) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
-		r.stalls = r.stalls[:stallsMost]
+	r.stalls = append(separate, stall)
+	if len(r.stalls) > maxStalls {
+		slices.SortFunc(r.stalls, func(a, b interval) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
+		r.stalls = r.stalls[:maxStalls]
 	}
 }
 
 // started is when a playback started; false where it never did.
 func (r *record) started() (Time, bool) {
 	switch {
-	case r.startup >= 0 && r.answered > 0:
-		return r.taken + r.startup, true
-	case r.answered > 0:
-		return r.answered, true
+	case r.reportedStartup >= 0 && r.startedAt > 0:
+		return r.requestedAt + r.reportedStartup, true
+	case r.startedAt > 0:
+		return r.startedAt, true
 	}
 	return 0, false
 }
@@ -340,64 +340,64 @@
 // credit adds what a playback stands for to the racks and buckets that it falls in, up to a moment. A playback is due
 // to the rack that started it; what it watched is that of the rack where it was.
 func (c *Core) credit(r *record, until Time, add func(rack int, at Time, f Figures)) {
-	p := &c.Plans[r.plan]
-	first := Figures{Due: p.Revenue, Squares: p.Revenue * p.Revenue, Count: 1}
-	began, ok := r.started()
-	if ok && began-r.taken <= p.Startup {
-		first.OnTime = p.Revenue
+	plan := &c.Plans[r.plan]
+	startup := Figures{Due: plan.Revenue, Squares: plan.Revenue * plan.Revenue, Count: 1}
+	startedAt, started := r.started()
+	if started && startedAt-r.requestedAt <= plan.Startup {
+		startup.OnTime = plan.Revenue
 	}
-	if !ok && r.ended == 0 && until-r.taken <= p.Startup {
+	if !started && r.endedAt == 0 && until-r.requestedAt <= plan.Startup {
 		return // it may come yet
 	}
-	add(r.rack, r.taken, first)
-	if !ok {
+	add(r.startRack, r.requestedAt, startup)
+	if !started {
 		return
 	}
 	end := until
-	if r.ended > 0 {
-		end = r.ended
-	}
-	rungs := slices.Clone(r.rungs)
-	if len(r.told) > 0 { // the player knows better
-		rungs = slices.Clone(r.told)
-		slices.SortStableFunc(rungs, func(a, b step) int { return cmp.Compare(a.at, b.at) })
-		if rungs[0].at > began {
-			rungs = append([]step{{began, r.rungs[0].n}}, rungs...)
+	if r.endedAt > 0 {
+		end = r.endedAt
+	}
+	rungs := slices.Clone(r.rungChanges)
+	if len(r.reportedRungs) > 0 { // the player knows better
+		rungs = slices.Clone(r.reportedRungs)
+		slices.SortStableFunc(rungs, func(a, b change) int { return cmp.Compare(a.at, b.at) })
+		if rungs[0].at > startedAt {
+			rungs = append([]change{{startedAt, r.rungChanges[0].value}}, rungs...)
 		}
 	}
-	cuts := []Time{began, end}
-	for _, all := range [][]step{rungs, r.racks} {
-		for _, x := range all {
-			if x.at > began && x.at < end {
-				cuts = append(cuts, x.at)
+	cuts := []Time{startedAt, end}
+	for _, changes := range [][]change{rungs, r.rackChanges} {
+		for _, entry := range changes {
+			if entry.at > startedAt && entry.at < end {
+				cuts = append(cuts, entry.at)
 			}
 		}
 	}
 	slices.Sort(cuts)
 	for i := 1; i < len(cuts); i++ {
-		worth := c.Worth[min(max(at(rungs, cuts[i-1]), 0), len(c.Worth)-1)]
-		rack := at(r.racks, cuts[i-1])
-		c.spread(cuts[i-1], cuts[i], func(at Time, s float64) {
-			add(rack, at, Figures{Watched: p.Revenue * s, Worth: p.Revenue * s * worth})
+		worth := c.Worth[min(max(valueAt(rungs, cuts[i-1]), 0), len(c.Worth)-1)]
+		rack := valueAt(r.rackChanges, cuts[i-1])
+		c.splitByBucket(cuts[i-1], cuts[i], func(at Time, seconds float64) {
+			add(rack, at, Figures{Watched: plan.Revenue * seconds, Worth: plan.Revenue * seconds * worth})
 		})
 	}
 	for i := 1; i < len(rungs); i++ {
-		if x := rungs[i]; x.n != rungs[i-1].n && x.at <= end {
-			add(at(r.racks, x.at), x.at, Figures{Changes: p.Revenue})
+		if entry := rungs[i]; entry.value != rungs[i-1].value && entry.at <= end {
+			add(valueAt(r.rackChanges, entry.at), entry.at, Figures{Changes: plan.Revenue})
 		}
 	}
-	for _, x := range r.stalls {
-		rack := at(r.racks, x.from)
-		c.spread(max(x.from, began), min(x.to, end), func(at Time, s float64) { add(rack, at, Figures{Stalled: p.Revenue * s}) })
+	for _, stall := range r.stalls {
+		rack := valueAt(r.rackChanges, stall.from)
+		c.splitByBucket(max(stall.from, startedAt), min(stall.to, end), func(at Time, seconds float64) { add(rack, at, Figures{Stalled: plan.Revenue * seconds}) })
 	}
 }
 
 // spread calls for each bucket that a span falls in, with the seconds in it.
-func (c *Core) spread(from, to Time, each func(at Time, seconds float64)) {
+func (c *Core) splitByBucket(from, to Time, visit func(at Time, seconds float64)) {
 	for from < to {
-		next := min((from/c.Width+1)*c.Width, to)
-		each(from, float64(next-from)/1e6)
-		from = next
+		bucketEnd := min((from/c.Width+1)*c.Width, to)
+		visit(from, float64(bucketEnd-from)/1e6)
+		from = bucketEnd
 	}
 }
 
@@ -405,117 +405,117 @@
 func (c *Core) close(r *record) {
 	delete(c.open, r.id)
 	c.Counts.Closed++
-	title := c.ring(Group{Kind: Title, Title: r.title})
-	c.credit(r, r.ended, func(at int, when Time, f Figures) {
-		n := when / c.Width
-		title.add(title.buckets, n, &f)
-		if at < 0 || at >= c.Racks {
-			title.add(title.clean, n, &f)
+	title := c.series(Group{Kind: Title, Title: r.title})
+	c.credit(r, r.endedAt, func(rackNumber int, when Time, figures Figures) {
+		bucket := when / c.Width
+		title.add(title.buckets, bucket, &figures)
+		if rackNumber < 0 || rackNumber >= c.Racks {
+			title.add(title.unblamed, bucket, &figures)
 			return
 		}
-		rack := c.ring(Group{Kind: Rack, Rack: at})
-		rack.add(rack.buckets, n, &f)
-		if !title.bad {
-			rack.add(rack.clean, n, &f)
+		rack := c.series(Group{Kind: Rack, Rack: rackNumber})
+		rack.add(rack.buckets, bucket, &figures)
+		if !title.outlier {
+			rack.add(rack.unblamed, bucket, &figures)
 		}
-		if !rack.bad {
-			title.add(title.clean, n, &f)
+		if !rack.outlier {
+			title.add(title.unblamed, bucket, &figures)
 		}
 	})
 }
 
 // ring is a group's; a title for which there is no room has that of the others.
-func (c *Core) ring(g Group) *ring {
-	r := c.groups[g]
-	if r == nil && g.Kind == Title && g.Title != Other {
-		if c.titles >= max(c.Titles, 1) {
-			c.forget()
+func (c *Core) series(group Group) *series {
+	s := c.groups[group]
+	if s == nil && group.Kind == Title && group.Title != Other {
+		if c.titleCount >= max(c.Titles, 1) {
+			c.evictEmptyTitles()
 		}
-		if c.titles >= max(c.Titles, 1) {
-			g.Title = Other
-			r = c.groups[g]
+		if c.titleCount >= max(c.Titles, 1) {
+			group.Title = Other
+			s = c.groups[group]
 		} else {
-			c.titles++
+			c.titleCount++
 		}
 	}
-	if r == nil {
-		r = &ring{buckets: make([]Figures, c.Buckets), clean: make([]Figures, c.Buckets)}
-		c.groups[g] = r
+	if s == nil {
+		s = &series{buckets: make([]Figures, c.Buckets), unblamed: make([]Figures, c.Buckets)}
+		c.groups[group] = s
 	}
-	r.turn(c.now / c.Width)
-	return r
+	s.advance(c.now / c.Width)
+	return s
 }
 
 // forget drops titles of which nothing is left.
-func (c *Core) forget() {
-	for g, r := range c.groups {
-		if g.Kind != Title || g.Title == Other || r.bad {
+func (c *Core) evictEmptyTitles() {
+	for group, s := range c.groups {
+		if group.Kind != Title || group.Title == Other || s.outlier {
 			continue
 		}
-		r.turn(c.now / c.Width)
-		if sum := r.sum(r.buckets); sum.Due == 0 && sum.Watched == 0 {
-			delete(c.groups, g)
-			c.titles--
+		s.advance(c.now / c.Width)
+		if sum := s.sum(s.buckets); sum.Due == 0 && sum.Watched == 0 {
+			delete(c.groups, group)
+			c.titleCount--
 		}
 	}
 }
 
 // turn empties the buckets between the latest one and a new latest one.
-func (r *ring) turn(n Time) {
-	size := Time(len(r.buckets))
-	for i := max(r.at+1, n-size+1); i <= n; i++ {
-		r.buckets[i%size], r.clean[i%size] = Figures{}, Figures{}
+func (s *series) advance(bucket Time) {
+	size := Time(len(s.buckets))
+	for skipped := max(s.latest+1, bucket-size+1); skipped <= bucket; skipped++ {
+		s.buckets[skipped%size], s.unblamed[skipped%size] = Figures{}, Figures{}
 	}
-	r.at = max(r.at, n)
+	s.latest = max(s.latest, bucket)
 }
 
-func (r *ring) add(to []Figures, n Time, f *Figures) {
-	if size := Time(len(to)); n > r.at-size && n <= r.at {
-		to[n%size].add(f)
+func (s *series) add(buckets []Figures, bucket Time, figures *Figures) {
+	if size := Time(len(buckets)); bucket > s.latest-size && bucket <= s.latest {
+		buckets[bucket%size].add(figures)
 	}
 }
 
 // recent is the sum of the latest buckets.
-func (r *ring) recent(of []Figures, n int) (f Figures) {
-	size := Time(len(of))
-	for i := max(r.at-Time(n)+1, 0); i <= r.at; i++ {
-		f.add(&of[i%size])
+func (s *series) recent(buckets []Figures, count int) (total Figures) {
+	size := Time(len(buckets))
+	for bucket := max(s.latest-Time(count)+1, 0); bucket <= s.latest; bucket++ {
+		total.add(&buckets[bucket%size])
 	}
-	return f
+	return total
 }
 
-func (r *ring) sum(of []Figures) (f Figures) {
-	for i := range of {
-		f.add(&of[i])
+func (s *series) sum(buckets []Figures) (total Figures) {
+	for i := range buckets {
+		total.add(&buckets[i])
 	}
-	return f
+	return total
 }
 
 // Figures are the sums over all buckets, what still plays included.
 func (c *Core) Figures() map[Group]Figures {
 	all := map[Group]Figures{}
-	for g, r := range c.groups {
-		r.turn(c.now / c.Width)
-		all[g] = r.sum(r.buckets)
+	for group, r := range c.groups {
+		r.advance(c.now / c.Width)
+		all[group] = r.sum(r.buckets)
 	}
 	oldest := (c.now/c.Width - Time(c.Buckets) + 1) * c.Width
-	add := func(g Group, f *Figures) {
-		x := all[g]
-		x.add(f)
-		all[g] = x
+	add := func(group Group, figures *Figures) {
+		total := all[group]
+		total.add(figures)
+		all[group] = total
 	}
 	for _, r := range c.open {
 		title := Group{Kind: Title, Title: r.title}
-		if _, ok := c.groups[title]; !ok && c.titles >= max(c.Titles, 1) {
+		if _, ok := c.groups[title]; !ok && c.titleCount >= max(c.Titles, 1) {
 			title.Title = Other
 		}
-		c.credit(r, c.now, func(rack int, when Time, f Figures) {
+		c.credit(r, c.now, func(rack int, when Time, figures Figures) {
 			if when < oldest {
 				return
 			}
-			add(title, &f)
+			add(title, &figures)
 			if rack >= 0 && rack < c.Racks {
-				add(Group{Kind: Rack, Rack: rack}, &f)
+				add(Group{Kind: Rack, Rack: rack}, &figures)
 			}
 		})
 	}
--- a/internal/quality/quality_test.go
+++ b/internal/quality/quality_test.go
@@ -7,46 +7,46 @@
 	"pgregory.net/rapid"
 )
 
-const sec = Time(1_000_000)
+const second = Time(1_000_000)
 
-func terms() Terms {
-	return Terms{Plans: []Plan{{Startup: sec, Revenue: 2}}, Worth: []float64{0.5, 1}, Racks: 2, Titles: 2, Playbacks: 100, Width: 10 * sec, Buckets: 16, Late: 20 * sec}
+func testConfig() Terms {
+	return Terms{Plans: []Plan{{Startup: second, Revenue: 2}}, Worth: []float64{0.5, 1}, Racks: 2, Titles: 2, Playbacks: 100, Width: 10 * second, Buckets: 16, Late: 20 * second}
 }
 
 // Whatever order reports come in, however often, whatever the player's clock and however it is told: the figures are
 // the same.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		base := 1000 * sec
-		offset := Time(rapid.Int64Range(-4000, 4000).Draw(rt, "clock")) * sec
-		events := []Report{{Seq: 1, What: Startup, At: base + sec/2, Span: sec / 2}, {Seq: 2, What: Stall, At: base + 5*sec, Span: 2 * sec},
-			{Seq: 3, What: Rung, At: base + 12*sec, Rung: 0}, {Seq: 4, What: Stall, At: base + 6*sec, Span: 3 * sec}}
-		c := New(terms(), base)
-		c.Taken("s", 0, "t", base)
-		c.At(base + sec)
-		c.Plays("s", 1, 1, base+sec)
-		c.At(base + 20*sec)
-		c.Ended("s", base+20*sec)
+		base := 1000 * second
+		offset := Time(rapid.Int64Range(-4000, 4000).Draw(rt, "clock")) * second
+		events := []Report{{Seq: 1, What: Startup, At: base + second/2, Span: second / 2}, {Seq: 2, What: Stall, At: base + 5*second, Span: 2 * second},
+			{Seq: 3, What: Rung, At: base + 12*second, Rung: 0}, {Seq: 4, What: Stall, At: base + 6*second, Span: 3 * second}}
+		collector := New(testConfig(), base)
+		collector.Taken("s", 0, "t", base)
+		collector.At(base + second)
+		collector.Plays("s", 1, 1, base+second)
+		collector.At(base + 20*second)
+		collector.Ended("s", base+20*second)
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 0, 1, 2, 3}).Draw(rt, "order") {
-			c.At(c.now + Time(rapid.IntRange(0, 2000).Draw(rt, "pass"))*1000)
-			x := events[i]
-			x.Clock, x.At = c.now+offset, x.At+offset
-			c.Report("s", x)
+			collector.At(collector.now + Time(rapid.IntRange(0, 2000).Draw(rt, "pass"))*1000)
+			report := events[i]
+			report.Clock, report.At = collector.now+offset, report.At+offset
+			collector.Report("s", report)
 		}
-		if c.Counts.Duplicates != 4 || c.Counts.Clocks != 0 || c.Counts.Late != 0 {
-			rt.Fatalf("%+v", c.Counts)
+		if collector.Counts.Duplicates != 4 || collector.Counts.Clocks != 0 || collector.Counts.Late != 0 {
+			rt.Fatalf("%+v", collector.Counts)
 		}
-		before := c.Figures()
-		for now := c.now; c.Open() > 0; now += sec {
-			c.At(now)
-			c.Settle(func(a Alarm) { rt.Fatal("one playback raised ", a) })
+		before := collector.Figures()
+		for now := collector.now; collector.Open() > 0; now += second {
+			collector.At(now)
+			collector.Settle(func(a Alarm) { rt.Fatal("one playback raised ", a) })
 		}
 		for _, g := range []Group{{Kind: Rack, Rack: 1}, {Kind: Title, Title: "t"}} {
-			for _, f := range []Figures{before[g], c.Figures()[g]} {
+			for _, f := range []Figures{before[g], collector.Figures()[g]} {
 				want := Figures{Due: 2, OnTime: 2, Watched: 2 * 19.5, Stalled: 2 * 4, Worth: 2 * (11.5 + 0.5*8), Changes: 2}
-				for _, x := range [][2]float64{{f.Due, want.Due}, {f.OnTime, want.OnTime}, {f.Watched, want.Watched}, {f.Stalled, want.Stalled},
+				for _, report := range [][2]float64{{f.Due, want.Due}, {f.OnTime, want.OnTime}, {f.Watched, want.Watched}, {f.Stalled, want.Stalled},
 					{f.Worth, want.Worth}, {f.Changes, want.Changes}} {
-					if math.Abs(x[0]-x[1]) > 1e-6 {
+					if math.Abs(report[0]-report[1]) > 1e-6 {
 						rt.Fatalf("%+v: %+v, not %+v", g, f, want)
 					}
 				}
@@ -58,35 +58,35 @@
 // A clock that is set between an event and its report is met by placing the event as late as it can have been; what
 // comes after the end's grace, or means nothing, is left out; memory is bounded.
 func TestStrangeReports(t *testing.T) {
-	base := 1000 * sec
-	c := New(terms(), base)
-	c.Taken("s", 0, "t", base)
-	c.Plays("s", 0, 1, base+sec/2)
-	c.At(base + 30*sec)
-	c.Report("s", Report{Seq: 1, What: Stall, Clock: base + 3630*sec, At: base + 20*sec, Span: sec}) // an hour ahead in between
-	c.Report("s", Report{Seq: 2, What: Stall, Clock: base - 3570*sec, At: base + 20*sec, Span: sec}) // an hour back
-	c.Report("s", Report{Seq: 3, What: Rung, Rung: 7})
-	c.Report("s", Report{Seq: 0, What: Stall})
-	c.Report("nobody", Report{Seq: 1, What: Stall})
-	if x := c.Counts; x.Clocks != 2 || x.Strange != 2 || x.Late != 1 {
+	base := 1000 * second
+	collector := New(testConfig(), base)
+	collector.Taken("s", 0, "t", base)
+	collector.Plays("s", 0, 1, base+second/2)
+	collector.At(base + 30*second)
+	collector.Report("s", Report{Seq: 1, What: Stall, Clock: base + 3630*second, At: base + 20*second, Span: second}) // an hour ahead in between
+	collector.Report("s", Report{Seq: 2, What: Stall, Clock: base - 3570*second, At: base + 20*second, Span: second}) // an hour back
+	collector.Report("s", Report{Seq: 3, What: Rung, Rung: 7})
+	collector.Report("s", Report{Seq: 0, What: Stall})
+	collector.Report("nobody", Report{Seq: 1, What: Stall})
+	if x := collector.Counts; x.Clocks != 2 || x.Strange != 2 || x.Late != 1 {
 		t.Errorf("%+v", x)
 	}
-	if f := c.Figures()[Group{Kind: Rack}]; f.Stalled != 2 || f.Stalled > f.Watched {
+	if f := collector.Figures()[Group{Kind: Rack}]; f.Stalled != 2 || f.Stalled > f.Watched {
 		t.Errorf("%+v", f)
 	}
 	for i := range 300 { // more than there is room for
 		id := string(rune('a' + i))
-		c.Taken(id, 0, id, c.now)
-		c.Ended(id, c.now)
-		c.Report(id, Report{Seq: 1, What: Stall, Clock: 1, At: 1, Span: 1})
+		collector.Taken(id, 0, id, collector.now)
+		collector.Ended(id, collector.now)
+		collector.Report(id, Report{Seq: 1, What: Stall, Clock: 1, At: 1, Span: 1})
 	}
-	if c.Open() > 100 || len(c.groups) > 2+2+1 || c.Counts.Early == 0 {
-		t.Error(c.Open(), len(c.groups), c.Counts.Early)
+	if collector.Open() > 100 || len(collector.groups) > 2+2+1 || collector.Counts.Early == 0 {
+		t.Error(collector.Open(), len(collector.groups), collector.Counts.Early)
 	}
 	for i := range 200 { // stalls apart from each other
-		c.Report("s", Report{Seq: uint32(10 + i), What: Stall, Clock: base + 30*sec, At: base + Time(i)*sec/10, Span: sec / 100})
+		collector.Report("s", Report{Seq: uint32(10 + i), What: Stall, Clock: base + 30*second, At: base + Time(i)*second/10, Span: second / 100})
 	}
-	if r := c.open["s"]; r != nil && len(r.stalls) > stallsMost {
+	if r := collector.open["s"]; r != nil && len(r.stalls) > maxStalls {
 		t.Error(len(r.stalls))
 	}
 	if (&Figures{Watched: 4, Stalled: 1}).Lost() != 0.25 {
--- a/internal/settings/servers.go
+++ b/internal/settings/servers.go
@@ -12,12 +12,12 @@
 )
 
 // list is a server list's file.
-type list struct {
-	Servers []server `toml:"server" validate:"unique=Name,dive"`
-	Titles  []title  `toml:"title" validate:"unique=Name,dive"`
+type serverList struct {
+	Servers []serverEntry `toml:"server" validate:"unique=Name,dive"`
+	Titles  []titleEntry  `toml:"title" validate:"unique=Name,dive"`
 }
 
-type server struct {
+type serverEntry struct {
 	Name    string    `toml:"name" validate:"required"`
 	Address string    `toml:"address" validate:"required,address"`
 	Zone    string    `toml:"zone" validate:"required"`
@@ -28,7 +28,7 @@
 	Started time.Time `toml:"started"`
 }
 
-type title struct {
+type titleEntry struct {
 	Name string `toml:"name" validate:"required,excludesall=/?# "`
 	Base int    `toml:"base" validate:"gte=0"`
 	Span int    `toml:"span" validate:"gte=0"`
@@ -46,38 +46,38 @@
 
 // ParseServers is ReadServers of a text.
 func ParseServers(text []byte, s *Site) (front.List, error) {
-	var l list
-	bad := decode(text, &l)
-	out := front.List{Whole: true}
+	var parsed serverList
+	problems := decode(text, &parsed)
+	list := front.List{Whole: true}
 	kinds := make([]string, len(s.Fleet.Kinds))
-	for i, k := range s.Fleet.Kinds {
-		kinds[i] = k.Name
+	for i, kind := range s.Fleet.Kinds {
+		kinds[i] = kind.Name
 	}
-	for i, x := range l.Servers {
-		if x.Zone != "" && !slices.Contains(s.Zones, x.Zone) {
-			bad = append(bad, fmt.Sprintf("server[%d].zone: one of %s is expected", i, strings.Join(s.Zones, ", ")))
+	for i, entry := range parsed.Servers {
+		if entry.Zone != "" && !slices.Contains(s.Zones, entry.Zone) {
+			problems = append(problems, fmt.Sprintf("server[%d].zone: one of %s is expected", i, strings.Join(s.Zones, ", ")))
 		}
-		if x.Kind != "" && !slices.Contains(kinds, x.Kind) {
-			bad = append(bad, fmt.Sprintf("server[%d].kind: one of %s is expected", i, strings.Join(kinds, ", ")))
+		if entry.Kind != "" && !slices.Contains(kinds, entry.Kind) {
+			problems = append(problems, fmt.Sprintf("server[%d].kind: one of %s is expected", i, strings.Join(kinds, ", ")))
 		}
-		if x.Cell >= s.Fleet.Cells {
-			bad = append(bad, fmt.Sprintf("server[%d].cell: less than %d is expected, fleet.cells", i, s.Fleet.Cells))
+		if entry.Cell >= s.Fleet.Cells {
+			problems = append(problems, fmt.Sprintf("server[%d].cell: less than %d is expected, fleet.cells", i, s.Fleet.Cells))
 		}
-		e := front.Server{Name: x.Name, Address: x.Address, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight,
+		server := front.Server{Name: entry.Name, Address: entry.Address, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Weight: entry.Weight,
 			State: session.Ready}
-		if x.State == "draining" {
-			e.State = session.Draining
+		if entry.State == "draining" {
+			server.State = session.Draining
 		}
-		if !x.Started.IsZero() {
-			e.Started = x.Started.UnixMicro()
+		if !entry.Started.IsZero() {
+			server.Started = entry.Started.UnixMicro()
 		}
-		out.Servers = append(out.Servers, e)
+		list.Servers = append(list.Servers, server)
 	}
-	for _, x := range l.Titles {
-		out.Titles = append(out.Titles, front.Title{Name: x.Name, Base: x.Base, Span: x.Span})
+	for _, entry := range parsed.Titles {
+		list.Titles = append(list.Titles, front.Title{Name: entry.Name, Base: entry.Base, Span: entry.Span})
 	}
-	if len(bad) > 0 {
-		return front.List{}, bad
+	if len(problems) > 0 {
+		return front.List{}, problems
 	}
-	return out, nil
+	return list, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -247,95 +247,95 @@
 
 func (m Mistakes) Error() string { return strings.Join(m, "\n") }
 
-var check = func() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string {
+var validate = func() *validator.Validate {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 		return name
 	})
 	address := func(s string) bool { // port 0 has the system choose
 		host, port, err := net.SplitHostPort(s)
-		_, bad := strconv.ParseUint(port, 10, 16)
-		return err == nil && bad == nil && host != ""
+		_, portErr := strconv.ParseUint(port, 10, 16)
+		return err == nil && portErr == nil && host != ""
 	}
-	_ = v.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
-	_ = v.RegisterValidation("other", func(f validator.FieldLevel) bool {
+	_ = validate.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
+	_ = validate.RegisterValidation("other", func(f validator.FieldLevel) bool {
 		return address(strings.TrimPrefix(f.Field().String(), life.SecureMark))
 	})
-	return v
+	return validate
 }()
 
 // decode reads TOML strictly: keys that mean nothing are mistakes too.
-func decode(text []byte, into any) (bad Mistakes) {
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	err := d.Decode(into)
+func decode(text []byte, target any) (problems Mistakes) {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	err := decoder.Decode(target)
 	var strict *toml.StrictMissingError
-	var broken *toml.DecodeError
+	var syntax *toml.DecodeError
 	switch {
 	case err == nil:
 	case errors.As(err, &strict):
 		for i := range strict.Errors {
-			e := &strict.Errors[i]
-			line, _ := e.Position()
-			bad = append(bad, fmt.Sprintf("%s: unknown key (line %d)", strings.Join(e.Key(), "."), line))
+			unknown := &strict.Errors[i]
+			line, _ := unknown.Position()
+			problems = append(problems, fmt.Sprintf("%s: unknown key (line %d)", strings.Join(unknown.Key(), "."), line))
 		}
-	case errors.As(err, &broken):
-		line, column := broken.Position()
-		key := strings.Join(broken.Key(), ".")
+	case errors.As(err, &syntax):
+		line, column := syntax.Position()
+		key := strings.Join(syntax.Key(), ".")
 		if key == "" {
 			key = "file"
 		}
-		return append(bad, fmt.Sprintf("%s: line %d, column %d: %s", key, line, column,
-			strings.TrimPrefix(broken.Error(), "toml: ")))
+		return append(problems, fmt.Sprintf("%s: line %d, column %d: %s", key, line, column,
+			strings.TrimPrefix(syntax.Error(), "toml: ")))
 	default:
-		return append(bad, err.Error())
+		return append(problems, err.Error())
 	}
 	var fields validator.ValidationErrors
-	if err := check.Struct(into); errors.As(err, &fields) {
+	if err := validate.Struct(target); errors.As(err, &fields) {
 		for _, f := range fields {
 			_, path, _ := strings.Cut(f.Namespace(), ".")
-			bad = append(bad, path+": "+expected(f))
+			problems = append(problems, path+": "+expected(f))
 		}
 	}
-	return bad
+	return problems
 }
 
 // expected says in words what a rule of a key wants.
 func expected(f validator.FieldError) string {
-	p := strings.ToLower(f.Param())
-	if f.Type() == reflect.TypeFor[Span]() && f.Tag() != "gtfield" && p != "" {
-		var us int64
-		if _, err := fmt.Sscan(p, &us); err == nil {
-			p = (time.Duration(us) * time.Microsecond).String()
+	param := strings.ToLower(f.Param())
+	if f.Type() == reflect.TypeFor[Span]() && f.Tag() != "gtfield" && param != "" {
+		var micros int64
+		if _, err := fmt.Sscan(param, &micros); err == nil {
+			param = (time.Duration(micros) * time.Microsecond).String()
 		}
 	}
-	many := f.Kind() == reflect.Slice
+	isSlice := f.Kind() == reflect.Slice
 	switch f.Tag() {
 	case "required", "required_if", "required_with":
 		return "a value is expected"
 	case "gte":
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "gt":
-		return "more than " + p + " is expected"
+		return "more than " + param + " is expected"
 	case "lt":
-		return "less than " + p + " is expected"
+		return "less than " + param + " is expected"
 	case "lte":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "min":
-		if many {
-			return "at least " + p + " entry is expected"
+		if isSlice {
+			return "at least " + param + " entry is expected"
 		}
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "max":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "gtfield":
-		return "more than " + p + " is expected"
+		return "more than " + param + " is expected"
 	case "gtefield":
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "ltefield":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "ltfield":
-		return "less than " + p + " is expected"
+		return "less than " + param + " is expected"
 	case "oneof":
 		return "one of " + strings.Join(strings.Fields(f.Param()), ", ") + " is expected"
 	case "unique":
@@ -356,103 +356,103 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{}
-	bad := decode(text, s)
-	if len(bad) == 0 {
-		bad = s.across()
+	site := &Site{}
+	problems := decode(text, site)
+	if len(problems) == 0 {
+		problems = site.checkCombinations()
 	}
-	if len(bad) > 0 {
-		return nil, bad
+	if len(problems) > 0 {
+		return nil, problems
 	}
-	return s, nil
+	return site, nil
 }
 
 // across checks what one key means for another.
-func (s *Site) across() (bad Mistakes) {
+func (s *Site) checkCombinations() (problems Mistakes) {
 	if (s.Servers == "") == (s.Registry == nil) {
-		bad = append(bad, "servers: either a file here or the section registry is expected")
+		problems = append(problems, "servers: either a file here or the section registry is expected")
 	}
 	if len(s.Ladder.Worth) != len(s.Ladder.RatesKB) {
-		bad = append(bad, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(s.Ladder.RatesKB)))
+		problems = append(problems, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(s.Ladder.RatesKB)))
 	}
 	if !slices.IsSorted(s.Ladder.RatesKB) {
-		bad = append(bad, "ladder.rates_kb: rates from below are expected")
+		problems = append(problems, "ladder.rates_kb: rates from below are expected")
 	}
 	if !slices.Contains(s.Zones, s.Zone) {
-		bad = append(bad, "zone: one of "+strings.Join(s.Zones, ", ")+" is expected")
+		problems = append(problems, "zone: one of "+strings.Join(s.Zones, ", ")+" is expected")
 	}
 	if s.TLS != nil && s.TLS.Basic && (s.Directory == nil || s.Directory.Realm == "") {
-		bad = append(bad, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
+		problems = append(problems, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
 	}
-	for i, p := range s.Plans {
-		if p.Top >= len(s.Ladder.RatesKB) {
-			bad = append(bad, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(s.Ladder.RatesKB)-1))
+	for i, plan := range s.Plans {
+		if plan.Top >= len(s.Ladder.RatesKB) {
+			problems = append(problems, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(s.Ladder.RatesKB)-1))
 		}
-		if p.Repeat == "keyed" && p.Window == 0 {
-			bad = append(bad, fmt.Sprintf("plan[%d].window: a time is expected, as repeat is keyed", i))
+		if plan.Repeat == "keyed" && plan.Window == 0 {
+			problems = append(problems, fmt.Sprintf("plan[%d].window: a time is expected, as repeat is keyed", i))
 		}
 	}
-	return append(bad, s.mixed()...)
+	return append(problems, s.checkConflicts()...)
 }
 
 // silent tells whether no rejection may say when to come again.
-func (s *Site) silent() bool { return s.Terms.Advice != nil && !*s.Terms.Advice }
+func (s *Site) withholdRetryTime() bool { return s.Terms.Advice != nil && !*s.Terms.Advice }
 
 // mixed finds keys of one shape of deployment beside those of another, where one of them could not hold.
-func (s *Site) mixed() (bad Mistakes) {
-	t, f := &s.Terms, &s.Fleet
-	none := func(clash bool, key string, found any, why string) {
-		if clash {
-			bad = append(bad, fmt.Sprintf("%s: %v found, but none is expected, as %s", key, found, why))
+func (s *Site) checkConflicts() (problems Mistakes) {
+	terms, fleet := &s.Terms, &s.Fleet
+	rejectKey := func(conflict bool, key string, found any, reason string) {
+		if conflict {
+			problems = append(problems, fmt.Sprintf("%s: %v found, but none is expected, as %s", key, found, reason))
 		}
 	}
-	none(s.silent() && t.MaxComeAgain > 0, "terms.max_come_again", t.MaxComeAgain, "terms.advice is false")
-	none(s.silent() && s.Door != nil && s.Door.Secret != "", "door.secret", "one", "terms.advice is false and nothing is promised")
-	if !t.Probes && f.Load == "probes" {
-		bad = append(bad, "fleet.load: probes found, but answers or none is expected, as terms.probes is false")
-	}
-	none(!t.Probes && s.Prices.Probe > 0, "prices.probe", s.Prices.Probe, "terms.probes is false")
-	none(f.Load != "answers" && f.NoteEvery > 0, "fleet.note_every", f.NoteEvery, "fleet.load is "+f.Load)
-	none(!t.Rationed && t.FreeTries > 0, "terms.free_tries", t.FreeTries, "terms.rationed is false")
-	none(!t.Rationed && t.TryShare > 0, "terms.try_share", t.TryShare, "terms.rationed is false")
-	none(!t.Rationed && t.TrySpan > 0, "terms.try_span", t.TrySpan, "terms.rationed is false")
-	for i, p := range s.Plans {
-		if p.Repeat == "unsafe" { // a key's figures would promise a repeat
-			none(p.Window > 0, fmt.Sprintf("plan[%d].window", i), p.Window, "repeat is "+p.Repeat)
-			none(p.Scope != "", fmt.Sprintf("plan[%d].scope", i), p.Scope, "repeat is "+p.Repeat)
+	rejectKey(s.withholdRetryTime() && terms.MaxComeAgain > 0, "terms.max_come_again", terms.MaxComeAgain, "terms.advice is false")
+	rejectKey(s.withholdRetryTime() && s.Door != nil && s.Door.Secret != "", "door.secret", "one", "terms.advice is false and nothing is promised")
+	if !terms.Probes && fleet.Load == "probes" {
+		problems = append(problems, "fleet.load: probes found, but answers or none is expected, as terms.probes is false")
+	}
+	rejectKey(!terms.Probes && s.Prices.Probe > 0, "prices.probe", s.Prices.Probe, "terms.probes is false")
+	rejectKey(fleet.Load != "answers" && fleet.NoteEvery > 0, "fleet.note_every", fleet.NoteEvery, "fleet.load is "+fleet.Load)
+	rejectKey(!terms.Rationed && terms.FreeTries > 0, "terms.free_tries", terms.FreeTries, "terms.rationed is false")
+	rejectKey(!terms.Rationed && terms.TryShare > 0, "terms.try_share", terms.TryShare, "terms.rationed is false")
+	rejectKey(!terms.Rationed && terms.TrySpan > 0, "terms.try_span", terms.TrySpan, "terms.rationed is false")
+	for i, plan := range s.Plans {
+		if plan.Repeat == "unsafe" { // a key's figures would promise a repeat
+			rejectKey(plan.Window > 0, fmt.Sprintf("plan[%d].window", i), plan.Window, "repeat is "+plan.Repeat)
+			rejectKey(plan.Scope != "", fmt.Sprintf("plan[%d].scope", i), plan.Scope, "repeat is "+plan.Repeat)
 		}
 	}
-	return bad
+	return problems
 }
 
 // Queue is what the door's queue is told, nil without one, and the door's limits.
 func (s *Site) Queue(secret []byte) (*fair.Terms, fair.Limits) {
-	d := s.Door
-	if d == nil {
+	door := s.Door
+	if door == nil {
 		return nil, fair.Limits{}
 	}
-	t := &fair.Terms{Waiting: d.Waiting, Bytes: d.Bytes, Tenants: d.Tenants, Clients: d.Clients, Secret: secret,
-		Longest: core.Time(s.Terms.MaxComeAgain), Silent: s.silent(), Weights: map[string]float64{}}
-	if d.Secret != "" {
-		t.Secret = []byte(d.Secret)
+	terms := &fair.Terms{Waiting: door.Waiting, Bytes: door.Bytes, Tenants: door.Tenants, Clients: door.Clients, Secret: secret,
+		Longest: core.Time(s.Terms.MaxComeAgain), Silent: s.withholdRetryTime(), Weights: map[string]float64{}}
+	if door.Secret != "" {
+		terms.Secret = []byte(door.Secret)
 	}
-	for _, p := range s.Plans {
-		t.Startup = max(t.Startup, core.Time(p.Startup))
+	for _, plan := range s.Plans {
+		terms.Startup = max(terms.Startup, core.Time(plan.Startup))
 	}
-	for _, x := range s.Tenants {
-		if x.Weight > 0 {
-			t.Weights[x.Name] = x.Weight
+	for _, tenant := range s.Tenants {
+		if tenant.Weight > 0 {
+			terms.Weights[tenant.Name] = tenant.Weight
 		}
 	}
-	return t, fair.Limits{PerAddress: d.PerAddress, PerConnection: d.PerConnection, HalfOpen: d.HalfOpen}
+	return terms, fair.Limits{PerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
 }
 
 // Longest is the longest abandon time of the plans.
-func (s *Site) Longest() (most core.Time) {
-	for _, p := range s.Plans {
-		most = max(most, core.Time(p.Abandon))
+func (s *Site) Longest() (longest core.Time) {
+	for _, plan := range s.Plans {
+		longest = max(longest, core.Time(plan.Abandon))
 	}
-	return most
+	return longest
 }
 
 // Lifetimes are what a process's life is told.
@@ -462,44 +462,44 @@
 
 // Next is what a reload changes.
 func (s *Site) Next(secret []byte) *front.Next {
-	v := s.Service(secret)
-	n := &front.Next{Bounds: v.Bounds, SessionTimeout: v.SessionTimeout, Queue: v.Queue, Limits: v.Limits, Life: s.Lifetimes()}
-	for _, p := range v.Plans {
-		n.Abandon = append(n.Abandon, p.Abandon)
+	service := s.Service(secret)
+	next := &front.Next{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: s.Lifetimes()}
+	for _, plan := range service.Plans {
+		next.Abandon = append(next.Abandon, plan.Abandon)
 	}
-	for _, t := range v.Site.Tenants {
-		n.Quotas = append(n.Quotas, t.QuotaPerS)
+	for _, tenant := range service.Site.Tenants {
+		next.Quotas = append(next.Quotas, tenant.QuotaPerS)
 	}
-	return n
+	return next
 }
 
 // Fixed names what a reload would have to change and cannot while the session manager runs.
 func (s *Site) Fixed(next *Site) (keys []string) {
-	a, b := *s, *next
-	if (a.Door == nil) != (b.Door == nil) {
+	current, updated := *s, *next
+	if (current.Door == nil) != (updated.Door == nil) {
 		keys = append(keys, "door")
 	}
-	a.Door, b.Door = nil, nil
-	a.Bounds, a.SessionTimeout = b.Bounds, b.SessionTimeout
-	a.Life.Drain, a.Life.Others = b.Life.Drain, b.Life.Others
-	if len(a.Plans) == len(b.Plans) {
-		a.Plans = slices.Clone(a.Plans)
-		for i := range a.Plans {
-			a.Plans[i].Abandon = b.Plans[i].Abandon
+	current.Door, updated.Door = nil, nil
+	current.Bounds, current.SessionTimeout = updated.Bounds, updated.SessionTimeout
+	current.Life.Drain, current.Life.Others = updated.Life.Drain, updated.Life.Others
+	if len(current.Plans) == len(updated.Plans) {
+		current.Plans = slices.Clone(current.Plans)
+		for i := range current.Plans {
+			current.Plans[i].Abandon = updated.Plans[i].Abandon
 		}
 	}
-	strip := func(all []Tenant) []Tenant {
-		all = slices.Clone(all)
-		for i := range all {
-			all[i].Weight, all[i].Quota = 0, 0
+	withoutShares := func(tenants []Tenant) []Tenant {
+		tenants = slices.Clone(tenants)
+		for i := range tenants {
+			tenants[i].Weight, tenants[i].Quota = 0, 0
 		}
-		return all
+		return tenants
 	}
-	a.Tenants, b.Tenants = strip(a.Tenants), strip(b.Tenants)
-	x, y := reflect.ValueOf(a), reflect.ValueOf(b)
-	for i := range x.NumField() {
-		if !reflect.DeepEqual(x.Field(i).Interface(), y.Field(i).Interface()) {
-			name, _, _ := strings.Cut(x.Type().Field(i).Tag.Get("toml"), ",")
+	current.Tenants, updated.Tenants = withoutShares(current.Tenants), withoutShares(updated.Tenants)
+	currentValue, updatedValue := reflect.ValueOf(current), reflect.ValueOf(updated)
+	for i := range currentValue.NumField() {
+		if !reflect.DeepEqual(currentValue.Field(i).Interface(), updatedValue.Field(i).Interface()) {
+			name, _, _ := strings.Cut(currentValue.Type().Field(i).Tag.Get("toml"), ",")
 			keys = append(keys, name)
 		}
 	}
@@ -508,54 +508,54 @@
 
 // Service is what a front is told. The secret of its session ids is the caller's.
 func (s *Site) Service(secret []byte) *front.Service {
-	v := &front.Service{Name: s.Name, Zones: s.Zones, Silent: s.silent(), SessionTimeout: core.Time(s.SessionTimeout), Secret: secret,
+	service := &front.Service{Name: s.Name, Zones: s.Zones, Silent: s.withholdRetryTime(), SessionTimeout: core.Time(s.SessionTimeout), Secret: secret,
 		Bounds: front.Bounds{Connections: s.Bounds.Connections, Playbacks: s.Bounds.Playbacks,
 			Pipelined: s.Bounds.Pipelined, PlayerBytes: s.Bounds.PlayerBytes}}
-	v.Queue, v.Limits = s.Queue(secret)
-	t, f := &s.Terms, &s.Fleet
-	v.Site = session.Site{Fronts: s.Fronts, Front: s.Front, Zone: slices.Index(s.Zones, s.Zone),
+	service.Queue, service.Limits = s.Queue(secret)
+	terms, fleet := &s.Terms, &s.Fleet
+	service.Site = session.Site{Fronts: s.Fronts, Front: s.Front, Zone: slices.Index(s.Zones, s.Zone),
 		Ladder: session.Ladder{RateKB: s.Ladder.RatesKB, Worth: s.Ladder.Worth, Join: s.Ladder.Join,
 			Change: core.Time(s.Ladder.Change)},
-		Fleet: session.Fleet{Cells: f.Cells, Racks: f.Racks, LinksKB: f.LinksKB, UplinkKB: f.UplinkKB,
-			KBPerWeight: f.KBPerWeight, WeightsTold: f.KBPerWeight > 0, FullFrom: f.FullFrom,
-			NoteDelay: core.Time(f.NoteDelay), NoteEvery: core.Time(f.NoteEvery), LoadInAnswers: f.Load == "answers",
-			LoadInProbes: f.Load != "none", UplinkUntold: f.Uplinks == "untold"},
-		Terms: session.Terms{ColdFrom: t.ColdFrom, WarmUp: core.Time(t.WarmUp), FallMultiple: t.FallMultiple,
-			FallSpan: core.Time(t.FallSpan), MaxTries: t.MaxTries, Rationed: t.Rationed, FreeTries: t.FreeTries,
-			TryShare: t.TryShare, TrySpan: core.Time(t.TrySpan), Probes: t.Probes,
-			MaxComeAgain: core.Time(t.MaxComeAgain)},
+		Fleet: session.Fleet{Cells: fleet.Cells, Racks: fleet.Racks, LinksKB: fleet.LinksKB, UplinkKB: fleet.UplinkKB,
+			KBPerWeight: fleet.KBPerWeight, WeightsTold: fleet.KBPerWeight > 0, FullFrom: fleet.FullFrom,
+			NoteDelay: core.Time(fleet.NoteDelay), NoteEvery: core.Time(fleet.NoteEvery), LoadInAnswers: fleet.Load == "answers",
+			LoadInProbes: fleet.Load != "none", UplinkUntold: fleet.Uplinks == "untold"},
+		Terms: session.Terms{ColdFrom: terms.ColdFrom, WarmUp: core.Time(terms.WarmUp), FallMultiple: terms.FallMultiple,
+			FallSpan: core.Time(terms.FallSpan), MaxTries: terms.MaxTries, Rationed: terms.Rationed, FreeTries: terms.FreeTries,
+			TryShare: terms.TryShare, TrySpan: core.Time(terms.TrySpan), Probes: terms.Probes,
+			MaxComeAgain: core.Time(terms.MaxComeAgain)},
 		Prices: session.Prices{CrossZone: s.Prices.CrossZone, Move: s.Prices.Move, Probe: s.Prices.Probe,
 			OverShare: s.Prices.OverShare, WorstPlan: s.Prices.WorstPlan}}
-	for _, k := range f.Kinds {
-		v.Kinds = append(v.Kinds, k.Name)
-		v.Site.Fleet.Places = append(v.Site.Fleet.Places, k.Places)
+	for _, kind := range fleet.Kinds {
+		service.Kinds = append(service.Kinds, kind.Name)
+		service.Site.Fleet.Places = append(service.Site.Fleet.Places, kind.Places)
 	}
 	repeats := map[string]session.Repeat{"harmless": session.Harmless, "keyed": session.Keyed, "unsafe": session.Unsafe}
 	scopes := map[string]session.Scope{"zone": session.SameZone, "cell": session.SameCell}
-	for _, p := range s.Plans {
-		v.Site.Plans = append(v.Site.Plans, session.Plan{Repeat: repeats[p.Repeat], Scope: scopes[p.Scope],
-			Window: core.Time(p.Window), Startup: core.Time(p.Startup), Revenue: p.Revenue, Live: p.Live,
-			RateFactor: p.RateFactor, Floor: p.Floor, Top: p.Top, Seats: p.Seats})
-		face := front.Face{Name: p.Name, Abandon: core.Time(p.Abandon)}
-		for _, t := range p.Tracks {
-			face.Tracks = append(face.Tracks, front.Track{Media: t.Media, Encoding: t.Encoding, Payload: t.Payload})
+	for _, plan := range s.Plans {
+		service.Site.Plans = append(service.Site.Plans, session.Plan{Repeat: repeats[plan.Repeat], Scope: scopes[plan.Scope],
+			Window: core.Time(plan.Window), Startup: core.Time(plan.Startup), Revenue: plan.Revenue, Live: plan.Live,
+			RateFactor: plan.RateFactor, Floor: plan.Floor, Top: plan.Top, Seats: plan.Seats})
+		face := front.Face{Name: plan.Name, Abandon: core.Time(plan.Abandon)}
+		for _, terms := range plan.Tracks {
+			face.Tracks = append(face.Tracks, front.Track{Media: terms.Media, Encoding: terms.Encoding, Payload: terms.Payload})
 		}
-		v.Plans = append(v.Plans, face)
+		service.Plans = append(service.Plans, face)
 	}
-	if q := s.Quality; q != nil {
-		t := quality.Terms{Worth: s.Ladder.Worth, Racks: f.Racks, Titles: q.Titles, Playbacks: 2 * s.Bounds.Playbacks, Width: core.Time(q.Width),
-			Buckets: q.Buckets, Late: core.Time(q.Late)}
-		for _, p := range s.Plans {
-			t.Plans = append(t.Plans, quality.Plan{Startup: core.Time(p.Startup), Revenue: p.Revenue})
+	if qualityKeys := s.Quality; qualityKeys != nil {
+		terms := quality.Terms{Worth: s.Ladder.Worth, Racks: fleet.Racks, Titles: qualityKeys.Titles, Playbacks: 2 * s.Bounds.Playbacks, Width: core.Time(qualityKeys.Width),
+			Buckets: qualityKeys.Buckets, Late: core.Time(qualityKeys.Late)}
+		for _, plan := range s.Plans {
+			terms.Plans = append(terms.Plans, quality.Plan{Startup: core.Time(plan.Startup), Revenue: plan.Revenue})
 		}
-		v.Quality = quality.New(t, time.Now().UnixMicro())
+		service.Quality = quality.New(terms, time.Now().UnixMicro())
 	}
-	for _, t := range s.Tenants {
-		v.Tenants = append(v.Tenants, t.Name)
-		v.Site.Tenants = append(v.Site.Tenants, session.Tenant{QuotaPerS: t.Quota})
+	for _, terms := range s.Tenants {
+		service.Tenants = append(service.Tenants, terms.Name)
+		service.Site.Tenants = append(service.Site.Tenants, session.Tenant{QuotaPerS: terms.Quota})
 	}
 	if s.Directory != nil {
-		v.Site.Tenants = append(v.Site.Tenants, make([]session.Tenant, s.Directory.Quotas)...)
+		service.Site.Tenants = append(service.Site.Tenants, make([]session.Tenant, s.Directory.Quotas)...)
 	}
-	return v
+	return service
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,17 +12,17 @@
 const sample = "../../deploy/pierlink.toml"
 
 func TestSample(t *testing.T) {
-	s, err := Read(sample)
+	site, err := Read(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := s.Service(nil)
-	if len(v.Plans) != len(v.Site.Plans) || v.Site.Plans[0].Startup != 1_500_000 || v.Site.Zone != 0 || v.Site.Fleet.Places[0] != 100 {
-		t.Errorf("%+v", v)
+	service := site.Service(nil)
+	if len(service.Plans) != len(service.Site.Plans) || service.Site.Plans[0].Startup != 1_500_000 || service.Site.Zone != 0 || service.Site.Fleet.Places[0] != 100 {
+		t.Errorf("%+v", service)
 	}
-	l, err := ReadServers("../../deploy/servers.toml", s)
-	if err != nil || len(l.Servers) != 2 || !l.Whole {
-		t.Error(err, l)
+	list, err := ReadServers("../../deploy/servers.toml", site)
+	if err != nil || len(list.Servers) != 2 || !list.Whole {
+		t.Error(err, list)
 	}
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for change, want := range map[string]string{
+	for changes, want := range map[string]string{
 		"front = 0 |front = 7 ":                                "front: less than fronts",
 		"\"harmless\"\nstartup|\"maybe\"\nstartup":             "plan[0].repeat: one of harmless, keyed, unsafe",
 		"abandon = \"4s\"|abandon = \"1s\"":                    "plan[0].abandon: more than startup",
@@ -61,18 +61,18 @@
 		"over_share = 0.1|over_share = 0.1\nworst_plan = 1":                 "prices.worst_plan: less than 1",
 	} {
 		changed := string(text)
-		for words := strings.Split(change, "|"); len(words) > 0; words = words[2:] {
-			if !strings.Contains(changed, words[0]) {
-				t.Fatalf("%q is not in the sample", words[0])
+		for parts := strings.Split(changes, "|"); len(parts) > 0; parts = parts[2:] {
+			if !strings.Contains(changed, parts[0]) {
+				t.Fatalf("%q is not in the sample", parts[0])
 			}
-			changed = strings.Replace(changed, words[0], words[1], 1)
+			changed = strings.Replace(changed, parts[0], parts[1], 1)
 		}
 		if _, err := read(t, changed); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", change, err, want)
+			t.Errorf("%q: %v, not %q", changes, err, want)
 		}
 	}
-	all := strings.NewReplacer("front = 0 ", "front = 7 ", "places = 100", "places = 0", "live = true", "live = true\nodd = 1")
-	if _, err := read(t, all.Replace(string(text))); err == nil || strings.Count(err.Error(), "\n") != 2 {
+	threeMistakes := strings.NewReplacer("front = 0 ", "front = 7 ", "places = 100", "places = 0", "live = true", "live = true\nodd = 1")
+	if _, err := read(t, threeMistakes.Replace(string(text))); err == nil || strings.Count(err.Error(), "\n") != 2 {
 		t.Errorf("three mistakes: %v", err)
 	}
 }
@@ -95,26 +95,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := old.Service(nil); v.Silent || v.Queue.Silent || v.Site.Fleet.UplinkUntold || v.Site.Prices.WorstPlan != 0 || v.Site.Terms.Rationed {
-		t.Errorf("the sample: %+v", v)
+	if service := old.Service(nil); service.Silent || service.Queue.Silent || service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0 || service.Site.Terms.Rationed {
+		t.Errorf("the sample: %+v", service)
 	}
-	fresh := strings.NewReplacer("max_come_again = \"2s\"", "advice = false\nrationed = true\nfree_tries = 5\ntry_share = 0.2\ntry_span = \"10s\"",
+	changed := strings.NewReplacer("max_come_again = \"2s\"", "advice = false\nrationed = true\nfree_tries = 5\ntry_share = 0.2\ntry_span = \"10s\"",
 		"load = \"answers\"", "load = \"answers\"\nuplinks = \"untold\"", "probes = true", "probes = false", "probe = 0.01", "worst_plan = 0.2",
 		"revenue = 2", "revenue = 2\nseats = 3", "repeat = \"harmless\"\nstartup = \"1.5s\"", "repeat = \"unsafe\"\nstartup = \"1.5s\"")
-	s, err := read(t, fresh.Replace(string(text)))
+	site, err := read(t, changed.Replace(string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := s.Service(nil)
-	x := v.Site.Terms
-	if !v.Silent || !v.Queue.Silent || !v.Site.Fleet.UplinkUntold || v.Site.Prices.WorstPlan != 0.2 || x.Probes || x.MaxComeAgain != 0 ||
-		!x.Rationed || x.FreeTries != 5 || x.TrySpan != 10_000_000 || v.Site.Plans[0].Seats != 3 || v.Site.Plans[0].Repeat != session.Unsafe {
-		t.Errorf("the new shape: %+v", v)
+	service := site.Service(nil)
+	terms := service.Site.Terms
+	if !service.Silent || !service.Queue.Silent || !service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0.2 || terms.Probes || terms.MaxComeAgain != 0 ||
+		!terms.Rationed || terms.FreeTries != 5 || terms.TrySpan != 10_000_000 || service.Site.Plans[0].Seats != 3 || service.Site.Plans[0].Repeat != session.Unsafe {
+		t.Errorf("the new shape: %+v", service)
 	}
 }
 
 func TestBrokenServerList(t *testing.T) {
-	s, err := Read(sample)
+	site, err := Read(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		good + "started = \"now\"":                       "started",
 		"[[server]":                                      "file: line",
 	} {
-		if _, err := ParseServers([]byte(text), s); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+		if _, err := ParseServers([]byte(text), site); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", text, err, want)
 		}
 	}
