--- a/internal/quality/alarm.go
+++ b/internal/quality/alarm.go
@@ -7,30 +7,31 @@
 	"strings"
 )
 
-// Alarm is news of a group that stands out, or does so no more.
+// Alarm reports that a group has become an outlier, or is one no longer.
 type Alarm struct {
 	Group
 	Raised bool
-	Lost   float64 // the part of its revenue that was not given
-	Rest   float64 // that of the others of its kind
+	Lost   float64 // share of its due service that was not delivered
+	Rest   float64 // the same share for the others of its kind
 }
 
 const (
-	lossFactor        = 2.0  // times what the others lose,
-	minExcessLoss     = 0.05 // and so much more,
-	chanceDeviations  = 4.0  // and so many standard deviations more than chance would, has a group stand out
-	minPlaybacks      = 20   // playbacks that it takes to judge one
-	clearChecksNeeded = 2    // looks in a row before one that stood out is taken for mended
-	recentDivisor     = 8    // the part of the buckets that is looked at
+	lossFactor        = 2.0  // a group is an outlier if it loses more than this multiple of the others' loss,
+	minExcessLoss     = 0.05 // more than this share in excess of it,
+	chanceDeviations  = 4.0  // and more than chance explains at this number of standard deviations
+	minPlaybacks      = 20   // playbacks needed to judge a group
+	clearChecksNeeded = 2    // consecutive checks after which an outlier counts as recovered
+	recentDivisor     = 8    // the latest buckets checked, as a fraction 1/n of all
 )
 
-// Settle closes what is due, and tells once for each bucket of time which groups stand out or have ceased to. It
-// returns when it wants to be called again.
+// Settle closes the playbacks whose time for reports is over, and once per bucket reports the groups that have become
+// or ceased to be outliers. It returns the time at which it has to be called again.
 //
-// A rack or title stands out when it loses twice what the others of its kind lose, a twentieth more, and more than
-// chance explains, over the latest eighth of the buckets kept, with twenty playbacks or more to tell by. It guards against learning of a slow rack from complaints.
-// Titles are judged without what played on racks that stand out, and racks without titles that do, so that a slow
-// rack does not accuse all that it carries. It is late by the time that playbacks are open to reports, and says nothing where all are as bad.
+// A rack or title is an outlier if it loses more than twice what the others of its kind lose, by more than a
+// twentieth, and more than chance explains, over the latest eighth of the buckets kept and with at least twenty
+// playbacks. The alarm finds a slow rack before users complain. Titles are judged without their playbacks on outlier
+// racks, and racks without those of outlier titles, so that a slow rack does not raise alarms for all titles on it.
+// Alarms are late by the time for which playbacks accept reports, and there are none if all groups are equally bad.
 func (c *Core) Settle(report func(Alarm)) Time {
 	for len(c.ended) > 0 && c.now-c.ended[0].endedAt >= c.Late {
 		c.close(c.ended[0])
@@ -48,13 +49,14 @@
 	return max(next, c.now+1)
 }
 
-// byChance is how much more than the others a group may lose by chance: Bernstein's bound for a sum of losses weighed
-// by revenue, which holds for few playbacks too.
-func chanceBound(othersLoss float64, f *Figures, others int) float64 {
-	playbackShare := f.Squares / (f.Due * f.Due) // the part that one playback has in the sum, in the mean
-	return chanceDeviations*math.Sqrt(max(othersLoss*(1-othersLoss), 1/float64(others))*playbackShare) + chanceDeviations*chanceDeviations/3*playbackShare
+// chanceBound is the excess loss of a group over the others that chance can explain: Bernstein's bound for a sum of
+// losses weighted by revenue, which holds for few playbacks too.
+func chanceBound(othersLoss float64, figures *Figures, othersCount int) float64 {
+	playbackShare := figures.Squares / (figures.Due * figures.Due) // mean share of one playback in the sum
+	return chanceDeviations*math.Sqrt(max(othersLoss*(1-othersLoss), 1/float64(othersCount))*playbackShare) + chanceDeviations*chanceDeviations/3*playbackShare
 }
 
+// checkKind reports the groups of a kind that have become or ceased to be outliers.
 func (c *Core) checkKind(kind Kind, report func(Alarm)) {
 	type candidate struct {
 		Group
@@ -75,7 +77,7 @@
 	slices.SortFunc(groups, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.Rack, b.Rack), strings.Compare(a.Title, b.Title))
 	})
-	// those that stand out already are not what others are held against
+	// known outliers are not part of the baseline
 	baseline := total
 	for _, g := range groups {
 		if g.outlier {
@@ -108,7 +110,7 @@
 	}
 }
 
-// take takes another's sums out.
+// subtract removes the sums of another from f.
 func (f *Figures) subtract(other *Figures) {
 	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due-other.Due, f.OnTime-other.OnTime, f.Watched-other.Watched, f.Stalled-other.Stalled
 	f.Worth, f.Changes, f.Count = f.Worth-other.Worth, f.Changes-other.Changes, f.Count-other.Count
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -1,9 +1,9 @@
-// Package quality turns what session managers see and what players report of startup, stalls and rung changes into
-// service by rack and by title, weighed by revenue, and says which rack or title does worse than the others. It is
-// free of I/O. docs/quality.md tells the options weighed.
+// Package quality computes quality of service by rack and by title, weighted by revenue, from the events of session
+// managers and from players' reports of startup, stalls and rung changes. It raises an alarm for a rack or title that
+// does worse than the others. The package does no I/O. docs/quality.md compares the alternatives considered.
 //
-// Nothing is credited before a playback is closed to reports: until then its record is what is known of it, so that
-// reports that come late, twice or in another order change only the record.
+// A playback is credited only once it no longer accepts reports. Until then everything known of it is in its record,
+// so that late, duplicate or reordered reports change only the record.
 package quality
 
 import (
@@ -14,34 +14,34 @@
 // Time is a clock value or span in microseconds.
 type Time = int64
 
-// Plan is what counts of a plan.
+// Plan holds the properties of a plan that its quality depends on.
 type Plan struct {
-	Startup Time // target
+	Startup Time // startup target
 	Revenue float64
 }
 
-// Terms are told at the start.
+// Terms holds the configuration, set at the start.
 type Terms struct {
 	Plans     []Plan
-	Worth     []float64 // of the rungs
+	Worth     []float64 // by rung
 	Racks     int
-	Titles    int  // with figures of their own, at most
-	Playbacks int  // records held, at most
-	Width     Time // of a bucket of time
-	Buckets   int  // kept
-	Late      Time // after its end a playback is closed to reports
+	Titles    int  // maximum number of titles with figures of their own
+	Playbacks int  // maximum number of records
+	Width     Time // duration of a bucket
+	Buckets   int  // number of buckets kept
+	Late      Time // time after its end for which a playback accepts reports
 }
 
-// Figures are sums, weighed by revenue.
+// Figures holds sums over playbacks, each weighted by its revenue.
 type Figures struct {
-	Due     float64 // of playbacks that were asked for
-	OnTime  float64 // that started within their target
-	Watched float64 // revenue times seconds
-	Stalled float64
-	Worth   float64 // times the worth of the rung in force
-	Changes float64
-	Squares float64 // of the revenues due: how much chance may have in their sum
-	Count   int     // playbacks asked for
+	Due     float64 // revenue of the playbacks requested
+	OnTime  float64 // revenue of those that started within their startup target
+	Watched float64 // revenue times seconds played
+	Stalled float64 // revenue times seconds stalled
+	Worth   float64 // revenue times seconds times worth of the current rung
+	Changes float64 // revenue times rung changes
+	Squares float64 // sum of the squared revenues of the playbacks requested, for the variance of their sum
+	Count   int     // number of playbacks requested
 }
 
 func (f *Figures) add(other *Figures) {
@@ -50,16 +50,17 @@
 	f.Squares += other.Squares
 }
 
-// Service is the part of the revenue that started in time.
+// Service is the share of the revenue whose playbacks started in time.
 func (f *Figures) Service() float64 { return ratio(f.OnTime, f.Due) }
 
-// Stalls is the part of the time watched that stood still.
+// Stalls is the share of the playing time that was stalled.
 func (f *Figures) Stalls() float64 { return ratio(f.Stalled, f.Watched) }
 
-// Rung is the mean worth of the rungs in force.
+// Rung is the mean worth of the rungs played.
 func (f *Figures) Rung() float64 { return ratio(f.Worth, f.Watched) }
 
-// Lost is the part of what was due that was not given: not in time, or in time and then stalled.
+// Lost is the share of the due service that was not delivered: playbacks that did not start in time, and stalls of
+// those that did.
 func (f *Figures) Lost() float64 {
 	if f.Due == 0 {
 		return f.Stalls()
@@ -74,121 +75,121 @@
 	return value / total
 }
 
-// Counts tell what reports were like.
+// Counts counts reports by outcome, and closed playbacks.
 type Counts struct {
-	Reports, Duplicates, Late, Strange, Clocks int64 // Clocks: a time of the player's that cannot be
-	Closed, Early                              int64 // playbacks; Early: for want of room
+	Reports, Duplicates, Late, Strange, Clocks int64 // Clocks: with an impossible time of the player
+	Closed, Early                              int64 // playbacks; Early: closed early or not recorded, for lack of space
 }
 
-// Kind tells racks from titles.
+// Kind distinguishes racks and titles.
 type Kind int
 
-// The kinds.
+// The kinds of groups.
 const (
 	Rack Kind = iota
 	Title
 )
 
-// Group is a rack by its number, or a title.
+// Group identifies a rack by its number, or a title.
 type Group struct {
 	Kind  Kind
 	Rack  int
 	Title string
 }
 
-// Other is where titles are counted that have no figures of their own.
+// Other is the title under which all titles without figures of their own are counted.
 const Other = "other"
 
-// ring is a group's figures by buckets of time.
+// series holds the figures of a group in a ring of time buckets.
 type series struct {
 	buckets     []Figures
-	unblamed    []Figures // of a title without what played on racks that stand out, of a rack without such titles
-	latest      Time      // the latest bucket's number
+	unblamed    []Figures // for a title without its playbacks on outlier racks, for a rack without those of outlier titles
+	latest      Time      // number of the latest bucket
 	outlier     bool
-	clearChecks int // looks in a row at which it did not stand out
+	clearChecks int // consecutive checks at which it was no outlier
 }
 
-// What a player reports.
+// Types of players' reports.
 const (
-	Startup = iota + 1 // it took Span until the first picture
-	Stall              // the picture stood still for Span from At on
-	Rung               // from At on at Rung
+	Startup = iota + 1 // the first picture came after the reported duration
+	Stall              // the playback stalled for the reported duration from the time of the event on
+	Rung               // the player changed to the reported rung at the time of the event
 )
 
-// Report is one of a player's, with its own clock's times.
+// Report is a report of a player, with times by the player's clock.
 type Report struct {
-	Seq   uint32 // from 1, the same when it is sent again
+	Seq   uint32 // starts at 1; a retransmission has the same number
 	What  int
-	Clock Time // when it was sent
-	At    Time // when it happened
+	Clock Time // time of sending
+	At    Time // time of the event
 	Span  Time
 	Rung  int
 }
 
 type interval struct{ from, to Time }
 
-// step is what holds from a moment on: a rung, or a rack.
+// change is a change to another rung or rack at a time.
 type change struct {
 	at    Time
 	value int
 }
 
-// at is the step in force at a moment; that before the first is the first.
-func valueAt(changes []change, moment Time) int {
+// valueAt returns the value in force at a time; before the first change it is the first value.
+func valueAt(changes []change, at Time) int {
 	value := changes[0].value
 	for _, entry := range changes {
-		if entry.at <= moment {
+		if entry.at <= at {
 			value = entry.value
 		}
 	}
 	return value
 }
 
-// record is what is known of a playback.
-type record struct {
+// playbackRecord holds all that is known of a playback.
+type playbackRecord struct {
 	id                              string
 	plan                            int
-	startRack                       int      // that started it, or failed it; -1 for none
-	rackChanges                     []change // over its moves
+	startRack                       int      // rack on which it started or failed; -1 for none
+	rackChanges                     []change // one for each move
 	title                           string
-	requestedAt, startedAt, endedAt Time // 0 for not yet
-	reportedStartup                 Time // as reported, -1 for not
+	requestedAt, startedAt, endedAt Time // 0 until it happens
+	reportedStartup                 Time // by the player; -1 if not reported
 	stalls                          []interval
 	rungChanges                     []change
-	reportedRungs                   []change // rungs as the player reports them
+	reportedRungs                   []change // rung changes reported by the player
 	lastSeq                         uint32
-	seenMask                        uint64 // of the sequence numbers up to last
+	seenMask                        uint64 // bit n is set if lastSeq-n has been received
 }
 
 const (
-	maxStalls  = 64 // apart from each other, of a playback; then the shortest are left out
-	maxChanges = 64
-	seqWindow  = 64 // sequence numbers that a report may be behind the latest
+	maxStalls  = 64 // separate stalls of a playback; beyond that the shortest are dropped
+	maxChanges = 64 // rung changes or moves of a playback
+	seqWindow  = 64 // how far the sequence number of a report may be behind the latest
 )
 
-// Core holds records and figures. One goroutine owns it.
+// Core holds the records of playbacks and the figures of groups. It is not safe for concurrent use.
 type Core struct {
 	Terms
 	Counts     Counts
 	now        Time
-	open       map[string]*record
-	ended      []*record // ended, oldest first
+	open       map[string]*playbackRecord
+	ended      []*playbackRecord // playbacks that have ended but still accept reports, oldest first
 	groups     map[Group]*series
 	titleCount int
 	lastCheck  Time
 	changed    []Alarm
 }
 
-// New makes an empty one.
-func New(t Terms, now Time) *Core {
-	t.Buckets, t.Width = max(t.Buckets, 2), max(t.Width, 1)
-	return &Core{Terms: t, now: now, open: map[string]*record{}, groups: map[Group]*series{}, lastCheck: now / t.Width}
+// New returns an empty collector. It keeps at least two buckets.
+func New(config Terms, now Time) *Core {
+	config.Buckets, config.Width = max(config.Buckets, 2), max(config.Width, 1)
+	return &Core{Terms: config, now: now, open: map[string]*playbackRecord{}, groups: map[Group]*series{}, lastCheck: now / config.Width}
 }
 
-// At begins a turn.
+// At starts a turn at the given time.
 func (c *Core) At(now Time) { c.now = max(c.now, now) }
 
-// Taken begins a playback.
+// Taken starts the record of a playback. If there is no space, it closes the playbacks that ended first.
 func (c *Core) Taken(id string, plan int, title string, requestedAt Time) {
 	if c.open[id] != nil || plan < 0 || plan >= len(c.Plans) {
 		return
@@ -202,94 +203,94 @@
 		c.close(c.ended[0])
 		c.ended = c.ended[1:]
 	}
-	c.open[id] = &record{id: id, plan: plan, startRack: -1, title: title, requestedAt: requestedAt, reportedStartup: -1}
+	c.open[id] = &playbackRecord{id: id, plan: plan, startRack: -1, title: title, requestedAt: requestedAt, reportedStartup: -1}
 }
 
-// Name gives a playback another name.
+// Name changes the id of a playback.
 func (c *Core) Name(oldID, newID string) {
-	if r := c.open[oldID]; r != nil && c.open[newID] == nil {
+	if record := c.open[oldID]; record != nil && c.open[newID] == nil {
 		delete(c.open, oldID)
-		r.id = newID
-		c.open[newID] = r
+		record.id = newID
+		c.open[newID] = record
 	}
 }
 
-// Known tells whether a playback is open to reports.
+// Known reports whether a playback accepts reports.
 func (c *Core) Known(id string) bool { return c.open[id] != nil }
 
-// Open is how many records are held.
+// Open returns the number of records held.
 func (c *Core) Open() int { return len(c.open) }
 
-// Plays tells where a playback plays, and at which rung: at first, after a move, and when the rung changes.
+// Plays records the rack and rung of a playback at its start, after a move, and after a rung change.
 func (c *Core) Plays(id string, rack, rung int, startedAt Time) {
-	r := c.open[id]
-	if r == nil || r.endedAt > 0 {
+	record := c.open[id]
+	if record == nil || record.endedAt > 0 {
 		return
 	}
-	if r.startedAt == 0 {
-		r.startedAt, r.startRack = startedAt, rack
+	if record.startedAt == 0 {
+		record.startedAt, record.startRack = startedAt, rack
 	}
-	if n := len(r.rungChanges); n == 0 || r.rungChanges[n-1].value != rung && n < maxChanges {
-		r.rungChanges = append(r.rungChanges, change{startedAt, rung})
+	if n := len(record.rungChanges); n == 0 || record.rungChanges[n-1].value != rung && n < maxChanges {
+		record.rungChanges = append(record.rungChanges, change{startedAt, rung})
 	}
-	if n := len(r.rackChanges); n == 0 || r.rackChanges[n-1].value != rack && n < maxChanges {
-		r.rackChanges = append(r.rackChanges, change{startedAt, rack})
+	if n := len(record.rackChanges); n == 0 || record.rackChanges[n-1].value != rack && n < maxChanges {
+		record.rackChanges = append(record.rackChanges, change{startedAt, rack})
 	}
 }
 
-// Failed tells the rack on which a playback came to nothing, where one is known.
+// Failed records the rack on which a playback failed to start, if one is known.
 func (c *Core) Failed(id string, rack int) {
-	if r := c.open[id]; r != nil && r.startedAt == 0 {
-		r.startRack = rack
+	if record := c.open[id]; record != nil && record.startedAt == 0 {
+		record.startRack = rack
 	}
 }
 
-// Ended ends a playback; reports are heard for a while after it.
+// Ended records the end of a playback. Reports are still accepted for the grace period after it.
 func (c *Core) Ended(id string, endedAt Time) {
-	if r := c.open[id]; r != nil && r.endedAt == 0 {
-		r.endedAt = max(endedAt, r.requestedAt+1)
-		c.ended = append(c.ended, r)
+	if record := c.open[id]; record != nil && record.endedAt == 0 {
+		record.endedAt = max(endedAt, record.requestedAt+1)
+		c.ended = append(c.ended, record)
 	}
 }
 
-// Report takes a player's report that came in now.
+// Report records a player's report received now.
 func (c *Core) Report(id string, report Report) {
-	r := c.open[id]
+	record := c.open[id]
 	c.Counts.Reports++
 	switch {
-	case r == nil:
+	case record == nil:
 		c.Counts.Late++
 		return
 	case report.Seq == 0 || report.Span < 0 || report.What < Startup || report.What > Rung || report.What == Rung && (report.Rung < 0 || report.Rung >= len(c.Worth)):
 		c.Counts.Strange++
 		return
-	case !r.markSeen(report.Seq):
+	case !record.markSeen(report.Seq):
 		c.Counts.Duplicates++
 		return
 	}
-	// The player's clock may be an hour wrong: what counts is how long ago it says that something was. What would
-	// have been before the playback, or is yet to come, tells of a clock that was set in between.
+	// The player's clock may be an hour off, so only the age of the event by that clock is used. An event before the
+	// playback or in the future means that the clock was set between the event and the report.
 	age := report.Clock - report.At
 	occurredAt := c.now - age
-	if age < 0 || occurredAt < r.requestedAt-c.Width {
+	if age < 0 || occurredAt < record.requestedAt-c.Width {
 		c.Counts.Clocks++
-		occurredAt = c.now - report.Span // as late as it can have been
+		occurredAt = c.now - report.Span // the latest time possible
 	}
-	occurredAt = max(occurredAt, r.requestedAt)
+	occurredAt = max(occurredAt, record.requestedAt)
 	switch report.What {
 	case Startup:
-		r.reportedStartup = report.Span
+		record.reportedStartup = report.Span
 	case Stall:
-		r.addStall(interval{occurredAt, occurredAt + report.Span})
+		record.addStall(interval{occurredAt, occurredAt + report.Span})
 	case Rung:
-		if len(r.reportedRungs) < maxChanges {
-			r.reportedRungs = append(r.reportedRungs, change{occurredAt, report.Rung})
+		if len(record.reportedRungs) < maxChanges {
+			record.reportedRungs = append(record.reportedRungs, change{occurredAt, report.Rung})
 		}
 	}
 }
 
-// fresh notes a sequence number, and tells whether it is new.
-func (r *record) markSeen(seq uint32) bool {
+// markSeen marks a sequence number as received and reports whether it is new.
+func (r *playbackRecord) markSeen(seq uint32) bool {
 	switch {
 	case seq > r.lastSeq:
 		if ahead := seq - r.lastSeq; ahead < seqWindow {
@@ -306,8 +307,8 @@
 	return true
 }
 
-// stall adds one; those that overlap are one.
-func (r *record) addStall(stall interval) {
+// addStall adds a stall and merges it with those that it overlaps.
+func (r *playbackRecord) addStall(stall interval) {
 	if stall.to <= stall.from {
 		return
 	}
@@ -326,8 +327,8 @@
 	}
 }
 
-// started is when a playback started; false where it never did.
-func (r *record) started() (Time, bool) {
+// started returns the time at which a playback started, and false if it has not.
+func (r *playbackRecord) started() (Time, bool) {
 	switch {
 	case r.reportedStartup >= 0 && r.startedAt > 0:
 		return r.requestedAt + r.reportedStartup, true
@@ -337,36 +338,36 @@
 	return 0, false
 }
 
-// credit adds what a playback stands for to the racks and buckets that it falls in, up to a moment. A playback is due
-// to the rack that started it; what it watched is that of the rack where it was.
-func (c *Core) credit(r *record, until Time, add func(rack int, at Time, f Figures)) {
-	plan := &c.Plans[r.plan]
+// credit adds the figures of a playback up to a time, by rack and bucket. The revenue due belongs to the rack that
+// started the playback, and the time played to the rack that it played on.
+func (c *Core) credit(record *playbackRecord, until Time, add func(rack int, at Time, f Figures)) {
+	plan := &c.Plans[record.plan]
 	startup := Figures{Due: plan.Revenue, Squares: plan.Revenue * plan.Revenue, Count: 1}
-	startedAt, started := r.started()
-	if started && startedAt-r.requestedAt <= plan.Startup {
+	startedAt, started := record.started()
+	if started && startedAt-record.requestedAt <= plan.Startup {
 		startup.OnTime = plan.Revenue
 	}
-	if !started && r.endedAt == 0 && until-r.requestedAt <= plan.Startup {
-		return // it may come yet
+	if !started && record.endedAt == 0 && until-record.requestedAt <= plan.Startup {
+		return // it may still start in time
 	}
-	add(r.startRack, r.requestedAt, startup)
+	add(record.startRack, record.requestedAt, startup)
 	if !started {
 		return
 	}
 	end := until
-	if r.endedAt > 0 {
-		end = r.endedAt
+	if record.endedAt > 0 {
+		end = record.endedAt
 	}
-	rungs := slices.Clone(r.rungChanges)
-	if len(r.reportedRungs) > 0 { // the player knows better
-		rungs = slices.Clone(r.reportedRungs)
+	rungs := slices.Clone(record.rungChanges)
+	if len(record.reportedRungs) > 0 { // reports of the player take precedence
+		rungs = slices.Clone(record.reportedRungs)
 		slices.SortStableFunc(rungs, func(a, b change) int { return cmp.Compare(a.at, b.at) })
 		if rungs[0].at > startedAt {
-			rungs = append([]change{{startedAt, r.rungChanges[0].value}}, rungs...)
+			rungs = append([]change{{startedAt, record.rungChanges[0].value}}, rungs...)
 		}
 	}
 	cuts := []Time{startedAt, end}
-	for _, changes := range [][]change{rungs, r.rackChanges} {
+	for _, changes := range [][]change{rungs, record.rackChanges} {
 		for _, entry := range changes {
 			if entry.at > startedAt && entry.at < end {
 				cuts = append(cuts, entry.at)
@@ -376,23 +377,23 @@
 	slices.Sort(cuts)
 	for i := 1; i < len(cuts); i++ {
 		worth := c.Worth[min(max(valueAt(rungs, cuts[i-1]), 0), len(c.Worth)-1)]
-		rack := valueAt(r.rackChanges, cuts[i-1])
+		rack := valueAt(record.rackChanges, cuts[i-1])
 		c.splitByBucket(cuts[i-1], cuts[i], func(at Time, seconds float64) {
 			add(rack, at, Figures{Watched: plan.Revenue * seconds, Worth: plan.Revenue * seconds * worth})
 		})
 	}
 	for i := 1; i < len(rungs); i++ {
 		if entry := rungs[i]; entry.value != rungs[i-1].value && entry.at <= end {
-			add(valueAt(r.rackChanges, entry.at), entry.at, Figures{Changes: plan.Revenue})
+			add(valueAt(record.rackChanges, entry.at), entry.at, Figures{Changes: plan.Revenue})
 		}
 	}
-	for _, stall := range r.stalls {
-		rack := valueAt(r.rackChanges, stall.from)
+	for _, stall := range record.stalls {
+		rack := valueAt(record.rackChanges, stall.from)
 		c.splitByBucket(max(stall.from, startedAt), min(stall.to, end), func(at Time, seconds float64) { add(rack, at, Figures{Stalled: plan.Revenue * seconds}) })
 	}
 }
 
-// spread calls for each bucket that a span falls in, with the seconds in it.
+// splitByBucket calls visit for each bucket that an interval overlaps, with the seconds in that bucket.
 func (c *Core) splitByBucket(from, to Time, visit func(at Time, seconds float64)) {
 	for from < to {
 		bucketEnd := min((from/c.Width+1)*c.Width, to)
@@ -401,13 +402,13 @@
 	}
 }
 
-// close credits a playback for good.
-func (c *Core) close(r *record) {
-	delete(c.open, r.id)
+// close credits a playback finally and removes its record.
+func (c *Core) close(record *playbackRecord) {
+	delete(c.open, record.id)
 	c.Counts.Closed++
-	title := c.series(Group{Kind: Title, Title: r.title})
-	c.credit(r, r.endedAt, func(rackNumber int, when Time, figures Figures) {
-		bucket := when / c.Width
+	title := c.series(Group{Kind: Title, Title: record.title})
+	c.credit(record, record.endedAt, func(rackNumber int, at Time, figures Figures) {
+		bucket := at / c.Width
 		title.add(title.buckets, bucket, &figures)
 		if rackNumber < 0 || rackNumber >= c.Racks {
 			title.add(title.unblamed, bucket, &figures)
@@ -424,7 +425,8 @@
 	})
 }
 
-// ring is a group's; a title for which there is no room has that of the others.
+// series returns the series of a group, creating it if needed; a title beyond the limit shares one series
+// with the other such titles.
 func (c *Core) series(group Group) *series {
 	s := c.groups[group]
 	if s == nil && group.Kind == Title && group.Title != Other {
@@ -446,7 +448,7 @@
 	return s
 }
 
-// forget drops titles of which nothing is left.
+// evictEmptyTitles removes titles without any figures left.
 func (c *Core) evictEmptyTitles() {
 	for group, s := range c.groups {
 		if group.Kind != Title || group.Title == Other || s.outlier {
@@ -460,7 +462,7 @@
 	}
 }
 
-// turn empties the buckets between the latest one and a new latest one.
+// advance clears the buckets after the latest one up to the given one, which becomes the latest.
 func (s *series) advance(bucket Time) {
 	size := Time(len(s.buckets))
 	for skipped := max(s.latest+1, bucket-size+1); skipped <= bucket; skipped++ {
@@ -475,7 +477,7 @@
 	}
 }
 
-// recent is the sum of the latest buckets.
+// recent returns the sum of the latest count buckets.
 func (s *series) recent(buckets []Figures, count int) (total Figures) {
 	size := Time(len(buckets))
 	for bucket := max(s.latest-Time(count)+1, 0); bucket <= s.latest; bucket++ {
@@ -491,12 +493,12 @@
 	return total
 }
 
-// Figures are the sums over all buckets, what still plays included.
+// Figures returns the sums over all buckets by group, including playbacks that are still open.
 func (c *Core) Figures() map[Group]Figures {
 	all := map[Group]Figures{}
-	for group, r := range c.groups {
-		r.advance(c.now / c.Width)
-		all[group] = r.sum(r.buckets)
+	for group, s := range c.groups {
+		s.advance(c.now / c.Width)
+		all[group] = s.sum(s.buckets)
 	}
 	oldest := (c.now/c.Width - Time(c.Buckets) + 1) * c.Width
 	add := func(group Group, figures *Figures) {
@@ -504,13 +506,13 @@
 		total.add(figures)
 		all[group] = total
 	}
-	for _, r := range c.open {
-		title := Group{Kind: Title, Title: r.title}
+	for _, record := range c.open {
+		title := Group{Kind: Title, Title: record.title}
 		if _, ok := c.groups[title]; !ok && c.titleCount >= max(c.Titles, 1) {
 			title.Title = Other
 		}
-		c.credit(r, c.now, func(rack int, when Time, figures Figures) {
-			if when < oldest {
+		c.credit(record, c.now, func(rack int, at Time, figures Figures) {
+			if at < oldest {
 				return
 			}
 			add(title, &figures)
--- a/internal/settings/servers.go
+++ b/internal/settings/servers.go
@@ -11,7 +11,7 @@
 	"pierlink/session"
 )
 
-// list is a server list's file.
+// serverList holds the contents of a server list.
 type serverList struct {
 	Servers []serverEntry `toml:"server" validate:"unique=Name,dive"`
 	Titles  []titleEntry  `toml:"title" validate:"unique=Name,dive"`
@@ -34,34 +34,34 @@
 	Span int    `toml:"span" validate:"gte=0"`
 }
 
-// ReadServers reads and checks a server list against a site. The list is whole: a server that it does not
-// name is gone.
-func ReadServers(path string, s *Site) (front.List, error) {
+// ReadServers reads a server list and validates it against the settings. The list is complete: servers that it
+// does not contain are removed.
+func ReadServers(path string, config *Site) (front.List, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return front.List{}, err
 	}
-	return ParseServers(text, s)
+	return ParseServers(text, config)
 }
 
-// ParseServers is ReadServers of a text.
-func ParseServers(text []byte, s *Site) (front.List, error) {
+// ParseServers parses and validates the text of a server list; see ReadServers.
+func ParseServers(text []byte, config *Site) (front.List, error) {
 	var parsed serverList
 	problems := decode(text, &parsed)
 	list := front.List{Whole: true}
-	kinds := make([]string, len(s.Fleet.Kinds))
-	for i, kind := range s.Fleet.Kinds {
+	kinds := make([]string, len(config.Fleet.Kinds))
+	for i, kind := range config.Fleet.Kinds {
 		kinds[i] = kind.Name
 	}
 	for i, entry := range parsed.Servers {
-		if entry.Zone != "" && !slices.Contains(s.Zones, entry.Zone) {
-			problems = append(problems, fmt.Sprintf("server[%d].zone: one of %s is expected", i, strings.Join(s.Zones, ", ")))
+		if entry.Zone != "" && !slices.Contains(config.Zones, entry.Zone) {
+			problems = append(problems, fmt.Sprintf("server[%d].zone: one of %s is expected", i, strings.Join(config.Zones, ", ")))
 		}
 		if entry.Kind != "" && !slices.Contains(kinds, entry.Kind) {
 			problems = append(problems, fmt.Sprintf("server[%d].kind: one of %s is expected", i, strings.Join(kinds, ", ")))
 		}
-		if entry.Cell >= s.Fleet.Cells {
-			problems = append(problems, fmt.Sprintf("server[%d].cell: less than %d is expected, fleet.cells", i, s.Fleet.Cells))
+		if entry.Cell >= config.Fleet.Cells {
+			problems = append(problems, fmt.Sprintf("server[%d].cell: less than %d is expected, fleet.cells", i, config.Fleet.Cells))
 		}
 		server := front.Server{Name: entry.Name, Address: entry.Address, Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell, Weight: entry.Weight,
 			State: session.Ready}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads an operator's settings file and server list: TOML, with every mistake told by the
-// path of its key and what was expected there, all at once.
+// Package settings reads and validates the settings file and the server list of an operator, both in TOML. It
+// reports all errors of a file at once, each with the path of its key and what is expected there.
 package settings
 
 import (
@@ -25,22 +25,22 @@
 	"pierlink/session"
 )
 
-// Span is a time as people write it: 1.5s, 800ms.
+// Span is a duration in microseconds, written as in 1.5s or 800ms.
 type Span core.Time
 
 func (s Span) String() string { return (time.Duration(s) * time.Microsecond).String() }
 
-// UnmarshalText reads a span.
+// UnmarshalText parses a duration; negative ones are errors.
 func (s *Span) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
-		return fmt.Errorf("%q: a time such as 1.5s or 800ms was expected", b)
+		return fmt.Errorf("%q: a duration such as 1.5s or 800ms is expected", b)
 	}
 	*s = Span(d.Microseconds())
 	return nil
 }
 
-// Site is a settings file. docs/operate.md explains each key.
+// Site holds the contents of a settings file. docs/operate.md explains each key.
 type Site struct {
 	Listen  string `toml:"listen" validate:"required,address"`
 	Name    string `toml:"name" validate:"required,max=64,printascii"`
@@ -69,7 +69,7 @@
 	Prices    Prices     `toml:"prices"`
 }
 
-// Bounds are what one session manager may hold.
+// Bounds holds the resource limits of one session manager.
 type Bounds struct {
 	Connections int `toml:"connections" validate:"gte=1"`
 	Playbacks   int `toml:"playbacks" validate:"gte=1"`
@@ -77,7 +77,8 @@
 	PlayerBytes int `toml:"player_bytes" validate:"gte=16384"`
 }
 
-// Door is the queue before the module and the limits of the door itself. Without it the module is asked at once.
+// Door configures the admission queue and the limits on connections and requests. Without it every request goes to
+// the module at once.
 type Door struct {
 	Waiting       int     `toml:"waiting" validate:"gte=1"`
 	Bytes         int     `toml:"bytes" validate:"gte=1024"`
@@ -90,8 +91,8 @@
 	Labels        int     `toml:"labels" validate:"gte=0"`
 }
 
-// Life is how a session manager ends, hands over and comes back. Without it a stop ends all at once, and nothing
-// is kept.
+// Life configures draining, handover and restart of a session manager. Without it a stop ends all playbacks at once,
+// and no state is kept.
 type Life struct {
 	Drain   Span     `toml:"drain"`
 	Control string   `toml:"control"`
@@ -100,7 +101,7 @@
 	Others  []string `toml:"others" validate:"dive,other"`
 }
 
-// Quality has service counted by rack and title.
+// Quality configures the measurement of service by rack and title.
 type Quality struct {
 	Width   Span `toml:"width" validate:"gte=1000000"`
 	Buckets int  `toml:"buckets" validate:"gte=16,lte=10000"`
@@ -108,22 +109,23 @@
 	Titles  int  `toml:"titles" validate:"gte=1"`
 }
 
-// TLS is a second door, under TLS. Without it players are heard in the clear only.
+// TLS configures a second listener with TLS. Without it players connect without encryption only.
 type TLS struct {
 	Listen  string `toml:"listen" validate:"required,address"`
 	Cert    string `toml:"cert" validate:"required"`
 	Key     string `toml:"key" validate:"required"`
 	Address string `toml:"address" validate:"omitempty,address"`
-	Basic   bool   `toml:"basic"` // passwords are taken too
+	Basic   bool   `toml:"basic"` // Basic authentication is accepted too
 }
 
-// Directory is where tenants and their members are known. Without it every account is taken at its word.
+// Directory configures the directory of tenants and their members. Without it accounts are accepted without
+// authentication.
 type Directory struct {
 	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
 	Base      string   `toml:"base" validate:"required"`
 	Bind      string   `toml:"bind"`
-	Password  string   `toml:"password_file"` // a file, so that it stands in no settings
-	CA        string   `toml:"ca"`            // TLS with this authority; without TLS if empty
+	Password  string   `toml:"password_file"` // a file, to keep the password out of the settings
+	CA        string   `toml:"ca"`            // certificate authority; TLS is not used if empty
 	Page      int      `toml:"page" validate:"gte=1,lte=10000"`
 	Longest   Span     `toml:"longest" validate:"gt=0"`
 	Renew     Span     `toml:"renew" validate:"gt=0,ltefield=Longest"`
@@ -132,20 +134,20 @@
 	Waiting   int      `toml:"waiting" validate:"gte=1"`
 	Lookups   int      `toml:"lookups" validate:"gte=1,lte=64"`
 	Entries   int      `toml:"entries" validate:"gte=1"`
-	Quotas    int      `toml:"quotas" validate:"gte=0,lte=65536"` // tenants with a quota that the settings do not name
+	Quotas    int      `toml:"quotas" validate:"gte=0,lte=65536"` // maximum number of tenants with a quota that are not in the settings
 	Stale     string   `toml:"stale" validate:"oneof=refuse admit"`
 	Realm     string   `toml:"realm" validate:"omitempty,printascii,excludesall=\""`
 	Kept      string   `toml:"kept"`
 	Key       string   `toml:"key_file" validate:"required_with=Kept"`
 }
 
-// Trace is where the stories of playbacks are kept, and of what part of them.
+// Trace configures the file for traces of playbacks and the share of playbacks traced.
 type Trace struct {
 	File string  `toml:"file" validate:"required"`
 	Part float64 `toml:"part" validate:"gt=0,lte=1"`
 }
 
-// Registry is where the server list comes from in place of a file.
+// Registry configures the registry that supplies the server list in place of a file.
 type Registry struct {
 	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
 	Kept      string   `toml:"kept"`
@@ -157,7 +159,7 @@
 	Key       string   `toml:"key" validate:"required_with=Cert"`
 }
 
-// Ladder is the rungs from below.
+// Ladder configures the rungs, lowest first.
 type Ladder struct {
 	RatesKB []float64 `toml:"rates_kb" validate:"min=1,dive,gt=0"`
 	Worth   []float64 `toml:"worth" validate:"min=1,dive,gt=0"`
@@ -165,7 +167,7 @@
 	Change  Span      `toml:"change"`
 }
 
-// Plan is a kind of playback.
+// Plan configures a plan, a class of playbacks.
 type Plan struct {
 	Name       string  `toml:"name" validate:"required,excludesall=/?# "`
 	Repeat     string  `toml:"repeat" validate:"oneof=harmless keyed unsafe"`
@@ -182,21 +184,21 @@
 	Tracks     []Track `toml:"track" validate:"min=1,max=8,dive"`
 }
 
-// Track is one media stream of a plan's titles.
+// Track describes one media stream of a plan's titles.
 type Track struct {
 	Media    string `toml:"media" validate:"oneof=video audio text application"`
 	Encoding string `toml:"encoding" validate:"required"`
 	Payload  uint8  `toml:"payload" validate:"lte=127"`
 }
 
-// Tenant is a customer with its share of the service.
+// Tenant is a customer with its quota and its weight in admission.
 type Tenant struct {
 	Name   string  `toml:"name" validate:"required"`
 	Quota  float64 `toml:"quota" validate:"gte=0"`
 	Weight float64 `toml:"weight" validate:"gte=0"`
 }
 
-// Fleet is what is told of boxes and racks.
+// Fleet describes the servers and racks, and how their load is reported.
 type Fleet struct {
 	Cells       int     `toml:"cells" validate:"gte=1"`
 	Racks       int     `toml:"racks" validate:"gte=1"`
@@ -207,17 +209,17 @@
 	NoteDelay   Span    `toml:"note_delay" validate:"gt=0"`
 	NoteEvery   Span    `toml:"note_every" validate:"gte=0"`
 	Load        string  `toml:"load" validate:"oneof=answers probes none"`
-	Uplinks     string  `toml:"uplinks" validate:"omitempty,oneof=told untold"` // told if empty
+	Uplinks     string  `toml:"uplinks" validate:"omitempty,oneof=told untold"` // as "told" if empty
 	Kinds       []Kind  `toml:"kind" validate:"min=1,unique=Name,dive"`
 }
 
-// Kind is a kind of box.
+// Kind is a model of server.
 type Kind struct {
 	Name   string  `toml:"name" validate:"required"`
 	Places float64 `toml:"places" validate:"gt=0"`
 }
 
-// Terms are the figures of the six rules.
+// Terms holds the parameters of the six rules.
 type Terms struct {
 	ColdFrom     float64 `toml:"cold_from" validate:"gt=0,lte=1"`
 	WarmUp       Span    `toml:"warm_up" validate:"gt=0"`
@@ -230,10 +232,10 @@
 	TrySpan      Span    `toml:"try_span" validate:"required_if=Rationed true"`
 	Probes       bool    `toml:"probes"`
 	MaxComeAgain Span    `toml:"max_come_again"`
-	Advice       *bool   `toml:"advice"` // whether rejections may say when to come again; left out, they may
+	Advice       *bool   `toml:"advice"` // whether rejections may carry a retry time; true if absent
 }
 
-// Prices are parts of the whole result.
+// Prices holds the prices of the result's parts, each as a share of the whole.
 type Prices struct {
 	CrossZone float64 `toml:"cross_zone" validate:"gte=0,lte=1"`
 	Move      float64 `toml:"move" validate:"gte=0,lte=1"`
@@ -242,30 +244,31 @@
 	WorstPlan float64 `toml:"worst_plan" validate:"gte=0,lt=1"`
 }
 
-// Mistakes are all that is wrong with a file: one line each, with the key's path.
+// Mistakes lists all errors of a file, one line each, with the path of the key.
 type Mistakes []string
 
 func (m Mistakes) Error() string { return strings.Join(m, "\n") }
 
+// validate checks the rules of struct tags and names fields by their TOML keys.
 var validate = func() *validator.Validate {
-	validate := validator.New(validator.WithRequiredStructEnabled())
-	validate.RegisterTagNameFunc(func(f reflect.StructField) string {
+	rules := validator.New(validator.WithRequiredStructEnabled())
+	rules.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 		return name
 	})
-	address := func(s string) bool { // port 0 has the system choose
+	address := func(s string) bool { // port 0 lets the system choose
 		host, port, err := net.SplitHostPort(s)
 		_, portErr := strconv.ParseUint(port, 10, 16)
 		return err == nil && portErr == nil && host != ""
 	}
-	_ = validate.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
-	_ = validate.RegisterValidation("other", func(f validator.FieldLevel) bool {
+	_ = rules.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
+	_ = rules.RegisterValidation("other", func(f validator.FieldLevel) bool {
 		return address(strings.TrimPrefix(f.Field().String(), life.SecureMark))
 	})
-	return validate
+	return rules
 }()
 
-// decode reads TOML strictly: keys that mean nothing are mistakes too.
+// decode parses and validates TOML strictly: unknown keys are errors too.
 func decode(text []byte, target any) (problems Mistakes) {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(target)
@@ -292,25 +295,25 @@
 	}
 	var fields validator.ValidationErrors
 	if err := validate.Struct(target); errors.As(err, &fields) {
-		for _, f := range fields {
-			_, path, _ := strings.Cut(f.Namespace(), ".")
-			problems = append(problems, path+": "+expected(f))
+		for _, failure := range fields {
+			_, path, _ := strings.Cut(failure.Namespace(), ".")
+			problems = append(problems, path+": "+expected(failure))
 		}
 	}
 	return problems
 }
 
-// expected says in words what a rule of a key wants.
-func expected(f validator.FieldError) string {
-	param := strings.ToLower(f.Param())
-	if f.Type() == reflect.TypeFor[Span]() && f.Tag() != "gtfield" && param != "" {
+// expected describes what a failed rule expects.
+func expected(failure validator.FieldError) string {
+	param := strings.ToLower(failure.Param())
+	if failure.Type() == reflect.TypeFor[Span]() && failure.Tag() != "gtfield" && param != "" {
 		var micros int64
 		if _, err := fmt.Sscan(param, &micros); err == nil {
 			param = (time.Duration(micros) * time.Microsecond).String()
 		}
 	}
-	isSlice := f.Kind() == reflect.Slice
-	switch f.Tag() {
+	isSlice := failure.Kind() == reflect.Slice
+	switch failure.Tag() {
 	case "required", "required_if", "required_with":
 		return "a value is expected"
 	case "gte":
@@ -337,87 +340,88 @@
 	case "ltfield":
 		return "less than " + param + " is expected"
 	case "oneof":
-		return "one of " + strings.Join(strings.Fields(f.Param()), ", ") + " is expected"
+		return "one of " + strings.Join(strings.Fields(failure.Param()), ", ") + " is expected"
 	case "unique":
-		return "no two alike are expected"
+		return "unique entries are expected"
 	case "address":
 		return "an address such as 127.0.0.1:8554 is expected"
 	case "other":
 		return "an address such as 127.0.0.1:8554, or rtsps://127.0.0.1:8322, is expected"
 	case "excludesall":
-		return "no blank and none of / ? # is expected"
+		return "a value without blanks and without / ? # is expected"
 	}
-	return f.Tag() + " " + f.Param() + " is expected"
+	return failure.Tag() + " " + failure.Param() + " is expected"
 }
 
-// Read reads and checks a settings file. The error is Mistakes where the file could be read.
+// Read reads and validates a settings file. If the file can be read but is invalid, the error
+// lists all problems.
 func Read(path string) (*Site, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	site := &Site{}
-	problems := decode(text, site)
+	config := &Site{}
+	problems := decode(text, config)
 	if len(problems) == 0 {
-		problems = site.checkCombinations()
+		problems = config.checkCombinations()
 	}
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return site, nil
+	return config, nil
 }
 
-// across checks what one key means for another.
-func (s *Site) checkCombinations() (problems Mistakes) {
-	if (s.Servers == "") == (s.Registry == nil) {
-		problems = append(problems, "servers: either a file here or the section registry is expected")
+// checkCombinations checks rules that involve several keys.
+func (c *Site) checkCombinations() (problems Mistakes) {
+	if (c.Servers == "") == (c.Registry == nil) {
+		problems = append(problems, "servers: either a file or the section registry is expected")
 	}
-	if len(s.Ladder.Worth) != len(s.Ladder.RatesKB) {
-		problems = append(problems, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(s.Ladder.RatesKB)))
+	if len(c.Ladder.Worth) != len(c.Ladder.RatesKB) {
+		problems = append(problems, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(c.Ladder.RatesKB)))
 	}
-	if !slices.IsSorted(s.Ladder.RatesKB) {
-		problems = append(problems, "ladder.rates_kb: rates from below are expected")
+	if !slices.IsSorted(c.Ladder.RatesKB) {
+		problems = append(problems, "ladder.rates_kb: rates in ascending order are expected")
 	}
-	if !slices.Contains(s.Zones, s.Zone) {
-		problems = append(problems, "zone: one of "+strings.Join(s.Zones, ", ")+" is expected")
+	if !slices.Contains(c.Zones, c.Zone) {
+		problems = append(problems, "zone: one of "+strings.Join(c.Zones, ", ")+" is expected")
 	}
-	if s.TLS != nil && s.TLS.Basic && (s.Directory == nil || s.Directory.Realm == "") {
+	if c.TLS != nil && c.TLS.Basic && (c.Directory == nil || c.Directory.Realm == "") {
 		problems = append(problems, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
 	}
-	for i, plan := range s.Plans {
-		if plan.Top >= len(s.Ladder.RatesKB) {
-			problems = append(problems, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(s.Ladder.RatesKB)-1))
+	for i, plan := range c.Plans {
+		if plan.Top >= len(c.Ladder.RatesKB) {
+			problems = append(problems, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(c.Ladder.RatesKB)-1))
 		}
 		if plan.Repeat == "keyed" && plan.Window == 0 {
-			problems = append(problems, fmt.Sprintf("plan[%d].window: a time is expected, as repeat is keyed", i))
+			problems = append(problems, fmt.Sprintf("plan[%d].window: a duration is expected, as repeat is keyed", i))
 		}
 	}
-	return append(problems, s.checkConflicts()...)
+	return append(problems, c.checkConflicts()...)
 }
 
-// silent tells whether no rejection may say when to come again.
-func (s *Site) withholdRetryTime() bool { return s.Terms.Advice != nil && !*s.Terms.Advice }
+// withholdRetryTime reports whether rejections must not carry a retry time.
+func (c *Site) withholdRetryTime() bool { return c.Terms.Advice != nil && !*c.Terms.Advice }
 
-// mixed finds keys of one shape of deployment beside those of another, where one of them could not hold.
-func (s *Site) checkConflicts() (problems Mistakes) {
-	terms, fleet := &s.Terms, &s.Fleet
+// checkConflicts reports keys that have no effect or contradict others in this kind of deployment.
+func (c *Site) checkConflicts() (problems Mistakes) {
+	terms, fleet := &c.Terms, &c.Fleet
 	rejectKey := func(conflict bool, key string, found any, reason string) {
 		if conflict {
 			problems = append(problems, fmt.Sprintf("%s: %v found, but none is expected, as %s", key, found, reason))
 		}
 	}
-	rejectKey(s.withholdRetryTime() && terms.MaxComeAgain > 0, "terms.max_come_again", terms.MaxComeAgain, "terms.advice is false")
-	rejectKey(s.withholdRetryTime() && s.Door != nil && s.Door.Secret != "", "door.secret", "one", "terms.advice is false and nothing is promised")
+	rejectKey(c.withholdRetryTime() && terms.MaxComeAgain > 0, "terms.max_come_again", terms.MaxComeAgain, "terms.advice is false")
+	rejectKey(c.withholdRetryTime() && c.Door != nil && c.Door.Secret != "", "door.secret", "one", "terms.advice is false and no retry tokens are issued")
 	if !terms.Probes && fleet.Load == "probes" {
 		problems = append(problems, "fleet.load: probes found, but answers or none is expected, as terms.probes is false")
 	}
-	rejectKey(!terms.Probes && s.Prices.Probe > 0, "prices.probe", s.Prices.Probe, "terms.probes is false")
+	rejectKey(!terms.Probes && c.Prices.Probe > 0, "prices.probe", c.Prices.Probe, "terms.probes is false")
 	rejectKey(fleet.Load != "answers" && fleet.NoteEvery > 0, "fleet.note_every", fleet.NoteEvery, "fleet.load is "+fleet.Load)
 	rejectKey(!terms.Rationed && terms.FreeTries > 0, "terms.free_tries", terms.FreeTries, "terms.rationed is false")
 	rejectKey(!terms.Rationed && terms.TryShare > 0, "terms.try_share", terms.TryShare, "terms.rationed is false")
 	rejectKey(!terms.Rationed && terms.TrySpan > 0, "terms.try_span", terms.TrySpan, "terms.rationed is false")
-	for i, plan := range s.Plans {
-		if plan.Repeat == "unsafe" { // a key's figures would promise a repeat
+	for i, plan := range c.Plans {
+		if plan.Repeat == "unsafe" { // a window or scope would imply that requests can be repeated
 			rejectKey(plan.Window > 0, fmt.Sprintf("plan[%d].window", i), plan.Window, "repeat is "+plan.Repeat)
 			rejectKey(plan.Scope != "", fmt.Sprintf("plan[%d].scope", i), plan.Scope, "repeat is "+plan.Repeat)
 		}
@@ -425,21 +429,22 @@
 	return problems
 }
 
-// Queue is what the door's queue is told, nil without one, and the door's limits.
-func (s *Site) Queue(secret []byte) (*fair.Terms, fair.Limits) {
-	door := s.Door
+// Queue returns the configuration of the admission queue, nil if there is none, and the limits on connections and
+// requests. The given secret signs retry tokens unless the settings contain one.
+func (c *Site) Queue(secret []byte) (*fair.Terms, fair.Limits) {
+	door := c.Door
 	if door == nil {
 		return nil, fair.Limits{}
 	}
 	terms := &fair.Terms{Waiting: door.Waiting, Bytes: door.Bytes, Tenants: door.Tenants, Clients: door.Clients, Secret: secret,
-		Longest: core.Time(s.Terms.MaxComeAgain), Silent: s.withholdRetryTime(), Weights: map[string]float64{}}
+		Longest: core.Time(c.Terms.MaxComeAgain), Silent: c.withholdRetryTime(), Weights: map[string]float64{}}
 	if door.Secret != "" {
 		terms.Secret = []byte(door.Secret)
 	}
-	for _, plan := range s.Plans {
+	for _, plan := range c.Plans {
 		terms.Startup = max(terms.Startup, core.Time(plan.Startup))
 	}
-	for _, tenant := range s.Tenants {
+	for _, tenant := range c.Tenants {
 		if tenant.Weight > 0 {
 			terms.Weights[tenant.Name] = tenant.Weight
 		}
@@ -447,23 +452,23 @@
 	return terms, fair.Limits{PerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
 }
 
-// Longest is the longest abandon time of the plans.
-func (s *Site) Longest() (longest core.Time) {
-	for _, plan := range s.Plans {
+// Longest returns the longest abandon time of the plans.
+func (c *Site) Longest() (longest core.Time) {
+	for _, plan := range c.Plans {
 		longest = max(longest, core.Time(plan.Abandon))
 	}
 	return longest
 }
 
-// Lifetimes are what a process's life is told.
-func (s *Site) Lifetimes() life.Terms {
-	return life.Terms{Drain: core.Time(s.Life.Drain), Finish: s.Longest()}
+// Lifetimes returns the times for draining and ending a process.
+func (c *Site) Lifetimes() life.Terms {
+	return life.Terms{Drain: core.Time(c.Life.Drain), Finish: c.Longest()}
 }
 
-// Next is what a reload changes.
-func (s *Site) Next(secret []byte) *front.Next {
-	service := s.Service(secret)
-	next := &front.Next{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: s.Lifetimes()}
+// Next returns the values that a reload replaces in a running front.
+func (c *Site) Next(secret []byte) *front.Next {
+	service := c.Service(secret)
+	next := &front.Next{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: c.Lifetimes()}
 	for _, plan := range service.Plans {
 		next.Abandon = append(next.Abandon, plan.Abandon)
 	}
@@ -473,9 +478,9 @@
 	return next
 }
 
-// Fixed names what a reload would have to change and cannot while the session manager runs.
-func (s *Site) Fixed(next *Site) (keys []string) {
-	current, updated := *s, *next
+// Fixed returns the keys that differ in next and cannot change while the session manager runs.
+func (c *Site) Fixed(next *Site) (keys []string) {
+	current, updated := *c, *next
 	if (current.Door == nil) != (updated.Door == nil) {
 		keys = append(keys, "door")
 	}
@@ -506,16 +511,16 @@
 	return keys
 }
 
-// Service is what a front is told. The secret of its session ids is the caller's.
-func (s *Site) Service(secret []byte) *front.Service {
-	service := &front.Service{Name: s.Name, Zones: s.Zones, Silent: s.withholdRetryTime(), SessionTimeout: core.Time(s.SessionTimeout), Secret: secret,
-		Bounds: front.Bounds{Connections: s.Bounds.Connections, Playbacks: s.Bounds.Playbacks,
-			Pipelined: s.Bounds.Pipelined, PlayerBytes: s.Bounds.PlayerBytes}}
-	service.Queue, service.Limits = s.Queue(secret)
-	terms, fleet := &s.Terms, &s.Fleet
-	service.Site = session.Site{Fronts: s.Fronts, Front: s.Front, Zone: slices.Index(s.Zones, s.Zone),
-		Ladder: session.Ladder{RateKB: s.Ladder.RatesKB, Worth: s.Ladder.Worth, Join: s.Ladder.Join,
-			Change: core.Time(s.Ladder.Change)},
+// Service returns the configuration of a front. The secret is used for its session ids.
+func (c *Site) Service(secret []byte) *front.Service {
+	service := &front.Service{Name: c.Name, Zones: c.Zones, Silent: c.withholdRetryTime(), SessionTimeout: core.Time(c.SessionTimeout), Secret: secret,
+		Bounds: front.Bounds{Connections: c.Bounds.Connections, Playbacks: c.Bounds.Playbacks,
+			Pipelined: c.Bounds.Pipelined, PlayerBytes: c.Bounds.PlayerBytes}}
+	service.Queue, service.Limits = c.Queue(secret)
+	terms, fleet := &c.Terms, &c.Fleet
+	service.Site = session.Site{Fronts: c.Fronts, Front: c.Front, Zone: slices.Index(c.Zones, c.Zone),
+		Ladder: session.Ladder{RateKB: c.Ladder.RatesKB, Worth: c.Ladder.Worth, Join: c.Ladder.Join,
+			Change: core.Time(c.Ladder.Change)},
 		Fleet: session.Fleet{Cells: fleet.Cells, Racks: fleet.Racks, LinksKB: fleet.LinksKB, UplinkKB: fleet.UplinkKB,
 			KBPerWeight: fleet.KBPerWeight, WeightsTold: fleet.KBPerWeight > 0, FullFrom: fleet.FullFrom,
 			NoteDelay: core.Time(fleet.NoteDelay), NoteEvery: core.Time(fleet.NoteEvery), LoadInAnswers: fleet.Load == "answers",
@@ -524,38 +529,38 @@
 			FallSpan: core.Time(terms.FallSpan), MaxTries: terms.MaxTries, Rationed: terms.Rationed, FreeTries: terms.FreeTries,
 			TryShare: terms.TryShare, TrySpan: core.Time(terms.TrySpan), Probes: terms.Probes,
 			MaxComeAgain: core.Time(terms.MaxComeAgain)},
-		Prices: session.Prices{CrossZone: s.Prices.CrossZone, Move: s.Prices.Move, Probe: s.Prices.Probe,
-			OverShare: s.Prices.OverShare, WorstPlan: s.Prices.WorstPlan}}
+		Prices: session.Prices{CrossZone: c.Prices.CrossZone, Move: c.Prices.Move, Probe: c.Prices.Probe,
+			OverShare: c.Prices.OverShare, WorstPlan: c.Prices.WorstPlan}}
 	for _, kind := range fleet.Kinds {
 		service.Kinds = append(service.Kinds, kind.Name)
 		service.Site.Fleet.Places = append(service.Site.Fleet.Places, kind.Places)
 	}
 	repeats := map[string]session.Repeat{"harmless": session.Harmless, "keyed": session.Keyed, "unsafe": session.Unsafe}
 	scopes := map[string]session.Scope{"zone": session.SameZone, "cell": session.SameCell}
-	for _, plan := range s.Plans {
+	for _, plan := range c.Plans {
 		service.Site.Plans = append(service.Site.Plans, session.Plan{Repeat: repeats[plan.Repeat], Scope: scopes[plan.Scope],
 			Window: core.Time(plan.Window), Startup: core.Time(plan.Startup), Revenue: plan.Revenue, Live: plan.Live,
 			RateFactor: plan.RateFactor, Floor: plan.Floor, Top: plan.Top, Seats: plan.Seats})
 		face := front.Face{Name: plan.Name, Abandon: core.Time(plan.Abandon)}
-		for _, terms := range plan.Tracks {
-			face.Tracks = append(face.Tracks, front.Track{Media: terms.Media, Encoding: terms.Encoding, Payload: terms.Payload})
+		for _, track := range plan.Tracks {
+			face.Tracks = append(face.Tracks, front.Track{Media: track.Media, Encoding: track.Encoding, Payload: track.Payload})
 		}
 		service.Plans = append(service.Plans, face)
 	}
-	if qualityKeys := s.Quality; qualityKeys != nil {
-		terms := quality.Terms{Worth: s.Ladder.Worth, Racks: fleet.Racks, Titles: qualityKeys.Titles, Playbacks: 2 * s.Bounds.Playbacks, Width: core.Time(qualityKeys.Width),
+	if qualityKeys := c.Quality; qualityKeys != nil {
+		config := quality.Terms{Worth: c.Ladder.Worth, Racks: fleet.Racks, Titles: qualityKeys.Titles, Playbacks: 2 * c.Bounds.Playbacks, Width: core.Time(qualityKeys.Width),
 			Buckets: qualityKeys.Buckets, Late: core.Time(qualityKeys.Late)}
-		for _, plan := range s.Plans {
-			terms.Plans = append(terms.Plans, quality.Plan{Startup: core.Time(plan.Startup), Revenue: plan.Revenue})
+		for _, plan := range c.Plans {
+			config.Plans = append(config.Plans, quality.Plan{Startup: core.Time(plan.Startup), Revenue: plan.Revenue})
 		}
-		service.Quality = quality.New(terms, time.Now().UnixMicro())
+		service.Quality = quality.New(config, time.Now().UnixMicro())
 	}
-	for _, terms := range s.Tenants {
-		service.Tenants = append(service.Tenants, terms.Name)
-		service.Site.Tenants = append(service.Site.Tenants, session.Tenant{QuotaPerS: terms.Quota})
+	for _, tenant := range c.Tenants {
+		service.Tenants = append(service.Tenants, tenant.Name)
+		service.Site.Tenants = append(service.Site.Tenants, session.Tenant{QuotaPerS: tenant.Quota})
 	}
-	if s.Directory != nil {
-		service.Site.Tenants = append(service.Site.Tenants, make([]session.Tenant, s.Directory.Quotas)...)
+	if c.Directory != nil {
+		service.Site.Tenants = append(service.Site.Tenants, make([]session.Tenant, c.Directory.Quotas)...)
 	}
 	return service
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,23 +11,23 @@
 
 const sample = "../../deploy/pierlink.toml"
 
-func TestSample(t *testing.T) {
-	site, err := Read(sample)
+func TestSampleFile(t *testing.T) {
+	config, err := Read(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := site.Service(nil)
+	service := config.Service(nil)
 	if len(service.Plans) != len(service.Site.Plans) || service.Site.Plans[0].Startup != 1_500_000 || service.Site.Zone != 0 || service.Site.Fleet.Places[0] != 100 {
-		t.Errorf("%+v", service)
+		t.Errorf("unexpected configuration of the sample file: %+v", service)
 	}
-	list, err := ReadServers("../../deploy/servers.toml", site)
+	list, err := ReadServers("../../deploy/servers.toml", config)
 	if err != nil || len(list.Servers) != 2 || !list.Whole {
 		t.Error(err, list)
 	}
 }
 
-// Each mistake is told by its key's path and what was expected, all of them at once.
-func TestMistakes(t *testing.T) {
+// Every error is reported with the path of its key and what is expected, and all errors of a file at once.
+func TestInvalidSettings(t *testing.T) {
 	text, err := os.ReadFile(sample)
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 		"front = 0 |front = 7 ":                                "front: less than fronts",
 		"\"harmless\"\nstartup|\"maybe\"\nstartup":             "plan[0].repeat: one of harmless, keyed, unsafe",
 		"abandon = \"4s\"|abandon = \"1s\"":                    "plan[0].abandon: more than startup",
-		"startup = \"800ms\"|startup = \"soon\"":               "a time such as 1.5s or 800ms",
+		"startup = \"800ms\"|startup = \"soon\"":               "a duration such as 1.5s or 800ms is expected",
 		"places = 100|places = 0":                              "fleet.kind[0].places: more than 0",
 		"zone = \"bloc-a\"|zone = \"bloc-z\"":                  "zone: one of bloc-a, bloc-b",
 		"listen = \"127.0.0.1:8554\"|listen = \"here\"":        "listen: an address such as",
@@ -44,7 +44,7 @@
 		"top = 3|top = 4":                                      "plan[0].top: at most 3",
 		"session_timeout = \"60s\"|session_timeout = \"10ms\"": "session_timeout: at least 1s",
 		"[prices]|[prices]\nluck = 3":                          "prices.luck: unknown key",
-		"name = \"recorded-lesson\"|name = \"live-lesson\"":    "plan: no two alike",
+		"name = \"recorded-lesson\"|name = \"live-lesson\"":    "plan: unique entries",
 		"[ladder]|[ladder":                                     "file: line",
 		"probes = true|advice = false":                         "terms.max_come_again: 2s found, but none is expected, as terms.advice is false",
 		"# secret = \"...\"|secret = \"0123456789abcdef\"\n#|max_come_again = \"2s\"|advice = false": "door.secret: one found, but none is expected, as terms.advice",
@@ -63,17 +63,17 @@
 		changed := string(text)
 		for parts := strings.Split(changes, "|"); len(parts) > 0; parts = parts[2:] {
 			if !strings.Contains(changed, parts[0]) {
-				t.Fatalf("%q is not in the sample", parts[0])
+				t.Fatalf("%q is not in the sample file", parts[0])
 			}
 			changed = strings.Replace(changed, parts[0], parts[1], 1)
 		}
 		if _, err := read(t, changed); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", changes, err, want)
+			t.Errorf("%q: got error %v, want %q", changes, err, want)
 		}
 	}
 	threeMistakes := strings.NewReplacer("front = 0 ", "front = 7 ", "places = 100", "places = 0", "live = true", "live = true\nodd = 1")
 	if _, err := read(t, threeMistakes.Replace(string(text))); err == nil || strings.Count(err.Error(), "\n") != 2 {
-		t.Errorf("three mistakes: %v", err)
+		t.Errorf("three errors expected, got: %v", err)
 	}
 }
 
@@ -85,43 +85,43 @@
 	return Read(file)
 }
 
-// What the sample does not name is as before the keys were there; a file of the new shape reaches the decisions.
-func TestShapes(t *testing.T) {
+// Keys that the sample file omits have their defaults; values of the optional keys reach the front's configuration.
+func TestOptionalKeys(t *testing.T) {
 	text, err := os.ReadFile(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := read(t, string(text))
+	unchanged, err := read(t, string(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if service := old.Service(nil); service.Silent || service.Queue.Silent || service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0 || service.Site.Terms.Rationed {
-		t.Errorf("the sample: %+v", service)
+	if service := unchanged.Service(nil); service.Silent || service.Queue.Silent || service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0 || service.Site.Terms.Rationed {
+		t.Errorf("sample file: %+v", service)
 	}
 	changed := strings.NewReplacer("max_come_again = \"2s\"", "advice = false\nrationed = true\nfree_tries = 5\ntry_share = 0.2\ntry_span = \"10s\"",
 		"load = \"answers\"", "load = \"answers\"\nuplinks = \"untold\"", "probes = true", "probes = false", "probe = 0.01", "worst_plan = 0.2",
 		"revenue = 2", "revenue = 2\nseats = 3", "repeat = \"harmless\"\nstartup = \"1.5s\"", "repeat = \"unsafe\"\nstartup = \"1.5s\"")
-	site, err := read(t, changed.Replace(string(text)))
+	config, err := read(t, changed.Replace(string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := site.Service(nil)
+	service := config.Service(nil)
 	terms := service.Site.Terms
 	if !service.Silent || !service.Queue.Silent || !service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0.2 || terms.Probes || terms.MaxComeAgain != 0 ||
 		!terms.Rationed || terms.FreeTries != 5 || terms.TrySpan != 10_000_000 || service.Site.Plans[0].Seats != 3 || service.Site.Plans[0].Repeat != session.Unsafe {
-		t.Errorf("the new shape: %+v", service)
+		t.Errorf("with optional keys: %+v", service)
 	}
 }
 
-func TestBrokenServerList(t *testing.T) {
-	site, err := Read(sample)
+func TestInvalidServerList(t *testing.T) {
+	config, err := Read(sample)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const good = "[[server]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\nzone = \"bloc-a\"\nkind = \"std\"\ncell = 0\n"
 	for text, want := range map[string]string{
 		good:                                    "",
-		good + good:                             "server: no two alike",
+		good + good:                             "server: unique entries",
 		strings.Replace(good, "bloc-a", "x", 1): "server[0].zone: one of bloc-a, bloc-b",
 		strings.Replace(good, "std", "x", 1):    "server[0].kind: one of std",
 		strings.Replace(good, "cell = 0", "cell = 9", 1): "server[0].cell: less than 2",
@@ -129,8 +129,8 @@
 		good + "started = \"now\"":                       "started",
 		"[[server]":                                      "file: line",
 	} {
-		if _, err := ParseServers([]byte(text), site); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", text, err, want)
+		if _, err := ParseServers([]byte(text), config); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: got error %v, want %q", text, err, want)
 		}
 	}
 }
