--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -11,11 +11,11 @@
 
 const second = Time(1_000_000)
 
-func testTerms(waiting int) Terms {
+func testConfig(waiting int) Terms {
 	return Terms{Waiting: waiting, Bytes: waiting * 1000, Tenants: waiting, Clients: waiting, Startup: second, Secret: []byte("key")}
 }
 
-// limited is a queue that admits so many a second.
+// newLimitedQueue returns a queue that admits perSec requests per second.
 func newLimitedQueue(config Terms, perSec float64) *Queue {
 	queue := New(config, second)
 	queue.window.limited = true
@@ -27,72 +27,73 @@
 	return queue
 }
 
+// harness runs a queue on a simulated clock and keeps its decisions.
 type harness struct {
-	queue       *Queue
-	now         Time
-	lastID      int
-	asks        map[int]Ask
-	admitted    map[string]int
-	refused     map[string]int
-	lastVerdict Verdict
-	verdicts    map[int]Verdict
-	limit       float64
-	endTimes    []Time // of what plays, in no order
+	queue        *Queue
+	now          Time
+	lastID       int
+	requests     map[int]Ask
+	admitted     map[string]int
+	refused      map[string]int
+	lastDecision Verdict
+	decisions    map[int]Verdict
+	limit        float64
+	endTimes     []Time // of active playbacks, unordered
 }
 
-func (b *harness) settle() {
-	b.queue.At(b.now)
-	live := b.endTimes[:0]
-	for _, at := range b.endTimes {
-		if at > b.now {
+func (h *harness) settle() {
+	h.queue.At(h.now)
+	live := h.endTimes[:0]
+	for _, at := range h.endTimes {
+		if at > h.now {
 			live = append(live, at)
 		} else {
-			b.queue.Ended()
+			h.queue.Ended()
 		}
 	}
-	b.endTimes = live
-	for b.settleOnce() {
+	h.endTimes = live
+	for h.settleOnce() {
 	}
 }
 
-// settleOnce has one request at most admitted; it plays for half a second to one and a half.
-func (b *harness) settleOnce() (admitted bool) {
-	b.queue.Carrying(len(b.endTimes))
-	p := &b.queue.window
-	p.limited, p.limit, p.ceiling, p.quietSince, p.lastCut = true, b.limit, b.limit*1.2, b.now, b.now
-	b.queue.Settle(func(v Verdict) {
-		a := b.asks[v.ID]
-		delete(b.asks, v.ID)
-		if v.Admit {
+// settleOnce lets the queue admit at most one request; its playback lasts between 0.5 s and 1.5 s.
+func (h *harness) settleOnce() (admitted bool) {
+	h.queue.Carrying(len(h.endTimes))
+	window := &h.queue.window
+	window.limited, window.limit, window.ceiling, window.quietSince, window.lastCut = true, h.limit, h.limit*1.2, h.now, h.now
+	h.queue.Settle(func(decision Verdict) {
+		request := h.requests[decision.ID]
+		delete(h.requests, decision.ID)
+		if decision.Admit {
 			admitted = true
-			b.endTimes = append(b.endTimes, b.now+second/2+Time(v.ID*7919%1_000_000))
-			b.admitted[a.Tenant]++
+			h.endTimes = append(h.endTimes, h.now+second/2+Time(decision.ID*7919%1_000_000))
+			h.admitted[request.Tenant]++
 		} else {
-			b.refused[a.Tenant]++
+			h.refused[request.Tenant]++
 		}
-		b.lastVerdict, b.verdicts[v.ID] = v, v
+		h.lastDecision, h.decisions[decision.ID] = decision, decision
 	})
 	return admitted
 }
 
-func (b *harness) offer(tenant, client, token string) {
-	b.lastID++
-	a := Ask{ID: b.lastID, Tenant: tenant, Client: client, Bytes: 100, Startup: b.now + second, Abandon: b.now + 4*second, Token: token}
-	b.asks[b.lastID] = a
-	b.queue.At(b.now)
-	b.queue.Offer(a)
+func (h *harness) offer(tenant, client, token string) {
+	h.lastID++
+	request := Ask{ID: h.lastID, Tenant: tenant, Client: client, Bytes: 100, Startup: h.now + second, Abandon: h.now + 4*second, Token: token}
+	h.requests[h.lastID] = request
+	h.queue.At(h.now)
+	h.queue.Offer(request)
 }
 
-func newHarness(t Terms, perSec float64) *harness {
-	return &harness{queue: newLimitedQueue(t, perSec), now: second, asks: map[int]Ask{}, admitted: map[string]int{}, refused: map[string]int{}, verdicts: map[int]Verdict{}, limit: perSec}
+func newHarness(config Terms, perSec float64) *harness {
+	return &harness{queue: newLimitedQueue(config, perSec), now: second, requests: map[int]Ask{}, admitted: map[string]int{}, refused: map[string]int{}, decisions: map[int]Verdict{}, limit: perSec}
 }
 
-// A tenant that sends a hundred times its share leaves the others all that they ask within theirs.
+// A tenant that sends a hundred times its share must not cause refusals of tenants within their share.
 func TestFlood(t *testing.T) {
-	h := newHarness(testTerms(1000), 50)
+	h := newHarness(testConfig(1000), 50)
 	for ms := range Time(10_000) {
 		h.now = second + ms*1000
-		if ms%100 == 50 { // ten a second each, of a pace of fifty
+		if ms%100 == 50 { // 10 requests/s each, at an admission rate of 50/s
 			h.offer("a", "1", "")
 			h.offer("b", "1", "")
 		}
@@ -107,9 +108,10 @@
 	}
 }
 
-// Within a tenant one client's flood leaves the others theirs; weights count in proportion.
+// Within a tenant, a flood from one client must not cause refusals of the others. Tenants are served in proportion to
+// their weights.
 func TestClientsAndWeights(t *testing.T) {
-	config := testTerms(1000)
+	config := testConfig(1000)
 	config.Weights = map[string]float64{"big": 3}
 	h := newHarness(config, 50)
 	loneRequests := 0
@@ -118,22 +120,22 @@
 		h.offer("big", "flood", "")
 		h.offer("small", "flood", "")
 		if ms%1000 == 0 {
-			before := h.refused["small"]
+			refusedBefore := h.refused["small"]
 			h.offer("small", "lone", "")
-			if loneRequests++; h.refused["small"] > before {
-				t.Error("a lone client was refused")
+			if loneRequests++; h.refused["small"] > refusedBefore {
+				t.Error("a client with a single request was refused")
 			}
 		}
 		h.settle()
 	}
 	if ratio := float64(h.admitted["big"]) / float64(h.admitted["small"]); ratio < 2.6 || ratio > 3.4 {
-		t.Errorf("ratio %.2f of weights 3 to 1: %v", ratio, h.admitted)
+		t.Errorf("ratio of admissions %.2f, want about 3 as for the weights: %v", ratio, h.admitted)
 	}
 }
 
-// At a bound the most over-served loses, never the lone one; the bounds hold whatever comes.
-func TestBounds(t *testing.T) {
-	h := newHarness(testTerms(100), 1000)
+// At a limit the most over-served tenant loses a request, never one with a single request. The limits always hold.
+func TestQueueLimits(t *testing.T) {
+	h := newHarness(testConfig(100), 1000)
 	for i := range 500 {
 		h.offer("flood", strconv.Itoa(i), "")
 	}
@@ -143,81 +145,82 @@
 	}
 	h.settle()
 	if h.refused["lone"] > 0 {
-		t.Error("the lone one lost")
+		t.Error("the tenant with a single request was refused")
 	}
-	smaller := testTerms(10)
+	smaller := testConfig(10)
 	h.queue.Tell(smaller) // a reload with a smaller queue
 	if n, _ := h.queue.Waiting(); n > 10 {
-		t.Error(n, "wait")
+		t.Error(n, "requests waiting")
 	}
 	h.settle()
-	for i := range 20_000 { // as many tenants
+	for i := range 20_000 { // each from another tenant
 		h.offer("t"+strconv.Itoa(i), "1", "")
 	}
 	if h.queue.Remembered() > 10 {
-		t.Error(h.queue.Remembered(), "remembered")
+		t.Error(h.queue.Remembered(), "tenants with state")
 	}
 }
 
-// A request is not held beyond what its startup target leaves, and at once refused when that is known.
-func TestNeverTooLate(t *testing.T) {
-	h := newHarness(testTerms(1000), 2)
+// A request is held no longer than its startup target allows, and is refused at once if that is known to be too short.
+func TestDeadlines(t *testing.T) {
+	h := newHarness(testConfig(1000), 2)
 	for i := range 20 {
 		h.offer("a", strconv.Itoa(i), "")
 	}
 	h.settle()
 	if n, _ := h.queue.Waiting(); n > requestTolerance || h.refused["a"] < 20-requestTolerance-2 {
-		t.Error(n, "wait", h.refused)
+		t.Error(n, "requests waiting, refused:", h.refused)
 	}
-	h.limit = 0 // capacity is gone
+	h.limit = 0 // no capacity left
 	h.now += second
 	h.settle()
 	if n, _ := h.queue.Waiting(); n != 0 {
-		t.Error(n, "wait past their deadline")
+		t.Error(n, "requests waiting past their deadline")
 	}
 }
 
-// A token is kept once, in its window, for its client.
-func TestPromise(t *testing.T) {
-	h := newHarness(testTerms(1000), 5)
+// A token is valid once, within its return window, for the client that it was issued to.
+func TestRetryToken(t *testing.T) {
+	h := newHarness(testConfig(1000), 5)
 	for i := range 50 {
 		h.offer("a", strconv.Itoa(i), "")
 	}
 	h.offer("a", "me", "")
 	h.settle()
-	verdict := h.verdicts[h.lastID]
-	if verdict.Admit || verdict.Token == "" || verdict.ComeAgain <= 0 {
-		t.Fatalf("%+v", verdict)
+	decision := h.decisions[h.lastID]
+	if decision.Admit || decision.Token == "" || decision.ComeAgain <= 0 {
+		t.Fatalf("expected a refusal with a token and a retry time, got %+v", decision)
 	}
-	due := h.now + verdict.ComeAgain
+	due := h.now + decision.ComeAgain
 	reservations := &h.queue.reservations
-	ask := Ask{Tenant: "a", Client: "me", Token: verdict.Token}
+	request := Ask{Tenant: "a", Client: "me", Token: decision.Token}
 	for name, test := range map[string]struct {
-		ask Ask
-		at  Time
-	}{"early": {ask, due - 1}, "late": {ask, due + 3*second}, "another's": {Ask{Tenant: "a", Client: "you", Token: verdict.Token}, due},
-		"another tenant's": {Ask{Tenant: "b", Client: "me", Token: verdict.Token}, due},
-		"forged":           {Ask{Tenant: "a", Client: "me", Token: verdict.Token[:20] + "AAAA"}, due}, "none": {Ask{Tenant: "a", Client: "me"}, due},
+		request Ask
+		at      Time
+	}{"early": {request, due - 1}, "late": {request, due + 3*second}, "another's": {Ask{Tenant: "a", Client: "you", Token: decision.Token}, due},
+		"another tenant's": {Ask{Tenant: "b", Client: "me", Token: decision.Token}, due},
+		"forged":           {Ask{Tenant: "a", Client: "me", Token: decision.Token[:20] + "AAAA"}, due}, "none": {Ask{Tenant: "a", Client: "me"}, due},
 		"nonsense": {Ask{Tenant: "a", Client: "me", Token: "%%%"}, due}} {
-		if reservations.redeem(&test.ask, test.at) {
-			t.Error(name, "was kept")
+		if reservations.redeem(&test.request, test.at) {
+			t.Error(name, "token was accepted")
 		}
 	}
-	if !reservations.redeem(&ask, due+second/2) || reservations.redeem(&ask, due+second/2+1) {
-		t.Error("not kept once")
+	if !reservations.redeem(&request, due+second/2) || reservations.redeem(&request, due+second/2+1) {
+		t.Error("the token was not accepted exactly once")
 	}
 }
 
-// Promises of one tenant come one after the other at its part of the pace, and early returners keep theirs.
-func TestAdviceSpreads(t *testing.T) {
-	h := newHarness(testTerms(1000), 10)
+// Retry times of one tenant are spread at its share of the admission rate, and a client that returns too early keeps
+// its retry time.
+func TestRetryTimes(t *testing.T) {
+	h := newHarness(testConfig(1000), 10)
 	var dueTimes []Time
 	for i := range 200 {
 		h.offer("a", strconv.Itoa(i), "")
 		refused := h.refused["a"]
 		h.settle()
 		if h.refused["a"] > refused {
-			dueTimes = append(dueTimes, h.now+h.lastVerdict.ComeAgain)
+			dueTimes = append(dueTimes, h.now+h.lastDecision.ComeAgain)
 		}
 	}
 	if len(dueTimes) < 150 {
@@ -225,25 +228,25 @@
 	}
 	for i := 20; i < len(dueTimes); i++ {
 		if gap := dueTimes[i] - dueTimes[i-20]; gap < second || gap > 4*second {
-			t.Fatalf("twenty came within %d us", gap)
+			t.Fatalf("20 consecutive retry times within %d us", gap)
 		}
 	}
-	early := h.verdicts[200]
+	early := h.decisions[200]
 	h.now += early.ComeAgain / 2
 	h.offer("a", "199", early.Token)
 	h.settle()
-	if got := h.verdicts[h.lastID]; got.Token != early.Token || got.ComeAgain != early.ComeAgain-early.ComeAgain/2 {
-		t.Errorf("an early one lost its time: %+v, then %+v", early, got)
+	if repeated := h.decisions[h.lastID]; repeated.Token != early.Token || repeated.ComeAgain != early.ComeAgain-early.ComeAgain/2 {
+		t.Errorf("a client that returned too early lost its retry time: %+v, then %+v", early, repeated)
 	}
 }
 
-// Where nothing may be told, neither the queue nor the module's rejection says when to come again, nor does an early
-// token of a queue that did.
-func TestSilent(t *testing.T) {
-	open := newLimitedQueue(testTerms(1), 1)
+// If retry times are withheld, neither refusals by the queue nor rejections by the module carry one, not even for a
+// token of a queue that does give retry times.
+func TestWithheldRetryTimes(t *testing.T) {
+	open := newLimitedQueue(testConfig(1), 1)
 	open.At(second)
 	_, token := open.Refuse("a", "1")
-	silent := testTerms(1)
+	silent := testConfig(1)
 	silent.Silent = true
 	h := newHarness(silent, 1)
 	for i := range 50 {
@@ -251,11 +254,11 @@
 	}
 	h.settle()
 	if h.refused["a"] == 0 || token == "" {
-		t.Fatal("nothing was refused", h.refused, token)
+		t.Fatal("no request refused, or no token issued", h.refused, token)
 	}
-	for id, v := range h.verdicts {
-		if v.ComeAgain != 0 || v.Token != "" {
-			t.Errorf("%d is told %+v", id, v)
+	for id, decision := range h.decisions {
+		if decision.ComeAgain != 0 || decision.Token != "" {
+			t.Errorf("refusal of request %d carries a retry time: %+v", id, decision)
 		}
 	}
 	if retryAfter, token := h.queue.Refuse("a", "9"); retryAfter != 0 || token != "" {
@@ -263,11 +266,11 @@
 	}
 }
 
-// The window follows what the module takes, shrinks at once when that does, and opens up again.
-func TestPace(t *testing.T) {
-	queue := New(testTerms(1000), 0)
+// The window follows the module's capacity, shrinks at once with it, and ends after a quiet time.
+func TestAdmissionWindow(t *testing.T) {
+	queue := New(testConfig(1000), 0)
 	capacity, now, id := 80, Time(0), 0
-	var endTimes []Time // the moments at which they end
+	var endTimes []Time // end times of active playbacks
 	rejected := 0
 	for ms := range Time(20_000) {
 		if now = ms * 1000; ms == 10_000 {
@@ -278,15 +281,15 @@
 			queue.Ended()
 		}
 		queue.At(now)
-		if ms%5 == 0 { // two hundred a second
+		if ms%5 == 0 { // 200 requests/s
 			id++
 			queue.Offer(Ask{ID: id, Tenant: strconv.Itoa(id % 3), Startup: now + second, Abandon: now + 4*second})
 		}
 		for admitted := true; admitted; {
 			admitted = false
 			queue.Carrying(len(endTimes))
-			queue.Settle(func(v Verdict) {
-				if !v.Admit {
+			queue.Settle(func(decision Verdict) {
+				if !decision.Admit {
 					return
 				}
 				if admitted = true; len(endTimes) >= capacity {
@@ -300,54 +303,54 @@
 			})
 		}
 		if ms == 9_999 && (len(endTimes) < 65 || queue.PerSec() < 30 || queue.PerSec() > 45) {
-			t.Error(len(endTimes), "of 80 play,", queue.PerSec(), "a second")
+			t.Error(len(endTimes), "of 80 playbacks active,", queue.PerSec(), "admissions/s")
 		}
 	}
 	if len(endTimes) < 30 || rejected > 20 {
-		t.Error(len(endTimes), "of 40 play,", rejected, "were rejected")
+		t.Error(len(endTimes), "of 40 playbacks active,", rejected, "rejected")
 	}
 	queue.Settle(func(Verdict) {})
-	for range 2 { // what waits goes first
+	for range 2 { // the first round clears the waiting requests
 		now += 60 * second
 		queue.At(now)
 		queue.Settle(func(Verdict) {})
 	}
 	if !math.IsInf(queue.PerSec(), 1) {
-		t.Error("still limited:", queue.PerSec())
+		t.Error("admission is still limited:", queue.PerSec())
 	}
 }
 
-// A door never counts an address as slower than it is, in fixed memory.
-func TestDoor(t *testing.T) {
-	door := NewDoor(Limits{PerAddress: 10, PerConnection: 5}, 1, 0)
+// A limiter of fixed size never underestimates the rate of an address.
+func TestLimiter(t *testing.T) {
+	limiter := NewDoor(Limits{ConnectionsPerAddress: 10, PerConnection: 5}, 1, 0)
 	accepted := 0
 	for ms := range Time(10_000) {
-		if door.Connect("fast", ms*1000) {
+		if limiter.Connect("fast", ms*1000) {
 			accepted++
 		}
-		if ms%200 == 0 && !door.Connect(fmt.Sprint("slow", ms%1000), ms*1000) {
-			t.Error("a slow one was turned away at", ms)
+		if ms%200 == 0 && !limiter.Connect(fmt.Sprint("slow", ms%1000), ms*1000) {
+			t.Error("a connection from a slow address was refused at ms", ms)
 		}
 	}
 	if accepted > 110 || accepted < 50 {
-		t.Error(accepted, "of the fast one in ten seconds")
+		t.Error(accepted, "connections of the fast address allowed in 10 s")
 	}
-	var r Rate
+	var bucket Rate
 	accepted = 0
 	for ms := range Time(10_000) {
-		if door.Request(&r, second+ms*1000) {
+		if limiter.Request(&bucket, second+ms*1000) {
 			accepted++
 		}
 	}
 	if accepted > 56 || accepted < 50 {
-		t.Error(accepted, "requests in ten seconds")
+		t.Error(accepted, "requests allowed in 10 s")
 	}
 }
 
-// Whatever comes: each request has one verdict, none is held past its deadline, and the counts agree.
-func TestAnyOrder(t *testing.T) {
+// For any sequence of events, each request gets one decision, none is held past its deadline, and the counts agree.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		config := testTerms(rapid.IntRange(1, 30).Draw(rt, "waiting"))
+		config := testConfig(rapid.IntRange(1, 30).Draw(rt, "waiting"))
 		config.Tenants = rapid.IntRange(1, 10).Draw(rt, "tenants")
 		config.Clients = rapid.IntRange(0, 10).Draw(rt, "clients")
 		config.Unfair = Order(rapid.IntRange(0, 2).Draw(rt, "order"))
@@ -383,28 +386,28 @@
 						Client: strconv.Itoa(rapid.IntRange(0, 5).Draw(rt, "client")), Startup: now + second, Abandon: now + 2*second})
 				}
 			}
-			queue.Settle(func(v Verdict) {
-				due, ok := waiting[v.ID]
+			queue.Settle(func(decision Verdict) {
+				deadline, ok := waiting[decision.ID]
 				if !ok {
-					rt.Fatalf("second verdict for %d", v.ID)
+					rt.Fatalf("second decision for request %d", decision.ID)
 				}
-				_ = due
-				delete(waiting, v.ID)
+				_ = deadline
+				delete(waiting, decision.ID)
 			})
 			requests, bytes := queue.Waiting()
 			if requests != len(waiting) || requests > config.Waiting || bytes > config.Bytes || len(queue.tenants) > config.Tenants || queue.idleClientCount > config.Clients {
-				rt.Fatalf("%d wait, %d open, %d bytes, %d tenants, %d clients", requests, len(waiting), bytes, len(queue.tenants), queue.idleClientCount)
+				rt.Fatalf("%d waiting, want %d; %d bytes, %d tenants, %d idle clients", requests, len(waiting), bytes, len(queue.tenants), queue.idleClientCount)
 			}
 			total := 0
 			for _, t := range queue.tenants {
 				total += t.waiting
 			}
 			if total != requests || queue.deadlines.len() != requests {
-				rt.Fatalf("%d of tenants, %d deadlines, %d wait", total, queue.deadlines.len(), requests)
+				rt.Fatalf("%d waiting over all tenants, %d deadlines, want %d", total, queue.deadlines.len(), requests)
 			}
-			for id, due := range waiting {
-				if due < now {
-					rt.Fatalf("%d held past its startup target", id)
+			for id, deadline := range waiting {
+				if deadline < now {
+					rt.Fatalf("request %d held past its startup target", id)
 				}
 			}
 		}
@@ -414,7 +417,7 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(n, " tenants"), func(b *testing.B) {
-			config := testTerms(n)
+			config := testConfig(n)
 			config.Startup = 1000 * second
 			queue := newLimitedQueue(config, 1e12)
 			names := make([]string, n)
@@ -424,7 +427,7 @@
 			}
 			i := 0
 			b.ReportAllocs()
-			for b.Loop() { // one out, one in
+			for b.Loop() { // one request leaves, another enters
 				queue.serve(queue.next())
 				queue.decisions = queue.decisions[:0]
 				i++
--- a/internal/fair/heap.go
+++ b/internal/fair/heap.go
@@ -1,7 +1,7 @@
 package fair
 
-// heap is a binary heap whose elements know their places (counted from 1; 0 is outside), so that one that
-// changes can be moved.
+// heap is a binary heap whose items store their positions (counted from 1; 0 is not in the heap), so that an
+// item can be moved or removed after its key has changed.
 type heap[T comparable] struct {
 	items   []T
 	less    func(a, b T) bool
--- a/internal/fair/lead.go
+++ b/internal/fair/lead.go
@@ -1,32 +1,32 @@
 package fair
 
-// Standing is how far ahead of the others a tenant is, by what it was served, over its weight. A process that
-// comes back with it does not give those who had most their whole part anew.
+// Standing is the virtual time by which a tenant is ahead of the others: its service divided by its weight. A
+// process that restores it after a restart does not give the most over-served tenants their whole share again.
 type Standing struct {
 	Tenant string  `json:"tenant"`
 	Ahead  float64 `json:"ahead"`
 }
 
-// Standing tells of those tenants that are ahead, in no order. What waits is not of it: it ends with the
-// process.
-func (q *Queue) Standing() (all []Standing) {
-	for _, t := range q.tenants {
-		if t.startTag > q.virtualTime {
-			all = append(all, Standing{t.name, t.startTag - q.virtualTime})
+// Standing returns the tenants that are ahead, in no particular order. Waiting requests are not included, as they
+// end with the process.
+func (q *Queue) Standing() (leads []Standing) {
+	for _, tenant := range q.tenants {
+		if tenant.startTag > q.virtualTime {
+			leads = append(leads, Standing{tenant.name, tenant.startTag - q.virtualTime})
 		}
 	}
-	return all
+	return leads
 }
 
-// Resume takes up the standing of an earlier process, for tenants of which nothing is known yet. Figures that
-// no queue can have had are passed over, and at most as many are taken as are remembered.
-func (q *Queue) Resume(all []Standing) {
-	for _, s := range all {
-		if !(s.Ahead > 0 && s.Ahead < 1e12) || q.tenants[s.Tenant] != nil || len(q.tenants) >= q.config.Tenants {
+// Resume restores the leads of an earlier process, for tenants without state. Impossible values are skipped, and no
+// more entries are restored than the limit on tenants allows.
+func (q *Queue) Resume(leads []Standing) {
+	for _, lead := range leads {
+		if !(lead.Ahead > 0 && lead.Ahead < 1e12) || q.tenants[lead.Tenant] != nil || len(q.tenants) >= q.config.Tenants {
 			continue
 		}
-		t := q.lookup(s.Tenant)
-		t.startTag = q.virtualTime + s.Ahead
-		q.idle.fix(t)
+		tenant := q.lookup(lead.Tenant)
+		tenant.startTag = q.virtualTime + lead.Ahead
+		q.idle.fix(tenant)
 	}
 }
--- a/internal/fair/limits.go
+++ b/internal/fair/limits.go
@@ -6,28 +6,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits are the bounds of the door itself, before any request is read. 0 is no bound.
+// Limits holds the limits on connections and request rates, which apply before admission. 0 is no limit.
 type Limits struct {
-	PerAddress    float64 // new connections a second from one address
-	PerConnection float64 // requests a second on one connection
-	HalfOpen      int     // connections on which no request has come in whole
+	ConnectionsPerAddress float64 // new connections/s from one address
+	PerConnection         float64 // requests/s on one connection
+	HalfOpen              int     // connections without a complete request so far
 }
 
-// Reason is why a connection or a request was turned away at the door.
-type Reason int
+// RefusalReason is the reason for which a connection or request was refused before admission.
+type RefusalReason int
 
-// The reasons.
+// The reasons for such refusals.
 const (
-	TooManyConnections Reason = iota
-	AddressTooFast
-	RequestsTooFast
+	TooManyConnections RefusalReason = iota
+	AddressRateExceeded
+	RequestRateExceeded
 	HalfOpenTooLong
 	SlowSender
 	HeaderFlood
 	Reasons
 )
 
-func (r Reason) String() string {
+func (r RefusalReason) String() string {
 	return [...]string{"connections", "address rate", "request rate", "half open", "slow sender", "header flood"}[r]
 }
 
@@ -35,13 +35,14 @@
 	sketchRows      = 4
 	sketchColumns   = 4096
 	microsPerSecond = 1_000_000
-	burstSeconds    = 2 // seconds of an address's rate that may come at once
+	burstSeconds    = 2 // burst of an address, in seconds of its rate
 )
 
-// Door counts new connections by address. The count is a sketch of fixed size (count-min, Cormode and
-// Muthukrishnan, 2005, with conservative update), emptied by halves: two counts of a second each take turns.
-// An address is never counted as slower than it is; one that shares all four places with a fast one may be
-// turned away with it, which a new key each turn keeps short.
+// Door limits the rate of new connections per address and of requests per connection, and counts refusals.
+// Connections are counted in a sketch of fixed size (count-min, Cormode and Muthukrishnan, 2005, with conservative
+// update); two sketches of a second each alternate. The rate of an address is never underestimated. An address
+// that shares all four cells with a fast one may be refused with it; a new hash key at each rotation keeps that
+// short.
 type Door struct {
 	Limits
 	sketches   [2][sketchRows][sketchColumns]uint32
@@ -51,47 +52,47 @@
 	Refused    [Reasons]int64
 }
 
-// NewDoor makes a door; the seed keys its counts.
-func NewDoor(l Limits, seed uint64, now Time) *Door {
-	d := &Door{Limits: l, seed: seed, rotatedAt: now}
-	d.sketchKeys = [2]uint64{d.nextKey(), d.nextKey()}
-	return d
+// NewDoor returns a limiter with the given limits; the seed determines the hash keys of its sketches.
+func NewDoor(limits Limits, seed uint64, now Time) *Door {
+	limiter := &Door{Limits: limits, seed: seed, rotatedAt: now}
+	limiter.sketchKeys = [2]uint64{limiter.nextKey(), limiter.nextKey()}
+	return limiter
 }
 
-func (d *Door) nextKey() uint64 {
-	d.seed = d.seed*6364136223846793005 + 1442695040888963407
-	return d.seed
+func (l *Door) nextKey() uint64 {
+	l.seed = l.seed*6364136223846793005 + 1442695040888963407
+	return l.seed
 }
 
-// Turn notes that something was turned away.
-func (d *Door) Turn(r Reason) { d.Refused[r]++ }
+// Turn counts a refusal.
+func (l *Door) Turn(reason RefusalReason) { l.Refused[reason]++ }
 
-// Connect tells whether a new connection of an address may come in now.
-func (d *Door) Connect(address string, now Time) bool {
-	if d.PerAddress <= 0 {
+// Connect reports whether a new connection from an address is allowed now.
+func (l *Door) Connect(address string, now Time) bool {
+	if l.ConnectionsPerAddress <= 0 {
 		return true
 	}
-	for ; now-d.rotatedAt >= burstSeconds*microsPerSecond/2; d.rotatedAt = max(d.rotatedAt+burstSeconds*microsPerSecond/2, now-burstSeconds*microsPerSecond) {
-		d.sketches[1], d.sketchKeys[1] = d.sketches[0], d.sketchKeys[0]
-		d.sketches[0], d.sketchKeys[0] = [sketchRows][sketchColumns]uint32{}, d.nextKey()
+	for ; now-l.rotatedAt >= burstSeconds*microsPerSecond/2; l.rotatedAt = max(l.rotatedAt+burstSeconds*microsPerSecond/2, now-burstSeconds*microsPerSecond) {
+		l.sketches[1], l.sketchKeys[1] = l.sketches[0], l.sketchKeys[0]
+		l.sketches[0], l.sketchKeys[0] = [sketchRows][sketchColumns]uint32{}, l.nextKey()
 	}
-	count := d.count(0, address, false) + d.count(1, address, false)
-	if float64(count)+1 > d.PerAddress*burstSeconds {
-		d.Turn(AddressTooFast)
+	count := l.count(0, address, false) + l.count(1, address, false)
+	if float64(count)+1 > l.ConnectionsPerAddress*burstSeconds {
+		l.Turn(AddressRateExceeded)
 		return false
 	}
-	d.count(0, address, true)
+	l.count(0, address, true)
 	return true
 }
 
-// count is the least of an address's places, raised by one on demand.
-func (d *Door) count(sketch int, address string, increment bool) uint32 {
-	keyed := append(binary.BigEndian.AppendUint64(make([]byte, 0, 64), d.sketchKeys[sketch]), address...)
+// count returns the estimate for an address in a sketch, the least of its cells, and increments it on request.
+func (l *Door) count(sketch int, address string, increment bool) uint32 {
+	keyed := append(binary.BigEndian.AppendUint64(make([]byte, 0, 64), l.sketchKeys[sketch]), address...)
 	hash := xxhash.Sum64(keyed)
 	least := ^uint32(0)
 	var cells [sketchRows]*uint32
 	for i := range cells {
-		cells[i] = &d.sketches[sketch][i][(hash>>(16*i))%sketchColumns]
+		cells[i] = &l.sketches[sketch][i][(hash>>(16*i))%sketchColumns]
 		least = min(least, *cells[i])
 	}
 	for i := 0; increment && i < sketchRows; i++ {
@@ -100,25 +101,25 @@
 	return least
 }
 
-// Rate holds one connection to a rate: a bucket of a second's requests.
+// Rate is the token bucket of a connection; it holds one second's requests.
 type Rate struct {
 	tokens     float64
 	refilledAt Time
 }
 
-// Request tells whether one more may be taken now.
-func (d *Door) Request(r *Rate, now Time) bool {
-	if d.PerConnection <= 0 {
+// Request reports whether a connection may send another request now.
+func (l *Door) Request(bucket *Rate, now Time) bool {
+	if l.PerConnection <= 0 {
 		return true
 	}
-	if r.refilledAt == 0 {
-		r.tokens = max(d.PerConnection, 1)
+	if bucket.refilledAt == 0 {
+		bucket.tokens = max(l.PerConnection, 1)
 	}
-	r.tokens = min(r.tokens+float64(now-r.refilledAt)/microsPerSecond*d.PerConnection, max(d.PerConnection, 1))
-	if r.refilledAt = now; r.tokens < 1 {
-		d.Turn(RequestsTooFast)
+	bucket.tokens = min(bucket.tokens+float64(now-bucket.refilledAt)/microsPerSecond*l.PerConnection, max(l.PerConnection, 1))
+	if bucket.refilledAt = now; bucket.tokens < 1 {
+		l.Turn(RequestRateExceeded)
 		return false
 	}
-	r.tokens--
+	bucket.tokens--
 	return true
 }
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -1,10 +1,12 @@
-// Package fair decides when a playback that has come to the door is put before the decision module, and
-// which are refused before: fair by tenant, within a tenant by client, in bounded memory, with an honest
-// time to come back. It is free of I/O and of any wire. docs/fair.md tells the options weighed.
+// Package fair implements the admission queue of a session manager. It decides when a playback request is
+// passed to the decision module and which requests are refused before that. The queue is fair between tenants
+// and, within a tenant, between clients; its memory is bounded, and refused clients are given a retry time
+// that the queue expects to keep. The package does no I/O and is independent of the wire protocol.
+// docs/fair.md compares the alternatives considered.
 //
-// The order is start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996), in two levels: tenants by their
-// weights, and the clients of each. The state of a tenant or client is one virtual start time and a count;
-// it is needed only while something waits or while it has had more than its part of late.
+// Requests are ordered by start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996) on two levels: tenants by
+// weight, and the clients of each tenant. The state of a tenant or client is a virtual start time and a count;
+// it is needed only while requests wait or while the tenant or client has recently had more than its share.
 package fair
 
 import (
@@ -17,212 +19,219 @@
 // Time is a clock value or span in microseconds.
 type Time = int64
 
-// Terms are what a queue is told at its start, or by a reload.
+// Terms holds the configuration of a Queue, set at its start and replaced by a reload.
 type Terms struct {
-	Waiting int                // requests that wait, at most
-	Bytes   int                // that they hold, at most
-	Tenants int                // tenants of which something is remembered, at most
-	Clients int                // clients of all tenants of which something is remembered, beside those that wait
-	Startup Time               // the longest startup target
-	Longest Time               // the longest advice that clients honour, 0 for any
-	Silent  bool               // nobody is told when to come again, and nothing is promised
-	Weights map[string]float64 // of tenants; 1 for those not named
-	Secret  []byte             // of the tokens; managers that share it know each other's
-	Unfair  Order              // a baseline's order in place of the fair one
-	PerSec  float64            // of the bucket baseline: each tenant's rate
-}
-
-// Order is how requests are put in line.
+	Waiting int                // maximum number of waiting requests
+	Bytes   int                // maximum size of the waiting requests together
+	Tenants int                // maximum number of tenants with state
+	Clients int                // maximum number of clients with state but without waiting requests, over all tenants
+	Startup Time               // longest startup target of the plans
+	Longest Time               // longest retry time that clients honour; 0 for no limit
+	Silent  bool               // refusals carry neither a retry time nor a token
+	Weights map[string]float64 // by tenant; 1 for tenants not listed
+	Secret  []byte             // key of the retry tokens; managers that share it accept each other's tokens
+	Unfair  Order              // queueing discipline; a baseline if not the fair one
+	PerSec  float64            // rate of each tenant in the token bucket baseline, in requests/s
+}
+
+// Order is a queueing discipline.
 type Order int
 
-// The orders. All but Fair are baselines to measure against.
+// The queueing disciplines. All but the first are baselines for comparison.
 const (
 	Fair    Order = iota
-	Fifo          // one line, first come first served
-	Buckets       // a token bucket for each tenant, one line behind them
+	Fifo          // a single queue, first come first served
+	Buckets       // a token bucket per tenant in front of a single queue
 )
 
-// Ask is a request at the door.
+// Ask is a playback request that is offered to the queue.
 type Ask struct {
 	ID               int
 	Tenant, Client   string
 	Bytes            int
-	Startup, Abandon Time   // clock times of the startup target and of the abandon time
-	Token            string // of an earlier refusal, if it brings one
+	Startup, Abandon Time   // clock times at which the startup target and the abandon time end
+	Token            string // retry token of an earlier refusal, if any
 }
 
-// Cause is why a request was refused.
+// Cause is the reason for which a request was refused.
 type Cause int
 
-// The causes.
+// The causes of refusals.
 const (
-	Late    Cause = iota // its turn would come, or has come, too late for its startup target
-	Crowded              // a bound was reached and it was of the most over-served
-	NoRoom               // the module rejected it
+	TooLate    Cause = iota // its turn would come, or came, too late for its startup target
+	QueueFull               // a queue limit was reached and its tenant was the most over-served
+	NoCapacity              // the module rejected it for lack of capacity
 	Causes
 )
 
 func (c Cause) String() string { return [...]string{"late", "crowded", "no room"}[c] }
 
-// Verdict is what becomes of a request.
+// Verdict is the queue's decision on a request.
 type Verdict struct {
 	ID        int
 	Admit     bool
 	Cause     Cause
-	ComeAgain Time   // after so long; 0 where no time can be told
-	Token     string // to bring back then; empty without a promise
+	ComeAgain Time   // delay until the client should retry; 0 if no time is given
+	Token     string // to present on the retry; empty if no time was reserved
 }
 
 const (
-	meterBuckets        = 8
-	windowShare         = 0.88 // the window is this part of what was carried when a rejection was met;
-	ceilingShare        = 0.94 // and at most this part of what those within their part may use;
-	slowGrowth          = 0.01 // it grows by this part in a span of two startup targets up to there,
-	fastGrowth          = 0.40 // and by this one beyond, while nothing is rejected
-	peakDecaySpans      = 32   // spans over which the most that was carried fades
-	toleratedRejections = 2    // rejections in a row that may be bad luck at the edge of what there is room for
-	probesPerPause      = 4    // at least so many are tried in a breath while there is no room
-	serviceSpans        = 2    // spans over which a tenant's drain is measured
-	returnWindows       = 4    // windows of promises over which it is measured how many are kept
-	reservedShare       = 0.88 // of what others leave of the pace is promised to those who come back
-	shareTolerance      = 2    // times a tenant's part of the drain that still counts as within it
-	requestTolerance    = 4    // requests by which a tenant may be ahead or behind and counts as within its part
-	longTurnDivisor     = 8    // a turn over this part of the startup target counts as a rejection
-	quietSpans          = 4    // spans without a rejection or anything waiting, until all are admitted as they come
-	setupReserve        = 2    // times the usual setup time is kept for the setup
+	meterBuckets        = 8    // buckets in which a span is measured
+	windowShare         = 0.88 // limit after a rejection, as a share of the playbacks then active
+	ceilingShare        = 0.94 // largest limit as a share of the ceiling; a larger limit raises the ceiling
+	slowGrowth          = 0.01 // growth of the limit per span of two startup targets, below the ceiling
+	fastGrowth          = 0.40 // growth per span from the ceiling on, while nothing is rejected
+	peakDecaySpans      = 32   // decay time of the peak of active playbacks, in spans
+	toleratedRejections = 2    // consecutive rejections that may be chance close to full capacity
+	probesPerPause      = 4    // minimum number of attempts in a pause while there is no capacity
+	serviceSpans        = 2    // spans over which the service of a tenant is measured
+	returnWindows       = 4    // return windows over which the share of clients that return is measured
+	reservedShare       = 0.88 // share of the remaining admission rate that is reserved for returning clients
+	shareTolerance      = 2    // multiple of a tenant's fair rate that counts as within its share
+	requestTolerance    = 4    // requests by which a tenant may be ahead or behind and count as within its share
+	longTurnDivisor     = 8    // a turn longer than the startup target divided by this counts as a rejection
+	quietSpans          = 4    // spans without rejections or waiting requests until admission is unlimited again
+	setupReserve        = 2    // multiple of the usual setup time that is left for the setup
 )
 
+// queuedRequest is a request with its state in the queue.
 type queuedRequest struct {
 	Ask
 	arrived   Time
-	deadline  Time // refused then, if it still waits
-	tenant    *tenant
-	client    *client
-	returning bool // it came back when told to
+	deadline  Time // refused at this time if it still waits
+	tenant    *tenantQueue
+	client    *clientQueue
+	returning bool // presented a valid token within its return window
 	seq       uint64
-	heapIndex int // in the queue's deadlines
+	heapIndex int // in Queue.deadlines
 }
 
-// tenant is one class of the fair order; client is one of its.
-type tenant struct {
+// tenantQueue is the scheduling state of a tenant, and clientQueue that of one of its clients.
+type tenantQueue struct {
 	name          string
 	weight        float64
-	startTag      float64 // virtual time of its next service
-	virtualTime   float64 // among its clients
+	startTag      float64 // virtual start time of its next request
+	virtualTime   float64 // of the scheduling among its clients
 	waiting       int
-	byStart       heap[*client] // by start
-	byFinish      heap[*client] // by virtual end of what waits
-	clients       map[string]*client
-	returning     []*queuedRequest // came back when told: served before the others
-	reservedUntil Time             // until when its part of the pace is promised
-	heapIndex     [4]int           // in the queue's heaps
-	overServed    bool             // it was served more than its part of late, when that was last looked at
-	lastRequest   Time             // last
-	activeSince   Time             // to ask, after a pause
+	byStart       heap[*clientQueue] // clients with waiting requests, by start tag
+	byFinish      heap[*clientQueue] // the same clients, latest finish tag first
+	clients       map[string]*clientQueue
+	returning     []*queuedRequest // returned at their reserved time; served before the others
+	reservedUntil Time             // end of the reserved part of its share of the admission rate
+	heapIndex     [4]int           // in the heaps of Queue
+	overServed    bool             // had recently been served more than its share at the last update
+	lastRequest   Time
+	activeSince   Time // start of the current series of requests, after a span without any
 	served        meter.Count
-	bucketTokens  float64 // of the bucket baseline
+	bucketTokens  float64 // of the token bucket baseline
 	refilledAt    Time
-	Figures       TenantFigures
+	Stats         TenantFigures
 }
 
-type client struct {
+type clientQueue struct {
 	name      string
-	tenant    *tenant
+	tenant    *tenantQueue
 	startTag  float64
 	waiting   []*queuedRequest
 	heapIndex [2]int
-	idleSeq   uint64 // when it last had something waiting, by the queue's count
+	idleSeq   uint64 // value of Queue.seq when it became idle; 0 if it is not kept as idle
 }
 
-// TenantFigures count what became of a tenant's requests.
+// TenantFigures counts the requests of a tenant by outcome.
 type TenantFigures struct{ Asked, Admitted, Refused, Returned int64 }
 
-// Queue is the door of one session manager.
+// Queue is the admission queue of one session manager. It is not safe for concurrent use.
 type Queue struct {
 	config                Terms
 	now                   Time
-	tenants               map[string]*tenant
-	byStart               heap[*tenant]        // that have something waiting, by start
-	byFinish              heap[*tenant]        // the same, by virtual end of what waits
-	leastServed           heap[*tenant]        // the same the other way round
-	idle                  heap[*tenant]        // remembered only, by start
-	deadlines             heap[*queuedRequest] // of all that waits
-	baselineQueue         []*queuedRequest     // of the baselines
+	tenants               map[string]*tenantQueue
+	byStart               heap[*tenantQueue]   // tenants with waiting requests, by start tag
+	byFinish              heap[*tenantQueue]   // the same tenants, latest finish tag (most over-served) first
+	leastServed           heap[*tenantQueue]   // the same tenants, those within their share first, then by finish tag
+	idle                  heap[*tenantQueue]   // tenants without waiting requests, by start tag
+	deadlines             heap[*queuedRequest] // all waiting requests, by deadline
+	baselineQueue         []*queuedRequest     // of the baseline disciplines
 	byID                  map[int]*queuedRequest
 	virtualTime           float64
-	waitingWeight         float64 // of the tenants that have something waiting
+	waitingWeight         float64 // sum of the weights of tenants with waiting requests
 	waitingBytes          int
 	seq                   uint64
 	randomDraws           uint32
-	setupTime             float64 // usual setup time
+	setupTime             float64 // moving average, in microseconds
 	window                admissionWindow
 	reservations          reservations
-	reservedUntil         Time        // until when the pace is promised to those who come back
-	servedWithinShare     meter.Count // admitted, of tenants within their part
+	reservedUntil         Time        // end of the reserved part of the admission rate of all tenants together
+	servedWithinShare     meter.Count // admissions of tenants within their share
 	decisions             []Verdict
-	noCapacity            bool   // the module's latest word was that there is no room
-	consecutiveRejections int    // in a row
-	nextProbe             Time   // not asked before, while full
-	pausedUntil           Time   // until when only the sparse are served
-	awaitingResult        bool   // the word on the one admitted last is not out yet
-	untracked             tenant // the figures of tenants no longer remembered
+	noCapacity            bool // set by repeated rejections until the module accepts a request again
+	consecutiveRejections int
+	nextProbe             Time        // earliest time of the next attempt while noCapacity is set
+	pausedUntil           Time        // until then only tenants within their share are served
+	awaitingResult        bool        // the module has not yet answered the request admitted last
+	untracked             tenantQueue // counts the requests of tenants without state
 	Refused               [Causes]int64
 	Admitted              int64
 	freeRequests          []*queuedRequest
-	idleClients           []idleClient // clients remembered without anything waiting, oldest first
-	idleHead              int          // of departed, at its beginning: no longer remembered
-	idleClientCount       int          // of them
-	activeWeight          float64      // weights of the tenants that asked of late
+	idleClients           []idleClient // clients kept without waiting requests, oldest first
+	idleHead              int          // number of entries at the start of idleClients that are no longer in use
+	idleClientCount       int          // number of idle clients with state
+	activeWeight          float64      // sum of the weights of tenants with a request in the last span
 	activeWeightAt        Time
 }
 
+// idleClient is an entry of Queue.idleClients. It is valid while the client still has the same idleSeq.
 type idleClient struct {
-	client  *client
+	client  *clientQueue
 	idleSeq uint64
 }
 
-// New makes a queue.
+// New returns an empty queue.
 func New(config Terms, now Time) *Queue {
-	q := &Queue{now: now, tenants: make(map[string]*tenant, 64), byID: make(map[int]*queuedRequest, 64)}
-	q.byStart = heap[*tenant]{less: func(a, b *tenant) bool { return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name },
-		indexOf: func(t *tenant) *int { return &t.heapIndex[0] }}
-	q.byFinish = heap[*tenant]{less: func(a, b *tenant) bool {
+	q := &Queue{now: now, tenants: make(map[string]*tenantQueue, 64), byID: make(map[int]*queuedRequest, 64)}
+	q.byStart = heap[*tenantQueue]{less: func(a, b *tenantQueue) bool {
+		return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name
+	},
+		indexOf: func(t *tenantQueue) *int { return &t.heapIndex[0] }}
+	q.byFinish = heap[*tenantQueue]{less: func(a, b *tenantQueue) bool {
 		return a.finishTag() > b.finishTag() || a.finishTag() == b.finishTag() && a.name < b.name
 	},
-		indexOf: func(t *tenant) *int { return &t.heapIndex[1] }}
-	q.leastServed = heap[*tenant]{less: func(a, b *tenant) bool {
+		indexOf: func(t *tenantQueue) *int { return &t.heapIndex[1] }}
+	q.leastServed = heap[*tenantQueue]{less: func(a, b *tenantQueue) bool {
 		if a.overServed != b.overServed {
 			return b.overServed
 		}
 		return a.finishTag() < b.finishTag() || a.finishTag() == b.finishTag() && a.name < b.name
 	},
-		indexOf: func(t *tenant) *int { return &t.heapIndex[3] }}
-	q.idle = heap[*tenant]{less: func(a, b *tenant) bool { return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name },
-		indexOf: func(t *tenant) *int { return &t.heapIndex[2] }}
+		indexOf: func(t *tenantQueue) *int { return &t.heapIndex[3] }}
+	q.idle = heap[*tenantQueue]{less: func(a, b *tenantQueue) bool {
+		return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name
+	},
+		indexOf: func(t *tenantQueue) *int { return &t.heapIndex[2] }}
 	q.deadlines = heap[*queuedRequest]{less: func(a, b *queuedRequest) bool {
 		return a.deadline < b.deadline || a.deadline == b.deadline && a.seq < b.seq
 	}, indexOf: func(r *queuedRequest) *int { return &r.heapIndex }}
 	q.window = newAdmissionWindow(config.Startup, now)
 	q.reservations = newReservations(config.Secret, config.Startup, now)
 	q.servedWithinShare = meter.NewCount(serviceSpans*q.window.span, meterBuckets)
-	q.untracked = tenant{weight: 1, served: meter.NewCount(serviceSpans*q.window.span, meterBuckets)}
+	q.untracked = tenantQueue{weight: 1, served: meter.NewCount(serviceSpans*q.window.span, meterBuckets)}
 	q.Tell(config)
 	return q
 }
 
-// end is the virtual time at which the last of what waits would have been served: who has the latest is the
-// most over-served.
-func (t *tenant) finishTag() float64 { return t.startTag + float64(t.waiting)/t.weight }
-func (c *client) finishTag() float64 { return c.startTag + float64(len(c.waiting)) }
+// finishTag is the virtual time at which the last waiting request would have been served. The tenant with the
+// latest finish tag is the most over-served.
+func (t *tenantQueue) finishTag() float64 { return t.startTag + float64(t.waiting)/t.weight }
+func (c *clientQueue) finishTag() float64 { return c.startTag + float64(len(c.waiting)) }
 
-// Tell gives new terms while requests wait: weights count from now on, and what no longer fits is refused.
+// Tell replaces the configuration while requests wait: new weights apply from now on, and requests that exceed
+// the new limits are refused.
 func (q *Queue) Tell(config Terms) {
 	q.config = config
 	q.waitingWeight = 0
-	for _, t := range q.tenants {
-		t.weight = weightOf(config.Weights, t.name)
-		if t.waiting > 0 {
-			q.waitingWeight += t.weight
+	for _, tenant := range q.tenants {
+		tenant.weight = weightOf(config.Weights, tenant.name)
+		if tenant.waiting > 0 {
+			q.waitingWeight += tenant.weight
 		}
 	}
 	q.byFinish.init()
@@ -240,89 +249,90 @@
 	return 1
 }
 
-// At begins a turn.
+// At starts a turn at the given time.
 func (q *Queue) At(now Time) {
 	q.now = max(q.now, now)
 	q.reservations.advance(q.now)
 }
 
-// Behind tells by how much this turn comes late: those who came back in time meanwhile have not come late.
+// Behind reports the delay of this turn. Clients that returned in time during the delay do not count as late.
 func (q *Queue) Behind(late Time) { q.reservations.lag = max(late, 0) }
 
-// Offer takes a request. What becomes of it comes out of Settle, at the latest at its deadline.
-func (q *Queue) Offer(ask Ask) {
-	if q.byID[ask.ID] != nil {
+// Offer adds a request. The decision on it is emitted later, at its deadline at the latest.
+func (q *Queue) Offer(offered Ask) {
+	if q.byID[offered.ID] != nil {
 		return
 	}
-	t := q.lookup(ask.Tenant)
-	t.Figures.Asked++
-	if q.now-t.lastRequest > q.window.span {
-		t.activeSince = q.now
+	tenant := q.lookup(offered.Tenant)
+	tenant.Stats.Asked++
+	if q.now-tenant.lastRequest > q.window.span {
+		tenant.activeSince = q.now
 	}
-	t.lastRequest = q.now
-	r := q.newRequest()
-	r.Ask, r.arrived, r.tenant = ask, q.now, t
-	r.returning = q.reservations.redeem(&ask, q.now)
-	if r.returning {
-		t.Figures.Returned++
+	tenant.lastRequest = q.now
+	request := q.newRequest()
+	request.Ask, request.arrived, request.tenant = offered, q.now, tenant
+	request.returning = q.reservations.redeem(&offered, q.now)
+	if request.returning {
+		tenant.Stats.Returned++
 	}
-	r.deadline = min(ask.Startup, ask.Abandon) - Time(setupReserve*q.setupTime)
+	request.deadline = min(offered.Startup, offered.Abandon) - Time(setupReserve*q.setupTime)
 	switch {
-	case t == &q.untracked:
-		q.refuse(r, Crowded)
-	case q.config.Unfair != Fair && (len(q.byID) >= q.config.Waiting || q.waitingBytes+r.Bytes > q.config.Bytes):
-		q.refuse(r, Crowded)
+	case tenant == &q.untracked:
+		q.refuse(request, QueueFull)
+	case q.config.Unfair != Fair && (len(q.byID) >= q.config.Waiting || q.waitingBytes+request.Bytes > q.config.Bytes):
+		q.refuse(request, QueueFull)
 	case q.config.Unfair != Fair:
-		q.enqueue(r)
-	case r.deadline < q.now || q.window.limited && !t.withinShare(q) && q.expectedWait(t, r.returning) > float64(r.deadline-q.now):
-		q.refuse(r, Late)
-	case !q.makeRoom(t, r):
-		q.refuse(r, Crowded)
+		q.enqueue(request)
+	case request.deadline < q.now || q.window.limited && !tenant.withinShare(q) && q.expectedWait(tenant, request.returning) > float64(request.deadline-q.now):
+		q.refuse(request, TooLate)
+	case !q.makeRoom(tenant, request):
+		q.refuse(request, QueueFull)
 	default:
-		q.enqueue(r)
+		q.enqueue(request)
 	}
 }
 
-// wait is how long a further request of a tenant would wait: what of its own is before it, at its part of
-// the pace.
-func (q *Queue) expectedWait(t *tenant, back bool) float64 {
-	ahead := t.waiting
-	if back {
-		ahead = len(t.returning)
+// expectedWait is the time, in microseconds, that a further request of a tenant would wait for the tenant's own
+// requests ahead of it, which are served at the tenant's share of the admission rate.
+func (q *Queue) expectedWait(tenant *tenantQueue, returning bool) float64 {
+	ahead := tenant.waiting
+	if returning {
+		ahead = len(tenant.returning)
 	}
-	return float64(ahead+1) / q.waitingRate(t) * 1e6
+	return float64(ahead+1) / q.waitingRate(tenant) * 1e6
 }
 
-// part is a tenant's part of the pace, a second, with what waits now.
-func (q *Queue) waitingRate(t *tenant) float64 {
+// waitingRate is a tenant's share of the admission rate, in requests/s, among the tenants with waiting requests.
+func (q *Queue) waitingRate(tenant *tenantQueue) float64 {
 	total := q.waitingWeight
-	if t.waiting == 0 {
-		total += t.weight
+	if tenant.waiting == 0 {
+		total += tenant.weight
 	}
-	return q.window.rate(q.now) * t.weight / total
+	return q.window.rate(q.now) * tenant.weight / total
 }
 
-// fits makes room at a bound: the most over-served loses first, which may be the newcomer itself.
-func (q *Queue) makeRoom(t *tenant, r *queuedRequest) bool {
-	for len(q.byID) >= q.config.Waiting || q.waitingBytes+r.Bytes > q.config.Bytes {
+// makeRoom enforces the queue limits by refusing requests of the most over-served tenant. It reports false if
+// the new request itself has to be refused.
+func (q *Queue) makeRoom(tenant *tenantQueue, request *queuedRequest) bool {
+	for len(q.byID) >= q.config.Waiting || q.waitingBytes+request.Bytes > q.config.Bytes {
 		overServed := q.byFinish.top()
-		if overServed == nil || r.Bytes > q.config.Bytes {
+		if overServed == nil || request.Bytes > q.config.Bytes {
 			return false
 		}
-		start := t.startTag
-		if t.waiting == 0 {
+		start := tenant.startTag
+		if tenant.waiting == 0 {
 			start = max(start, q.virtualTime)
 		}
-		if start+float64(t.waiting+1)/t.weight >= overServed.finishTag() && overServed != t {
+		if start+float64(tenant.waiting+1)/tenant.weight >= overServed.finishTag() && overServed != tenant {
 			return false
 		}
-		if overServed == t && !r.returning { // of one tenant: the client that has most loses
-			c := t.clients[r.Client]
-			finish := t.virtualTime + 1
-			if c != nil {
-				finish = c.finishTag() + 1
+		if overServed == tenant && !request.returning { // within a tenant the most over-served client loses
+			client := tenant.clients[request.Client]
+			finish := tenant.virtualTime + 1
+			if client != nil {
+				finish = client.finishTag() + 1
 			}
-			if top := t.byFinish.top(); top == nil || finish >= top.finishTag() {
+			if top := tenant.byFinish.top(); top == nil || finish >= top.finishTag() {
 				return false
 			}
 		}
@@ -331,164 +341,164 @@
 	return true
 }
 
-// shed refuses the last request of the most over-served client of the most over-served tenant.
+// shed refuses the latest request of the most over-served client of the most over-served tenant.
 func (q *Queue) shed() {
 	if q.config.Unfair != Fair {
-		r := q.baselineQueue[len(q.baselineQueue)-1]
-		q.dequeue(r)
-		q.refuse(r, Crowded)
+		request := q.baselineQueue[len(q.baselineQueue)-1]
+		q.dequeue(request)
+		q.refuse(request, QueueFull)
 		return
 	}
-	t := q.byFinish.top()
-	var r *queuedRequest
-	if c := t.byFinish.top(); c != nil {
-		r = c.waiting[len(c.waiting)-1]
+	tenant := q.byFinish.top()
+	var request *queuedRequest
+	if client := tenant.byFinish.top(); client != nil {
+		request = client.waiting[len(client.waiting)-1]
 	} else {
-		r = t.returning[len(t.returning)-1]
+		request = tenant.returning[len(tenant.returning)-1]
 	}
-	q.dequeue(r)
-	q.refuse(r, Crowded)
+	q.dequeue(request)
+	q.refuse(request, QueueFull)
 }
 
 func (q *Queue) newRequest() *queuedRequest {
 	if n := len(q.freeRequests); n > 0 {
-		r := q.freeRequests[n-1]
+		request := q.freeRequests[n-1]
 		q.freeRequests = q.freeRequests[:n-1]
-		return r
+		return request
 	}
 	return &queuedRequest{}
 }
 
-// enqueue puts a request in line.
-func (q *Queue) enqueue(r *queuedRequest) {
+// enqueue adds a request to the queues of its tenant and client.
+func (q *Queue) enqueue(request *queuedRequest) {
 	q.seq++
-	r.seq = q.seq
-	q.byID[r.ID] = r
-	q.waitingBytes += r.Bytes
-	q.deadlines.push(r)
-	t := r.tenant
-	if t.waiting == 0 {
-		q.idle.remove(t)
+	request.seq = q.seq
+	q.byID[request.ID] = request
+	q.waitingBytes += request.Bytes
+	q.deadlines.push(request)
+	tenant := request.tenant
+	if tenant.waiting == 0 {
+		q.idle.remove(tenant)
 	}
 	if q.config.Unfair != Fair {
-		q.baselineQueue = append(q.baselineQueue, r)
-		t.waiting++
+		q.baselineQueue = append(q.baselineQueue, request)
+		tenant.waiting++
 		return
 	}
-	if t.waiting == 0 {
-		t.startTag = max(t.startTag, q.virtualTime)
-		q.waitingWeight += t.weight
-		t.overServed = t.overShare(q)
-		q.byStart.push(t)
-		q.byFinish.push(t)
-		q.leastServed.push(t)
-	}
-	t.waiting++
-	q.updatePosition(t)
-	if r.returning {
-		t.returning = append(t.returning, r)
+	if tenant.waiting == 0 {
+		tenant.startTag = max(tenant.startTag, q.virtualTime)
+		q.waitingWeight += tenant.weight
+		tenant.overServed = tenant.overShare(q)
+		q.byStart.push(tenant)
+		q.byFinish.push(tenant)
+		q.leastServed.push(tenant)
+	}
+	tenant.waiting++
+	q.updatePosition(tenant)
+	if request.returning {
+		tenant.returning = append(tenant.returning, request)
 		return
 	}
-	c := t.clients[r.Client]
-	if c == nil {
-		c = &client{name: r.Client, tenant: t, startTag: t.virtualTime}
-		if t.clients == nil {
-			t.clients = map[string]*client{}
+	client := tenant.clients[request.Client]
+	if client == nil {
+		client = &clientQueue{name: request.Client, tenant: tenant, startTag: tenant.virtualTime}
+		if tenant.clients == nil {
+			tenant.clients = map[string]*clientQueue{}
 		}
-		t.clients[r.Client] = c
-	} else if c.idleSeq > 0 {
-		c.idleSeq = 0
+		tenant.clients[request.Client] = client
+	} else if client.idleSeq > 0 {
+		client.idleSeq = 0
 		q.idleClientCount--
 	}
-	r.client = c
-	c.waiting = append(c.waiting, r)
-	if len(c.waiting) == 1 {
-		c.startTag = max(c.startTag, t.virtualTime)
-		t.byStart.push(c)
-		t.byFinish.push(c)
+	request.client = client
+	client.waiting = append(client.waiting, request)
+	if len(client.waiting) == 1 {
+		client.startTag = max(client.startTag, tenant.virtualTime)
+		tenant.byStart.push(client)
+		tenant.byFinish.push(client)
 	} else {
-		t.byFinish.fix(c)
+		tenant.byFinish.fix(client)
 	}
 }
 
-// refile moves a tenant to where it stands now by what it asks for.
-func (q *Queue) updatePosition(t *tenant) {
-	t.overServed = t.overShare(q)
-	q.byFinish.fix(t)
-	q.leastServed.fix(t)
+// updatePosition moves a tenant to its place in the heaps after its waiting requests or service changed.
+func (q *Queue) updatePosition(tenant *tenantQueue) {
+	tenant.overServed = tenant.overShare(q)
+	q.byFinish.fix(tenant)
+	q.leastServed.fix(tenant)
 }
 
-// take takes a request out of line, wherever it stands.
-func (q *Queue) dequeue(r *queuedRequest) {
-	delete(q.byID, r.ID)
-	q.waitingBytes -= r.Bytes
-	q.deadlines.remove(r)
-	t := r.tenant
-	t.waiting--
+// dequeue removes a request from the queue, whatever its position.
+func (q *Queue) dequeue(request *queuedRequest) {
+	delete(q.byID, request.ID)
+	q.waitingBytes -= request.Bytes
+	q.deadlines.remove(request)
+	tenant := request.tenant
+	tenant.waiting--
 	if q.config.Unfair != Fair {
-		if q.baselineQueue = removeRequest(q.baselineQueue, r); t.waiting == 0 {
-			q.idle.push(t)
+		if q.baselineQueue = removeRequest(q.baselineQueue, request); tenant.waiting == 0 {
+			q.idle.push(tenant)
 			q.trimTenants()
 		}
 		return
 	}
-	if r.returning {
-		t.returning = removeRequest(t.returning, r)
+	if request.returning {
+		tenant.returning = removeRequest(tenant.returning, request)
 	} else {
-		c := r.client
-		if c.waiting = removeRequest(c.waiting, r); len(c.waiting) == 0 {
-			t.byStart.remove(c)
-			t.byFinish.remove(c)
-			q.rememberIdle(c)
+		client := request.client
+		if client.waiting = removeRequest(client.waiting, request); len(client.waiting) == 0 {
+			tenant.byStart.remove(client)
+			tenant.byFinish.remove(client)
+			q.rememberIdle(client)
 		} else {
-			t.byFinish.fix(c)
+			tenant.byFinish.fix(client)
 		}
 	}
-	if t.waiting > 0 {
-		q.updatePosition(t)
+	if tenant.waiting > 0 {
+		q.updatePosition(tenant)
 		return
 	}
-	q.byStart.remove(t)
-	q.byFinish.remove(t)
-	q.leastServed.remove(t)
-	if q.waitingWeight -= t.weight; q.byStart.len() == 0 {
+	q.byStart.remove(tenant)
+	q.byFinish.remove(tenant)
+	q.leastServed.remove(tenant)
+	if q.waitingWeight -= tenant.weight; q.byStart.len() == 0 {
 		q.waitingWeight = 0
 	}
-	for _, c := range t.clients { // among its clients nothing is owed once none waits
-		if c.idleSeq > 0 {
-			c.idleSeq = 0
+	for _, client := range tenant.clients { // fairness among the clients needs no state once none of them waits
+		if client.idleSeq > 0 {
+			client.idleSeq = 0
 			q.idleClientCount--
 		}
 	}
-	t.clients = nil
-	q.idle.push(t)
+	tenant.clients = nil
+	q.idle.push(tenant)
 	q.trimTenants()
 }
 
-// depart remembers a client that has nothing waiting any more, for as long as there is room.
-func (q *Queue) rememberIdle(c *client) {
+// rememberIdle keeps the state of a client without waiting requests until the limit on idle clients evicts it.
+func (q *Queue) rememberIdle(client *clientQueue) {
 	q.seq++
-	c.idleSeq = q.seq
+	client.idleSeq = q.seq
 	q.idleClientCount++
-	q.idleClients = append(q.idleClients, idleClient{c, q.seq})
+	q.idleClients = append(q.idleClients, idleClient{client, q.seq})
 	for q.idleHead < len(q.idleClients) {
-		oldest := q.idleClients[q.idleHead]
-		if oldest.client.idleSeq == oldest.idleSeq {
+		entry := q.idleClients[q.idleHead]
+		if entry.client.idleSeq == entry.idleSeq {
 			if q.idleClientCount <= q.config.Clients {
 				break
 			}
-			delete(oldest.client.tenant.clients, oldest.client.name)
-			oldest.client.idleSeq = 0
+			delete(entry.client.tenant.clients, entry.client.name)
+			entry.client.idleSeq = 0
 			q.idleClientCount--
 		}
 		q.idleClients[q.idleHead] = idleClient{}
 		q.idleHead++
 	}
-	if len(q.idleClients) > 2*q.config.Clients+16 { // those that came again in between
+	if len(q.idleClients) > 2*q.config.Clients+16 { // drop the entries of clients that have become active again
 		live := q.idleClients[:0]
-		for _, oldest := range q.idleClients[q.idleHead:] {
-			if oldest.client.idleSeq == oldest.idleSeq {
-				live = append(live, oldest)
+		for _, entry := range q.idleClients[q.idleHead:] {
+			if entry.client.idleSeq == entry.idleSeq {
+				live = append(live, entry)
 			}
 		}
 		clear(q.idleClients[len(live):])
@@ -496,9 +506,9 @@
 	}
 }
 
-func removeRequest(queue []*queuedRequest, r *queuedRequest) []*queuedRequest {
+func removeRequest(queue []*queuedRequest, request *queuedRequest) []*queuedRequest {
 	for i, other := range queue {
-		if other == r {
+		if other == request {
 			copy(queue[i:], queue[i+1:])
 			queue[len(queue)-1] = nil
 			return queue[:len(queue)-1]
@@ -507,7 +517,7 @@
 	return queue
 }
 
-// next is whose turn it is.
+// next returns the request whose turn it is, or nil if there is none.
 func (q *Queue) next() *queuedRequest {
 	switch q.config.Unfair {
 	case Fifo:
@@ -516,126 +526,126 @@
 		}
 		return nil
 	case Buckets:
-		for _, r := range q.baselineQueue {
-			if t := r.tenant; t.refilledAt == 0 {
-				t.bucketTokens, t.refilledAt = q.config.PerSec, q.now
+		for _, request := range q.baselineQueue {
+			if tenant := request.tenant; tenant.refilledAt == 0 {
+				tenant.bucketTokens, tenant.refilledAt = q.config.PerSec, q.now
 			} else {
-				t.bucketTokens = min(t.bucketTokens+float64(q.now-t.refilledAt)/1e6*q.config.PerSec, max(q.config.PerSec, 1))
-				t.refilledAt = q.now
+				tenant.bucketTokens = min(tenant.bucketTokens+float64(q.now-tenant.refilledAt)/1e6*q.config.PerSec, max(q.config.PerSec, 1))
+				tenant.refilledAt = q.now
 			}
-			if r.tenant.bucketTokens >= 1 {
-				return r
+			if request.tenant.bucketTokens >= 1 {
+				return request
 			}
 		}
 		return nil
 	}
-	t := q.byStart.top()
-	if t == nil {
+	tenant := q.byStart.top()
+	if tenant == nil {
 		return nil
 	}
 	if q.noCapacity {
-		t = q.byFinish.top()
-	} else if least := q.leastServed.top(); !q.window.hasRoom(false) && least.withinShare(q) { // only such ones may go now
-		t = least
+		tenant = q.byFinish.top()
+	} else if least := q.leastServed.top(); !q.window.hasRoom(false) && least.withinShare(q) { // above the limit only tenants within their share are served
+		tenant = least
 	}
-	if len(t.returning) > 0 {
-		return t.returning[0]
+	if len(tenant.returning) > 0 {
+		return tenant.returning[0]
 	}
-	return t.byStart.top().waiting[0]
+	return tenant.byStart.top().waiting[0]
 }
 
-// serve charges a tenant and a client with a request, and admits it.
-func (q *Queue) serve(r *queuedRequest) {
-	t := r.tenant
+// serve charges a request to its tenant and client and admits it.
+func (q *Queue) serve(request *queuedRequest) {
+	tenant := request.tenant
 	if q.config.Unfair == Buckets {
-		t.bucketTokens--
+		tenant.bucketTokens--
 	}
 	if q.config.Unfair == Fair {
-		if q.window.limited && q.withinShare(r) && !r.returning {
+		if q.window.limited && q.withinShare(request) && !request.returning {
 			q.servedWithinShare.Add(q.now, 1)
 		}
-		q.virtualTime = max(q.virtualTime, t.startTag)
-		t.startTag += 1 / t.weight
-		if c := r.client; c != nil && !r.returning {
-			t.virtualTime = max(t.virtualTime, c.startTag)
-			c.startTag++
-			t.byStart.fix(c)
-			t.byFinish.fix(c)
+		q.virtualTime = max(q.virtualTime, tenant.startTag)
+		tenant.startTag += 1 / tenant.weight
+		if client := request.client; client != nil && !request.returning {
+			tenant.virtualTime = max(tenant.virtualTime, client.startTag)
+			client.startTag++
+			tenant.byStart.fix(client)
+			tenant.byFinish.fix(client)
 		}
-		q.byStart.fix(t)
-		q.updatePosition(t)
+		q.byStart.fix(tenant)
+		q.updatePosition(tenant)
 	}
-	q.dequeue(r)
-	q.admit(r)
+	q.dequeue(request)
+	q.admit(request)
 }
 
-func (q *Queue) admit(r *queuedRequest) {
-	r.tenant.Figures.Admitted++
-	if r.tenant != &q.untracked {
-		r.tenant.served.Add(q.now, 1)
+func (q *Queue) admit(request *queuedRequest) {
+	request.tenant.Stats.Admitted++
+	if request.tenant != &q.untracked {
+		request.tenant.served.Add(q.now, 1)
 	}
 	q.Admitted++
-	q.decisions = append(q.decisions, Verdict{ID: r.ID, Admit: true})
-	q.release(r)
+	q.decisions = append(q.decisions, Verdict{ID: request.ID, Admit: true})
+	q.release(request)
 }
 
-func (q *Queue) refuse(r *queuedRequest, cause Cause) {
-	r.tenant.Figures.Refused++
+func (q *Queue) refuse(request *queuedRequest, cause Cause) {
+	request.tenant.Stats.Refused++
 	q.Refused[cause]++
-	retryAfter, token := q.reserveRetry(r.tenant, r.Client)
-	if !q.config.Silent && (r.returning || r.Token != "") {
-		if due, ok := q.reservations.verify(&r.Ask); ok && due > q.now { // too early: its time stands
-			retryAfter, token = due-q.now, r.Token
+	retryAfter, token := q.reserveRetry(request.tenant, request.Client)
+	if !q.config.Silent && (request.returning || request.Token != "") {
+		if due, ok := q.reservations.verify(&request.Ask); ok && due > q.now { // returned too early: its reservation stays valid
+			retryAfter, token = due-q.now, request.Token
 		}
 	}
-	q.decisions = append(q.decisions, Verdict{ID: r.ID, Cause: cause, ComeAgain: retryAfter, Token: token})
-	q.release(r)
+	q.decisions = append(q.decisions, Verdict{ID: request.ID, Cause: cause, ComeAgain: retryAfter, Token: token})
+	q.release(request)
 }
 
-func (q *Queue) release(r *queuedRequest) {
-	*r = queuedRequest{}
+func (q *Queue) release(request *queuedRequest) {
+	*request = queuedRequest{}
 	if len(q.freeRequests) < q.config.Waiting {
-		q.freeRequests = append(q.freeRequests, r)
+		q.freeRequests = append(q.freeRequests, request)
 	}
 }
 
-// Refuse is what a request that the module has rejected is told.
-func (q *Queue) Refuse(tenant, client string) (after Time, token string) {
+// Refuse counts a request that the module rejected and returns its retry time and token.
+func (q *Queue) Refuse(tenant, client string) (retryAfter Time, token string) {
 	t := q.lookup(tenant)
-	t.Figures.Refused++
-	q.Refused[NoRoom]++
+	t.Stats.Refused++
+	q.Refused[NoCapacity]++
 	return q.reserveRetry(t, client)
 }
 
-// sparseRate is what tenants within their part are served, a second.
+// withinShareRate is the rate, in requests/s, at which tenants within their share are served.
 func (q *Queue) withinShareRate() float64 {
 	return q.servedWithinShare.Most(q.now) / float64(serviceSpans*q.window.span) * 1e6
 }
 
-// rate is the drain that a tenant can count on, a second: what it was served of late, yet no less than its
-// part beside all that asked of late, and no more than those within their part leave.
-func (q *Queue) drainRate(t *tenant) float64 {
+// drainRate is the service rate, in requests/s, that a tenant can rely on: its recent rate, but no less than its
+// fair rate among the active tenants, and no more than tenants within their share leave.
+func (q *Queue) drainRate(tenant *tenantQueue) float64 {
 	span := q.window.span
-	floor := q.fairRate(t)
-	served := t.served.Most(q.now) / float64(min(max(q.now-t.activeSince, span/meterBuckets), serviceSpans*span)) * 1e6
+	floor := q.fairRate(tenant)
+	served := tenant.served.Most(q.now) / float64(min(max(q.now-tenant.activeSince, span/meterBuckets), serviceSpans*span)) * 1e6
 	return min(max(served, floor), max(q.window.rate(q.now)-q.withinShareRate(), floor))
 }
 
-// advise finds the time at which a tenant's part of the pace is not promised yet: those refused come back
-// one after the other at that part, spread by chance within their turns. Where that lies beyond the longest
-// advice nothing is promised; the time told is then the longest, spread over its last half.
-func (q *Queue) reserveRetry(t *tenant, client string) (Time, string) {
+// reserveRetry reserves the next free part of a tenant's share of the admission rate: refused clients return one
+// after the other at that rate, with jitter within their intervals. If the time lies beyond the longest retry
+// time, nothing is reserved and the client gets the longest retry time with jitter over its second half.
+func (q *Queue) reserveRetry(tenant *tenantQueue, client string) (Time, string) {
 	if q.config.Silent {
 		return 0, ""
 	}
-	rate := q.drainRate(t)
+	rate := q.drainRate(tenant)
 	returnRate := q.reservations.returnRate(q.now)
 	interval := 1e6 / (rate * reservedShare) * returnRate
-	if !q.window.limited { // nothing was known to be short: soon, but not all at once
+	if !q.window.limited { // no shortage was known: retry soon, but not all at once
 		interval = float64(q.config.Startup) / meterBuckets
 	}
-	earliest := max(float64(t.reservedUntil), float64(q.now)+interval+float64(t.waiting)/rate*1e6)
-	if q.window.limited { // and of all tenants together, what those within their part leave
+	earliest := max(float64(tenant.reservedUntil), float64(q.now)+interval+float64(tenant.waiting)/rate*1e6)
+	if q.window.limited { // all tenants together get what tenants within their share leave
 		leftover := max(q.window.rate(q.now)*reservedShare-q.withinShareRate(), q.window.rate(q.now)/meterBuckets)
 		q.reservedUntil = max(q.reservedUntil, q.now) + Time(1e6/leftover*returnRate)
 		earliest = max(earliest, float64(q.reservedUntil))
@@ -644,104 +654,107 @@
 	if longest := q.config.Longest; longest > 0 && due-q.now > longest {
 		return longest - Time(float64(longest)/2*q.random()), ""
 	}
-	t.reservedUntil = Time(earliest + interval)
+	tenant.reservedUntil = Time(earliest + interval)
 	q.reservations.add(due, q.now)
-	return due - q.now, q.reservations.token(t.name, client, due)
+	return due - q.now, q.reservations.token(tenant.name, client, due)
 }
 
-// chance is the next number in [0,1).
+// random returns the next pseudo-random number in [0,1).
 func (q *Queue) random() float64 {
 	q.randomDraws++
 	b := [4]byte{byte(q.randomDraws >> 24), byte(q.randomDraws >> 16), byte(q.randomDraws >> 8), byte(q.randomDraws)}
 	return float64(crc32.Update(crc32.ChecksumIEEE(q.config.Secret), crc32.IEEETable, b[:])) / (1 << 32)
 }
 
-// tenant finds a tenant, or begins to remember it. At the bound those go that have had least of late.
-func (q *Queue) lookup(name string) *tenant {
-	t := q.tenants[name]
-	if t != nil {
-		return t
+// lookup returns the state of a tenant and creates it if there is none. At the limit it evicts the idle tenant
+// that has recently been served least.
+func (q *Queue) lookup(name string) *tenantQueue {
+	tenant := q.tenants[name]
+	if tenant != nil {
+		return tenant
 	}
 	if len(q.tenants) >= max(q.config.Tenants, 1) {
 		evicted := q.idle.top()
-		if evicted == nil { // all have something waiting
+		if evicted == nil { // every tenant has waiting requests
 			return &q.untracked
 		}
 		q.forgetTenant(evicted)
 	}
-	t = &tenant{name: name, weight: weightOf(q.config.Weights, name), startTag: q.virtualTime,
+	tenant = &tenantQueue{name: name, weight: weightOf(q.config.Weights, name), startTag: q.virtualTime,
 		served: meter.NewCount(serviceSpans*q.window.span, meterBuckets)}
-	t.byStart = heap[*client]{less: func(a, b *client) bool { return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name },
-		indexOf: func(c *client) *int { return &c.heapIndex[0] }}
-	t.byFinish = heap[*client]{less: func(a, b *client) bool {
+	tenant.byStart = heap[*clientQueue]{less: func(a, b *clientQueue) bool {
+		return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name
+	},
+		indexOf: func(c *clientQueue) *int { return &c.heapIndex[0] }}
+	tenant.byFinish = heap[*clientQueue]{less: func(a, b *clientQueue) bool {
 		return a.finishTag() > b.finishTag() || a.finishTag() == b.finishTag() && a.name < b.name
 	},
-		indexOf: func(c *client) *int { return &c.heapIndex[1] }}
-	q.tenants[name] = t
-	q.idle.push(t)
-	return t
+		indexOf: func(c *clientQueue) *int { return &c.heapIndex[1] }}
+	q.tenants[name] = tenant
+	q.idle.push(tenant)
+	return tenant
 }
 
-func (q *Queue) forgetTenant(t *tenant) {
-	q.idle.remove(t)
-	delete(q.tenants, t.name)
-	total, figures := &q.untracked.Figures, &t.Figures
+func (q *Queue) forgetTenant(tenant *tenantQueue) {
+	q.idle.remove(tenant)
+	delete(q.tenants, tenant.name)
+	total, figures := &q.untracked.Stats, &tenant.Stats
 	total.Asked, total.Admitted, total.Refused, total.Returned = total.Asked+figures.Asked, total.Admitted+figures.Admitted, total.Refused+figures.Refused, total.Returned+figures.Returned
 }
 
-// forget drops what is remembered beyond the bound.
+// trimTenants evicts idle tenants beyond the limit.
 func (q *Queue) trimTenants() {
 	for len(q.tenants) > max(q.config.Tenants, 1) && q.idle.len() > 0 {
 		q.forgetTenant(q.idle.top())
 	}
 }
 
-// Gone takes a request out whose player has left.
+// Gone removes a request whose player has disconnected.
 func (q *Queue) Gone(id int) {
-	if r := q.byID[id]; r != nil {
-		q.dequeue(r)
-		q.release(r)
+	if request := q.byID[id]; request != nil {
+		q.dequeue(request)
+		q.release(request)
 	}
 }
 
-// Played tells that an admitted request plays, and how long its setup took.
+// Played reports that an admitted request has started to play, and the duration of its setup.
 func (q *Queue) Played(took Time) {
 	q.setupTime += (float64(took) - q.setupTime) / 16
 	q.window.started(q.now)
 }
 
-// Carrying tells how many playbacks the session manager carries or is setting up.
+// Carrying reports the number of playbacks that are active or being set up in the session manager.
 func (q *Queue) Carrying(n int) { q.window.active = float64(n) }
 
-// Ended tells that a playback that played has ended.
+// Ended reports the end of a playback that had started to play.
 func (q *Queue) Ended() { q.window.ended(q.now) }
 
-// Accepted tells that the module has sent an admitted one to a box.
+// Accepted reports that the module has sent an admitted request to a server.
 func (q *Queue) Accepted() { q.noCapacity, q.awaitingResult, q.consecutiveRejections = false, false, 0 }
 
-// Rejected tells that the module rejected an admitted one for want of room. Those that have had more than
-// their part pause for a breath, so that what room comes free is there for the others. After a third one in
-// a row the next to ask is the most over-served, after a while that doubles with each.
+// Rejected reports that the module rejected an admitted request for lack of capacity. Tenants above their share
+// then pause, so that capacity that becomes free goes to the others. From the third consecutive rejection on, the
+// most over-served tenant is tried next, after a delay that doubles with each rejection.
 func (q *Queue) Rejected() {
 	q.noCapacity, q.awaitingResult = q.consecutiveRejections >= toleratedRejections, false
 	q.window.rejected(q.now)
-	breath := q.window.span / meterBuckets
-	q.pausedUntil = q.now + breath
-	q.nextProbe = q.now + min(q.window.interval(q.now)<<min(q.consecutiveRejections, 10), breath/probesPerPause)
+	pause := q.window.span / meterBuckets
+	q.pausedUntil = q.now + pause
+	q.nextProbe = q.now + min(q.window.interval(q.now)<<min(q.consecutiveRejections, 10), pause/probesPerPause)
 	q.consecutiveRejections++
 }
 
-// Turned tells how long a turn of the session manager took.
+// Turned reports the duration of a turn of the session manager. A long turn counts as a rejection.
 func (q *Queue) Turned(took Time) {
 	if took > q.config.Startup/longTurnDivisor {
 		q.window.rejected(q.now)
 	}
 }
 
-// Waiting is how many wait, and what they hold.
+// Waiting returns the number of waiting requests and the bytes that they hold.
 func (q *Queue) Waiting() (requests, bytes int) { return len(q.byID), q.waitingBytes }
 
-// PerSec is the pace at which requests are admitted; infinite while all are.
+// PerSec returns the admission rate in requests/s; it is infinite while admission is unlimited.
 func (q *Queue) PerSec() float64 {
 	if !q.window.limited {
 		return math.Inf(1)
@@ -749,38 +762,38 @@
 	return q.window.rate(q.now)
 }
 
-// Remembered is how many tenants are.
+// Remembered returns the number of tenants with state.
 func (q *Queue) Remembered() int { return len(q.tenants) }
 
-// Each tells the figures of all tenants remembered, and of the others together under the empty name.
-func (q *Queue) Each(report func(name string, f TenantFigures)) {
-	for name, t := range q.tenants {
-		report(name, t.Figures)
+// Each calls report with the counts of every tenant with state, and with those of all other tenants together
+// under the empty name.
+func (q *Queue) Each(report func(name string, counts TenantFigures)) {
+	for name, tenant := range q.tenants {
+		report(name, tenant.Stats)
 	}
-	report("", q.untracked.Figures)
+	report("", q.untracked.Stats)
 }
 
-// Settle emits what is to become of requests now: the difference between what should wait and what does.
-// It admits one at a time, as the module's word on it bears on the next: Accepted, Rejected or Gone. While
-// that word was that there is no room, the most over-served is asked first, so that the lone one does not
-// spend its only request on finding out. It returns when it wants to be called again at the latest.
+// Settle emits the decisions that can be made now. It admits one request at a time, as the module's answer affects
+// the next one. While there is no capacity, the most over-served tenant is tried first, so that a tenant with a
+// single request does not lose it to a probe. It returns the time by which it has to be called again.
 func (q *Queue) Settle(emit func(Verdict)) Time {
 	q.window.advance(q.now, len(q.byID) > 0)
 	q.awaitingResult = false
 	for len(q.byID) > 0 {
-		if r := q.deadlines.top(); r.deadline <= q.now {
-			q.dequeue(r)
-			q.refuse(r, Late)
+		if request := q.deadlines.top(); request.deadline <= q.now {
+			q.dequeue(request)
+			q.refuse(request, TooLate)
 			continue
 		}
 		if q.awaitingResult {
 			break
 		}
-		r := q.next()
-		if r == nil || q.paused(r) || !q.window.hasRoom(q.noCapacity || q.withinShare(r)) {
+		request := q.next()
+		if request == nil || q.paused(request) || !q.window.hasRoom(q.noCapacity || q.withinShare(request)) {
 			break
 		}
-		q.serve(r)
+		q.serve(request)
 		q.window.active++
 		q.awaitingResult = true
 	}
@@ -795,7 +808,7 @@
 	if q.awaitingResult {
 		return q.now
 	}
-	nextCall := q.now + q.window.span/meterBuckets // a playback that ends brings a turn sooner
+	nextCall := q.now + q.window.span/meterBuckets // the end of a playback causes an earlier turn
 	if q.noCapacity {
 		nextCall = min(nextCall, max(q.nextProbe, q.now+1))
 	}
@@ -805,44 +818,44 @@
 	return min(q.deadlines.top().deadline, max(nextCall, q.now+1))
 }
 
-// paused tells whether a request has to wait for what was last said of room.
-func (q *Queue) paused(r *queuedRequest) bool {
+// paused reports whether a request has to wait because of the latest rejections.
+func (q *Queue) paused(request *queuedRequest) bool {
 	if q.config.Unfair != Fair {
 		return false
 	}
 	if q.noCapacity {
 		return q.now < q.nextProbe
 	}
-	return q.now < q.pausedUntil && !q.withinShare(r)
+	return q.now < q.pausedUntil && !q.withinShare(request)
 }
 
-// sparse tells whether a request is of a tenant that has had, and asks for, no more than its part, give or
-// take a few requests.
-func (q *Queue) withinShare(r *queuedRequest) bool {
-	return q.config.Unfair == Fair && r.tenant.withinShare(q)
+// withinShare reports whether a request belongs to a tenant that has received, and asks for, no more than its
+// share, with a tolerance of a few requests.
+func (q *Queue) withinShare(request *queuedRequest) bool {
+	return q.config.Unfair == Fair && request.tenant.withinShare(q)
 }
 
-// within tells whether a tenant has few waiting and was served of late no more than its part beside all that
-// asked, give or take.
-func (t *tenant) withinShare(q *Queue) bool {
+// withinShare reports whether a tenant has few waiting requests and has recently been served no more than its
+// share among the active tenants, with some tolerance.
+func (t *tenantQueue) withinShare(q *Queue) bool {
 	return t.finishTag() <= q.virtualTime+requestTolerance/t.weight && !t.overShare(q)
 }
 
-// much tells whether a tenant was served more than its part.
-func (t *tenant) overShare(q *Queue) bool {
+// overShare reports whether a tenant has recently been served more than its share, beyond the tolerance.
+func (t *tenantQueue) overShare(q *Queue) bool {
 	limit := q.fairRate(t) * float64(serviceSpans*q.window.span) / 1e6 * shareTolerance
 	return t.served.Most(q.now) > max(limit, requestTolerance)
 }
 
-// equal is a tenant's part of the drain beside all that asked of late, a second.
-func (q *Queue) fairRate(t *tenant) float64 {
+// fairRate is a tenant's share of the admission rate, in requests/s, among the tenants with recent requests.
+func (q *Queue) fairRate(tenant *tenantQueue) float64 {
 	if q.now-q.activeWeightAt > q.window.span/meterBuckets || q.activeWeight == 0 {
 		q.activeWeightAt, q.activeWeight = q.now, 0
-		for _, t := range q.tenants {
-			if q.now-t.lastRequest <= q.window.span {
-				q.activeWeight += t.weight
+		for _, other := range q.tenants {
+			if q.now-other.lastRequest <= q.window.span {
+				q.activeWeight += other.weight
 			}
 		}
 	}
-	return q.window.rate(q.now) * t.weight / max(q.activeWeight, t.weight)
+	return q.window.rate(q.now) * tenant.weight / max(q.activeWeight, tenant.weight)
 }
--- a/internal/fair/reservation.go
+++ b/internal/fair/reservation.go
@@ -9,31 +9,31 @@
 	"pierlink/internal/meter"
 )
 
-// promise makes and checks the tokens of those told to come back. A token says when, and carries a keyed
-// hash (HMAC, RFC 2104) over that, the tenant and the client: it cannot be made up, nor used by another
-// client. The key changes with the hour of the promised time, and follows from the secret, so that a
-// refusal leaves nothing to keep. What is kept is one bit for each token that was used of late, in two
-// tables that take turns; two that meet there lose the later one's preference, nothing else.
+// reservations issues and checks the tokens of refused clients that were given a retry time. A token carries that
+// time and a keyed hash (HMAC, RFC 2104) over the time, the tenant and the client, so it can neither be forged nor
+// used by another client. The key is derived from the secret and the hour of the retry time, so that a refusal
+// needs no state. The only state is one bit for each recently used token, in two tables that alternate; on a
+// collision the later token loses its precedence, and nothing else.
 type reservations struct {
 	secret       []byte
-	returnWindow Time // it counts from its time on for so long: the longest startup target, and a second, as
-	// clients are told whole seconds
+	returnWindow Time // validity of a token from its retry time on: the longest startup target, and one second
+	// because clients receive whole seconds
 	used          [2][]uint64
 	rotatedAt     Time
 	lag           Time
-	dueBySecond   [horizonSeconds]uint32 // promises by the second in which they fall due
-	countedUntil  Time                   // the second up to which they have
-	dueCount      meter.Count            // promises that fell due of late
-	returnedCount meter.Count            // and of those who were promised, who came
+	dueBySecond   [horizonSeconds]uint32 // number of reservations by the second in which they are due
+	countedUntil  Time                   // second up to which due reservations are counted
+	dueCount      meter.Count            // reservations that recently became due
+	returnedCount meter.Count            // reserved clients that recently returned
 }
 
 const (
-	keyLifetime    = 3600 * 1_000_000 // a key's time
+	keyLifetime    = 3600 * 1_000_000 // lifetime of a key in microseconds
 	macBytes       = 10
 	usedBits       = 1 << 17
-	horizonSeconds = 1 << 12 // seconds ahead that are counted
-	minDueSamples  = 64      // promises fallen due from which on it is known how many are kept
-	minReturnRate  = 0.6     // of them are always taken to be
+	horizonSeconds = 1 << 12 // how far ahead reservations are counted
+	minDueSamples  = 64      // due reservations needed to estimate the share of clients that return
+	minReturnRate  = 0.6     // least share of clients that is assumed to return
 )
 
 func newReservations(secret []byte, startup, now Time) reservations {
@@ -43,78 +43,78 @@
 		used: [2][]uint64{make([]uint64, usedBits/64), make([]uint64, usedBits/64)}}
 }
 
-// roll lets promises fall due.
-func (p *reservations) advance(now Time) {
-	for n := 0; p.countedUntil < now/microsPerSecond && n < horizonSeconds; n++ {
-		slot := p.countedUntil % horizonSeconds
-		p.dueCount.Add(now, float64(p.dueBySecond[slot]))
-		p.dueBySecond[slot] = 0
-		p.countedUntil++
+// advance counts the reservations that have become due.
+func (r *reservations) advance(now Time) {
+	for n := 0; r.countedUntil < now/microsPerSecond && n < horizonSeconds; n++ {
+		slot := r.countedUntil % horizonSeconds
+		r.dueCount.Add(now, float64(r.dueBySecond[slot]))
+		r.dueBySecond[slot] = 0
+		r.countedUntil++
 	}
-	p.countedUntil = max(p.countedUntil, now/microsPerSecond)
+	r.countedUntil = max(r.countedUntil, now/microsPerSecond)
 }
 
-// promised counts one.
-func (p *reservations) add(due, now Time) {
-	if dueSecond := due / microsPerSecond; dueSecond-p.countedUntil < horizonSeconds-1 {
-		p.dueBySecond[dueSecond%horizonSeconds]++
+// add counts a new reservation.
+func (r *reservations) add(due, now Time) {
+	if dueSecond := due / microsPerSecond; dueSecond-r.countedUntil < horizonSeconds-1 {
+		r.dueBySecond[dueSecond%horizonSeconds]++
 	}
 }
 
-// share is the part of those who were promised that come at their time: the turns of the others would stand
-// empty, and the times told be longer than they need be.
-func (p *reservations) returnRate(now Time) float64 {
-	due := p.dueCount.Most(now)
+// returnRate is the share of clients with a reservation that return in time. Without it the reservations of the
+// other clients would stay unused and retry times would be longer than needed.
+func (r *reservations) returnRate(now Time) float64 {
+	due := r.dueCount.Most(now)
 	if due < minDueSamples {
 		return 1
 	}
-	return min(max(p.returnedCount.Most(now)/due, minReturnRate), 1)
+	return min(max(r.returnedCount.Most(now)/due, minReturnRate), 1)
 }
 
-func (p *reservations) mac(tenant, client string, due Time) []byte {
-	keyMAC := hmac.New(sha256.New, p.secret)
+func (r *reservations) mac(tenant, client string, due Time) []byte {
+	keyMAC := hmac.New(sha256.New, r.secret)
 	keyMAC.Write(binary.BigEndian.AppendUint64(nil, uint64(due/keyLifetime)))
 	tokenMAC := hmac.New(sha256.New, keyMAC.Sum(nil))
-	b := binary.BigEndian.AppendUint64(nil, uint64(due))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(tenant)))
-	tokenMAC.Write(append(append(b, tenant...), client...))
+	message := binary.BigEndian.AppendUint64(nil, uint64(due))
+	message = binary.BigEndian.AppendUint32(message, uint32(len(tenant)))
+	tokenMAC.Write(append(append(message, tenant...), client...))
 	return tokenMAC.Sum(nil)[:macBytes]
 }
 
-func (p *reservations) token(tenant, client string, due Time) string {
-	b := binary.BigEndian.AppendUint64(nil, uint64(due))
-	return base64.RawURLEncoding.EncodeToString(append(b, p.mac(tenant, client, due)...))
+func (r *reservations) token(tenant, client string, due Time) string {
+	payload := binary.BigEndian.AppendUint64(nil, uint64(due))
+	return base64.RawURLEncoding.EncodeToString(append(payload, r.mac(tenant, client, due)...))
 }
 
-// told is the time that a sound token promises.
-func (p *reservations) verify(ask *Ask) (due Time, ok bool) {
-	b, err := base64.RawURLEncoding.DecodeString(ask.Token)
-	if err != nil || len(b) != 8+macBytes {
+// verify returns the retry time of a token and whether the token is valid.
+func (r *reservations) verify(request *Ask) (due Time, ok bool) {
+	payload, err := base64.RawURLEncoding.DecodeString(request.Token)
+	if err != nil || len(payload) != 8+macBytes {
 		return 0, false
 	}
-	due = Time(binary.BigEndian.Uint64(b))
-	return due, due > 0 && hmac.Equal(b[8:], p.mac(ask.Tenant, ask.Client, due))
+	due = Time(binary.BigEndian.Uint64(payload))
+	return due, due > 0 && hmac.Equal(payload[8:], r.mac(request.Tenant, request.Client, due))
 }
 
-// kept tells whether a request comes back within its window, for the first time.
-func (p *reservations) redeem(ask *Ask, now Time) bool {
-	if ask.Token == "" {
+// redeem reports whether a request returns within its return window, for the first time.
+func (r *reservations) redeem(request *Ask, now Time) bool {
+	if request.Token == "" {
 		return false
 	}
-	due, ok := p.verify(ask)
-	if !ok || now < due || now > due+p.returnWindow+p.lag {
+	due, ok := r.verify(request)
+	if !ok || now < due || now > due+r.returnWindow+r.lag {
 		return false
 	}
-	for ; p.rotatedAt+p.returnWindow+p.lag < now; p.rotatedAt = max(p.rotatedAt+p.returnWindow, now-2*p.returnWindow) {
-		p.used[0], p.used[1] = p.used[1], p.used[0]
-		clear(p.used[0])
+	for ; r.rotatedAt+r.returnWindow+r.lag < now; r.rotatedAt = max(r.rotatedAt+r.returnWindow, now-2*r.returnWindow) {
+		r.used[0], r.used[1] = r.used[1], r.used[0]
+		clear(r.used[0])
 	}
-	hash := binary.BigEndian.Uint64(p.mac(ask.Tenant, ask.Client, due)) % usedBits
+	hash := binary.BigEndian.Uint64(r.mac(request.Tenant, request.Client, due)) % usedBits
 	word, bit := hash/64, uint64(1)<<(hash%64)
-	if (p.used[0][word]|p.used[1][word])&bit != 0 {
+	if (r.used[0][word]|r.used[1][word])&bit != 0 {
 		return false
 	}
-	p.used[0][word] |= bit
-	p.returnedCount.Add(now, 1)
+	r.used[0][word] |= bit
+	r.returnedCount.Add(now, 1)
 	return true
 }
--- a/internal/fair/window.go
+++ b/internal/fair/window.go
@@ -6,24 +6,24 @@
 	"pierlink/internal/meter"
 )
 
-// pace is how much is put before the module. While it rejects nothing, requests go as they come. Once it
-// does, playbacks that are carried at once are held under a window a little below the number at which it
-// last did; tenants that have had no more than their part may use what is between the two. It is a window
-// and not a rate, as playbacks end at random times: a rate that fits in the mean runs over every other
-// moment. The window grows slowly near where a rejection was met and quickly further off (as in CUBIC,
-// RFC 9438), and shrinks at once. It guards against asking for room that is not there, whatever took it; it
-// may hurt where the module rejects for other reasons than room: plans with seats do not count for that
-// reason, and half of the most carried of late stays a floor.
+// admissionWindow limits the load offered to the module. While the module rejects nothing, requests are admitted
+// as they arrive. After a rejection, the number of active playbacks is kept below a limit slightly under the number
+// at which the module last rejected one; tenants within their share may use the difference. It is a window and not
+// a rate because playbacks end at random times: a rate that fits on average is too high about half of the time.
+// The limit grows slowly near the level of the last rejection and faster away from it (as in CUBIC, RFC 9438), and
+// is cut at once. The window prevents requests for capacity that is not available, whatever uses it. It can
+// admit too little if the module rejects for reasons other than capacity: for that reason rejections of plans with
+// seats are not counted, and the limit stays at half of the recent peak or above.
 type admissionWindow struct {
-	span                 Time // of measuring: two startup targets
+	span                 Time // measuring interval: two startup targets
 	limited              bool
-	limit, ceiling       float64 // playbacks at once: for all, and for those within their part
-	active, peak         float64 // playbacks now, and at most of late, which fades
+	limit, ceiling       float64 // active playbacks: for all tenants, and for tenants within their share
+	active, peak         float64 // playbacks now, and their recent maximum, which decays
 	lastAdvance, lastCut Time
 	quietSince           Time
 	starts               meter.Count
 	createdAt            Time
-	activeTime, ends     meter.Count // playbacks carried times time, and those seen to end, of late
+	activeTime, ends     meter.Count // recent playback time in microseconds, and recent ends of playbacks
 }
 
 func newAdmissionWindow(startup, now Time) admissionWindow {
@@ -32,65 +32,65 @@
 		activeTime: meter.NewCount(serviceSpans*span, meterBuckets), ends: meter.NewCount(serviceSpans*span, meterBuckets)}
 }
 
-func (p *admissionWindow) started(now Time) { p.starts.Add(now, 1) }
+func (w *admissionWindow) started(now Time) { w.starts.Add(now, 1) }
 
-// ended learns how long playbacks last: those that still play count too, or short ones would count for more
-// than they are.
-func (p *admissionWindow) ended(now Time) { p.ends.Add(now, 1) }
+// ended counts the end of a playback. The mean duration follows from activeTime, which includes playbacks that
+// are still active; otherwise short playbacks would weigh too much.
+func (w *admissionWindow) ended(now Time) { w.ends.Add(now, 1) }
 
-// perSec is how many can begin a second while the window is full: as many as end (Little, 1961). Until
-// playbacks have been seen to end it is what began to play of late.
-func (p *admissionWindow) rate(now Time) float64 {
-	floor := 1e6 / float64(p.span)
-	ends, activeTime := p.ends.Most(now), p.activeTime.Most(now)
+// rate is the number of playbacks that can start per second while the window is full, which equals the number
+// that end (Little, 1961). Until enough ends have been seen, it is the recent rate of starts.
+func (w *admissionWindow) rate(now Time) float64 {
+	floor := 1e6 / float64(w.span)
+	ends, activeTime := w.ends.Most(now), w.activeTime.Most(now)
 	if ends < meterBuckets || activeTime <= 0 {
-		return max(p.starts.Most(now)/float64(max(min(p.span, now-p.createdAt), p.span/meterBuckets))*1e6, floor)
+		return max(w.starts.Most(now)/float64(max(min(w.span, now-w.createdAt), w.span/meterBuckets))*1e6, floor)
 	}
-	return max(p.limit*ends/activeTime*1e6, floor)
+	return max(w.limit*ends/activeTime*1e6, floor)
 }
 
-func (p *admissionWindow) rejected(now Time) {
-	p.quietSince = now
-	reached := max(p.active-1, 1) // without the one rejected
-	if !p.limited {
-		p.limited, p.peak = true, reached
-	} else if p.ceiling = min(p.ceiling, reached); now-p.lastCut < p.span/meterBuckets && reached >= p.limit {
-		return // one cut for those that were on their way together
+func (w *admissionWindow) rejected(now Time) {
+	w.quietSince = now
+	reached := max(w.active-1, 1) // without the rejected request
+	if !w.limited {
+		w.limited, w.peak = true, reached
+	} else if w.ceiling = min(w.ceiling, reached); now-w.lastCut < w.span/meterBuckets && reached >= w.limit {
+		return // a single cut for rejections of requests that were in flight together
 	}
-	p.lastCut = now
-	p.ceiling = reached
-	p.limit = max(p.ceiling*windowShare, p.peak/2, 1)
+	w.lastCut = now
+	w.ceiling = reached
+	w.limit = max(w.ceiling*windowShare, w.peak/2, 1)
 }
 
-// turn lets time pass.
-func (p *admissionWindow) advance(now Time, waiting bool) {
-	elapsed := float64(now - p.lastAdvance)
-	p.lastAdvance = now
-	p.activeTime.Add(now, p.active*elapsed)
-	if !p.limited {
+// advance updates the window to the given time.
+func (w *admissionWindow) advance(now Time, waiting bool) {
+	elapsed := float64(now - w.lastAdvance)
+	w.lastAdvance = now
+	w.activeTime.Add(now, w.active*elapsed)
+	if !w.limited {
 		return
 	}
-	p.peak = max(p.peak*math.Exp(-elapsed/float64(p.span)/peakDecaySpans), p.active)
-	if now-p.lastCut > p.span/meterBuckets && waiting {
+	w.peak = max(w.peak*math.Exp(-elapsed/float64(w.span)/peakDecaySpans), w.active)
+	if now-w.lastCut > w.span/meterBuckets && waiting {
 		growth := fastGrowth
-		if p.limit < p.ceiling {
+		if w.limit < w.ceiling {
 			growth = slowGrowth
 		}
-		p.limit *= math.Exp(math.Log1p(growth) * min(elapsed/float64(p.span), 1))
-		p.ceiling = max(p.ceiling, p.limit/ceilingShare)
+		w.limit *= math.Exp(math.Log1p(growth) * min(elapsed/float64(w.span), 1))
+		w.ceiling = max(w.ceiling, w.limit/ceilingShare)
 	}
 	if waiting {
-		p.quietSince = max(p.quietSince, now-p.span*(quietSpans-1))
+		w.quietSince = max(w.quietSince, now-w.span*(quietSpans-1))
 	}
-	if now-p.quietSince > quietSpans*p.span {
-		p.limited = false
+	if now-w.quietSince > quietSpans*w.span {
+		w.limited = false
 	}
 }
 
-// room tells whether one more may be asked for.
-func (p *admissionWindow) hasRoom(withinShare bool) bool {
-	return !p.limited || p.active < p.limit || withinShare && p.active < p.ceiling
+// hasRoom reports whether another request may be admitted.
+func (w *admissionWindow) hasRoom(withinShare bool) bool {
+	return !w.limited || w.active < w.limit || withinShare && w.active < w.ceiling
 }
 
-// turnTime is the time of one request.
-func (p *admissionWindow) interval(now Time) Time { return Time(min(1e6/p.rate(now), float64(p.span))) }
+// interval is the mean time between two admissions, at most a span.
+func (w *admissionWindow) interval(now Time) Time { return Time(min(1e6/w.rate(now), float64(w.span))) }
--- a/internal/quality/alarm.go
+++ b/internal/quality/alarm.go
@@ -52,7 +52,7 @@
 // chanceBound is the excess loss of a group over the others that chance can explain: Bernstein's bound for a sum of
 // losses weighted by revenue, which holds for few playbacks too.
 func chanceBound(othersLoss float64, figures *Figures, othersCount int) float64 {
-	playbackShare := figures.Squares / (figures.Due * figures.Due) // mean share of one playback in the sum
+	playbackShare := figures.RevenueSquares / (figures.Due * figures.Due) // mean share of one playback in the sum
 	return chanceDeviations*math.Sqrt(max(othersLoss*(1-othersLoss), 1/float64(othersCount))*playbackShare) + chanceDeviations*chanceDeviations/3*playbackShare
 }
 
@@ -89,7 +89,7 @@
 		if !g.outlier {
 			others.subtract(&g.sum)
 		}
-		loss, othersLoss := g.sum.Lost(), others.Lost()
+		loss, othersLoss := g.sum.Loss(), others.Loss()
 		if others.Due == 0 {
 			othersLoss = 0
 		}
@@ -114,5 +114,5 @@
 func (f *Figures) subtract(other *Figures) {
 	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due-other.Due, f.OnTime-other.OnTime, f.Watched-other.Watched, f.Stalled-other.Stalled
 	f.Worth, f.Changes, f.Count = f.Worth-other.Worth, f.Changes-other.Changes, f.Count-other.Count
-	f.Squares -= other.Squares
+	f.RevenueSquares -= other.RevenueSquares
 }
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -34,20 +34,20 @@
 
 // Figures holds sums over playbacks, each weighted by its revenue.
 type Figures struct {
-	Due     float64 // revenue of the playbacks requested
-	OnTime  float64 // revenue of those that started within their startup target
-	Watched float64 // revenue times seconds played
-	Stalled float64 // revenue times seconds stalled
-	Worth   float64 // revenue times seconds times worth of the current rung
-	Changes float64 // revenue times rung changes
-	Squares float64 // sum of the squared revenues of the playbacks requested, for the variance of their sum
-	Count   int     // number of playbacks requested
+	Due            float64 // revenue of the playbacks requested
+	OnTime         float64 // revenue of those that started within their startup target
+	Watched        float64 // revenue times seconds played
+	Stalled        float64 // revenue times seconds stalled
+	Worth          float64 // revenue times seconds times worth of the current rung
+	Changes        float64 // revenue times rung changes
+	RevenueSquares float64 // sum of the squared revenues of the playbacks requested, for the variance of their sum
+	Count          int     // number of playbacks requested
 }
 
 func (f *Figures) add(other *Figures) {
 	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due+other.Due, f.OnTime+other.OnTime, f.Watched+other.Watched, f.Stalled+other.Stalled
 	f.Worth, f.Changes, f.Count = f.Worth+other.Worth, f.Changes+other.Changes, f.Count+other.Count
-	f.Squares += other.Squares
+	f.RevenueSquares += other.RevenueSquares
 }
 
 // Service is the share of the revenue whose playbacks started in time.
@@ -59,9 +59,9 @@
 // Rung is the mean worth of the rungs played.
 func (f *Figures) Rung() float64 { return ratio(f.Worth, f.Watched) }
 
-// Lost is the share of the due service that was not delivered: playbacks that did not start in time, and stalls of
+// Loss is the share of the due service that was not delivered: playbacks that did not start in time, and stalls of
 // those that did.
-func (f *Figures) Lost() float64 {
+func (f *Figures) Loss() float64 {
 	if f.Due == 0 {
 		return f.Stalls()
 	}
@@ -340,9 +340,9 @@
 
 // credit adds the figures of a playback up to a time, by rack and bucket. The revenue due belongs to the rack that
 // started the playback, and the time played to the rack that it played on.
-func (c *Core) credit(record *playbackRecord, until Time, add func(rack int, at Time, f Figures)) {
+func (c *Core) credit(record *playbackRecord, until Time, add func(rack int, at Time, figures Figures)) {
 	plan := &c.Plans[record.plan]
-	startup := Figures{Due: plan.Revenue, Squares: plan.Revenue * plan.Revenue, Count: 1}
+	startup := Figures{Due: plan.Revenue, RevenueSquares: plan.Revenue * plan.Revenue, Count: 1}
 	startedAt, started := record.started()
 	if started && startedAt-record.requestedAt <= plan.Startup {
 		startup.OnTime = plan.Revenue
--- a/internal/quality/quality_test.go
+++ b/internal/quality/quality_test.go
@@ -88,7 +88,7 @@
 	if record := collector.open["s"]; record != nil && len(record.stalls) > maxStalls {
 		t.Error(len(record.stalls))
 	}
-	if (&Figures{Watched: 4, Stalled: 1}).Lost() != 0.25 {
+	if (&Figures{Watched: 4, Stalled: 1}).Loss() != 0.25 {
 		t.Error("with no revenue due the loss is not the share of time stalled")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,18 +25,18 @@
 	"pierlink/session"
 )
 
-// Span is a duration in microseconds, written as in 1.5s or 800ms.
-type Span core.Time
+// Duration is a duration in microseconds, written as in 1.5s or 800ms.
+type Duration core.Time
 
-func (s Span) String() string { return (time.Duration(s) * time.Microsecond).String() }
+func (s Duration) String() string { return (time.Duration(s) * time.Microsecond).String() }
 
 // UnmarshalText parses a duration; negative ones are errors.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q: a duration such as 1.5s or 800ms is expected", b)
 	}
-	*s = Span(d.Microseconds())
+	*s = Duration(d.Microseconds())
 	return nil
 }
 
@@ -50,7 +50,7 @@
 	Servers string `toml:"servers"`
 
 	Zones          []string `toml:"zones" validate:"min=1,unique,dive,required"`
-	SessionTimeout Span     `toml:"session_timeout" validate:"gte=1000000"`
+	SessionTimeout Duration `toml:"session_timeout" validate:"gte=1000000"`
 
 	Metrics   string     `toml:"metrics" validate:"omitempty,address"`
 	Bounds    Bounds     `toml:"bounds"`
@@ -94,7 +94,7 @@
 // Life configures draining, handover and restart of a session manager. Without it a stop ends all playbacks at once,
 // and no state is kept.
 type Life struct {
-	Drain   Span     `toml:"drain"`
+	Drain   Duration `toml:"drain"`
 	Control string   `toml:"control"`
 	Kept    string   `toml:"kept"`
 	Address string   `toml:"address" validate:"omitempty,address"`
@@ -103,10 +103,10 @@
 
 // Quality configures the measurement of service by rack and title.
 type Quality struct {
-	Width   Span `toml:"width" validate:"gte=1000000"`
-	Buckets int  `toml:"buckets" validate:"gte=16,lte=10000"`
-	Late    Span `toml:"late" validate:"gte=0"`
-	Titles  int  `toml:"titles" validate:"gte=1"`
+	Width   Duration `toml:"width" validate:"gte=1000000"`
+	Buckets int      `toml:"buckets" validate:"gte=16,lte=10000"`
+	Late    Duration `toml:"late" validate:"gte=0"`
+	Titles  int      `toml:"titles" validate:"gte=1"`
 }
 
 // TLS configures a second listener with TLS. Without it players connect without encryption only.
@@ -127,10 +127,10 @@
 	Password  string   `toml:"password_file"` // a file, to keep the password out of the settings
 	CA        string   `toml:"ca"`            // certificate authority; TLS is not used if empty
 	Page      int      `toml:"page" validate:"gte=1,lte=10000"`
-	Longest   Span     `toml:"longest" validate:"gt=0"`
-	Renew     Span     `toml:"renew" validate:"gt=0,ltefield=Longest"`
-	Timeout   Span     `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
-	Negative  Span     `toml:"negative" validate:"gte=0"`
+	Longest   Duration `toml:"longest" validate:"gt=0"`
+	Renew     Duration `toml:"renew" validate:"gt=0,ltefield=Longest"`
+	Timeout   Duration `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
+	Negative  Duration `toml:"negative" validate:"gte=0"`
 	Waiting   int      `toml:"waiting" validate:"gte=1"`
 	Lookups   int      `toml:"lookups" validate:"gte=1,lte=64"`
 	Entries   int      `toml:"entries" validate:"gte=1"`
@@ -151,9 +151,9 @@
 type Registry struct {
 	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
 	Kept      string   `toml:"kept"`
-	Lease     Span     `toml:"lease" validate:"omitempty,gte=1000000"`
-	Timeout   Span     `toml:"timeout" validate:"gte=100000"`
-	Grace     Span     `toml:"grace" validate:"gt=0"`
+	Lease     Duration `toml:"lease" validate:"omitempty,gte=1000000"`
+	Timeout   Duration `toml:"timeout" validate:"gte=100000"`
+	Grace     Duration `toml:"grace" validate:"gt=0"`
 	CA        string   `toml:"ca"`
 	Cert      string   `toml:"cert" validate:"required_with=Key"`
 	Key       string   `toml:"key" validate:"required_with=Cert"`
@@ -164,24 +164,24 @@
 	RatesKB []float64 `toml:"rates_kb" validate:"min=1,dive,gt=0"`
 	Worth   []float64 `toml:"worth" validate:"min=1,dive,gt=0"`
 	Join    float64   `toml:"join" validate:"gt=0,lte=1"`
-	Change  Span      `toml:"change"`
+	Change  Duration  `toml:"change"`
 }
 
 // Plan configures a plan, a class of playbacks.
 type Plan struct {
-	Name       string  `toml:"name" validate:"required,excludesall=/?# "`
-	Repeat     string  `toml:"repeat" validate:"oneof=harmless keyed unsafe"`
-	Scope      string  `toml:"scope" validate:"omitempty,oneof=everywhere zone cell"`
-	Window     Span    `toml:"window"`
-	Startup    Span    `toml:"startup" validate:"gt=0"`
-	Abandon    Span    `toml:"abandon" validate:"gtfield=Startup"`
-	Revenue    float64 `toml:"revenue" validate:"gt=0"`
-	Live       bool    `toml:"live"`
-	RateFactor float64 `toml:"rate_factor" validate:"gt=0"`
-	Floor      int     `toml:"floor" validate:"gte=0"`
-	Top        int     `toml:"top" validate:"gtefield=Floor"`
-	Seats      int     `toml:"seats" validate:"gte=0"`
-	Tracks     []Track `toml:"track" validate:"min=1,max=8,dive"`
+	Name       string   `toml:"name" validate:"required,excludesall=/?# "`
+	Repeat     string   `toml:"repeat" validate:"oneof=harmless keyed unsafe"`
+	Scope      string   `toml:"scope" validate:"omitempty,oneof=everywhere zone cell"`
+	Window     Duration `toml:"window"`
+	Startup    Duration `toml:"startup" validate:"gt=0"`
+	Abandon    Duration `toml:"abandon" validate:"gtfield=Startup"`
+	Revenue    float64  `toml:"revenue" validate:"gt=0"`
+	Live       bool     `toml:"live"`
+	RateFactor float64  `toml:"rate_factor" validate:"gt=0"`
+	Floor      int      `toml:"floor" validate:"gte=0"`
+	Top        int      `toml:"top" validate:"gtefield=Floor"`
+	Seats      int      `toml:"seats" validate:"gte=0"`
+	Tracks     []Track  `toml:"track" validate:"min=1,max=8,dive"`
 }
 
 // Track describes one media stream of a plan's titles.
@@ -200,17 +200,17 @@
 
 // Fleet describes the servers and racks, and how their load is reported.
 type Fleet struct {
-	Cells       int     `toml:"cells" validate:"gte=1"`
-	Racks       int     `toml:"racks" validate:"gte=1"`
-	LinksKB     float64 `toml:"links_kb" validate:"gt=0"`
-	UplinkKB    float64 `toml:"uplink_kb" validate:"gt=0"`
-	KBPerWeight float64 `toml:"kb_per_weight" validate:"gte=0"`
-	FullFrom    float64 `toml:"full_from" validate:"gte=0"`
-	NoteDelay   Span    `toml:"note_delay" validate:"gt=0"`
-	NoteEvery   Span    `toml:"note_every" validate:"gte=0"`
-	Load        string  `toml:"load" validate:"oneof=answers probes none"`
-	Uplinks     string  `toml:"uplinks" validate:"omitempty,oneof=told untold"` // as "told" if empty
-	Kinds       []Kind  `toml:"kind" validate:"min=1,unique=Name,dive"`
+	Cells       int      `toml:"cells" validate:"gte=1"`
+	Racks       int      `toml:"racks" validate:"gte=1"`
+	LinksKB     float64  `toml:"links_kb" validate:"gt=0"`
+	UplinkKB    float64  `toml:"uplink_kb" validate:"gt=0"`
+	KBPerWeight float64  `toml:"kb_per_weight" validate:"gte=0"`
+	FullFrom    float64  `toml:"full_from" validate:"gte=0"`
+	NoteDelay   Duration `toml:"note_delay" validate:"gt=0"`
+	NoteEvery   Duration `toml:"note_every" validate:"gte=0"`
+	Load        string   `toml:"load" validate:"oneof=answers probes none"`
+	Uplinks     string   `toml:"uplinks" validate:"omitempty,oneof=told untold"` // as "told" if empty
+	Kinds       []Kind   `toml:"kind" validate:"min=1,unique=Name,dive"`
 }
 
 // Kind is a model of server.
@@ -221,18 +221,18 @@
 
 // Terms holds the parameters of the six rules.
 type Terms struct {
-	ColdFrom     float64 `toml:"cold_from" validate:"gt=0,lte=1"`
-	WarmUp       Span    `toml:"warm_up" validate:"gt=0"`
-	FallMultiple float64 `toml:"fall_multiple" validate:"gte=1"`
-	FallSpan     Span    `toml:"fall_span" validate:"gt=0"`
-	MaxTries     int     `toml:"max_tries" validate:"gte=1"`
-	Rationed     bool    `toml:"rationed"`
-	FreeTries    float64 `toml:"free_tries" validate:"gte=0"`
-	TryShare     float64 `toml:"try_share" validate:"gte=0"`
-	TrySpan      Span    `toml:"try_span" validate:"required_if=Rationed true"`
-	Probes       bool    `toml:"probes"`
-	MaxComeAgain Span    `toml:"max_come_again"`
-	Advice       *bool   `toml:"advice"` // whether rejections may carry a retry time; true if absent
+	ColdFrom     float64  `toml:"cold_from" validate:"gt=0,lte=1"`
+	WarmUp       Duration `toml:"warm_up" validate:"gt=0"`
+	FallMultiple float64  `toml:"fall_multiple" validate:"gte=1"`
+	FallSpan     Duration `toml:"fall_span" validate:"gt=0"`
+	MaxTries     int      `toml:"max_tries" validate:"gte=1"`
+	Rationed     bool     `toml:"rationed"`
+	FreeTries    float64  `toml:"free_tries" validate:"gte=0"`
+	TryShare     float64  `toml:"try_share" validate:"gte=0"`
+	TrySpan      Duration `toml:"try_span" validate:"required_if=Rationed true"`
+	Probes       bool     `toml:"probes"`
+	MaxComeAgain Duration `toml:"max_come_again"`
+	Advice       *bool    `toml:"advice"` // whether rejections may carry a retry time; true if absent
 }
 
 // Prices holds the prices of the result's parts, each as a share of the whole.
@@ -306,7 +306,7 @@
 // expected describes what a failed rule expects.
 func expected(failure validator.FieldError) string {
 	param := strings.ToLower(failure.Param())
-	if failure.Type() == reflect.TypeFor[Span]() && failure.Tag() != "gtfield" && param != "" {
+	if failure.Type() == reflect.TypeFor[Duration]() && failure.Tag() != "gtfield" && param != "" {
 		var micros int64
 		if _, err := fmt.Sscan(param, &micros); err == nil {
 			param = (time.Duration(micros) * time.Microsecond).String()
@@ -429,9 +429,9 @@
 	return problems
 }
 
-// Queue returns the configuration of the admission queue, nil if there is none, and the limits on connections and
+// QueueConfig returns the configuration of the admission queue, nil if there is none, and the limits on connections and
 // requests. The given secret signs retry tokens unless the settings contain one.
-func (c *Site) Queue(secret []byte) (*fair.Terms, fair.Limits) {
+func (c *Site) QueueConfig(secret []byte) (*fair.Terms, fair.Limits) {
 	door := c.Door
 	if door == nil {
 		return nil, fair.Limits{}
@@ -449,11 +449,11 @@
 			terms.Weights[tenant.Name] = tenant.Weight
 		}
 	}
-	return terms, fair.Limits{PerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
+	return terms, fair.Limits{ConnectionsPerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
 }
 
-// Longest returns the longest abandon time of the plans.
-func (c *Site) Longest() (longest core.Time) {
+// LongestAbandon returns the longest abandon time of the plans.
+func (c *Site) LongestAbandon() (longest core.Time) {
 	for _, plan := range c.Plans {
 		longest = max(longest, core.Time(plan.Abandon))
 	}
@@ -462,7 +462,7 @@
 
 // Lifetimes returns the times for draining and ending a process.
 func (c *Site) Lifetimes() life.Terms {
-	return life.Terms{Drain: core.Time(c.Life.Drain), Finish: c.Longest()}
+	return life.Terms{Drain: core.Time(c.Life.Drain), Finish: c.LongestAbandon()}
 }
 
 // Next returns the values that a reload replaces in a running front.
@@ -516,7 +516,7 @@
 	service := &front.Service{Name: c.Name, Zones: c.Zones, Silent: c.withholdRetryTime(), SessionTimeout: core.Time(c.SessionTimeout), Secret: secret,
 		Bounds: front.Bounds{Connections: c.Bounds.Connections, Playbacks: c.Bounds.Playbacks,
 			Pipelined: c.Bounds.Pipelined, PlayerBytes: c.Bounds.PlayerBytes}}
-	service.Queue, service.Limits = c.Queue(secret)
+	service.Queue, service.Limits = c.QueueConfig(secret)
 	terms, fleet := &c.Terms, &c.Fleet
 	service.Site = session.Site{Fronts: c.Fronts, Front: c.Front, Zone: slices.Index(c.Zones, c.Zone),
 		Ladder: session.Ladder{RateKB: c.Ladder.RatesKB, Worth: c.Ladder.Worth, Join: c.Ladder.Join,
