--- a/internal/fair/limits.go
+++ b/internal/fair/limits.go
@@ -18,12 +18,12 @@
 
 // The reasons for such refusals.
 const (
-	TooManyConnections RefusalReason = iota
-	AddressRateExceeded
-	RequestRateExceeded
-	HalfOpenTooLong
-	SlowSender
-	HeaderFlood
+	TooManyConnections  RefusalReason = iota // the limit on connections was reached
+	AddressRateExceeded                      // new connections from one address
+	RequestRateExceeded                      // requests on one connection
+	HalfOpenTooLong                          // the oldest half-open connection, closed at the limit on them
+	SlowSender                               // a request that did not arrive completely in time
+	HeaderFlood                              // malformed or oversized input of a player
 	Reasons
 )
 
@@ -32,8 +32,8 @@
 }
 
 const (
-	sketchRows      = 4
-	sketchColumns   = 4096
+	sketchRows      = 4    // hash functions, one cell each per address
+	sketchColumns   = 4096 // cells per row
 	microsPerSecond = 1_000_000
 	burstSeconds    = 2 // burst of an address, in seconds of its rate
 )
--- a/internal/fair/reservation.go
+++ b/internal/fair/reservation.go
@@ -12,15 +12,15 @@
 // reservations issues and checks the tokens of refused clients that were given a retry time. A token carries that
 // time and a keyed hash (HMAC, RFC 2104) over the time, the tenant and the client, so it can neither be forged nor
 // used by another client. The key is derived from the secret and the hour of the retry time, so that a refusal
-// needs no state. The only state is one bit for each recently used token, in two tables that alternate; on a
+// stores nothing per client. Recently used tokens are marked by one bit each, in two tables that alternate; on a
 // collision the later token loses its precedence, and nothing else.
 type reservations struct {
 	secret       []byte
 	returnWindow Time // validity of a token from its retry time on: the longest startup target, and one second
 	// because clients receive whole seconds
-	used          [2][]uint64
+	used          [2][]uint64 // bit sets of redeemed tokens: current and previous
 	rotatedAt     Time
-	lag           Time
+	lag           Time                   // delay of the current turn
 	dueBySecond   [horizonSeconds]uint32 // number of reservations by the second in which they are due
 	countedUntil  Time                   // second up to which due reservations are counted
 	dueCount      meter.Count            // reservations that recently became due
@@ -29,11 +29,11 @@
 
 const (
 	keyLifetime    = 3600 * 1_000_000 // lifetime of a key in microseconds
-	macBytes       = 10
-	usedBits       = 1 << 17
-	horizonSeconds = 1 << 12 // how far ahead reservations are counted
-	minDueSamples  = 64      // due reservations needed to estimate the share of clients that return
-	minReturnRate  = 0.6     // least share of clients that is assumed to return
+	macBytes       = 10               // truncated length of the hash in a token
+	usedBits       = 1 << 17          // size of a table of used tokens
+	horizonSeconds = 1 << 12          // range ahead in which reservations are counted
+	minDueSamples  = 64               // due reservations needed to estimate the share of clients that return
+	minReturnRate  = 0.6              // least share of clients that is assumed to return
 )
 
 func newReservations(secret []byte, startup, now Time) reservations {
--- a/internal/fair/window.go
+++ b/internal/fair/window.go
@@ -20,7 +20,7 @@
 	limit, ceiling       float64 // active playbacks: for all tenants, and for tenants within their share
 	active, peak         float64 // playbacks now, and their recent maximum, which decays
 	lastAdvance, lastCut Time
-	quietSince           Time
+	quietSince           Time // last rejection, or later if requests have been waiting since
 	starts               meter.Count
 	createdAt            Time
 	activeTime, ends     meter.Count // recent playback time in microseconds, and recent ends of playbacks
--- a/internal/settings/servers.go
+++ b/internal/settings/servers.go
@@ -44,7 +44,7 @@
 	return ParseServers(text, config)
 }
 
-// ParseServers parses and validates the text of a server list; see ReadServers.
+// ParseServers parses and validates the text of a server list.
 func ParseServers(text []byte, config *Site) (front.List, error) {
 	var parsed serverList
 	problems := decode(text, &parsed)
