--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads an operator's settings file and server list: TOML, with every mistake told by the
-// path of its key and what was expected there, all at once.
+// Package settings reads and validates the settings file and the server list of an operator, both in TOML. It
+// reports all errors of a file at once, each with the path of its key and what is expected there.
 package settings
 
 import (
@@ -25,22 +25,22 @@
 	"pierlink/session"
 )
 
-// Span is a time as people write it: 1.5s, 800ms.
-type Span core.Time
+// Duration is a duration in microseconds, written as in 1.5s or 800ms.
+type Duration core.Time
 
-func (s Span) String() string { return (time.Duration(s) * time.Microsecond).String() }
+func (s Duration) String() string { return (time.Duration(s) * time.Microsecond).String() }
 
-// UnmarshalText reads a span.
-func (s *Span) UnmarshalText(b []byte) error {
+// UnmarshalText parses a duration; negative ones are errors.
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
-		return fmt.Errorf("%q: a time such as 1.5s or 800ms was expected", b)
+		return fmt.Errorf("%q: a duration such as 1.5s or 800ms is expected", b)
 	}
-	*s = Span(d.Microseconds())
+	*s = Duration(d.Microseconds())
 	return nil
 }
 
-// Site is a settings file. docs/operate.md explains each key.
+// Site holds the contents of a settings file. docs/operate.md explains each key.
 type Site struct {
 	Listen  string `toml:"listen" validate:"required,address"`
 	Name    string `toml:"name" validate:"required,max=64,printascii"`
@@ -50,7 +50,7 @@
 	Servers string `toml:"servers"`
 
 	Zones          []string `toml:"zones" validate:"min=1,unique,dive,required"`
-	SessionTimeout Span     `toml:"session_timeout" validate:"gte=1000000"`
+	SessionTimeout Duration `toml:"session_timeout" validate:"gte=1000000"`
 
 	Metrics   string     `toml:"metrics" validate:"omitempty,address"`
 	Bounds    Bounds     `toml:"bounds"`
@@ -69,7 +69,7 @@
 	Prices    Prices     `toml:"prices"`
 }
 
-// Bounds are what one session manager may hold.
+// Bounds holds the resource limits of one session manager.
 type Bounds struct {
 	Connections int `toml:"connections" validate:"gte=1"`
 	Playbacks   int `toml:"playbacks" validate:"gte=1"`
@@ -77,7 +77,8 @@
 	PlayerBytes int `toml:"player_bytes" validate:"gte=16384"`
 }
 
-// Door is the queue before the module and the limits of the door itself. Without it the module is asked at once.
+// Door configures the admission queue and the limits on connections and requests. Without it every request goes to
+// the module at once.
 type Door struct {
 	Waiting       int     `toml:"waiting" validate:"gte=1"`
 	Bytes         int     `toml:"bytes" validate:"gte=1024"`
@@ -90,150 +91,151 @@
 	Labels        int     `toml:"labels" validate:"gte=0"`
 }
 
-// Life is how a session manager ends, hands over and comes back. Without it a stop ends all at once, and nothing
-// is kept.
+// Life configures draining, handover and restart of a session manager. Without it a stop ends all playbacks at once,
+// and no state is kept.
 type Life struct {
-	Drain   Span     `toml:"drain"`
+	Drain   Duration `toml:"drain"`
 	Control string   `toml:"control"`
 	Kept    string   `toml:"kept"`
 	Address string   `toml:"address" validate:"omitempty,address"`
 	Others  []string `toml:"others" validate:"dive,other"`
 }
 
-// Quality has service counted by rack and title.
+// Quality configures the measurement of service by rack and title.
 type Quality struct {
-	Width   Span `toml:"width" validate:"gte=1000000"`
-	Buckets int  `toml:"buckets" validate:"gte=16,lte=10000"`
-	Late    Span `toml:"late" validate:"gte=0"`
-	Titles  int  `toml:"titles" validate:"gte=1"`
+	Width   Duration `toml:"width" validate:"gte=1000000"`
+	Buckets int      `toml:"buckets" validate:"gte=16,lte=10000"`
+	Late    Duration `toml:"late" validate:"gte=0"`
+	Titles  int      `toml:"titles" validate:"gte=1"`
 }
 
-// TLS is a second door, under TLS. Without it players are heard in the clear only.
+// TLS configures a second listener with TLS. Without it players connect without encryption only.
 type TLS struct {
 	Listen  string `toml:"listen" validate:"required,address"`
 	Cert    string `toml:"cert" validate:"required"`
 	Key     string `toml:"key" validate:"required"`
 	Address string `toml:"address" validate:"omitempty,address"`
-	Basic   bool   `toml:"basic"` // passwords are taken too
+	Basic   bool   `toml:"basic"` // Basic authentication is accepted too
 }
 
-// Directory is where tenants and their members are known. Without it every account is taken at its word.
+// Directory configures the directory of tenants and their members. Without it accounts are accepted without
+// authentication.
 type Directory struct {
 	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
 	Base      string   `toml:"base" validate:"required"`
 	Bind      string   `toml:"bind"`
-	Password  string   `toml:"password_file"` // a file, so that it stands in no settings
-	CA        string   `toml:"ca"`            // TLS with this authority; without TLS if empty
+	Password  string   `toml:"password_file"` // a file, to keep the password out of the settings
+	CA        string   `toml:"ca"`            // certificate authority; TLS is not used if empty
 	Page      int      `toml:"page" validate:"gte=1,lte=10000"`
-	Longest   Span     `toml:"longest" validate:"gt=0"`
-	Renew     Span     `toml:"renew" validate:"gt=0,ltefield=Longest"`
-	Timeout   Span     `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
-	Negative  Span     `toml:"negative" validate:"gte=0"`
+	Longest   Duration `toml:"longest" validate:"gt=0"`
+	Renew     Duration `toml:"renew" validate:"gt=0,ltefield=Longest"`
+	Timeout   Duration `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
+	Negative  Duration `toml:"negative" validate:"gte=0"`
 	Waiting   int      `toml:"waiting" validate:"gte=1"`
 	Lookups   int      `toml:"lookups" validate:"gte=1,lte=64"`
 	Entries   int      `toml:"entries" validate:"gte=1"`
-	Quotas    int      `toml:"quotas" validate:"gte=0,lte=65536"` // tenants with a quota that the settings do not name
+	Quotas    int      `toml:"quotas" validate:"gte=0,lte=65536"` // maximum number of tenants with a quota that are not in the settings
 	Stale     string   `toml:"stale" validate:"oneof=refuse admit"`
 	Realm     string   `toml:"realm" validate:"omitempty,printascii,excludesall=\""`
 	Kept      string   `toml:"kept"`
 	Key       string   `toml:"key_file" validate:"required_with=Kept"`
 }
 
-// Trace is where the stories of playbacks are kept, and of what part of them.
+// Trace configures the file for traces of playbacks and the share of playbacks traced.
 type Trace struct {
 	File string  `toml:"file" validate:"required"`
 	Part float64 `toml:"part" validate:"gt=0,lte=1"`
 }
 
-// Registry is where the server list comes from in place of a file.
+// Registry configures the registry that supplies the server list in place of a file.
 type Registry struct {
 	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
 	Kept      string   `toml:"kept"`
-	Lease     Span     `toml:"lease" validate:"omitempty,gte=1000000"`
-	Timeout   Span     `toml:"timeout" validate:"gte=100000"`
-	Grace     Span     `toml:"grace" validate:"gt=0"`
+	Lease     Duration `toml:"lease" validate:"omitempty,gte=1000000"`
+	Timeout   Duration `toml:"timeout" validate:"gte=100000"`
+	Grace     Duration `toml:"grace" validate:"gt=0"`
 	CA        string   `toml:"ca"`
 	Cert      string   `toml:"cert" validate:"required_with=Key"`
 	Key       string   `toml:"key" validate:"required_with=Cert"`
 }
 
-// Ladder is the rungs from below.
+// Ladder configures the rungs, lowest first.
 type Ladder struct {
 	RatesKB []float64 `toml:"rates_kb" validate:"min=1,dive,gt=0"`
 	Worth   []float64 `toml:"worth" validate:"min=1,dive,gt=0"`
 	Join    float64   `toml:"join" validate:"gt=0,lte=1"`
-	Change  Span      `toml:"change"`
+	Change  Duration  `toml:"change"`
 }
 
-// Plan is a kind of playback.
+// Plan configures a plan, a class of playbacks.
 type Plan struct {
-	Name       string  `toml:"name" validate:"required,excludesall=/?# "`
-	Repeat     string  `toml:"repeat" validate:"oneof=harmless keyed unsafe"`
-	Scope      string  `toml:"scope" validate:"omitempty,oneof=everywhere zone cell"`
-	Window     Span    `toml:"window"`
-	Startup    Span    `toml:"startup" validate:"gt=0"`
-	Abandon    Span    `toml:"abandon" validate:"gtfield=Startup"`
-	Revenue    float64 `toml:"revenue" validate:"gt=0"`
-	Live       bool    `toml:"live"`
-	RateFactor float64 `toml:"rate_factor" validate:"gt=0"`
-	Floor      int     `toml:"floor" validate:"gte=0"`
-	Top        int     `toml:"top" validate:"gtefield=Floor"`
-	Seats      int     `toml:"seats" validate:"gte=0"`
-	Tracks     []Track `toml:"track" validate:"min=1,max=8,dive"`
+	Name       string   `toml:"name" validate:"required,excludesall=/?# "`
+	Repeat     string   `toml:"repeat" validate:"oneof=harmless keyed unsafe"`
+	Scope      string   `toml:"scope" validate:"omitempty,oneof=everywhere zone cell"`
+	Window     Duration `toml:"window"`
+	Startup    Duration `toml:"startup" validate:"gt=0"`
+	Abandon    Duration `toml:"abandon" validate:"gtfield=Startup"`
+	Revenue    float64  `toml:"revenue" validate:"gt=0"`
+	Live       bool     `toml:"live"`
+	RateFactor float64  `toml:"rate_factor" validate:"gt=0"`
+	Floor      int      `toml:"floor" validate:"gte=0"`
+	Top        int      `toml:"top" validate:"gtefield=Floor"`
+	Seats      int      `toml:"seats" validate:"gte=0"`
+	Tracks     []Track  `toml:"track" validate:"min=1,max=8,dive"`
 }
 
-// Track is one media stream of a plan's titles.
+// Track describes one media stream of a plan's titles.
 type Track struct {
 	Media    string `toml:"media" validate:"oneof=video audio text application"`
 	Encoding string `toml:"encoding" validate:"required"`
 	Payload  uint8  `toml:"payload" validate:"lte=127"`
 }
 
-// Tenant is a customer with its share of the service.
+// Tenant is a customer with its quota and its weight in admission.
 type Tenant struct {
 	Name   string  `toml:"name" validate:"required"`
 	Quota  float64 `toml:"quota" validate:"gte=0"`
 	Weight float64 `toml:"weight" validate:"gte=0"`
 }
 
-// Fleet is what is told of boxes and racks.
+// Fleet describes the servers and racks, and how their load is reported.
 type Fleet struct {
-	Cells       int     `toml:"cells" validate:"gte=1"`
-	Racks       int     `toml:"racks" validate:"gte=1"`
-	LinksKB     float64 `toml:"links_kb" validate:"gt=0"`
-	UplinkKB    float64 `toml:"uplink_kb" validate:"gt=0"`
-	KBPerWeight float64 `toml:"kb_per_weight" validate:"gte=0"`
-	FullFrom    float64 `toml:"full_from" validate:"gte=0"`
-	NoteDelay   Span    `toml:"note_delay" validate:"gt=0"`
-	NoteEvery   Span    `toml:"note_every" validate:"gte=0"`
-	Load        string  `toml:"load" validate:"oneof=answers probes none"`
-	Uplinks     string  `toml:"uplinks" validate:"omitempty,oneof=told untold"` // told if empty
-	Kinds       []Kind  `toml:"kind" validate:"min=1,unique=Name,dive"`
+	Cells       int      `toml:"cells" validate:"gte=1"`
+	Racks       int      `toml:"racks" validate:"gte=1"`
+	LinksKB     float64  `toml:"links_kb" validate:"gt=0"`
+	UplinkKB    float64  `toml:"uplink_kb" validate:"gt=0"`
+	KBPerWeight float64  `toml:"kb_per_weight" validate:"gte=0"`
+	FullFrom    float64  `toml:"full_from" validate:"gte=0"`
+	NoteDelay   Duration `toml:"note_delay" validate:"gt=0"`
+	NoteEvery   Duration `toml:"note_every" validate:"gte=0"`
+	Load        string   `toml:"load" validate:"oneof=answers probes none"`
+	Uplinks     string   `toml:"uplinks" validate:"omitempty,oneof=told untold"` // as "told" if empty
+	Kinds       []Kind   `toml:"kind" validate:"min=1,unique=Name,dive"`
 }
 
-// Kind is a kind of box.
+// Kind is a model of server.
 type Kind struct {
 	Name   string  `toml:"name" validate:"required"`
 	Places float64 `toml:"places" validate:"gt=0"`
 }
 
-// Terms are the figures of the six rules.
+// Terms holds the parameters of the six rules.
 type Terms struct {
-	ColdFrom     float64 `toml:"cold_from" validate:"gt=0,lte=1"`
-	WarmUp       Span    `toml:"warm_up" validate:"gt=0"`
-	FallMultiple float64 `toml:"fall_multiple" validate:"gte=1"`
-	FallSpan     Span    `toml:"fall_span" validate:"gt=0"`
-	MaxTries     int     `toml:"max_tries" validate:"gte=1"`
-	Rationed     bool    `toml:"rationed"`
-	FreeTries    float64 `toml:"free_tries" validate:"gte=0"`
-	TryShare     float64 `toml:"try_share" validate:"gte=0"`
-	TrySpan      Span    `toml:"try_span" validate:"required_if=Rationed true"`
-	Probes       bool    `toml:"probes"`
-	MaxComeAgain Span    `toml:"max_come_again"`
-	Advice       *bool   `toml:"advice"` // whether rejections may say when to come again; left out, they may
+	ColdFrom     float64  `toml:"cold_from" validate:"gt=0,lte=1"`
+	WarmUp       Duration `toml:"warm_up" validate:"gt=0"`
+	FallMultiple float64  `toml:"fall_multiple" validate:"gte=1"`
+	FallSpan     Duration `toml:"fall_span" validate:"gt=0"`
+	MaxTries     int      `toml:"max_tries" validate:"gte=1"`
+	Rationed     bool     `toml:"rationed"`
+	FreeTries    float64  `toml:"free_tries" validate:"gte=0"`
+	TryShare     float64  `toml:"try_share" validate:"gte=0"`
+	TrySpan      Duration `toml:"try_span" validate:"required_if=Rationed true"`
+	Probes       bool     `toml:"probes"`
+	MaxComeAgain Duration `toml:"max_come_again"`
+	Advice       *bool    `toml:"advice"` // whether rejections may carry a retry time; true if absent
 }
 
-// Prices are parts of the whole result.
+// Prices holds the prices of the result's parts, each as a share of the whole.
 type Prices struct {
 	CrossZone float64 `toml:"cross_zone" validate:"gte=0,lte=1"`
 	Move      float64 `toml:"move" validate:"gte=0,lte=1"`
@@ -242,320 +244,323 @@
 	WorstPlan float64 `toml:"worst_plan" validate:"gte=0,lt=1"`
 }
 
-// Mistakes are all that is wrong with a file: one line each, with the key's path.
+// Mistakes lists all errors of a file, one line each, with the path of the key.
 type Mistakes []string
 
 func (m Mistakes) Error() string { return strings.Join(m, "\n") }
 
-var check = func() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string {
+// validate checks the rules of struct tags and names fields by their TOML keys.
+var validate = func() *validator.Validate {
+	rules := validator.New(validator.WithRequiredStructEnabled())
+	rules.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 		return name
 	})
-	address := func(s string) bool { // port 0 has the system choose
+	address := func(s string) bool { // port 0 lets the system choose
 		host, port, err := net.SplitHostPort(s)
-		_, bad := strconv.ParseUint(port, 10, 16)
-		return err == nil && bad == nil && host != ""
+		_, portErr := strconv.ParseUint(port, 10, 16)
+		return err == nil && portErr == nil && host != ""
 	}
-	_ = v.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
-	_ = v.RegisterValidation("other", func(f validator.FieldLevel) bool {
+	_ = rules.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
+	_ = rules.RegisterValidation("other", func(f validator.FieldLevel) bool {
 		return address(strings.TrimPrefix(f.Field().String(), life.SecureMark))
 	})
-	return v
+	return rules
 }()
 
-// decode reads TOML strictly: keys that mean nothing are mistakes too.
-func decode(text []byte, into any) (bad Mistakes) {
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	err := d.Decode(into)
+// decode parses and validates TOML strictly: unknown keys are errors too.
+func decode(text []byte, target any) (problems Mistakes) {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	err := decoder.Decode(target)
 	var strict *toml.StrictMissingError
-	var broken *toml.DecodeError
+	var syntax *toml.DecodeError
 	switch {
 	case err == nil:
 	case errors.As(err, &strict):
 		for i := range strict.Errors {
-			e := &strict.Errors[i]
-			line, _ := e.Position()
-			bad = append(bad, fmt.Sprintf("%s: unknown key (line %d)", strings.Join(e.Key(), "."), line))
+			unknown := &strict.Errors[i]
+			line, _ := unknown.Position()
+			problems = append(problems, fmt.Sprintf("%s: unknown key (line %d)", strings.Join(unknown.Key(), "."), line))
 		}
-	case errors.As(err, &broken):
-		line, column := broken.Position()
-		key := strings.Join(broken.Key(), ".")
+	case errors.As(err, &syntax):
+		line, column := syntax.Position()
+		key := strings.Join(syntax.Key(), ".")
 		if key == "" {
 			key = "file"
 		}
-		return append(bad, fmt.Sprintf("%s: line %d, column %d: %s", key, line, column,
-			strings.TrimPrefix(broken.Error(), "toml: ")))
+		return append(problems, fmt.Sprintf("%s: line %d, column %d: %s", key, line, column,
+			strings.TrimPrefix(syntax.Error(), "toml: ")))
 	default:
-		return append(bad, err.Error())
+		return append(problems, err.Error())
 	}
 	var fields validator.ValidationErrors
-	if err := check.Struct(into); errors.As(err, &fields) {
-		for _, f := range fields {
-			_, path, _ := strings.Cut(f.Namespace(), ".")
-			bad = append(bad, path+": "+expected(f))
+	if err := validate.Struct(target); errors.As(err, &fields) {
+		for _, failure := range fields {
+			_, path, _ := strings.Cut(failure.Namespace(), ".")
+			problems = append(problems, path+": "+expected(failure))
 		}
 	}
-	return bad
+	return problems
 }
 
-// expected says in words what a rule of a key wants.
-func expected(f validator.FieldError) string {
-	p := strings.ToLower(f.Param())
-	if f.Type() == reflect.TypeFor[Span]() && f.Tag() != "gtfield" && p != "" {
-		var us int64
-		if _, err := fmt.Sscan(p, &us); err == nil {
-			p = (time.Duration(us) * time.Microsecond).String()
+// expected describes what a failed rule expects.
+func expected(failure validator.FieldError) string {
+	param := strings.ToLower(failure.Param())
+	if failure.Type() == reflect.TypeFor[Duration]() && failure.Tag() != "gtfield" && param != "" {
+		var micros int64
+		if _, err := fmt.Sscan(param, &micros); err == nil {
+			param = (time.Duration(micros) * time.Microsecond).String()
 		}
 	}
-	many := f.Kind() == reflect.Slice
-	switch f.Tag() {
+	isSlice := failure.Kind() == reflect.Slice
+	switch failure.Tag() {
 	case "required", "required_if", "required_with":
 		return "a value is expected"
 	case "gte":
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "gt":
-		return "more than " + p + " is expected"
+		return "more than " + param + " is expected"
 	case "lt":
-		return "less than " + p + " is expected"
+		return "less than " + param + " is expected"
 	case "lte":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "min":
-		if many {
-			return "at least " + p + " entry is expected"
+		if isSlice {
+			return "at least " + param + " entry is expected"
 		}
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "max":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "gtfield":
-		return "more than " + p + " is expected"
+		return "more than " + param + " is expected"
 	case "gtefield":
-		return "at least " + p + " is expected"
+		return "at least " + param + " is expected"
 	case "ltefield":
-		return "at most " + p + " is expected"
+		return "at most " + param + " is expected"
 	case "ltfield":
-		return "less than " + p + " is expected"
+		return "less than " + param + " is expected"
 	case "oneof":
-		return "one of " + strings.Join(strings.Fields(f.Param()), ", ") + " is expected"
+		return "one of " + strings.Join(strings.Fields(failure.Param()), ", ") + " is expected"
 	case "unique":
-		return "no two alike are expected"
+		return "unique entries are expected"
 	case "address":
 		return "an address such as 127.0.0.1:8554 is expected"
 	case "other":
 		return "an address such as 127.0.0.1:8554, or rtsps://127.0.0.1:8322, is expected"
 	case "excludesall":
-		return "no blank and none of / ? # is expected"
+		return "a value without blanks and without / ? # is expected"
 	}
-	return f.Tag() + " " + f.Param() + " is expected"
+	return failure.Tag() + " " + failure.Param() + " is expected"
 }
 
-// Read reads and checks a settings file. The error is Mistakes where the file could be read.
+// Read reads and validates a settings file. If the file can be read but is invalid, the error
+// lists all problems.
 func Read(path string) (*Site, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{}
-	bad := decode(text, s)
-	if len(bad) == 0 {
-		bad = s.across()
+	config := &Site{}
+	problems := decode(text, config)
+	if len(problems) == 0 {
+		problems = config.checkCombinations()
 	}
-	if len(bad) > 0 {
-		return nil, bad
+	if len(problems) > 0 {
+		return nil, problems
 	}
-	return s, nil
+	return config, nil
 }
 
-// across checks what one key means for another.
-func (s *Site) across() (bad Mistakes) {
-	if (s.Servers == "") == (s.Registry == nil) {
-		bad = append(bad, "servers: either a file here or the section registry is expected")
+// checkCombinations checks rules that involve several keys.
+func (c *Site) checkCombinations() (problems Mistakes) {
+	if (c.Servers == "") == (c.Registry == nil) {
+		problems = append(problems, "servers: either a file or the section registry is expected")
 	}
-	if len(s.Ladder.Worth) != len(s.Ladder.RatesKB) {
-		bad = append(bad, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(s.Ladder.RatesKB)))
+	if len(c.Ladder.Worth) != len(c.Ladder.RatesKB) {
+		problems = append(problems, fmt.Sprintf("ladder.worth: %d numbers are expected, one for each of ladder.rates_kb", len(c.Ladder.RatesKB)))
 	}
-	if !slices.IsSorted(s.Ladder.RatesKB) {
-		bad = append(bad, "ladder.rates_kb: rates from below are expected")
+	if !slices.IsSorted(c.Ladder.RatesKB) {
+		problems = append(problems, "ladder.rates_kb: rates in ascending order are expected")
 	}
-	if !slices.Contains(s.Zones, s.Zone) {
-		bad = append(bad, "zone: one of "+strings.Join(s.Zones, ", ")+" is expected")
+	if !slices.Contains(c.Zones, c.Zone) {
+		problems = append(problems, "zone: one of "+strings.Join(c.Zones, ", ")+" is expected")
 	}
-	if s.TLS != nil && s.TLS.Basic && (s.Directory == nil || s.Directory.Realm == "") {
-		bad = append(bad, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
+	if c.TLS != nil && c.TLS.Basic && (c.Directory == nil || c.Directory.Realm == "") {
+		problems = append(problems, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
 	}
-	for i, p := range s.Plans {
-		if p.Top >= len(s.Ladder.RatesKB) {
-			bad = append(bad, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(s.Ladder.RatesKB)-1))
+	for i, plan := range c.Plans {
+		if plan.Top >= len(c.Ladder.RatesKB) {
+			problems = append(problems, fmt.Sprintf("plan[%d].top: at most %d is expected, the ladder's highest rung", i, len(c.Ladder.RatesKB)-1))
 		}
-		if p.Repeat == "keyed" && p.Window == 0 {
-			bad = append(bad, fmt.Sprintf("plan[%d].window: a time is expected, as repeat is keyed", i))
+		if plan.Repeat == "keyed" && plan.Window == 0 {
+			problems = append(problems, fmt.Sprintf("plan[%d].window: a duration is expected, as repeat is keyed", i))
 		}
 	}
-	return append(bad, s.mixed()...)
+	return append(problems, c.checkConflicts()...)
 }
 
-// silent tells whether no rejection may say when to come again.
-func (s *Site) silent() bool { return s.Terms.Advice != nil && !*s.Terms.Advice }
+// withholdRetryTime reports whether rejections must not carry a retry time.
+func (c *Site) withholdRetryTime() bool { return c.Terms.Advice != nil && !*c.Terms.Advice }
 
-// mixed finds keys of one shape of deployment beside those of another, where one of them could not hold.
-func (s *Site) mixed() (bad Mistakes) {
-	t, f := &s.Terms, &s.Fleet
-	none := func(clash bool, key string, found any, why string) {
-		if clash {
-			bad = append(bad, fmt.Sprintf("%s: %v found, but none is expected, as %s", key, found, why))
+// checkConflicts reports keys that have no effect or contradict others in this kind of deployment.
+func (c *Site) checkConflicts() (problems Mistakes) {
+	terms, fleet := &c.Terms, &c.Fleet
+	rejectKey := func(conflict bool, key string, found any, reason string) {
+		if conflict {
+			problems = append(problems, fmt.Sprintf("%s: %v found, but none is expected, as %s", key, found, reason))
 		}
 	}
-	none(s.silent() && t.MaxComeAgain > 0, "terms.max_come_again", t.MaxComeAgain, "terms.advice is false")
-	none(s.silent() && s.Door != nil && s.Door.Secret != "", "door.secret", "one", "terms.advice is false and nothing is promised")
-	if !t.Probes && f.Load == "probes" {
-		bad = append(bad, "fleet.load: probes found, but answers or none is expected, as terms.probes is false")
-	}
-	none(!t.Probes && s.Prices.Probe > 0, "prices.probe", s.Prices.Probe, "terms.probes is false")
-	none(f.Load != "answers" && f.NoteEvery > 0, "fleet.note_every", f.NoteEvery, "fleet.load is "+f.Load)
-	none(!t.Rationed && t.FreeTries > 0, "terms.free_tries", t.FreeTries, "terms.rationed is false")
-	none(!t.Rationed && t.TryShare > 0, "terms.try_share", t.TryShare, "terms.rationed is false")
-	none(!t.Rationed && t.TrySpan > 0, "terms.try_span", t.TrySpan, "terms.rationed is false")
-	for i, p := range s.Plans {
-		if p.Repeat == "unsafe" { // a key's figures would promise a repeat
-			none(p.Window > 0, fmt.Sprintf("plan[%d].window", i), p.Window, "repeat is "+p.Repeat)
-			none(p.Scope != "", fmt.Sprintf("plan[%d].scope", i), p.Scope, "repeat is "+p.Repeat)
+	rejectKey(c.withholdRetryTime() && terms.MaxComeAgain > 0, "terms.max_come_again", terms.MaxComeAgain, "terms.advice is false")
+	rejectKey(c.withholdRetryTime() && c.Door != nil && c.Door.Secret != "", "door.secret", "one", "terms.advice is false and no retry tokens are issued")
+	if !terms.Probes && fleet.Load == "probes" {
+		problems = append(problems, "fleet.load: probes found, but answers or none is expected, as terms.probes is false")
+	}
+	rejectKey(!terms.Probes && c.Prices.Probe > 0, "prices.probe", c.Prices.Probe, "terms.probes is false")
+	rejectKey(fleet.Load != "answers" && fleet.NoteEvery > 0, "fleet.note_every", fleet.NoteEvery, "fleet.load is "+fleet.Load)
+	rejectKey(!terms.Rationed && terms.FreeTries > 0, "terms.free_tries", terms.FreeTries, "terms.rationed is false")
+	rejectKey(!terms.Rationed && terms.TryShare > 0, "terms.try_share", terms.TryShare, "terms.rationed is false")
+	rejectKey(!terms.Rationed && terms.TrySpan > 0, "terms.try_span", terms.TrySpan, "terms.rationed is false")
+	for i, plan := range c.Plans {
+		if plan.Repeat == "unsafe" { // a window or scope would imply that requests can be repeated
+			rejectKey(plan.Window > 0, fmt.Sprintf("plan[%d].window", i), plan.Window, "repeat is "+plan.Repeat)
+			rejectKey(plan.Scope != "", fmt.Sprintf("plan[%d].scope", i), plan.Scope, "repeat is "+plan.Repeat)
 		}
 	}
-	return bad
+	return problems
 }
 
-// Queue is what the door's queue is told, nil without one, and the door's limits.
-func (s *Site) Queue(secret []byte) (*fair.Terms, fair.Limits) {
-	d := s.Door
-	if d == nil {
+// QueueConfig returns the configuration of the admission queue, nil if there is none, and the limits on connections and
+// requests. The given secret signs retry tokens unless the settings contain one.
+func (c *Site) QueueConfig(secret []byte) (*fair.Terms, fair.Limits) {
+	door := c.Door
+	if door == nil {
 		return nil, fair.Limits{}
 	}
-	t := &fair.Terms{Waiting: d.Waiting, Bytes: d.Bytes, Tenants: d.Tenants, Clients: d.Clients, Secret: secret,
-		Longest: core.Time(s.Terms.MaxComeAgain), Silent: s.silent(), Weights: map[string]float64{}}
-	if d.Secret != "" {
-		t.Secret = []byte(d.Secret)
+	terms := &fair.Terms{Waiting: door.Waiting, Bytes: door.Bytes, Tenants: door.Tenants, Clients: door.Clients, Secret: secret,
+		Longest: core.Time(c.Terms.MaxComeAgain), Silent: c.withholdRetryTime(), Weights: map[string]float64{}}
+	if door.Secret != "" {
+		terms.Secret = []byte(door.Secret)
 	}
-	for _, p := range s.Plans {
-		t.Startup = max(t.Startup, core.Time(p.Startup))
+	for _, plan := range c.Plans {
+		terms.Startup = max(terms.Startup, core.Time(plan.Startup))
 	}
-	for _, x := range s.Tenants {
-		if x.Weight > 0 {
-			t.Weights[x.Name] = x.Weight
+	for _, tenant := range c.Tenants {
+		if tenant.Weight > 0 {
+			terms.Weights[tenant.Name] = tenant.Weight
 		}
 	}
-	return t, fair.Limits{PerAddress: d.PerAddress, PerConnection: d.PerConnection, HalfOpen: d.HalfOpen}
+	return terms, fair.Limits{ConnectionsPerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
 }
 
-// Longest is the longest abandon time of the plans.
-func (s *Site) Longest() (most core.Time) {
-	for _, p := range s.Plans {
-		most = max(most, core.Time(p.Abandon))
+// LongestAbandon returns the longest abandon time of the plans.
+func (c *Site) LongestAbandon() (longest core.Time) {
+	for _, plan := range c.Plans {
+		longest = max(longest, core.Time(plan.Abandon))
 	}
-	return most
+	return longest
 }
 
-// Lifetimes are what a process's life is told.
-func (s *Site) Lifetimes() life.Terms {
-	return life.Terms{Drain: core.Time(s.Life.Drain), Finish: s.Longest()}
+// Lifetimes returns the times for draining and ending a process.
+func (c *Site) Lifetimes() life.Terms {
+	return life.Terms{Drain: core.Time(c.Life.Drain), Finish: c.LongestAbandon()}
 }
 
-// Next is what a reload changes.
-func (s *Site) Next(secret []byte) *front.Next {
-	v := s.Service(secret)
-	n := &front.Next{Bounds: v.Bounds, SessionTimeout: v.SessionTimeout, Queue: v.Queue, Limits: v.Limits, Life: s.Lifetimes()}
-	for _, p := range v.Plans {
-		n.Abandon = append(n.Abandon, p.Abandon)
+// Next returns the values that a reload replaces in a running front.
+func (c *Site) Next(secret []byte) *front.Next {
+	service := c.Service(secret)
+	next := &front.Next{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: c.Lifetimes()}
+	for _, plan := range service.Plans {
+		next.Abandon = append(next.Abandon, plan.Abandon)
 	}
-	for _, t := range v.Site.Tenants {
-		n.Quotas = append(n.Quotas, t.QuotaPerS)
+	for _, tenant := range service.Site.Tenants {
+		next.Quotas = append(next.Quotas, tenant.QuotaPerS)
 	}
-	return n
+	return next
 }
 
-// Fixed names what a reload would have to change and cannot while the session manager runs.
-func (s *Site) Fixed(next *Site) (keys []string) {
-	a, b := *s, *next
-	if (a.Door == nil) != (b.Door == nil) {
+// Fixed returns the keys that differ in next and cannot change while the session manager runs.
+func (c *Site) Fixed(next *Site) (keys []string) {
+	current, updated := *c, *next
+	if (current.Door == nil) != (updated.Door == nil) {
 		keys = append(keys, "door")
 	}
-	a.Door, b.Door = nil, nil
-	a.Bounds, a.SessionTimeout = b.Bounds, b.SessionTimeout
-	a.Life.Drain, a.Life.Others = b.Life.Drain, b.Life.Others
-	if len(a.Plans) == len(b.Plans) {
-		a.Plans = slices.Clone(a.Plans)
-		for i := range a.Plans {
-			a.Plans[i].Abandon = b.Plans[i].Abandon
+	current.Door, updated.Door = nil, nil
+	current.Bounds, current.SessionTimeout = updated.Bounds, updated.SessionTimeout
+	current.Life.Drain, current.Life.Others = updated.Life.Drain, updated.Life.Others
+	if len(current.Plans) == len(updated.Plans) {
+		current.Plans = slices.Clone(current.Plans)
+		for i := range current.Plans {
+			current.Plans[i].Abandon = updated.Plans[i].Abandon
 		}
 	}
-	strip := func(all []Tenant) []Tenant {
-		all = slices.Clone(all)
-		for i := range all {
-			all[i].Weight, all[i].Quota = 0, 0
+	withoutShares := func(tenants []Tenant) []Tenant {
+		tenants = slices.Clone(tenants)
+		for i := range tenants {
+			tenants[i].Weight, tenants[i].Quota = 0, 0
 		}
-		return all
+		return tenants
 	}
-	a.Tenants, b.Tenants = strip(a.Tenants), strip(b.Tenants)
-	x, y := reflect.ValueOf(a), reflect.ValueOf(b)
-	for i := range x.NumField() {
-		if !reflect.DeepEqual(x.Field(i).Interface(), y.Field(i).Interface()) {
-			name, _, _ := strings.Cut(x.Type().Field(i).Tag.Get("toml"), ",")
+	current.Tenants, updated.Tenants = withoutShares(current.Tenants), withoutShares(updated.Tenants)
+	currentValue, updatedValue := reflect.ValueOf(current), reflect.ValueOf(updated)
+	for i := range currentValue.NumField() {
+		if !reflect.DeepEqual(currentValue.Field(i).Interface(), updatedValue.Field(i).Interface()) {
+			name, _, _ := strings.Cut(currentValue.Type().Field(i).Tag.Get("toml"), ",")
 			keys = append(keys, name)
 		}
 	}
 	return keys
 }
 
-// Service is what a front is told. The secret of its session ids is the caller's.
-func (s *Site) Service(secret []byte) *front.Service {
-	v := &front.Service{Name: s.Name, Zones: s.Zones, Silent: s.silent(), SessionTimeout: core.Time(s.SessionTimeout), Secret: secret,
-		Bounds: front.Bounds{Connections: s.Bounds.Connections, Playbacks: s.Bounds.Playbacks,
-			Pipelined: s.Bounds.Pipelined, PlayerBytes: s.Bounds.PlayerBytes}}
-	v.Queue, v.Limits = s.Queue(secret)
-	t, f := &s.Terms, &s.Fleet
-	v.Site = session.Site{Fronts: s.Fronts, Front: s.Front, Zone: slices.Index(s.Zones, s.Zone),
-		Ladder: session.Ladder{RateKB: s.Ladder.RatesKB, Worth: s.Ladder.Worth, Join: s.Ladder.Join,
-			Change: core.Time(s.Ladder.Change)},
-		Fleet: session.Fleet{Cells: f.Cells, Racks: f.Racks, LinksKB: f.LinksKB, UplinkKB: f.UplinkKB,
-			KBPerWeight: f.KBPerWeight, WeightsTold: f.KBPerWeight > 0, FullFrom: f.FullFrom,
-			NoteDelay: core.Time(f.NoteDelay), NoteEvery: core.Time(f.NoteEvery), LoadInAnswers: f.Load == "answers",
-			LoadInProbes: f.Load != "none", UplinkUntold: f.Uplinks == "untold"},
-		Terms: session.Terms{ColdFrom: t.ColdFrom, WarmUp: core.Time(t.WarmUp), FallMultiple: t.FallMultiple,
-			FallSpan: core.Time(t.FallSpan), MaxTries: t.MaxTries, Rationed: t.Rationed, FreeTries: t.FreeTries,
-			TryShare: t.TryShare, TrySpan: core.Time(t.TrySpan), Probes: t.Probes,
-			MaxComeAgain: core.Time(t.MaxComeAgain)},
-		Prices: session.Prices{CrossZone: s.Prices.CrossZone, Move: s.Prices.Move, Probe: s.Prices.Probe,
-			OverShare: s.Prices.OverShare, WorstPlan: s.Prices.WorstPlan}}
-	for _, k := range f.Kinds {
-		v.Kinds = append(v.Kinds, k.Name)
-		v.Site.Fleet.Places = append(v.Site.Fleet.Places, k.Places)
+// Service returns the configuration of a front. The secret is used for its session ids.
+func (c *Site) Service(secret []byte) *front.Service {
+	service := &front.Service{Name: c.Name, Zones: c.Zones, Silent: c.withholdRetryTime(), SessionTimeout: core.Time(c.SessionTimeout), Secret: secret,
+		Bounds: front.Bounds{Connections: c.Bounds.Connections, Playbacks: c.Bounds.Playbacks,
+			Pipelined: c.Bounds.Pipelined, PlayerBytes: c.Bounds.PlayerBytes}}
+	service.Queue, service.Limits = c.QueueConfig(secret)
+	terms, fleet := &c.Terms, &c.Fleet
+	service.Site = session.Site{Fronts: c.Fronts, Front: c.Front, Zone: slices.Index(c.Zones, c.Zone),
+		Ladder: session.Ladder{RateKB: c.Ladder.RatesKB, Worth: c.Ladder.Worth, Join: c.Ladder.Join,
+			Change: core.Time(c.Ladder.Change)},
+		Fleet: session.Fleet{Cells: fleet.Cells, Racks: fleet.Racks, LinksKB: fleet.LinksKB, UplinkKB: fleet.UplinkKB,
+			KBPerWeight: fleet.KBPerWeight, WeightsTold: fleet.KBPerWeight > 0, FullFrom: fleet.FullFrom,
+			NoteDelay: core.Time(fleet.NoteDelay), NoteEvery: core.Time(fleet.NoteEvery), LoadInAnswers: fleet.Load == "answers",
+			LoadInProbes: fleet.Load != "none", UplinkUntold: fleet.Uplinks == "untold"},
+		Terms: session.Terms{ColdFrom: terms.ColdFrom, WarmUp: core.Time(terms.WarmUp), FallMultiple: terms.FallMultiple,
+			FallSpan: core.Time(terms.FallSpan), MaxTries: terms.MaxTries, Rationed: terms.Rationed, FreeTries: terms.FreeTries,
+			TryShare: terms.TryShare, TrySpan: core.Time(terms.TrySpan), Probes: terms.Probes,
+			MaxComeAgain: core.Time(terms.MaxComeAgain)},
+		Prices: session.Prices{CrossZone: c.Prices.CrossZone, Move: c.Prices.Move, Probe: c.Prices.Probe,
+			OverShare: c.Prices.OverShare, WorstPlan: c.Prices.WorstPlan}}
+	for _, kind := range fleet.Kinds {
+		service.Kinds = append(service.Kinds, kind.Name)
+		service.Site.Fleet.Places = append(service.Site.Fleet.Places, kind.Places)
 	}
 	repeats := map[string]session.Repeat{"harmless": session.Harmless, "keyed": session.Keyed, "unsafe": session.Unsafe}
 	scopes := map[string]session.Scope{"zone": session.SameZone, "cell": session.SameCell}
-	for _, p := range s.Plans {
-		v.Site.Plans = append(v.Site.Plans, session.Plan{Repeat: repeats[p.Repeat], Scope: scopes[p.Scope],
-			Window: core.Time(p.Window), Startup: core.Time(p.Startup), Revenue: p.Revenue, Live: p.Live,
-			RateFactor: p.RateFactor, Floor: p.Floor, Top: p.Top, Seats: p.Seats})
-		face := front.Face{Name: p.Name, Abandon: core.Time(p.Abandon)}
-		for _, t := range p.Tracks {
-			face.Tracks = append(face.Tracks, front.Track{Media: t.Media, Encoding: t.Encoding, Payload: t.Payload})
+	for _, plan := range c.Plans {
+		service.Site.Plans = append(service.Site.Plans, session.Plan{Repeat: repeats[plan.Repeat], Scope: scopes[plan.Scope],
+			Window: core.Time(plan.Window), Startup: core.Time(plan.Startup), Revenue: plan.Revenue, Live: plan.Live,
+			RateFactor: plan.RateFactor, Floor: plan.Floor, Top: plan.Top, Seats: plan.Seats})
+		face := front.Face{Name: plan.Name, Abandon: core.Time(plan.Abandon)}
+		for _, track := range plan.Tracks {
+			face.Tracks = append(face.Tracks, front.Track{Media: track.Media, Encoding: track.Encoding, Payload: track.Payload})
 		}
-		v.Plans = append(v.Plans, face)
+		service.Plans = append(service.Plans, face)
 	}
-	if q := s.Quality; q != nil {
-		t := quality.Terms{Worth: s.Ladder.Worth, Racks: f.Racks, Titles: q.Titles, Playbacks: 2 * s.Bounds.Playbacks, Width: core.Time(q.Width),
-			Buckets: q.Buckets, Late: core.Time(q.Late)}
-		for _, p := range s.Plans {
-			t.Plans = append(t.Plans, quality.Plan{Startup: core.Time(p.Startup), Revenue: p.Revenue})
+	if qualityKeys := c.Quality; qualityKeys != nil {
+		config := quality.Terms{Worth: c.Ladder.Worth, Racks: fleet.Racks, Titles: qualityKeys.Titles, Playbacks: 2 * c.Bounds.Playbacks, Width: core.Time(qualityKeys.Width),
+			Buckets: qualityKeys.Buckets, Late: core.Time(qualityKeys.Late)}
+		for _, plan := range c.Plans {
+			config.Plans = append(config.Plans, quality.Plan{Startup: core.Time(plan.Startup), Revenue: plan.Revenue})
 		}
-		v.Quality = quality.New(t, time.Now().UnixMicro())
+		service.Quality = quality.New(config, time.Now().UnixMicro())
 	}
-	for _, t := range s.Tenants {
-		v.Tenants = append(v.Tenants, t.Name)
-		v.Site.Tenants = append(v.Site.Tenants, session.Tenant{QuotaPerS: t.Quota})
+	for _, tenant := range c.Tenants {
+		service.Tenants = append(service.Tenants, tenant.Name)
+		service.Site.Tenants = append(service.Site.Tenants, session.Tenant{QuotaPerS: tenant.Quota})
 	}
-	if s.Directory != nil {
-		v.Site.Tenants = append(v.Site.Tenants, make([]session.Tenant, s.Directory.Quotas)...)
+	if c.Directory != nil {
+		service.Site.Tenants = append(service.Site.Tenants, make([]session.Tenant, c.Directory.Quotas)...)
 	}
-	return v
+	return service
 }
