--- a/cmd/pierlab/experiment.go
+++ b/cmd/pierlab/experiment.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			if err := p.Write(out, rows); err != nil {
+			if err := p.WriteResults(out, rows); err != nil {
 				return err
 			}
 			fmt.Println(filepath.Join(out, "REPORT.md"))
@@ -57,7 +57,7 @@
 	var plant string
 	c := &cobra.Command{Use: "row FILE", Short: "Play a day on the virtual network and print what an experiment keeps of it", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			d, err := dayOf(args[0], seed)
+			d, err := loadDay(args[0], seed)
 			if err != nil {
 				return err
 			}
@@ -81,7 +81,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			d, err := dayOf(name, 0)
+			d, err := loadDay(name, 0)
 			if err != nil {
 				return err
 			}
@@ -105,8 +105,8 @@
 	return c
 }
 
-// dayOf is a day of the library or a file, as a seed draws it; 0 for its own.
-func dayOf(name string, seed uint64) (*lab.Day, error) {
+// loadDay is a day of the library or a file, as a seed draws it; 0 for its own.
+func loadDay(name string, seed uint64) (*lab.Day, error) {
 	d, err := lab.Library(name)
 	if err != nil {
 		if d, err = lab.ReadDay(name); err != nil {
--- a/cmd/pierlab/main.go
+++ b/cmd/pierlab/main.go
@@ -12,8 +12,8 @@
 	"pierlink/internal/lab"
 )
 
-// errAims says that a proof ran and an aim of it does not hold.
-var errAims = errors.New("an aim does not hold")
+// errCheckFailed says that a proof ran and an aim of it does not hold.
+var errCheckFailed = errors.New("an aim does not hold")
 
 func main() {
 	root := &cobra.Command{Use: "pierlab", Short: "Stand-ins, scripted days and proofs for pierlink",
@@ -22,7 +22,7 @@
 		&cobra.Command{Use: "spawn", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return lab.Spawn(os.Stdin, os.Stdout) }})
 	switch err := root.Execute(); {
 	case err == nil:
-	case errors.Is(err, errAims):
+	case errors.Is(err, errCheckFailed):
 		os.Exit(1)
 	default:
 		fmt.Fprintln(os.Stderr, "pierlab:", err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// logger writes what cores say to standard error if asked to.
-func logger(verbose bool) *zap.Logger {
+// newLogger writes what cores say to standard error if asked to.
+func newLogger(verbose bool) *zap.Logger {
 	if !verbose {
 		return zap.NewNop()
 	}
--- a/cmd/pierlab/prove.go
+++ b/cmd/pierlab/prove.go
@@ -30,7 +30,7 @@
 			} else if full {
 				size = lab.Full
 			}
-			p, err := proof(seed, size, logger(verbose))
+			p, err := proof(seed, size, newLogger(verbose))
 			if err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 				return err
 			}
 			if !p.OK {
-				return errAims
+				return errCheckFailed
 			}
 			return nil
 		}}
@@ -71,7 +71,7 @@
 					return err
 				}
 			}
-			p, err := lab.PlayDay(d, virtual, logger(verbose))
+			p, err := lab.PlayDay(d, virtual, newLogger(verbose))
 			if err != nil {
 				return err
 			}
@@ -79,7 +79,7 @@
 				return err
 			}
 			if !p.OK {
-				return errAims
+				return errCheckFailed
 			}
 			return nil
 		}}
--- a/cmd/pierlab/standin.go
+++ b/cmd/pierlab/standin.go
@@ -64,7 +64,7 @@
 					b.Started = time.UnixMicro(f.Started)
 				}
 				client.Register(ctx, client.Place{Endpoints: endpoints, Bounds: registry.Bounds{Timeout: core.Second}},
-					registry.BoxesPrefix+name, b.Value, nil, 3, logger(true))
+					registry.BoxesPrefix+name, b.Value, nil, 3, newLogger(true))
 			}()
 			<-stop
 			cancel()
@@ -109,8 +109,8 @@
 			l.Post(func() {
 				crowd.Report = func(w *player.Want, s *player.Seen) {
 					fmt.Printf("%s %s status=%d startup=%s packets=%d bytes=%d gaps=%d answers=%d of %d requests longest-silence=%s\n",
-						s.ID, names[s.State], s.Status, span(s.FirstPacket), s.Packets, s.Bytes, s.Gaps, s.Answers, s.Requests,
-						span(s.LongestSilence))
+						s.ID, names[s.State], s.Status, toDuration(s.FirstPacket), s.Packets, s.Bytes, s.Gaps, s.Answers, s.Requests,
+						toDuration(s.LongestSilence))
 					if s.State == player.Done {
 						played++
 					}
@@ -144,7 +144,7 @@
 	return c
 }
 
-func span(t core.Time) time.Duration { return time.Duration(t) * time.Microsecond }
+func toDuration(t core.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 func registryCommand() *cobra.Command {
 	var listen string
--- a/cmd/pierlab/why.go
+++ b/cmd/pierlab/why.go
@@ -20,7 +20,7 @@
 			var all []*front.Story
 			switch {
 			case day != "":
-				d, err := dayOf(day, seed)
+				d, err := loadDay(day, seed)
 				if err != nil {
 					return err
 				}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -25,32 +25,32 @@
 	"pierlink/internal/lab"
 )
 
-// Plan is an experiment's file.
-type Plan struct {
+// Spec is an experiment's file.
+type Spec struct {
 	Name     string    `toml:"name" validate:"required"`
-	Asks     string    `toml:"asks"` // what it is to find out
+	Question string    `toml:"asks"` // what it is to find out
 	Days     []string  `toml:"days" validate:"min=1"`
 	Seeds    string    `toml:"seeds" validate:"required"` // 1..10, or 1,4,7
 	Variants []Variant `toml:"variant" validate:"min=1,unique=Name,dive"`
-	dir      string
+	baseDir  string
 }
 
 // Variant is one way to play each day. The first is what the others are compared with.
 type Variant struct {
-	Name    string            `toml:"name" validate:"required"`
-	Set     map[string]string `toml:"set"`     // words of the days, as lab.Set has them
-	Policy  string            `toml:"policy"`  // a baseline in the module's place
-	Plant   string            `toml:"plant"`   // a change for the worse on purpose
-	Program string            `toml:"program"` // another build of pierlab
+	Name          string            `toml:"name" validate:"required"`
+	Overrides     map[string]string `toml:"set"`     // words of the days, as lab.Set has them
+	Policy        string            `toml:"policy"`  // a baseline in the module's place
+	PlantedChange string            `toml:"plant"`   // a change for the worse on purpose
+	Program       string            `toml:"program"` // another build of pierlab
 }
 
 // Read reads an experiment's file.
-func Read(path string) (*Plan, error) {
+func Read(path string) (*Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{dir: filepath.Dir(path)}
+	p := &Spec{baseDir: filepath.Dir(path)}
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := d.Decode(p); err != nil {
 		var strict *toml.StrictMissingError
@@ -62,19 +62,19 @@
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(p); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if _, err := seeds(p.Seeds); err != nil {
+	if _, err := parseSeeds(p.Seeds); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for i := range p.Variants {
 		v := &p.Variants[i]
-		if v.Program != "" && (v.Policy != "" || v.Plant != "") {
+		if v.Program != "" && (v.Policy != "" || v.PlantedChange != "") {
 			return nil, fmt.Errorf("%s: variant %s: a program plays its own module", path, v.Name)
 		}
 	}
 	return p, nil
 }
 
-func seeds(s string) (all []uint64, err error) {
+func parseSeeds(s string) (all []uint64, err error) {
 	if a, b, ok := strings.Cut(s, ".."); ok {
 		x, err1 := strconv.ParseUint(a, 10, 64)
 		y, err2 := strconv.ParseUint(b, 10, 64)
@@ -104,8 +104,8 @@
 }
 
 // jobs are all runs, seed by seed, so that what is there of a run that was stopped is whole pairs.
-func (p *Plan) jobs() (all []job, err error) {
-	numbers, err := seeds(p.Seeds)
+func (p *Spec) jobs() (all []job, err error) {
+	numbers, err := parseSeeds(p.Seeds)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 	for _, name := range p.Days {
 		d, err := lab.Library(name)
 		if err != nil {
-			if d, err = lab.ReadDay(filepath.Join(p.dir, name)); err != nil {
+			if d, err = lab.ReadDay(filepath.Join(p.baseDir, name)); err != nil {
 				return nil, err
 			}
 		}
@@ -123,7 +123,7 @@
 		for _, d := range days {
 			for i := range p.Variants {
 				v := &p.Variants[i]
-				text, err := lab.Set(d.Text, v.Set)
+				text, err := lab.Set(d.Text, v.Overrides)
 				if err != nil {
 					return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 				}
@@ -142,18 +142,18 @@
 	return all, nil
 }
 
-// key names a run's result by all that it follows from.
-func (j *job) key(build string) string {
+// cacheKey names a run's result by all that it follows from.
+func (j *job) cacheKey(build string) string {
 	program := build
 	if j.variant.Program != "" {
-		program = sumOf(j.variant.Program)
+		program = fileChecksum(j.variant.Program)
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64String(strings.Join([]string{program, j.day.Name, j.day.Text, strconv.FormatUint(j.seed, 10),
-		j.variant.Policy, j.variant.Plant}, "\x00")))
+		j.variant.Policy, j.variant.PlantedChange}, "\x00")))
 }
 
-// sumOf is a program's checksum; a build is told from another by it.
-func sumOf(path string) string {
+// fileChecksum is a program's checksum; a build is told from another by it.
+func fileChecksum(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
 		return path
@@ -168,7 +168,7 @@
 
 func (j *job) run() (*lab.Row, error) {
 	if j.variant.Program == "" {
-		return lab.Run(j.day, j.variant.Plant)
+		return lab.Run(j.day, j.variant.PlantedChange)
 	}
 	f, err := os.CreateTemp("", "pierlab-*.day")
 	if err != nil {
@@ -195,7 +195,7 @@
 
 // Run plays what is not there yet, as many at a time as there are processors, and returns all rows in the
 // order of seeds, days and variants. Each row lies in the folder as soon as it is there.
-func (p *Plan) Run(dir string, progress io.Writer) ([]*lab.Row, error) {
+func (p *Spec) Run(dir string, progress io.Writer) ([]*lab.Row, error) {
 	all, err := p.jobs()
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 	if err != nil {
 		return nil, err
 	}
-	build := sumOf(self)
+	build := fileChecksum(self)
 	rows := make([]*lab.Row, len(all))
 	var mu sync.Mutex
 	var first error
@@ -222,12 +222,12 @@
 			defer wait.Done()
 			for i := range next {
 				j := &all[i]
-				path := filepath.Join(runs, j.key(build)+".json")
-				r, err := load(path)
+				path := filepath.Join(runs, j.cacheKey(build)+".json")
+				r, err := readRow(path)
 				old := err == nil
 				if !old {
 					if r, err = j.run(); err == nil {
-						err = store(path, r)
+						err = writeRow(path, r)
 					}
 				}
 				mu.Lock()
@@ -268,7 +268,7 @@
 	return rows, nil
 }
 
-func load(path string) (*lab.Row, error) {
+func readRow(path string) (*lab.Row, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -277,8 +277,8 @@
 	return r, json.Unmarshal(text, r)
 }
 
-// store writes a row beside its place and moves it there, so that a run that is stopped leaves no half one.
-func store(path string, r *lab.Row) error {
+// writeRow writes a row beside its place and moves it there, so that a run that is stopped leaves no half one.
+func writeRow(path string, r *lab.Row) error {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -289,20 +289,20 @@
 	return os.Rename(path+".next", path)
 }
 
-// Write makes all that an experiment leaves: results.parquet, series.parquet, plots and REPORT.md.
-func (p *Plan) Write(dir string, rows []*lab.Row) error {
+// WriteResults makes all that an experiment leaves: results.parquet, series.parquet, plots and REPORT.md.
+func (p *Spec) WriteResults(dir string, rows []*lab.Row) error {
 	if err := writeParquet(dir, rows); err != nil {
 		return err
 	}
-	plots, err := p.plots(dir, rows)
+	plots, err := p.drawPlots(dir, rows)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, "REPORT.md"), []byte(p.report(rows, plots)), 0o644)
 }
 
-// of are the rows of a variant, in order.
-func of(rows []*lab.Row, variant string) (all []*lab.Row) {
+// variantRows are the rows variantRows a variant, in order.
+func variantRows(rows []*lab.Row, variant string) (all []*lab.Row) {
 	for _, r := range rows {
 		if r.Variant == variant {
 			all = append(all, r)
@@ -311,8 +311,8 @@
 	return all
 }
 
-// days are the names in their order.
-func days(rows []*lab.Row) (all []string) {
+// dayNames are the names in their order.
+func dayNames(rows []*lab.Row) (all []string) {
 	for _, r := range rows {
 		if !slices.Contains(all, r.Day) {
 			all = append(all, r.Day)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"pierlink/internal/lab"
 )
 
-func rows(variant string, shift, worst float64, n int) (all []*lab.Row) {
+func testRows(variant string, shift, worst float64, n int) (all []*lab.Row) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(variant))))
 	for i := range n {
 		all = append(all, &lab.Row{Variant: variant, Day: "d", Seed: int64(i), Goal: 0.5 + 0.1*float64(i%5) + shift + 0.01*rng.NormFloat64(),
@@ -23,17 +23,17 @@
 // A shift far under the spread between days is found by pairs; none is found where there is none; a variant that
 // loses on the whole and wins in the worst 10 s is told so.
 func TestCompare(t *testing.T) {
-	all := append(rows("base", 0, 0, 20), append(rows("worse", -0.02, 0.05, 20), rows("none", 0, 0, 20)...)...)
-	if d := Compare(all, "base", "worse")[0]; !d.Apart() || d.Verdict() != "worse" || d.N != 20 {
+	all := append(testRows("base", 0, 0, 20), append(testRows("worse", -0.02, 0.05, 20), testRows("none", 0, 0, 20)...)...)
+	if d := Compare(all, "base", "worse")[0]; !d.Significant() || d.Verdict() != "worse" || d.Pairs != 20 {
 		t.Errorf("%+v", d)
 	}
-	if d := Compare(all, "base", "none")[0]; d.Apart() {
+	if d := Compare(all, "base", "none")[0]; d.Significant() {
 		t.Errorf("%+v", d)
 	}
-	if d := Compare(all[:21], "base", "worse")[0]; d.Apart() {
+	if d := Compare(all[:21], "base", "worse")[0]; d.Significant() {
 		t.Errorf("one pair tells nothing: %+v", d)
 	}
-	p := &Plan{Name: "n", Seeds: "1..20", Variants: []Variant{{Name: "base"}, {Name: "worse"}}}
+	p := &Spec{Name: "n", Seeds: "1..20", Variants: []Variant{{Name: "base"}, {Name: "worse"}}}
 	if text := p.report(all, nil); !strings.Contains(text, "On the whole it is worse, in the worst 10 s better.") {
 		t.Error(text)
 	}
@@ -63,7 +63,7 @@
 	if err != nil || len(first) != 4 {
 		t.Fatal(first, err)
 	}
-	if err := p.Write(filepath.Join(dir, "o"), first); err != nil {
+	if err := p.WriteResults(filepath.Join(dir, "o"), first); err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -14,8 +14,8 @@
 	"pierlink/internal/lab"
 )
 
-// series are what is drawn over time, each as the mean of a variant's seeds.
-var series = []struct {
+// timeSeries are what is drawn over time, each as the mean of a variant's seeds.
+var timeSeries = []struct {
 	file, title, axis string
 	of                func(lab.Point) float64
 }{
@@ -28,22 +28,22 @@
 	{"waiting", "Playbacks not answered yet", "playbacks", func(p lab.Point) float64 { return p.Waiting }},
 }
 
-var colours = []color.Color{color.RGBA{0, 90, 180, 255}, color.RGBA{200, 80, 0, 255}, color.RGBA{0, 130, 70, 255}, color.RGBA{150, 0, 130, 255},
+var lineColours = []color.Color{color.RGBA{0, 90, 180, 255}, color.RGBA{200, 80, 0, 255}, color.RGBA{0, 130, 70, 255}, color.RGBA{150, 0, 130, 255},
 	color.RGBA{110, 110, 110, 255}, color.RGBA{180, 150, 0, 255}}
 
 // Plots draws all that an experiment shows from its rows.
-func (p *Plan) plots(dir string, rows []*lab.Row) (files []string, err error) {
-	for _, day := range days(rows) {
-		for _, s := range series {
+func (p *Spec) drawPlots(dir string, rows []*lab.Row) (files []string, err error) {
+	for _, day := range dayNames(rows) {
+		for _, s := range timeSeries {
 			name := strings.NewReplacer("/", "-", ".day", "").Replace(fmt.Sprintf("%s-%s.png", filepath.Base(day), s.file))
-			if err := p.over(filepath.Join(dir, name), rows, day, s.title, s.axis, s.of); err != nil {
+			if err := p.drawTimeSeries(filepath.Join(dir, name), rows, day, s.title, s.axis, s.of); err != nil {
 				return nil, err
 			}
 			files = append(files, name)
 		}
 	}
 	if len(p.Variants) > 1 {
-		if err := p.differences(filepath.Join(dir, "differences.png"), rows); err != nil {
+		if err := p.drawDifferences(filepath.Join(dir, "differences.png"), rows); err != nil {
 			return nil, err
 		}
 		files = append([]string{"differences.png"}, files...)
@@ -51,8 +51,8 @@
 	return files, nil
 }
 
-// over draws one figure over a day, a line for each variant; troubles of the first seed are marked.
-func (p *Plan) over(path string, rows []*lab.Row, day, title, axis string, of func(lab.Point) float64) error {
+// drawTimeSeries draws one figure drawTimeSeries a day, a line for each variant; troubles of the first seed are marked.
+func (p *Spec) drawTimeSeries(path string, rows []*lab.Row, day, title, axis string, of func(lab.Point) float64) error {
 	g := plot.New()
 	g.Title.Text = title + ": " + day
 	g.X.Label.Text, g.Y.Label.Text = "s", axis
@@ -107,15 +107,15 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = colours[i%len(colours)], vg.Points(1.2)
+		line.Color, line.Width = lineColours[i%len(lineColours)], vg.Points(1.2)
 		g.Add(line)
 		g.Legend.Add(p.Variants[i].Name, line)
 	}
 	return g.Save(22*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// differences draws the paired difference of worth of each variant, with its interval.
-func (p *Plan) differences(path string, rows []*lab.Row) error {
+// drawDifferences draws the paired difference of worth of each variant, with its interval.
+func (p *Spec) drawDifferences(path string, rows []*lab.Row) error {
 	g := plot.New()
 	g.Title.Text = "Worth, against " + p.Variants[0].Name
 	g.Y.Label.Text = "difference"
@@ -127,11 +127,11 @@
 	for i := 1; i < len(p.Variants); i++ {
 		d := Compare(rows, p.Variants[0].Name, p.Variants[i].Name)[0]
 		if math.IsInf(d.Low, 0) {
-			d.Low, d.Top = d.Mean, d.Mean
+			d.Low, d.High = d.Mean, d.Mean
 		}
 		names = append(names, p.Variants[i].Name)
 		pts.XYs = append(pts.XYs, plotter.XY{X: float64(i - 1), Y: d.Mean})
-		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.Top - d.Mean})
+		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
 	}
 	bars, err := plotter.NewYErrorBars(&pts)
 	if err != nil {
@@ -152,11 +152,11 @@
 }
 
 // Redraw makes the plots anew from the files of an experiment that was run.
-func (p *Plan) Redraw(dir string) error {
+func (p *Spec) Redraw(dir string) error {
 	rows, err := ReadRows(dir)
 	if err != nil {
 		return err
 	}
-	_, err = p.plots(dir, rows)
+	_, err = p.drawPlots(dir, rows)
 	return err
 }
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -15,8 +15,8 @@
 
 func init() { lab.Proofs["lab"] = Prove }
 
-// spent is the CPU seconds of this process.
-func spent() float64 {
+// processCPUSeconds is the CPU seconds of this process.
+func processCPUSeconds() float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -60,7 +60,7 @@
 	if size != lab.Small {
 		p.AtMost(took, 45, "seconds for a day of 300 boxes, 220 managers and %s s of asking", length)
 	}
-	p.Check(many.Digest == one.Digest, b2f(many.Digest == one.Digest), "1", "one digest on 1 and on %d processors", cores)
+	p.Check(many.Digest == one.Digest, boolToFloat(many.Digest == one.Digest), "1", "one digest on 1 and on %d processors", cores)
 	p.AtMost(float64(many.Odd), 0, "things that do not add up: bytes, places, uplinks, askings")
 	p.AtMost(float64(many.Broken), 0, "broken rules on that day")
 	p.AtLeast(many.Goal, 0.3, "worth of that day")
@@ -85,11 +85,11 @@
 		if d, err = d.With(seed); err != nil {
 			return nil, err
 		}
-		before := spent()
+		before := processCPUSeconds()
 		if _, err := lab.Run(d, ""); err != nil {
 			return nil, err
 		}
-		costs = append(costs, spent()-before)
+		costs = append(costs, processCPUSeconds()-before)
 	}
 	p.AtMost(costs[1]/costs[0], 2.4, "CPU for twice the playbacks, over that for once")
 
@@ -99,8 +99,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	x := &Plan{Name: "proof", Days: []string{"plant"}, Seeds: fmt.Sprintf("%d..%d", 100*seed, 100*seed+19), Variants: []Variant{{Name: "base"},
-		{Name: "same", Plant: "other-chance"}, {Name: "lower brim", Plant: "lower-brim"}, {Name: "deaf", Plant: "deaf-to-drains"}}}
+	x := &Spec{Name: "proof", Days: []string{"plant"}, Seeds: fmt.Sprintf("%d..%d", 100*seed, 100*seed+19), Variants: []Variant{{Name: "base"},
+		{Name: "same", PlantedChange: "other-chance"}, {Name: "lower brim", PlantedChange: "lower-brim"}, {Name: "deaf", PlantedChange: "deaf-to-drains"}}}
 	began = time.Now()
 	rows, err := x.Run(dir, io.Discard)
 	if err != nil {
@@ -109,24 +109,24 @@
 	p.AtMost(time.Since(began).Seconds(), 300, "seconds for the experiment of %d days", len(rows))
 	worth := func(variant string) Difference { return Compare(rows, "base", variant)[0] }
 	same, brim := worth("same"), worth("lower brim")
-	p.Check(!same.Apart(), same.Mean, "interval holds 0", "difference of worth between two equal builds")
-	p.Check(brim.Top < 0, brim.Mean, "interval under 0", "difference of worth with the brim lowered")
+	p.Check(!same.Significant(), same.Mean, "interval holds 0", "difference of worth between two equal builds")
+	p.Check(brim.High < 0, brim.Mean, "interval under 0", "difference of worth with the brim lowered")
 	broken := 0
-	for _, r := range of(rows, "deaf") {
+	for _, r := range variantRows(rows, "deaf") {
 		broken += int(r.Broken)
 	}
 	good := 0
-	for _, r := range append(of(rows, "base"), of(rows, "same")...) {
+	for _, r := range append(variantRows(rows, "base"), variantRows(rows, "same")...) {
 		good += int(r.Broken)
 	}
 	p.AtLeast(float64(broken), 1, "broken rules with a guard taken out")
 	p.AtMost(float64(good), 0, "broken rules without")
 	p.Judged["days of the experiment"] = len(rows)
-	p.Note("worth: equal builds %+.4f (%.4f to %.4f), lower brim %+.4f (%.4f to %.4f)", same.Mean, same.Low, same.Top, brim.Mean, brim.Low, brim.Top)
+	p.Note("worth: equal builds %+.4f (%.4f to %.4f), lower brim %+.4f (%.4f to %.4f)", same.Mean, same.Low, same.High, brim.Mean, brim.Low, brim.High)
 	return p, nil
 }
 
-func b2f(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -58,7 +58,7 @@
 	return rows, nil
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if math.IsInf(x, 0) || math.IsNaN(x) {
 		return "-"
 	}
@@ -66,14 +66,14 @@
 }
 
 // report is the experiment in words and tables.
-func (p *Plan) report(rows []*lab.Row, plots []string) string {
+func (p *Spec) report(rows []*lab.Row, plots []string) string {
 	var b strings.Builder
 	line := func(format string, a ...any) { fmt.Fprintf(&b, format+"\n", a...) }
 	line("# %s\n", p.Name)
-	if p.Asks != "" {
-		line("%s\n", strings.TrimSpace(p.Asks))
+	if p.Question != "" {
+		line("%s\n", strings.TrimSpace(p.Question))
 	}
-	line("Days %s, seeds %s, on the virtual network. Worth is 0.7 of the whole, 0.2 of the worst 10 s and 0.1 of the worst plan, less prices; unserved, late, lower rung", strings.Join(days(rows), ", "), p.Seeds)
+	line("Days %s, seeds %s, on the virtual network. Worth is 0.7 of the whole, 0.2 of the worst 10 s and 0.1 of the worst plan, less prices; unserved, late, lower rung", strings.Join(dayNames(rows), ", "), p.Seeds)
 	line("and short are the parts of what was offered that were not earned, and why.\n")
 	line("## Variants\n")
 	head, rule := "| variant | days |", "| --- | --- |"
@@ -83,26 +83,26 @@
 	line("%s best possible |\n%s --- |", head, rule)
 	possible := Metric{"", func(r *lab.Row) float64 { return r.Best }, 1}
 	for i := range p.Variants {
-		mine := of(rows, p.Variants[i].Name)
+		mine := variantRows(rows, p.Variants[i].Name)
 		if len(mine) == 0 {
 			continue
 		}
 		s := fmt.Sprintf("| %s | %d |", p.Variants[i].Name, len(mine))
 		for k := range Metrics {
-			s += " " + number(mean(mine, &Metrics[k])) + " |"
+			s += " " + formatNumber(metricMean(mine, &Metrics[k])) + " |"
 		}
-		line("%s %s |", s, number(mean(mine, &possible)))
+		line("%s %s |", s, formatNumber(metricMean(mine, &possible)))
 	}
 	base := p.Variants[0].Name
 	for i := 1; i < len(p.Variants); i++ {
 		name := p.Variants[i].Name
 		line("\n## %s against %s\n", name, base)
-		line("Paired by day and seed; intervals of %.0f%%.\n", 100*sure)
+		line("Paired by day and seed; intervals of %.0f%%.\n", 100*confidenceLevel)
 		line("| figure | pairs | difference | from | to | |\n| --- | --- | --- | --- | --- | --- |")
 		all := Compare(rows, base, name)
 		verdicts := map[string]string{}
 		for _, d := range all {
-			line("| %s | %d | %+.4f | %s | %s | %s |", d.Metric.Name, d.N, d.Mean, number(d.Low), number(d.Top), d.Verdict())
+			line("| %s | %d | %+.4f | %s | %s | %s |", d.Metric.Name, d.Pairs, d.Mean, formatNumber(d.Low), formatNumber(d.High), d.Verdict())
 			verdicts[d.Metric.Name] = d.Verdict()
 		}
 		if a, w := verdicts["whole"], verdicts["worst 10 s"]; a != w && a != "no difference seen" && w != "no difference seen" {
@@ -115,17 +115,17 @@
 		head, rule = head+" "+p.Variants[i].Name+" |", rule+" --- |"
 	}
 	line("%s\n%s", head, rule)
-	for _, day := range days(rows) {
+	for _, day := range dayNames(rows) {
 		s := "| " + day + " |"
 		for i := range p.Variants {
 			var mine []*lab.Row
-			for _, r := range of(rows, p.Variants[i].Name) {
+			for _, r := range variantRows(rows, p.Variants[i].Name) {
 				if r.Day == day {
 					mine = append(mine, r)
 				}
 			}
 			if len(mine) > 0 {
-				s += " " + number(mean(mine, &Metrics[0]))
+				s += " " + formatNumber(metricMean(mine, &Metrics[0]))
 			}
 			s += " |"
 		}
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -9,13 +9,13 @@
 	"pierlink/internal/lab"
 )
 
-const sure = 0.95 // of the intervals
+const confidenceLevel = 0.95 // of the intervals
 
 // Metric is a figure that variants are compared by.
 type Metric struct {
-	Name   string
-	Of     func(*lab.Row) float64
-	Better int // 1 if more is better, -1 if less is
+	Name      string
+	Value     func(*lab.Row) float64
+	Direction int // 1 if more is better, -1 if less is
 }
 
 // Metrics are those of the report, in its order.
@@ -35,21 +35,21 @@
 
 // Difference is a paired difference with its interval.
 type Difference struct {
-	Metric   *Metric
-	N        int
-	Mean     float64
-	Low, Top float64
+	Metric    *Metric
+	Pairs     int
+	Mean      float64
+	Low, High float64
 }
 
-// Apart tells whether the interval does not hold zero.
-func (d *Difference) Apart() bool { return d.Low > 0 || d.Top < 0 }
+// Significant tells whether the interval does not hold zero.
+func (d *Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
 // Verdict is the difference in a word.
 func (d *Difference) Verdict() string {
 	switch {
-	case !d.Apart():
+	case !d.Significant():
 		return "no difference seen"
-	case d.Mean*float64(d.Metric.Better) > 0:
+	case d.Mean*float64(d.Metric.Direction) > 0:
 		return "better"
 	}
 	return "worse"
@@ -62,26 +62,26 @@
 		seed int64
 	}
 	from := map[key]*lab.Row{}
-	for _, r := range of(rows, base) {
+	for _, r := range variantRows(rows, base) {
 		from[key{r.Day, r.Seed}] = r
 	}
 	for i := range Metrics {
 		m := &Metrics[i]
 		var x []float64
-		for _, r := range of(rows, variant) {
+		for _, r := range variantRows(rows, variant) {
 			if b := from[key{r.Day, r.Seed}]; b != nil {
-				x = append(x, m.Of(r)-m.Of(b))
+				x = append(x, m.Value(r)-m.Value(b))
 			}
 		}
-		d := Difference{Metric: m, N: len(x)}
-		if d.N > 0 {
+		d := Difference{Metric: m, Pairs: len(x)}
+		if d.Pairs > 0 {
 			mean, dev := stat.MeanStdDev(x, nil)
-			d.Mean, d.Low, d.Top = mean, mean, mean
-			if d.N > 1 {
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(d.N - 1)}.Quantile(0.5+sure/2) * dev / math.Sqrt(float64(d.N))
-				d.Low, d.Top = mean-half, mean+half
+			d.Mean, d.Low, d.High = mean, mean, mean
+			if d.Pairs > 1 {
+				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(d.Pairs - 1)}.Quantile(0.5+confidenceLevel/2) * dev / math.Sqrt(float64(d.Pairs))
+				d.Low, d.High = mean-half, mean+half
 			} else {
-				d.Low, d.Top = math.Inf(-1), math.Inf(1) // one pair says nothing
+				d.Low, d.High = math.Inf(-1), math.Inf(1) // one pair says nothing
 			}
 		}
 		all = append(all, d)
@@ -89,10 +89,10 @@
 	return all
 }
 
-func mean(rows []*lab.Row, m *Metric) float64 {
+func metricMean(rows []*lab.Row, m *Metric) float64 {
 	x := make([]float64, len(rows))
 	for i, r := range rows {
-		x[i] = m.Of(r)
+		x[i] = m.Value(r)
 	}
 	return stat.Mean(x, nil)
 }
