--- a/cmd/pierlab/bench.go
+++ b/cmd/pierlab/bench.go
@@ -13,55 +13,57 @@
 	"pierlink/internal/lab"
 )
 
+// benchCommand returns the command that benchmarks pierlink against a plain relay.
 func benchCommand() *cobra.Command {
-	b := &lab.Bench{}
-	boxes := false
-	c := &cobra.Command{Use: "bench", Short: "Measure the session manager beside a bare relay, as ratios", Args: cobra.NoArgs,
+	bench := &lab.Bench{}
+	boxList := false
+	cmd := &cobra.Command{Use: "bench", Short: "Benchmark the session manager against a plain TCP relay and print the ratios", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			b.Pierlab = self
-			if b.Pierlink == "" {
-				b.Pierlink = filepath.Join(filepath.Dir(self), "pierlink")
+			bench.Pierlab = executable
+			if bench.Pierlink == "" {
+				bench.Pierlink = filepath.Join(filepath.Dir(executable), "pierlink")
 			}
-			run := b.Run
-			if boxes {
-				run = func() ([]string, error) { return b.Boxes([]int{100, 1000, 10000}, 1000) }
+			run := bench.Run
+			if boxList {
+				run = func() ([]string, error) { return bench.Boxes([]int{100, 1000, 10000}, 1000) }
 			}
 			lines, err := run()
-			for _, l := range lines {
-				fmt.Println(l)
+			for _, line := range lines {
+				fmt.Println(line)
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&boxes, "boxes", false, "measure what a list of 100 to 10,000 boxes from a registry costs instead")
-	c.Flags().StringVar(&b.Pierlink, "pierlink", "", "the daemon's program; beside this one if not given")
-	c.Flags().IntVar(&b.Concurrent, "concurrent", 1000, "playbacks at once")
-	c.Flags().Float64Var(&b.RateKB, "rate", 60, "kB a second of each")
-	c.Flags().DurationVar(&b.Span, "span", 4*time.Second, "of each steady part")
-	c.Flags().IntVar(&b.Setups, "setups", 4000, "set-ups to time")
-	c.Flags().IntVar(&b.Firsts, "firsts", 300, "first packets to time, each way")
-	return c
+	cmd.Flags().BoolVar(&boxList, "boxes", false, "measure instead the memory and CPU cost of a registry list of 100 to 10,000 media boxes")
+	cmd.Flags().StringVar(&bench.Pierlink, "pierlink", "", "path of the pierlink program (default: in the directory of pierlab)")
+	cmd.Flags().IntVar(&bench.Concurrent, "concurrent", 1000, "number of concurrent playbacks")
+	cmd.Flags().Float64Var(&bench.RateKB, "rate", 60, "rate of each playback in kB/s")
+	cmd.Flags().DurationVar(&bench.Span, "span", 4*time.Second, "duration of each steady-state measurement")
+	cmd.Flags().IntVar(&bench.Setups, "setups", 4000, "number of set-ups to time")
+	cmd.Flags().IntVar(&bench.Firsts, "firsts", 300, "number of first packets to time, each directly from the media box and through pierlink")
+	return cmd
 }
 
+// relayCommand returns the command that runs the plain relay. lab.Bench starts it and waits for its "relays on" line.
 func relayCommand() *cobra.Command {
-	var listen, to string
-	c := &cobra.Command{Use: "relay", Short: "Run the bare TCP relay that bench measures against", Args: cobra.NoArgs,
+	var listen, target string
+	cmd := &cobra.Command{Use: "relay", Short: "Run the plain TCP relay that bench compares with", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			r, err := lab.NewRelay(listen, to)
+			relay, err := lab.NewRelay(listen, target)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "relays on %s to %s\n", r.Addr(), to)
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
-			<-stop
-			r.Stop()
+			fmt.Fprintf(os.Stderr, "relays on %s to %s\n", relay.Addr(), target)
+			signals := make(chan os.Signal, 1)
+			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+			<-signals
+			relay.Stop()
 			return nil
 		}}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address")
-	c.Flags().StringVar(&to, "to", "", "where to")
-	return c
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
+	cmd.Flags().StringVar(&target, "to", "", "address to relay to")
+	return cmd
 }
--- a/cmd/pierlab/directory.go
+++ b/cmd/pierlab/directory.go
@@ -13,42 +13,43 @@
 	"pierlink/internal/standin/directory"
 )
 
+// directoryCommand returns the command that runs a stand-in LDAP directory.
 func directoryCommand() *cobra.Command {
 	var listen, realm, password string
 	var tenants, members int
 	var plans []string
-	c := &cobra.Command{Use: "directory", Short: "Run a stand-in LDAP directory of tenants and members", Args: cobra.NoArgs,
-		Long: "Tenants tenant-0, tenant-1, ... with members m0-0, m0-1, ... under dc=pier; every member's password is the one given.",
+	cmd := &cobra.Command{Use: "directory", Short: "Run a stand-in LDAP directory of tenants and members", Args: cobra.NoArgs,
+		Long: "Serve the tenants tenant-0, tenant-1, ... with members m0-0, m0-1, ... under dc=pier. All members have the same password.",
 		RunE: func(*cobra.Command, []string) error {
 			store := directory.NewStore()
-			for t := range tenants {
-				dn := fmt.Sprintf("cn=tenant-%d,dc=pier", t)
-				store.Put(dn, map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {fmt.Sprint("tenant-", t)}, "pierlinkPlan": plans,
+			for tenant := range tenants {
+				tenantDN := fmt.Sprintf("cn=tenant-%d,dc=pier", tenant)
+				store.Put(tenantDN, map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {fmt.Sprint("tenant-", tenant)}, "pierlinkPlan": plans,
 					"pierlinkWeight": {"1"}})
-				for m := range members {
-					account := fmt.Sprintf("m%d-%d", t, m)
-					sum := sha256.Sum256([]byte(account + ":" + realm + ":" + password))
-					store.Put(fmt.Sprintf("uid=%s,%s", account, dn), map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {account},
-						"pierlinkTenant": {fmt.Sprint("tenant-", t)}, "pierlinkDigest": {hex.EncodeToString(sum[:])}})
+				for member := range members {
+					account := fmt.Sprintf("m%d-%d", tenant, member)
+					digest := sha256.Sum256([]byte(account + ":" + realm + ":" + password))
+					store.Put(fmt.Sprintf("uid=%s,%s", account, tenantDN), map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {account},
+						"pierlinkTenant": {fmt.Sprint("tenant-", tenant)}, "pierlinkDigest": {hex.EncodeToString(digest[:])}})
 				}
 			}
-			s, err := directory.Serve(listen, store)
+			server, err := directory.Serve(listen, store)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "directory on %s: %d tenants of %d members under dc=pier\n", s.Addr(), tenants, members)
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
-			<-stop
-			s.Stop()
+			fmt.Fprintf(os.Stderr, "directory listens on %s: %d tenants with %d members each under dc=pier\n", server.Addr(), tenants, members)
+			signals := make(chan os.Signal, 1)
+			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+			<-signals
+			server.Stop()
 			return nil
 		}}
-	f := c.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:3890", "address")
-	f.StringVar(&realm, "realm", "pierlink", "realm of the members' digests")
-	f.StringVar(&password, "password", "pier", "of every member")
-	f.IntVar(&tenants, "tenants", 3, "tenants")
-	f.IntVar(&members, "members", 10, "members of each")
-	f.StringSliceVar(&plans, "plan", []string{"live-lesson", "recorded-lesson"}, "plans that they may play")
-	return c
+	flags := cmd.Flags()
+	flags.StringVar(&listen, "listen", "127.0.0.1:3890", "address to listen on")
+	flags.StringVar(&realm, "realm", "pierlink", "realm that the members' digests are computed with")
+	flags.StringVar(&password, "password", "pier", "password of every member")
+	flags.IntVar(&tenants, "tenants", 3, "number of tenants")
+	flags.IntVar(&members, "members", 10, "number of members of each tenant")
+	flags.StringSliceVar(&plans, "plan", []string{"live-lesson", "recorded-lesson"}, "plans that the tenants may play")
+	return cmd
 }
--- a/cmd/pierlab/experiment.go
+++ b/cmd/pierlab/experiment.go
@@ -14,107 +14,112 @@
 	"pierlink/internal/lab"
 )
 
+// experimentCommand returns the command that runs an experiment and writes its results.
 func experimentCommand() *cobra.Command {
-	var out string
-	c := &cobra.Command{Use: "experiment FILE", Short: "Play variants on days by many seeds, and tell the paired differences",
-		Long: "Play an experiment (docs/lab.md tells its file). Results go to the folder: results.parquet, series.parquet, REPORT.md and plots.\n" +
-			"One that was stopped goes on where it was.",
+	var outputDir string
+	cmd := &cobra.Command{Use: "experiment FILE", Short: "Compare variants on the same days and seeds, and report the paired differences",
+		Long: "Run an experiment (docs/lab.md describes its file). The output directory gets results.parquet, series.parquet, REPORT.md and plots.\n" +
+			"An interrupted experiment resumes where it stopped.",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			p, err := experiment.Read(args[0])
+			spec, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			if out == "" {
-				out = strings.TrimSuffix(args[0], filepath.Ext(args[0]))
+			if outputDir == "" {
+				outputDir = strings.TrimSuffix(args[0], filepath.Ext(args[0]))
 			}
-			rows, err := p.Run(out, os.Stderr)
+			rows, err := spec.Run(outputDir, os.Stderr)
 			if err != nil {
 				return err
 			}
-			if err := p.WriteResults(out, rows); err != nil {
+			if err := spec.WriteResults(outputDir, rows); err != nil {
 				return err
 			}
-			fmt.Println(filepath.Join(out, "REPORT.md"))
+			fmt.Println(filepath.Join(outputDir, "REPORT.md"))
 			return nil
 		}}
-	c.Flags().StringVar(&out, "out", "", "folder; the file's name without its ending if not given")
-	return c
+	cmd.Flags().StringVar(&outputDir, "out", "", "output directory (default: FILE without its extension)")
+	return cmd
 }
 
+// plotCommand returns the command that redraws the plots of an experiment.
 func plotCommand() *cobra.Command {
-	return &cobra.Command{Use: "plot FILE FOLDER", Short: "Draw the plots of an experiment anew from its results", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "plot FILE DIR", Short: "Redraw the plots of an experiment from its results in DIR", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := experiment.Read(args[0])
+			spec, err := experiment.Read(args[0])
 			if err != nil {
 				return err
 			}
-			return p.Redraw(args[1])
+			return spec.Redraw(args[1])
 		}}
 }
 
+// rowCommand returns the command that plays one day. Experiments run it in other builds of pierlab and read its output.
 func rowCommand() *cobra.Command {
 	var seed uint64
 	var plant string
-	c := &cobra.Command{Use: "row FILE", Short: "Play a day on the virtual network and print what an experiment keeps of it", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "row FILE", Short: "Play a day on the virtual network and print its result row as JSON", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			d, err := loadDay(args[0], seed)
+			day, err := loadDay(args[0], seed)
 			if err != nil {
 				return err
 			}
-			r, err := lab.Run(d, plant)
+			row, err := lab.Run(day, plant)
 			if err != nil {
 				return err
 			}
-			return json.NewEncoder(os.Stdout).Encode(r)
+			return json.NewEncoder(os.Stdout).Encode(row)
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 0, "in place of the day's own")
-	c.Flags().StringVar(&plant, "plant", "", "a change for the worse on purpose")
-	return c
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed (default: the day's own)")
+	cmd.Flags().StringVar(&plant, "plant", "", "name of a deliberate change to the session manager, such as a planted regression")
+	return cmd
 }
 
+// searchCommand returns the command that searches for bad days.
 func searchCommand() *cobra.Command {
-	s := &lab.Search{Say: os.Stderr}
-	var out string
-	c := &cobra.Command{Use: "search [DAY]", Short: "Look for days on which the session manager does badly, and cut them down to what matters",
+	search := &lab.Search{Say: os.Stderr}
+	var outputFile string
+	cmd := &cobra.Command{Use: "search [DAY]", Short: "Search for days on which the session manager performs badly, and reduce the worst to a minimal day",
 		Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			name := "search"
 			if len(args) > 0 {
 				name = args[0]
 			}
-			d, err := loadDay(name, 0)
+			day, err := loadDay(name, 0)
 			if err != nil {
 				return err
 			}
-			f, err := s.Run(d)
+			found, err := search.Run(day)
 			if err != nil {
 				return err
 			}
-			if err := f.Save(out, s.Seed); err != nil {
+			if err := found.Save(outputFile, search.Seed); err != nil {
 				return err
 			}
-			fmt.Printf("%s: worth %.3f of at most %.3f, %d rules broken, after %d days\n", out, f.Row.Goal, f.Row.Best, f.Row.Broken, f.Played)
-			for _, n := range f.Row.Notes {
-				fmt.Println(n)
+			fmt.Printf("%s: worth %.3f of at most %.3f, %d rules broken, after %d days\n", outputFile, found.Row.Goal, found.Row.Best, found.Row.Broken, found.Played)
+			for _, note := range found.Row.Notes {
+				fmt.Println(note)
 			}
 			return nil
 		}}
-	c.Flags().Uint64Var(&s.Seed, "seed", 1, "what is drawn is drawn from it")
-	c.Flags().DurationVar(&s.For, "for", time.Minute, "how long")
-	c.Flags().StringVar(&s.What, "what", "worth", "what is to be bad: worth, or answers (failed, given up, late)")
-	c.Flags().StringVar(&out, "out", "found.day", "file for the day")
-	return c
+	cmd.Flags().Uint64Var(&search.Seed, "seed", 1, "seed of the random draws")
+	cmd.Flags().DurationVar(&search.For, "for", time.Minute, "duration of the search")
+	cmd.Flags().StringVar(&search.What, "what", "worth", "what to search for: low worth, or bad answers (failed, abandoned, late)")
+	cmd.Flags().StringVar(&outputFile, "out", "found.day", "file to write the day that was found to")
+	return cmd
 }
 
-// loadDay is a day of the library or a file, as a seed draws it; 0 for its own.
+// loadDay returns a day of the library, or of a file if the library has none of that name. Its random values are drawn
+// with seed, or with the day's own seed if seed is 0.
 func loadDay(name string, seed uint64) (*lab.Day, error) {
-	d, err := lab.Library(name)
+	day, err := lab.Library(name)
 	if err != nil {
-		if d, err = lab.ReadDay(name); err != nil {
+		if day, err = lab.ReadDay(name); err != nil {
 			return nil, err
 		}
 	}
 	if seed == 0 {
-		return d, nil
+		return day, nil
 	}
-	return d.With(seed)
+	return day.With(seed)
 }
--- a/cmd/pierlab/load.go
+++ b/cmd/pierlab/load.go
@@ -10,33 +10,34 @@
 	"pierlink/internal/lab"
 )
 
+// loadCommand returns the command that load-tests a running session manager.
 func loadCommand() *cobra.Command {
-	l := &lab.Load{Say: os.Stdout}
-	c := &cobra.Command{Use: "load", Short: "Ask a running session manager for more and more, until it does not keep up", Args: cobra.NoArgs,
-		Long: "Open-loop load over sockets: playbacks are asked for at their times, whatever the answers; times count from when a playback\n" +
-			"was to be asked for. Steps grow until the knee, and the last line says what gave out first.",
+	load := &lab.Load{Say: os.Stdout}
+	cmd := &cobra.Command{Use: "load", Short: "Increase the load on a running session manager step by step until it no longer keeps up", Args: cobra.NoArgs,
+		Long: "Open-loop load over sockets: playbacks are requested on schedule, whether or not earlier ones were answered, and latencies count\n" +
+			"from the scheduled time. The rate grows until the knee; the last line names what reached its limit first.",
 		RunE: func(*cobra.Command, []string) error {
-			steps, err := l.Run()
+			steps, err := load.Run()
 			if err != nil {
 				return err
 			}
-			fmt.Println(l.GaveOut(steps))
+			fmt.Println(load.GaveOut(steps))
 			return nil
 		}}
-	f := c.Flags()
-	f.StringVar(&l.To, "to", "127.0.0.1:8554", "the session manager's address")
-	f.StringVar(&l.Plan, "plan", "recorded-lesson", "plan")
-	f.IntVar(&l.Titles, "titles", 100, "titles to choose from")
-	f.IntVar(&l.Tracks, "tracks", 2, "tracks of the plan")
-	f.Float64Var(&l.Rate, "rate", 20, "playbacks a second in the first step")
-	f.Float64Var(&l.Grow, "grow", 1.5, "times as many from step to step")
-	f.DurationVar(&l.Step, "step", 4*time.Second, "length of a step")
-	f.IntVar(&l.Steps, "steps", 12, "steps, at most")
-	f.DurationVar(&l.Watch, "watch", 2*time.Second, "each playback is watched for so long")
-	f.DurationVar(&l.Abandon, "abandon", 4*time.Second, "and given up after so long without an answer")
-	f.DurationVar(&l.Target, "target", 800*time.Millisecond, "the 99th percentile of the time to the first packet that still holds")
-	f.Float64Var(&l.Refused, "refused", 0.05, "the part of playbacks that may come to nothing")
-	f.Uint64Var(&l.Seed, "seed", 1, "what is drawn is drawn from it")
-	f.StringVar(&l.Control, "control", "", "the session manager's control socket, for its own figures")
-	return c
+	flags := cmd.Flags()
+	flags.StringVar(&load.To, "to", "127.0.0.1:8554", "address of the session manager")
+	flags.StringVar(&load.Plan, "plan", "recorded-lesson", "plan of the playbacks")
+	flags.IntVar(&load.Titles, "titles", 100, "number of titles to choose from")
+	flags.IntVar(&load.Tracks, "tracks", 2, "number of tracks of the plan")
+	flags.Float64Var(&load.Rate, "rate", 20, "new playbacks per second in the first step")
+	flags.Float64Var(&load.Grow, "grow", 1.5, "factor by which the rate grows from step to step")
+	flags.DurationVar(&load.Step, "step", 4*time.Second, "duration of a step")
+	flags.IntVar(&load.Steps, "steps", 12, "maximum number of steps")
+	flags.DurationVar(&load.Watch, "watch", 2*time.Second, "viewing time of each playback")
+	flags.DurationVar(&load.Abandon, "abandon", 4*time.Second, "abandon time: a playback is given up after so long without an answer")
+	flags.DurationVar(&load.Target, "target", 800*time.Millisecond, "startup target: a step fails if the 99th percentile of the time to the first packet exceeds it")
+	flags.Float64Var(&load.Refused, "refused", 0.05, "share of playbacks that may fail to play before a step fails")
+	flags.Uint64Var(&load.Seed, "seed", 1, "seed of the random draws")
+	flags.StringVar(&load.Control, "control", "", "control socket of the session manager, to read its own metrics (optional)")
+	return cmd
 }
--- a/cmd/pierlab/main.go
+++ b/cmd/pierlab/main.go
@@ -1,4 +1,5 @@
-// Command pierlab is the laboratory: stand-ins, scripted days and proofs.
+// Command pierlab is the test lab of pierlink: it runs stand-ins for the surrounding systems, plays scripted days, and
+// runs proofs, experiments, load tests and benchmarks.
 package main
 
 import (
@@ -12,11 +13,12 @@
 	"pierlink/internal/lab"
 )
 
-// errCheckFailed says that a proof ran and an aim of it does not hold.
-var errCheckFailed = errors.New("an aim does not hold")
+// errCheckFailed reports that a proof or day ran to its end and at least one of its checks failed. The exit status is
+// then 1; any other error gives 2.
+var errCheckFailed = errors.New("at least one check failed")
 
 func main() {
-	root := &cobra.Command{Use: "pierlab", Short: "Stand-ins, scripted days and proofs for pierlink",
+	root := &cobra.Command{Use: "pierlab", Short: "Test lab for pierlink: stand-ins, scripted days and proofs",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(mediaboxCommand(), playerCommand(), registryCommand(), dayCommand(), proveCommand(), benchCommand(), relayCommand(), experimentCommand(), plotCommand(), rowCommand(), searchCommand(), loadCommand(), whyCommand(), directoryCommand(),
 		&cobra.Command{Use: "spawn", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return lab.Spawn(os.Stdin, os.Stdout) }})
@@ -30,14 +32,15 @@
 	}
 }
 
-// newLogger writes what cores say to standard error if asked to.
+// newLogger returns a logger that writes to standard error if verbose is set, and one that discards everything
+// otherwise.
 func newLogger(verbose bool) *zap.Logger {
 	if !verbose {
 		return zap.NewNop()
 	}
-	log, err := zap.NewDevelopment()
+	logger, err := zap.NewDevelopment()
 	if err != nil {
 		return zap.NewNop()
 	}
-	return log
+	return logger
 }
--- a/cmd/pierlab/prove.go
+++ b/cmd/pierlab/prove.go
@@ -12,17 +12,18 @@
 	"pierlink/internal/lab"
 )
 
+// proveCommand returns the command that runs a proof.
 func proveCommand() *cobra.Command {
 	var seed uint64
 	var small, full, verbose bool
 	names := slices.Sorted(maps.Keys(lab.Proofs))
-	c := &cobra.Command{Use: "prove NAME", Short: "Run a proof: " + strings.Join(names, ", "),
-		Long: "Run a proof. A table for people goes to standard error, one line of JSON to standard output.\n" +
-			"Exit 0: all aims hold; 1: one does not; 2: it could not run.",
+	cmd := &cobra.Command{Use: "prove NAME", Short: "Run a proof: " + strings.Join(names, ", "),
+		Long: "Run a proof. A readable table goes to standard error, one line of JSON to standard output.\n" +
+			"Exit status 0: all checks passed; 1: at least one check failed; 2: the proof could not run.",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			proof := lab.Proofs[args[0]]
 			if proof == nil {
-				return fmt.Errorf("no proof %q: there are %s", args[0], strings.Join(names, ", "))
+				return fmt.Errorf("unknown proof %q, expected one of %s", args[0], strings.Join(names, ", "))
 			}
 			size := lab.Usual
 			if small {
@@ -30,62 +31,63 @@
 			} else if full {
 				size = lab.Full
 			}
-			p, err := proof(seed, size, newLogger(verbose))
+			result, err := proof(seed, size, newLogger(verbose))
 			if err != nil {
 				return err
 			}
-			if err := p.Write(os.Stderr, os.Stdout); err != nil {
+			if err := result.Write(os.Stderr, os.Stdout); err != nil {
 				return err
 			}
-			if !p.OK {
+			if !result.OK {
 				return errCheckFailed
 			}
 			return nil
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 1, "what is drawn is drawn from it")
-	c.Flags().BoolVar(&small, "small", false, "the size for CI")
-	c.Flags().BoolVar(&full, "full", false, "the largest size")
-	c.Flags().BoolVar(&verbose, "verbose", false, "print what the cores log")
-	return c
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the random draws")
+	cmd.Flags().BoolVar(&small, "small", false, "small size, for CI")
+	cmd.Flags().BoolVar(&full, "full", false, "largest size")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "print the log messages of the cores")
+	return cmd
 }
 
+// dayCommand returns the command that plays a scripted day.
 func dayCommand() *cobra.Command {
 	var seed uint64
 	var virtual, verbose bool
 	var policy string
-	c := &cobra.Command{Use: "day FILE", Short: "Play a scripted day on loopback, or with --virtual on the virtual network",
-		Long: "Play a scripted day (docs/lab.md tells the notation) and judge the six rules from the traffic.\n" +
-			"FILE may be the name of a day of the library.",
+	cmd := &cobra.Command{Use: "day FILE", Short: "Play a scripted day on loopback, or with --virtual on the virtual network",
+		Long: "Play a scripted day (docs/lab.md describes the notation) and check the six rules against the recorded traffic.\n" +
+			"FILE may also be the name of a day of the library.",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			d, err := lab.Library(args[0])
+			day, err := lab.Library(args[0])
 			if err != nil {
-				if d, err = lab.ReadDay(args[0]); err != nil {
+				if day, err = lab.ReadDay(args[0]); err != nil {
 					return err
 				}
 			}
 			if policy != "" {
-				d.Policy = policy
+				day.Policy = policy
 			}
 			if seed > 0 {
-				if d, err = d.With(seed); err != nil {
+				if day, err = day.With(seed); err != nil {
 					return err
 				}
 			}
-			p, err := lab.PlayDay(d, virtual, newLogger(verbose))
+			result, err := lab.PlayDay(day, virtual, newLogger(verbose))
 			if err != nil {
 				return err
 			}
-			if err := p.Write(os.Stderr, os.Stdout); err != nil {
+			if err := result.Write(os.Stderr, os.Stdout); err != nil {
 				return err
 			}
-			if !p.OK {
+			if !result.OK {
 				return errCheckFailed
 			}
 			return nil
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 0, "in place of the day's own")
-	c.Flags().StringVar(&policy, "policy", "", "a baseline in place of the module: "+strings.Join(lab.Baselines(), ", "))
-	c.Flags().BoolVar(&virtual, "virtual", false, "on the virtual network, under a virtual clock")
-	c.Flags().BoolVar(&verbose, "verbose", false, "print what the cores log")
-	return c
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed (default: the day's own)")
+	cmd.Flags().StringVar(&policy, "policy", "", "baseline policy that replaces the decision module: "+strings.Join(lab.Baselines(), ", "))
+	cmd.Flags().BoolVar(&virtual, "virtual", false, "play on the virtual network with a virtual clock")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "print the log messages of the cores")
+	return cmd
 }
--- a/cmd/pierlab/standin.go
+++ b/cmd/pierlab/standin.go
@@ -20,6 +20,7 @@
 	standin "pierlink/internal/standin/registry"
 )
 
+// mediaboxCommand returns the command that runs a stand-in media box.
 func mediaboxCommand() *cobra.Command {
 	var listen, name string
 	var plans []string
@@ -30,148 +31,151 @@
 	var endpoints []string
 	var zone string
 	var cell int
-	c := &cobra.Command{Use: "mediabox", Short: "Run a stand-in media box", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "mediabox", Short: "Run a stand-in media box", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if link <= 0 || uplink <= 0 || places < 1 || len(ladder) == 0 {
-				return fmt.Errorf("--link, --uplink, --places and --ladder must be above 0")
+				return fmt.Errorf("--link, --uplink and --places must be positive and --ladder must not be empty")
 			}
-			f := mediabox.Frame{Name: name, LadderKB: ladder, Join: 0.25, LinkKB: link, Places: places,
+			config := mediabox.Frame{Name: name, LadderKB: ladder, Join: 0.25, LinkKB: link, Places: places,
 				Rack: &mediabox.Rack{UplinkKB: uplink}, SetupTime: [2]core.Time{5_000, 20_000}, Tick: 50_000, PacketBytes: 1200,
 				NoteDelay: 400_000, NoteAll: 2 * core.Second, LoadInAnswers: true, SessionTimeout: 60 * core.Second,
 				ColdFrom: 0.3, WarmUp: 10 * core.Second, FallMultiple: 4, FallSpan: core.Second, Seed: uint64(os.Getpid())}
-			for _, p := range plans {
-				f.Plans = append(f.Plans, mediabox.Plan{Name: p, RateFactor: 1, Tracks: []string{"video", "audio"}})
+			for _, planName := range plans {
+				config.Plans = append(config.Plans, mediabox.Plan{Name: planName, RateFactor: 1, Tracks: []string{"video", "audio"}})
 			}
 			if cold {
-				f.Started = edge.Now()
+				config.Started = edge.Now()
 			}
-			l, err := edge.New(listen, func(n core.Net) core.Core { return mediabox.New(f, n, edge.Now()) })
+			loop, err := edge.New(listen, func(net core.Net) core.Core { return mediabox.New(config, net, edge.Now()) })
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "media box %s listens on %s\n", name, l.Addr())
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
+			fmt.Fprintf(os.Stderr, "media box %s listens on %s\n", name, loop.Addr())
+			signals := make(chan os.Signal, 1)
+			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 			ctx, cancel := context.WithCancel(context.Background())
-			left := make(chan struct{})
-			go func() { // its key goes with it
-				defer close(left)
+			deregistered := make(chan struct{})
+			go func() { // registers until ctx is cancelled, which removes the key from the registry
+				defer close(deregistered)
 				if len(endpoints) == 0 {
 					return
 				}
-				b := registry.Box{Address: l.Addr(), Zone: zone, Cell: cell, Kind: "std", Weight: 1, State: "ready"}
+				box := registry.Box{Address: loop.Addr(), Zone: zone, Cell: cell, Kind: "std", Weight: 1, State: "ready"}
 				if cold {
-					b.Started = time.UnixMicro(f.Started)
+					box.Started = time.UnixMicro(config.Started)
 				}
 				client.Register(ctx, client.Place{Endpoints: endpoints, Bounds: registry.Bounds{Timeout: core.Second}},
-					registry.BoxesPrefix+name, b.Value, nil, 3, newLogger(true))
+					registry.BoxesPrefix+name, box.Value, nil, 3, newLogger(true))
 			}()
-			<-stop
+			<-signals
 			cancel()
-			<-left
-			l.Stop(false)
+			<-deregistered
+			loop.Stop(false)
 			return nil
 		}}
-	c.Flags().StringSliceVar(&endpoints, "registry", nil, "endpoints of the registry at which it registers with a lease")
-	c.Flags().StringVar(&zone, "zone", "bloc-a", "zone that it registers")
-	c.Flags().IntVar(&cell, "cell", 0, "cell that it registers")
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9001", "address")
-	c.Flags().StringVar(&name, "name", "box-1", "name, the beginning of its session ids")
-	c.Flags().StringSliceVar(&plans, "plan", []string{"live-lesson", "recorded-lesson"}, "plans whose titles it has")
-	c.Flags().Float64SliceVar(&ladder, "ladder", []float64{20, 40, 80, 160}, "kB a second of each rung")
-	c.Flags().Float64Var(&link, "link", 8000, "kB a second")
-	c.Flags().Float64Var(&uplink, "uplink", 16000, "kB a second of its rack's uplink")
-	c.Flags().IntVar(&places, "places", 100, "sessions at most")
-	c.Flags().BoolVar(&cold, "cold", false, "starts cold")
-	return c
+	cmd.Flags().StringSliceVar(&endpoints, "registry", nil, "endpoints of the registry in which it registers with a lease (default: none)")
+	cmd.Flags().StringVar(&zone, "zone", "bloc-a", "zone to register with")
+	cmd.Flags().IntVar(&cell, "cell", 0, "cell to register with")
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:9001", "address to listen on")
+	cmd.Flags().StringVar(&name, "name", "box-1", "name of the media box, which prefixes its session IDs")
+	cmd.Flags().StringSliceVar(&plans, "plan", []string{"live-lesson", "recorded-lesson"}, "plans whose titles it serves")
+	cmd.Flags().Float64SliceVar(&ladder, "ladder", []float64{20, 40, 80, 160}, "rate of each rung in kB/s")
+	cmd.Flags().Float64Var(&link, "link", 8000, "capacity of its link in kB/s")
+	cmd.Flags().Float64Var(&uplink, "uplink", 16000, "capacity of its rack's uplink in kB/s")
+	cmd.Flags().IntVar(&places, "places", 100, "maximum number of sessions")
+	cmd.Flags().BoolVar(&cold, "cold", false, "start cold, with reduced capacity until it has warmed up")
+	return cmd
 }
 
+// playerCommand returns the command that runs stand-in players against a session manager.
 func playerCommand() *cobra.Command {
 	var front, plan, title, tenant string
 	var top, count, tracks, returns int
 	var watch, abandon time.Duration
-	c := &cobra.Command{Use: "player", Short: "Run stand-in players and print what they got", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "player", Short: "Run stand-in players and print their results", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if count < 1 || tracks < 1 || watch <= 0 || abandon <= 0 {
-				return fmt.Errorf("--count, --tracks, --watch and --abandon must be above 0")
+				return fmt.Errorf("--count, --tracks, --watch and --abandon must be positive")
 			}
-			done, played := make(chan struct{}), 0
-			var crowd *player.Crowd
-			l, err := edge.New("", func(n core.Net) core.Core {
-				crowd = player.New(n, edge.Now())
-				return crowd
+			allEnded, playedCount := make(chan struct{}), 0
+			var players *player.Crowd
+			loop, err := edge.New("", func(net core.Net) core.Core {
+				players = player.New(net, edge.Now())
+				return players
 			})
 			if err != nil {
 				return err
 			}
-			names := map[player.State]string{player.Refused: "refused", player.Failed: "failed", player.Abandoned: "abandoned",
+			stateNames := map[player.State]string{player.Refused: "refused", player.Failed: "failed", player.Abandoned: "abandoned",
 				player.Lost: "lost", player.Done: "played"}
-			l.Post(func() {
-				crowd.Report = func(w *player.Want, s *player.Seen) {
+			loop.Post(func() {
+				players.Report = func(want *player.Want, seen *player.Seen) {
 					fmt.Printf("%s %s status=%d startup=%s packets=%d bytes=%d gaps=%d answers=%d of %d requests longest-silence=%s\n",
-						s.ID, names[s.State], s.Status, toDuration(s.FirstPacket), s.Packets, s.Bytes, s.Gaps, s.Answers, s.Requests,
-						toDuration(s.LongestSilence))
-					if s.State == player.Done {
-						played++
+						seen.ID, stateNames[seen.State], seen.Status, toDuration(seen.FirstPacket), seen.Packets, seen.Bytes, seen.Gaps, seen.Answers, seen.Requests,
+						toDuration(seen.LongestSilence))
+					if seen.State == player.Done {
+						playedCount++
 					}
-					if crowd.Open() == 0 {
-						close(done)
+					if players.Open() == 0 {
+						close(allEnded)
 					}
 				}
 				for i := range count {
-					crowd.Start(&player.Want{ID: fmt.Sprintf("pb-%d-%d", os.Getpid(), i), Fronts: []string{front}, Plan: plan,
+					players.Start(&player.Want{ID: fmt.Sprintf("pb-%d-%d", os.Getpid(), i), Fronts: []string{front}, Plan: plan,
 						Title: title, Tenant: tenant, Top: top, Tracks: tracks, Ask: true, Returns: returns, KeepsTo: true,
 						Break: core.Second, Watch: watch.Microseconds(), Abandon: abandon.Microseconds()})
 				}
 			})
-			<-done
-			l.Stop(false)
-			if played < count {
-				return fmt.Errorf("%s of %d played", strconv.Itoa(played), count)
+			<-allEnded
+			loop.Stop(false)
+			if playedCount < count {
+				return fmt.Errorf("%s of %d players played to the end", strconv.Itoa(playedCount), count)
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&front, "front", "127.0.0.1:8554", "the session manager's address")
-	c.Flags().StringVar(&plan, "plan", "live-lesson", "plan")
-	c.Flags().StringVar(&title, "title", "algebra", "title")
-	c.Flags().StringVar(&tenant, "tenant", "", "tenant")
-	c.Flags().IntVar(&top, "top", 3, "highest rung")
-	c.Flags().IntVar(&count, "count", 1, "players")
-	c.Flags().IntVar(&tracks, "tracks", 2, "tracks to set up")
-	c.Flags().IntVar(&returns, "returns", 0, "how often each comes again")
-	c.Flags().DurationVar(&watch, "watch", 3*time.Second, "how long to play")
-	c.Flags().DurationVar(&abandon, "abandon", 4*time.Second, "gives up after")
-	return c
+	cmd.Flags().StringVar(&front, "front", "127.0.0.1:8554", "address of the session manager")
+	cmd.Flags().StringVar(&plan, "plan", "live-lesson", "plan of the playbacks")
+	cmd.Flags().StringVar(&title, "title", "algebra", "title to play")
+	cmd.Flags().StringVar(&tenant, "tenant", "", "tenant that the players belong to")
+	cmd.Flags().IntVar(&top, "top", 3, "highest rung")
+	cmd.Flags().IntVar(&count, "count", 1, "number of players")
+	cmd.Flags().IntVar(&tracks, "tracks", 2, "number of tracks to set up")
+	cmd.Flags().IntVar(&returns, "returns", 0, "maximum number of retries of each player")
+	cmd.Flags().DurationVar(&watch, "watch", 3*time.Second, "viewing time")
+	cmd.Flags().DurationVar(&abandon, "abandon", 4*time.Second, "abandon time: how long to wait for an answer")
+	return cmd
 }
 
+// toDuration converts a time of the cores, in microseconds.
 func toDuration(t core.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
+// registryCommand returns the command that runs a stand-in registry. It expires leases every 200 ms.
 func registryCommand() *cobra.Command {
 	var listen string
 	var cluster uint64
-	c := &cobra.Command{Use: "registry", Short: "Run a stand-in registry (etcd v3 API, in memory)", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "registry", Short: "Run a stand-in registry (etcd v3 API, in memory)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			store := standin.NewStore(cluster, fmt.Sprint(time.Now().UnixNano()), registry.MarkKey)
-			s, err := standin.Serve(listen, store)
+			server, err := standin.Serve(listen, store)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(os.Stderr, "registry listens on %s\n", s.Addr())
-			stop := make(chan os.Signal, 1)
-			signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
-			tick := time.NewTicker(200 * time.Millisecond)
-			defer tick.Stop()
+			fmt.Fprintf(os.Stderr, "registry listens on %s\n", server.Addr())
+			signals := make(chan os.Signal, 1)
+			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+			ticker := time.NewTicker(200 * time.Millisecond)
+			defer ticker.Stop()
 			for {
 				select {
-				case <-tick.C:
+				case <-ticker.C:
 					store.Expire(false)
-				case <-stop:
-					s.Stop()
+				case <-signals:
+					server.Stop()
 					return nil
 				}
 			}
 		}}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "address")
-	c.Flags().Uint64Var(&cluster, "cluster", 1, "cluster id")
-	return c
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:2379", "address to listen on")
+	cmd.Flags().Uint64Var(&cluster, "cluster", 1, "cluster ID")
+	return cmd
 }
--- a/cmd/pierlab/why.go
+++ b/cmd/pierlab/why.go
@@ -11,49 +11,50 @@
 	"pierlink/internal/trace"
 )
 
+// whyCommand returns the command that explains where the time of a playback went.
 func whyCommand() *cobra.Command {
-	var file, day string
+	var tracePath, dayName string
 	var seed uint64
-	c := &cobra.Command{Use: "why PLAYBACK", Short: "Tell in words where the time of a playback went",
-		Long: "Tell the story of a playback by its Request-Id: from a trace file that pierlink writes ([trace] in its settings),\n" +
-			"or from a day that is played for it.", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			var all []*front.Story
+	cmd := &cobra.Command{Use: "why PLAYBACK", Short: "Explain in words where the time of a playback went",
+		Long: "Explain the course of a playback, given its Request-Id: from a trace file that pierlink wrote ([trace] in its settings),\n" +
+			"or by playing a day.", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+			var stories []*front.Story
 			switch {
-			case day != "":
-				d, err := loadDay(day, seed)
+			case dayName != "":
+				day, err := loadDay(dayName, seed)
 				if err != nil {
 					return err
 				}
-				d.Told = func(s *front.Story) {
-					if s.Name == args[0] {
-						all = append(all, s)
+				day.Told = func(story *front.Story) {
+					if story.Name == args[0] {
+						stories = append(stories, story)
 					}
 				}
-				if _, err := lab.Run(d, ""); err != nil {
+				if _, err := lab.Run(day, ""); err != nil {
 					return err
 				}
-				if len(all) == 0 {
+				if len(stories) == 0 {
 					return trace.ErrNone
 				}
-			case file != "":
-				f, err := os.Open(file)
+			case tracePath != "":
+				file, err := os.Open(tracePath)
 				if err != nil {
 					return err
 				}
-				defer f.Close()
-				if all, err = trace.Read(f, args[0]); err != nil {
+				defer file.Close()
+				if stories, err = trace.Read(file, args[0]); err != nil {
 					return err
 				}
 			default:
-				return fmt.Errorf("either --trace FILE or --day DAY is expected")
+				return fmt.Errorf("either --trace FILE or --day DAY is required")
 			}
-			for _, s := range all {
-				fmt.Print(trace.Words(s))
+			for _, story := range stories {
+				fmt.Print(trace.Words(story))
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&file, "trace", "", "file of spans")
-	c.Flags().StringVar(&day, "day", "", "day to play")
-	c.Flags().Uint64Var(&seed, "seed", 0, "of the day, in place of its own")
-	return c
+	cmd.Flags().StringVar(&tracePath, "trace", "", "trace file to read the spans from")
+	cmd.Flags().StringVar(&dayName, "day", "", "name or file of the day to play")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the day (default: its own)")
+	return cmd
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment plays variants of the session manager on days by many seeds, side by side, and tells the
-// paired differences: results in columnar files, a report, plots. A run that was stopped goes on where it was.
+// Package experiment runs controlled comparisons of session manager variants: it plays each variant on the same
+// simulated days and random seeds, reports the paired differences with confidence intervals, and writes the results
+// as Parquet files, a Markdown report and plots. An interrupted run resumes where it stopped.
 package experiment
 
 import (
@@ -25,124 +26,127 @@
 	"pierlink/internal/lab"
 )
 
-// Spec is an experiment's file.
+// Spec is the definition of an experiment, as its TOML file has it.
 type Spec struct {
 	Name     string    `toml:"name" validate:"required"`
-	Question string    `toml:"asks"` // what it is to find out
-	Days     []string  `toml:"days" validate:"min=1"`
-	Seeds    string    `toml:"seeds" validate:"required"` // 1..10, or 1,4,7
+	Question string    `toml:"asks"`                      // question that the experiment is to answer
+	Days     []string  `toml:"days" validate:"min=1"`     // names of library days, or paths relative to the file
+	Seeds    string    `toml:"seeds" validate:"required"` // a range such as 1..10, or a list such as 1,4,7
 	Variants []Variant `toml:"variant" validate:"min=1,unique=Name,dive"`
-	baseDir  string
+	baseDir  string    // directory of the file
 }
 
-// Variant is one way to play each day. The first is what the others are compared with.
+// Variant is one configuration that plays each day. The first variant of an experiment is the baseline of the
+// comparisons.
 type Variant struct {
 	Name          string            `toml:"name" validate:"required"`
-	Overrides     map[string]string `toml:"set"`     // words of the days, as lab.Set has them
-	Policy        string            `toml:"policy"`  // a baseline in the module's place
-	PlantedChange string            `toml:"plant"`   // a change for the worse on purpose
-	Program       string            `toml:"program"` // another build of pierlab
+	Overrides     map[string]string `toml:"set"`     // changes to the text of the days, in the form that lab.Set takes
+	Policy        string            `toml:"policy"`  // baseline policy that replaces the decision module
+	PlantedChange string            `toml:"plant"`   // name of a deliberate change from lab.Plants
+	Program       string            `toml:"program"` // path of another build of pierlab
 }
 
-// Read reads an experiment's file.
+// Read parses and validates the experiment file at path. Unknown keys are an error.
 func Read(path string) (*Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	p := &Spec{baseDir: filepath.Dir(path)}
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := d.Decode(p); err != nil {
+	spec := &Spec{baseDir: filepath.Dir(path)}
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(spec); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
 			return nil, fmt.Errorf("%s: unknown keys:\n%s", path, strict.String())
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(p); err != nil {
+	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(spec); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if _, err := parseSeeds(p.Seeds); err != nil {
+	if _, err := parseSeeds(spec.Seeds); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for i := range p.Variants {
-		v := &p.Variants[i]
-		if v.Program != "" && (v.Policy != "" || v.PlantedChange != "") {
-			return nil, fmt.Errorf("%s: variant %s: a program plays its own module", path, v.Name)
+	for i := range spec.Variants {
+		variant := &spec.Variants[i]
+		if variant.Program != "" && (variant.Policy != "" || variant.PlantedChange != "") {
+			return nil, fmt.Errorf("%s: variant %s: program cannot be combined with policy or plant, as it runs its own decision module", path, variant.Name)
 		}
 	}
-	return p, nil
+	return spec, nil
 }
 
-func parseSeeds(s string) (all []uint64, err error) {
-	if a, b, ok := strings.Cut(s, ".."); ok {
-		x, err1 := strconv.ParseUint(a, 10, 64)
-		y, err2 := strconv.ParseUint(b, 10, 64)
-		if err1 != nil || err2 != nil || x > y || y-x > 10_000 {
-			return nil, fmt.Errorf("seeds: %s: a range such as 1..10 is expected", s)
+// parseSeeds parses an inclusive range (1..10) or a comma-separated list (1,4,7) of seeds.
+func parseSeeds(text string) (seeds []uint64, err error) {
+	if from, to, ok := strings.Cut(text, ".."); ok {
+		first, firstErr := strconv.ParseUint(from, 10, 64)
+		last, lastErr := strconv.ParseUint(to, 10, 64)
+		if firstErr != nil || lastErr != nil || first > last || last-first > 10_000 {
+			return nil, fmt.Errorf("seeds: got %s, expected an ascending range of at most 10001 seeds, such as 1..10", text)
 		}
-		for ; x <= y; x++ {
-			all = append(all, x)
+		for ; first <= last; first++ {
+			seeds = append(seeds, first)
 		}
-		return all, nil
+		return seeds, nil
 	}
-	for w := range strings.SplitSeq(s, ",") {
-		x, err := strconv.ParseUint(strings.TrimSpace(w), 10, 64)
+	for field := range strings.SplitSeq(text, ",") {
+		seed, err := strconv.ParseUint(strings.TrimSpace(field), 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("seeds: %s: numbers such as 1,4,7, or a range such as 1..10, are expected", s)
+			return nil, fmt.Errorf("seeds: got %s, expected numbers such as 1,4,7 or a range such as 1..10", text)
 		}
-		all = append(all, x)
+		seeds = append(seeds, seed)
 	}
-	return all, nil
+	return seeds, nil
 }
 
-// job is one day to be played.
+// job is one run: a variant on one day with one seed.
 type job struct {
 	variant *Variant
 	day     *lab.Day
 	seed    uint64
 }
 
-// jobs are all runs, seed by seed, so that what is there of a run that was stopped is whole pairs.
-func (p *Spec) jobs() (all []job, err error) {
-	numbers, err := parseSeeds(p.Seeds)
+// jobs lists all runs of the experiment, ordered by seed, so that the results of an interrupted experiment form
+// complete pairs.
+func (s *Spec) jobs() (all []job, err error) {
+	seeds, err := parseSeeds(s.Seeds)
 	if err != nil {
 		return nil, err
 	}
 	var days []*lab.Day
-	for _, name := range p.Days {
-		d, err := lab.Library(name)
+	for _, name := range s.Days {
+		day, err := lab.Library(name)
 		if err != nil {
-			if d, err = lab.ReadDay(filepath.Join(p.baseDir, name)); err != nil {
+			if day, err = lab.ReadDay(filepath.Join(s.baseDir, name)); err != nil {
 				return nil, err
 			}
 		}
-		days = append(days, d)
+		days = append(days, day)
 	}
-	for _, seed := range numbers {
-		for _, d := range days {
-			for i := range p.Variants {
-				v := &p.Variants[i]
-				text, err := lab.Set(d.Text, v.Overrides)
+	for _, seed := range seeds {
+		for _, day := range days {
+			for i := range s.Variants {
+				variant := &s.Variants[i]
+				text, err := lab.Set(day.Text, variant.Overrides)
 				if err != nil {
-					return nil, fmt.Errorf("variant %s: %w", v.Name, err)
+					return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 				}
-				x, err := lab.Parse(d.Name, text)
+				drawn, err := lab.Parse(day.Name, text)
 				if err != nil {
-					return nil, fmt.Errorf("variant %s: %w", v.Name, err)
+					return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 				}
-				x.Policy = v.Policy
-				if x, err = x.With(seed); err != nil {
+				drawn.Policy = variant.Policy
+				if drawn, err = drawn.With(seed); err != nil {
 					return nil, err
 				}
-				all = append(all, job{v, x, seed})
+				all = append(all, job{variant, drawn, seed})
 			}
 		}
 	}
 	return all, nil
 }
 
-// cacheKey names a run's result by all that it follows from.
+// cacheKey returns a hash of every input that determines the result of the run. The result is stored under it.
 func (j *job) cacheKey(build string) string {
 	program := build
 	if j.variant.Program != "" {
@@ -152,107 +156,110 @@
 		j.variant.Policy, j.variant.PlantedChange}, "\x00")))
 }
 
-// fileChecksum is a program's checksum; a build is told from another by it.
+// fileChecksum returns the xxhash of a program, which identifies its build, or the path itself if the file cannot
+// be read.
 func fileChecksum(path string) string {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return path
 	}
-	defer f.Close()
-	h := xxhash.New()
-	if _, err := io.Copy(h, f); err != nil {
+	defer file.Close()
+	hash := xxhash.New()
+	if _, err := io.Copy(hash, file); err != nil {
 		return path
 	}
-	return fmt.Sprintf("%016x", h.Sum64())
+	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
+// run plays the day in this process, or in the variant's own program where it names one.
 func (j *job) run() (*lab.Row, error) {
 	if j.variant.Program == "" {
 		return lab.Run(j.day, j.variant.PlantedChange)
 	}
-	f, err := os.CreateTemp("", "pierlab-*.day")
+	file, err := os.CreateTemp("", "pierlab-*.day")
 	if err != nil {
 		return nil, err
 	}
-	defer os.Remove(f.Name())
-	if _, err := f.WriteString(j.day.Text); err != nil {
+	defer os.Remove(file.Name())
+	if _, err := file.WriteString(j.day.Text); err != nil {
 		return nil, err
 	}
-	if err := f.Close(); err != nil {
+	if err := file.Close(); err != nil {
 		return nil, err
 	}
-	out, err := exec.Command(j.variant.Program, "row", f.Name(), "--seed", strconv.FormatUint(j.seed, 10)).Output()
+	output, err := exec.Command(j.variant.Program, "row", file.Name(), "--seed", strconv.FormatUint(j.seed, 10)).Output()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", j.variant.Program, err)
 	}
-	r := &lab.Row{}
-	if err := json.Unmarshal(out, r); err != nil {
+	row := &lab.Row{}
+	if err := json.Unmarshal(output, row); err != nil {
 		return nil, fmt.Errorf("%s: %w", j.variant.Program, err)
 	}
-	r.Day = j.day.Name
-	return r, nil
+	row.Day = j.day.Name
+	return row, nil
 }
 
-// Run plays what is not there yet, as many at a time as there are processors, and returns all rows in the
-// order of seeds, days and variants. Each row lies in the folder as soon as it is there.
-func (p *Spec) Run(dir string, progress io.Writer) ([]*lab.Row, error) {
-	all, err := p.jobs()
+// Run plays the runs whose results are not stored in dir yet, in parallel on GOMAXPROCS workers, and returns all
+// rows ordered by seed, day and variant. Each row is stored in dir as soon as its run ends. After an error Run starts
+// no further runs and returns the first error. It reports its progress on progress.
+func (s *Spec) Run(dir string, progress io.Writer) ([]*lab.Row, error) {
+	jobs, err := s.jobs()
 	if err != nil {
 		return nil, err
 	}
-	runs := filepath.Join(dir, "runs")
-	if err := os.MkdirAll(runs, 0o755); err != nil {
+	rowDir := filepath.Join(dir, "runs")
+	if err := os.MkdirAll(rowDir, 0o755); err != nil {
 		return nil, err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	build := fileChecksum(self)
-	rows := make([]*lab.Row, len(all))
+	build := fileChecksum(executable)
+	rows := make([]*lab.Row, len(jobs))
 	var mu sync.Mutex
-	var first error
-	done, there := 0, 0
-	began := time.Now()
+	var firstErr error
+	doneCount, cachedCount := 0, 0
+	start := time.Now()
 	next := make(chan int)
-	var wait sync.WaitGroup
+	var workers sync.WaitGroup
 	for range max(runtime.GOMAXPROCS(0), 1) {
-		wait.Add(1)
+		workers.Add(1)
 		go func() {
-			defer wait.Done()
+			defer workers.Done()
 			for i := range next {
-				j := &all[i]
-				path := filepath.Join(runs, j.cacheKey(build)+".json")
-				r, err := readRow(path)
-				old := err == nil
-				if !old {
-					if r, err = j.run(); err == nil {
-						err = writeRow(path, r)
+				current := &jobs[i]
+				path := filepath.Join(rowDir, current.cacheKey(build)+".json")
+				row, err := readRow(path)
+				cached := err == nil
+				if !cached {
+					if row, err = current.run(); err == nil {
+						err = writeRow(path, row)
 					}
 				}
 				mu.Lock()
-				if err != nil && first == nil {
-					first = fmt.Errorf("%s, %s, seed %d: %w", j.variant.Name, j.day.Name, j.seed, err)
+				if err != nil && firstErr == nil {
+					firstErr = fmt.Errorf("%s, %s, seed %d: %w", current.variant.Name, current.day.Name, current.seed, err)
 				}
 				if err == nil {
-					r.Variant = j.variant.Name
-					rows[i] = r
+					row.Variant = current.variant.Name
+					rows[i] = row
 				}
-				if done++; old {
-					there++
+				if doneCount++; cached {
+					cachedCount++
 				}
-				left := "?"
-				if n := done - there; n > 0 {
-					left = (time.Since(began) / time.Duration(n) * time.Duration(len(all)-done)).Round(time.Second).String()
+				remaining := "?"
+				if played := doneCount - cachedCount; played > 0 {
+					remaining = (time.Since(start) / time.Duration(played) * time.Duration(len(jobs)-doneCount)).Round(time.Second).String()
 				}
-				fmt.Fprintf(progress, "\r%d of %d days played (%d were there), about %s to go      ", done, len(all), there, left)
+				fmt.Fprintf(progress, "\r%d of %d runs done (%d cached), about %s left      ", doneCount, len(jobs), cachedCount, remaining)
 				mu.Unlock()
 			}
 		}()
 	}
-	for i := range all {
+	for i := range jobs {
 		mu.Lock()
-		stop := first != nil
+		stop := firstErr != nil
 		mu.Unlock()
 		if stop {
 			break
@@ -260,26 +267,28 @@
 		next <- i
 	}
 	close(next)
-	wait.Wait()
+	workers.Wait()
 	fmt.Fprintln(progress)
-	if first != nil {
-		return nil, first
+	if firstErr != nil {
+		return nil, firstErr
 	}
 	return rows, nil
 }
 
+// readRow reads a stored row.
 func readRow(path string) (*lab.Row, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	r := &lab.Row{}
-	return r, json.Unmarshal(text, r)
+	row := &lab.Row{}
+	return row, json.Unmarshal(text, row)
 }
 
-// writeRow writes a row beside its place and moves it there, so that a run that is stopped leaves no half one.
-func writeRow(path string, r *lab.Row) error {
-	text, err := json.Marshal(r)
+// writeRow stores a row atomically: it writes a temporary file and renames it, so that an interrupted run leaves no
+// truncated row.
+func writeRow(path string, row *lab.Row) error {
+	text, err := json.Marshal(row)
 	if err != nil {
 		return err
 	}
@@ -289,34 +298,34 @@
 	return os.Rename(path+".next", path)
 }
 
-// WriteResults makes all that an experiment leaves: results.parquet, series.parquet, plots and REPORT.md.
-func (p *Spec) WriteResults(dir string, rows []*lab.Row) error {
+// WriteResults writes the output of an experiment to dir: results.parquet, series.parquet, the plots and REPORT.md.
+func (s *Spec) WriteResults(dir string, rows []*lab.Row) error {
 	if err := writeParquet(dir, rows); err != nil {
 		return err
 	}
-	plots, err := p.drawPlots(dir, rows)
+	plots, err := s.drawPlots(dir, rows)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, "REPORT.md"), []byte(p.report(rows, plots)), 0o644)
+	return os.WriteFile(filepath.Join(dir, "REPORT.md"), []byte(s.report(rows, plots)), 0o644)
 }
 
-// variantRows are the rows variantRows a variant, in order.
-func variantRows(rows []*lab.Row, variant string) (all []*lab.Row) {
-	for _, r := range rows {
-		if r.Variant == variant {
-			all = append(all, r)
+// variantRows returns the rows of one variant, in their order.
+func variantRows(rows []*lab.Row, variant string) (selected []*lab.Row) {
+	for _, row := range rows {
+		if row.Variant == variant {
+			selected = append(selected, row)
 		}
 	}
-	return all
+	return selected
 }
 
-// dayNames are the names in their order.
-func dayNames(rows []*lab.Row) (all []string) {
-	for _, r := range rows {
-		if !slices.Contains(all, r.Day) {
-			all = append(all, r.Day)
+// dayNames returns the distinct day names in order of first appearance.
+func dayNames(rows []*lab.Row) (names []string) {
+	for _, row := range rows {
+		if !slices.Contains(names, row.Day) {
+			names = append(names, row.Day)
 		}
 	}
-	return all
+	return names
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,6 +11,8 @@
 	"pierlink/internal/lab"
 )
 
+// testRows returns n rows of a variant whose level differs widely between days: shift moves the goal and the whole,
+// worst moves the worst 10 s.
 func testRows(variant string, shift, worst float64, n int) (all []*lab.Row) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(variant))))
 	for i := range n {
@@ -20,59 +22,62 @@
 	return all
 }
 
-// A shift far under the spread between days is found by pairs; none is found where there is none; a variant that
-// loses on the whole and wins in the worst 10 s is told so.
+// Paired comparison detects a shift far below the spread between days, reports none between equal variants, and
+// calls nothing significant with a single pair. The report states when a variant is worse overall but better in the
+// worst 10 s.
 func TestCompare(t *testing.T) {
 	all := append(testRows("base", 0, 0, 20), append(testRows("worse", -0.02, 0.05, 20), testRows("none", 0, 0, 20)...)...)
 	if d := Compare(all, "base", "worse")[0]; !d.Significant() || d.Verdict() != "worse" || d.Pairs != 20 {
-		t.Errorf("%+v", d)
+		t.Errorf("variant with a shift of -0.02: got %+v, expected worse with 20 pairs", d)
 	}
 	if d := Compare(all, "base", "none")[0]; d.Significant() {
-		t.Errorf("%+v", d)
+		t.Errorf("equal variants: got a significant difference %+v", d)
 	}
 	if d := Compare(all[:21], "base", "worse")[0]; d.Significant() {
-		t.Errorf("one pair tells nothing: %+v", d)
+		t.Errorf("single pair: got a significant difference %+v", d)
 	}
-	p := &Spec{Name: "n", Seeds: "1..20", Variants: []Variant{{Name: "base"}, {Name: "worse"}}}
-	if text := p.report(all, nil); !strings.Contains(text, "On the whole it is worse, in the worst 10 s better.") {
-		t.Error(text)
+	spec := &Spec{Name: "n", Seeds: "1..20", Variants: []Variant{{Name: "base"}, {Name: "worse"}}}
+	if report := spec.report(all, nil); !strings.Contains(report, "On the whole it is worse, in the worst 10 s better.") {
+		t.Error(report)
 	}
 }
 
-func TestPlan(t *testing.T) {
+// Read rejects invalid experiment files. A repeated run takes all results from the stored rows, and the Parquet files
+// hold the same rows.
+func TestReadRunAndResume(t *testing.T) {
 	dir := t.TempDir()
 	write := func(text string) string {
-		f := filepath.Join(dir, "x.toml")
-		if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
+		path := filepath.Join(dir, "x.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return f
+		return path
 	}
-	for _, bad := range []string{"", "name='a'\ndays=['search']\nseeds='9..1'\n[[variant]]\nname='b'", "name='a'\nseeds='1'\ndays=['search']",
+	for _, invalid := range []string{"", "name='a'\ndays=['search']\nseeds='9..1'\n[[variant]]\nname='b'", "name='a'\nseeds='1'\ndays=['search']",
 		"name='a'\ndays=['search']\nseeds='1'\nwhat=1\n[[variant]]\nname='b'", "name='a'\ndays=['search']\nseeds='1'\n[[variant]]\nname='b'\n[[variant]]\nname='b'"} {
-		if _, err := Read(write(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+		if _, err := Read(write(invalid)); err == nil {
+			t.Errorf("invalid experiment file accepted: %q", invalid)
 		}
 	}
-	p, err := Read(write("name='a'\ndays=['search']\nseeds='3,4'\n[[variant]]\nname='b'\nset={'load.length'='2'}\n[[variant]]\nname='c'\npolicy='random'\nset={'load.length'='2'}"))
+	spec, err := Read(write("name='a'\ndays=['search']\nseeds='3,4'\n[[variant]]\nname='b'\nset={'load.length'='2'}\n[[variant]]\nname='c'\npolicy='random'\nset={'load.length'='2'}"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out bytes.Buffer
-	first, err := p.Run(filepath.Join(dir, "o"), &out)
+	var progress bytes.Buffer
+	first, err := spec.Run(filepath.Join(dir, "o"), &progress)
 	if err != nil || len(first) != 4 {
 		t.Fatal(first, err)
 	}
-	if err := p.WriteResults(filepath.Join(dir, "o"), first); err != nil {
+	if err := spec.WriteResults(filepath.Join(dir, "o"), first); err != nil {
 		t.Fatal(err)
 	}
-	out.Reset()
-	again, err := p.Run(filepath.Join(dir, "o"), &out)
-	if err != nil || !strings.Contains(out.String(), "4 were there") || again[2].Digest != first[2].Digest {
-		t.Error(err, out.String())
+	progress.Reset()
+	resumed, err := spec.Run(filepath.Join(dir, "o"), &progress)
+	if err != nil || !strings.Contains(progress.String(), "4 cached") || resumed[2].Digest != first[2].Digest {
+		t.Error(err, progress.String())
 	}
-	back, err := ReadRows(filepath.Join(dir, "o"))
-	if err != nil || len(back) != 4 || back[3].Goal != first[3].Goal || len(back[3].Points) != len(first[3].Points) {
-		t.Error(back, err)
+	stored, err := ReadRows(filepath.Join(dir, "o"))
+	if err != nil || len(stored) != 4 || stored[3].Goal != first[3].Goal || len(stored[3].Points) != len(first[3].Points) {
+		t.Error(stored, err)
 	}
 }
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -14,10 +14,10 @@
 	"pierlink/internal/lab"
 )
 
-// timeSeries are what is drawn over time, each as the mean of a variant's seeds.
+// timeSeries lists the figures that are drawn over time, each as the mean over the seeds of a variant.
 var timeSeries = []struct {
-	file, title, axis string
-	of                func(lab.Point) float64
+	file, title, axisLabel string
+	value                  func(lab.Point) float64
 }{
 	{"worth", "Earned over offered", "part", func(p lab.Point) float64 { return p.Earned / p.Offered }},
 	{"fill", "Fill of links, mean", "asked over given", func(p lab.Point) float64 { return p.Fill }},
@@ -31,19 +31,19 @@
 var lineColours = []color.Color{color.RGBA{0, 90, 180, 255}, color.RGBA{200, 80, 0, 255}, color.RGBA{0, 130, 70, 255}, color.RGBA{150, 0, 130, 255},
 	color.RGBA{110, 110, 110, 255}, color.RGBA{180, 150, 0, 255}}
 
-// Plots draws all that an experiment shows from its rows.
-func (p *Spec) drawPlots(dir string, rows []*lab.Row) (files []string, err error) {
+// drawPlots draws all plots of an experiment from its rows and returns their file names.
+func (s *Spec) drawPlots(dir string, rows []*lab.Row) (files []string, err error) {
 	for _, day := range dayNames(rows) {
-		for _, s := range timeSeries {
-			name := strings.NewReplacer("/", "-", ".day", "").Replace(fmt.Sprintf("%s-%s.png", filepath.Base(day), s.file))
-			if err := p.drawTimeSeries(filepath.Join(dir, name), rows, day, s.title, s.axis, s.of); err != nil {
+		for _, series := range timeSeries {
+			name := strings.NewReplacer("/", "-", ".day", "").Replace(fmt.Sprintf("%s-%s.png", filepath.Base(day), series.file))
+			if err := s.drawTimeSeries(filepath.Join(dir, name), rows, day, series.title, series.axisLabel, series.value); err != nil {
 				return nil, err
 			}
 			files = append(files, name)
 		}
 	}
-	if len(p.Variants) > 1 {
-		if err := p.drawDifferences(filepath.Join(dir, "differences.png"), rows); err != nil {
+	if len(s.Variants) > 1 {
+		if err := s.drawDifferences(filepath.Join(dir, "differences.png"), rows); err != nil {
 			return nil, err
 		}
 		files = append([]string{"differences.png"}, files...)
@@ -51,93 +51,95 @@
 	return files, nil
 }
 
-// drawTimeSeries draws one figure drawTimeSeries a day, a line for each variant; troubles of the first seed are marked.
-func (p *Spec) drawTimeSeries(path string, rows []*lab.Row, day, title, axis string, of func(lab.Point) float64) error {
-	g := plot.New()
-	g.Title.Text = title + ": " + day
-	g.X.Label.Text, g.Y.Label.Text = "s", axis
-	g.Legend.Top = true
+// drawTimeSeries draws one figure over one day, with a line for each variant. The scripted troubles of the
+// first row that has any are marked.
+func (s *Spec) drawTimeSeries(path string, rows []*lab.Row, day, title, axisLabel string, value func(lab.Point) float64) error {
+	figure := plot.New()
+	figure.Title.Text = title + ": " + day
+	figure.X.Label.Text, figure.Y.Label.Text = "s", axisLabel
+	figure.Legend.Top = true
 	marked := false
-	for i := range p.Variants {
+	for i := range s.Variants {
 		var sum, count []float64
-		var at []float64
-		for _, r := range rows {
-			if r.Variant != p.Variants[i].Name || r.Day != day {
+		var times []float64
+		for _, row := range rows {
+			if row.Variant != s.Variants[i].Name || row.Day != day {
 				continue
 			}
-			for k, x := range r.Points {
+			for k, point := range row.Points {
 				for len(sum) <= k {
-					sum, count, at = append(sum, 0), append(count, 0), append(at, x.At)
+					sum, count, times = append(sum, 0), append(count, 0), append(times, point.At)
 				}
-				if v := of(x); !math.IsNaN(v) && !math.IsInf(v, 0) {
-					sum[k] += v
+				if sample := value(point); !math.IsNaN(sample) && !math.IsInf(sample, 0) {
+					sum[k] += sample
 					count[k]++
 				}
 			}
-			if !marked && len(r.Troubles) > 0 {
+			if !marked && len(row.Troubles) > 0 {
 				marked = true
-				for _, m := range r.Troubles {
-					line, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At + m.For, Y: 0}})
+				for _, trouble := range row.Troubles {
+					line, err := plotter.NewLine(plotter.XYs{{X: trouble.At, Y: 0}, {X: trouble.At + trouble.For, Y: 0}})
 					if err != nil {
 						return err
 					}
 					line.Color, line.Width = color.RGBA{220, 0, 0, 90}, vg.Points(5)
-					g.Add(line)
-					label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: m.At, Y: 0}}, Labels: []string{m.Kind}})
+					figure.Add(line)
+					label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: trouble.At, Y: 0}}, Labels: []string{trouble.Kind}})
 					if err != nil {
 						return err
 					}
 					label.TextStyle[0].Rotation = math.Pi / 2
 					label.TextStyle[0].Font.Size = vg.Points(6)
 					label.TextStyle[0].Color = color.RGBA{150, 0, 0, 255}
-					g.Add(label)
+					figure.Add(label)
 				}
 			}
 		}
-		var xy plotter.XYs
+		var means plotter.XYs
 		for k := range sum {
 			if count[k] > 0 {
-				xy = append(xy, plotter.XY{X: at[k], Y: sum[k] / count[k]})
+				means = append(means, plotter.XY{X: times[k], Y: sum[k] / count[k]})
 			}
 		}
-		if len(xy) == 0 {
+		if len(means) == 0 {
 			continue
 		}
-		line, err := plotter.NewLine(xy)
+		line, err := plotter.NewLine(means)
 		if err != nil {
 			return err
 		}
 		line.Color, line.Width = lineColours[i%len(lineColours)], vg.Points(1.2)
-		g.Add(line)
-		g.Legend.Add(p.Variants[i].Name, line)
+		figure.Add(line)
+		figure.Legend.Add(s.Variants[i].Name, line)
 	}
-	return g.Save(22*vg.Centimeter, 10*vg.Centimeter, path)
+	return figure.Save(22*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// drawDifferences draws the paired difference of worth of each variant, with its interval.
-func (p *Spec) drawDifferences(path string, rows []*lab.Row) error {
-	g := plot.New()
-	g.Title.Text = "Worth, against " + p.Variants[0].Name
-	g.Y.Label.Text = "difference"
+// drawDifferences draws the paired difference of worth between each variant and the baseline, with its confidence
+// interval. An infinite interval, as a single pair gives, is drawn without error bars.
+func (s *Spec) drawDifferences(path string, rows []*lab.Row) error {
+	figure := plot.New()
+	figure.Title.Text = "Worth, against " + s.Variants[0].Name
+	figure.Y.Label.Text = "difference"
 	var names []string
-	var pts struct {
+	var points struct {
 		plotter.XYs
 		plotter.YErrors
 	}
-	for i := 1; i < len(p.Variants); i++ {
-		d := Compare(rows, p.Variants[0].Name, p.Variants[i].Name)[0]
-		if math.IsInf(d.Low, 0) {
-			d.Low, d.High = d.Mean, d.Mean
+	for i := 1; i < len(s.Variants); i++ {
+		difference := Compare(rows, s.Variants[0].Name, s.Variants[i].Name)[0]
+		if math.IsInf(difference.Low, 0) {
+			difference.Low, difference.High = difference.Mean, difference.Mean
 		}
-		names = append(names, p.Variants[i].Name)
-		pts.XYs = append(pts.XYs, plotter.XY{X: float64(i - 1), Y: d.Mean})
-		pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
+		names = append(names, s.Variants[i].Name)
+		points.XYs = append(points.XYs, plotter.XY{X: float64(i - 1), Y: difference.Mean})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{difference.Mean - difference.Low, difference.High - difference.Mean})
 	}
-	bars, err := plotter.NewYErrorBars(&pts)
+	errorBars, err := plotter.NewYErrorBars(&points)
 	if err != nil {
 		return err
 	}
-	dots, err := plotter.NewScatter(pts.XYs)
+	dots, err := plotter.NewScatter(points.XYs)
 	if err != nil {
 		return err
 	}
@@ -146,17 +148,18 @@
 		return err
 	}
 	zero.Color = color.Gray{150}
-	g.Add(zero, bars, dots)
-	g.NominalX(names...)
-	return g.Save(14*vg.Centimeter, 9*vg.Centimeter, path)
+	figure.Add(zero, errorBars, dots)
+	figure.NominalX(names...)
+	return figure.Save(14*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
-// Redraw makes the plots anew from the files of an experiment that was run.
-func (p *Spec) Redraw(dir string) error {
+// Redraw draws the plots again from the Parquet files of a completed experiment in dir. These files do not hold the
+// scripted troubles, so the redrawn plots do not mark them.
+func (s *Spec) Redraw(dir string) error {
 	rows, err := ReadRows(dir)
 	if err != nil {
 		return err
 	}
-	_, err = p.drawPlots(dir, rows)
+	_, err = s.drawPlots(dir, rows)
 	return err
 }
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -15,117 +15,120 @@
 
 func init() { lab.Proofs["lab"] = Prove }
 
-// processCPUSeconds is the CPU seconds of this process.
+// processCPUSeconds returns the user and system CPU time of this process in seconds, or 0 if it is not available.
 func processCPUSeconds() float64 {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	s := func(t syscall.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
-	return s(u.Utime) + s(u.Stime)
+	seconds := func(value syscall.Timeval) float64 { return float64(value.Sec) + float64(value.Usec)/1e6 }
+	return seconds(usage.Utime) + seconds(usage.Stime)
 }
 
-// Prove shows that the laboratory can be trusted: a day of full size in time, the same on any number of
-// processors, nothing that does not add up, a planted regression found and none found where there is none.
+// Prove checks that the results of the lab can be trusted: a full-size day ends within its time limit (not checked at
+// the small size), gives the same digest on one processor as on all, has no accounting inconsistency, breaks no rule and
+// reaches a minimum worth; CPU time grows about in proportion to the load; an experiment detects planted regressions and
+// reports no difference between equal builds.
 func Prove(seed uint64, size lab.Size, _ *zap.Logger) (*lab.Proof, error) {
-	p := &lab.Proof{Name: "lab", Seed: seed, Judged: map[string]int{}}
-	full, err := lab.Library("full")
+	proof := &lab.Proof{Name: "lab", Seed: seed, Judged: map[string]int{}}
+	fullDay, err := lab.Library("full")
 	if err != nil {
 		return nil, err
 	}
-	length := map[lab.Size]string{lab.Small: "6", lab.Usual: "50", lab.Full: "50"}[size]
-	text, err := lab.Set(full.Text, map[string]string{"load.length": length})
+	loadSeconds := map[lab.Size]string{lab.Small: "6", lab.Usual: "50", lab.Full: "50"}[size]
+	text, err := lab.Set(fullDay.Text, map[string]string{"load.length": loadSeconds})
 	if err != nil {
 		return nil, err
 	}
-	if full, err = lab.Parse("full", text); err != nil {
+	if fullDay, err = lab.Parse("full", text); err != nil {
 		return nil, err
 	}
-	if full, err = full.With(seed); err != nil {
+	if fullDay, err = fullDay.With(seed); err != nil {
 		return nil, err
 	}
 	cores := runtime.GOMAXPROCS(0)
-	began := time.Now()
-	many, err := lab.Run(full, "")
+	start := time.Now()
+	allCores, err := lab.Run(fullDay, "")
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(start).Seconds()
 	runtime.GOMAXPROCS(1)
-	one, err := lab.Run(full, "")
+	singleCore, err := lab.Run(fullDay, "")
 	runtime.GOMAXPROCS(cores)
 	if err != nil {
 		return nil, err
 	}
 	if size != lab.Small {
-		p.AtMost(took, 45, "seconds for a day of 300 boxes, 220 managers and %s s of asking", length)
+		proof.AtMost(elapsed, 45, "seconds for a day of 300 boxes, 220 managers and %s s of asking", loadSeconds)
 	}
-	p.Check(many.Digest == one.Digest, boolToFloat(many.Digest == one.Digest), "1", "one digest on 1 and on %d processors", cores)
-	p.AtMost(float64(many.Odd), 0, "things that do not add up: bytes, places, uplinks, askings")
-	p.AtMost(float64(many.Broken), 0, "broken rules on that day")
-	p.AtLeast(many.Goal, 0.3, "worth of that day")
-	p.Judged["askings"], p.Judged["half seconds looked at"] = int(many.Asked), len(many.Points)
-	p.Note("day of full size: %.1f s of wall time, digest %s, worth %.3f of at most %.3f (unserved %.3f, late %.3f, lower rung %.3f, short %.3f)", took,
-		many.Digest, many.Goal, many.Best, many.Unserved, many.Late, many.LowRung, many.Short)
-	for _, n := range many.Notes {
-		p.Note("%s", n)
+	proof.Check(allCores.Digest == singleCore.Digest, boolToFloat(allCores.Digest == singleCore.Digest), "1", "one digest on 1 and on %d processors", cores)
+	proof.AtMost(float64(allCores.Odd), 0, "things that do not add up: bytes, places, uplinks, askings")
+	proof.AtMost(float64(allCores.Broken), 0, "broken rules on that day")
+	proof.AtLeast(allCores.Goal, 0.3, "worth of that day")
+	proof.Judged["askings"], proof.Judged["half seconds looked at"] = int(allCores.Asked), len(allCores.Points)
+	proof.Note("day of full size: %.1f s of wall time, digest %s, worth %.3f of at most %.3f (unserved %.3f, late %.3f, lower rung %.3f, short %.3f)", elapsed,
+		allCores.Digest, allCores.Goal, allCores.Best, allCores.Unserved, allCores.Late, allCores.LowRung, allCores.Short)
+	for _, note := range allCores.Notes {
+		proof.Note("%s", note)
 	}
 
-	// cost against load, on the same fleet
+	// CPU time at half and at full rate, on the same fleet
 	var costs []float64
 	for _, rate := range []string{"55", "110"} {
-		text, err := lab.Set(full.Text, map[string]string{"load.rate": rate, "load.length": "6"})
+		text, err := lab.Set(fullDay.Text, map[string]string{"load.rate": rate, "load.length": "6"})
 		if err != nil {
 			return nil, err
 		}
-		d, err := lab.Parse("full", text)
+		day, err := lab.Parse("full", text)
 		if err != nil {
 			return nil, err
 		}
-		if d, err = d.With(seed); err != nil {
+		if day, err = day.With(seed); err != nil {
 			return nil, err
 		}
 		before := processCPUSeconds()
-		if _, err := lab.Run(d, ""); err != nil {
+		if _, err := lab.Run(day, ""); err != nil {
 			return nil, err
 		}
 		costs = append(costs, processCPUSeconds()-before)
 	}
-	p.AtMost(costs[1]/costs[0], 2.4, "CPU for twice the playbacks, over that for once")
+	proof.AtMost(costs[1]/costs[0], 2.4, "CPU for twice the playbacks, over that for once")
 
-	// a planted regression, and none
+	// planted regressions, and a variant that differs only in its random draws
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	x := &Spec{Name: "proof", Days: []string{"plant"}, Seeds: fmt.Sprintf("%d..%d", 100*seed, 100*seed+19), Variants: []Variant{{Name: "base"},
+	spec := &Spec{Name: "proof", Days: []string{"plant"}, Seeds: fmt.Sprintf("%d..%d", 100*seed, 100*seed+19), Variants: []Variant{{Name: "base"},
 		{Name: "same", PlantedChange: "other-chance"}, {Name: "lower brim", PlantedChange: "lower-brim"}, {Name: "deaf", PlantedChange: "deaf-to-drains"}}}
-	began = time.Now()
-	rows, err := x.Run(dir, io.Discard)
+	start = time.Now()
+	rows, err := spec.Run(dir, io.Discard)
 	if err != nil {
 		return nil, err
 	}
-	p.AtMost(time.Since(began).Seconds(), 300, "seconds for the experiment of %d days", len(rows))
-	worth := func(variant string) Difference { return Compare(rows, "base", variant)[0] }
-	same, brim := worth("same"), worth("lower brim")
-	p.Check(!same.Significant(), same.Mean, "interval holds 0", "difference of worth between two equal builds")
-	p.Check(brim.High < 0, brim.Mean, "interval under 0", "difference of worth with the brim lowered")
-	broken := 0
-	for _, r := range variantRows(rows, "deaf") {
-		broken += int(r.Broken)
+	proof.AtMost(time.Since(start).Seconds(), 300, "seconds for the experiment of %d days", len(rows))
+	worthDifference := func(variant string) Difference { return Compare(rows, "base", variant)[0] }
+	equalBuild, lowerBrim := worthDifference("same"), worthDifference("lower brim")
+	proof.Check(!equalBuild.Significant(), equalBuild.Mean, "interval holds 0", "difference of worth between two equal builds")
+	proof.Check(lowerBrim.High < 0, lowerBrim.Mean, "interval under 0", "difference of worth with the brim lowered")
+	brokenWithoutGuard := 0
+	for _, row := range variantRows(rows, "deaf") {
+		brokenWithoutGuard += int(row.Broken)
 	}
-	good := 0
-	for _, r := range append(variantRows(rows, "base"), variantRows(rows, "same")...) {
-		good += int(r.Broken)
+	brokenUnchanged := 0
+	for _, row := range append(variantRows(rows, "base"), variantRows(rows, "same")...) {
+		brokenUnchanged += int(row.Broken)
 	}
-	p.AtLeast(float64(broken), 1, "broken rules with a guard taken out")
-	p.AtMost(float64(good), 0, "broken rules without")
-	p.Judged["days of the experiment"] = len(rows)
-	p.Note("worth: equal builds %+.4f (%.4f to %.4f), lower brim %+.4f (%.4f to %.4f)", same.Mean, same.Low, same.High, brim.Mean, brim.Low, brim.High)
-	return p, nil
+	proof.AtLeast(float64(brokenWithoutGuard), 1, "broken rules with a guard taken out")
+	proof.AtMost(float64(brokenUnchanged), 0, "broken rules without")
+	proof.Judged["days of the experiment"] = len(rows)
+	proof.Note("worth: equal builds %+.4f (%.4f to %.4f), lower brim %+.4f (%.4f to %.4f)", equalBuild.Mean, equalBuild.Low, equalBuild.High, lowerBrim.Mean, lowerBrim.Low, lowerBrim.High)
+	return proof, nil
 }
 
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(b bool) float64 {
 	if b {
 		return 1
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -12,15 +12,15 @@
 	"pierlink/internal/lab"
 )
 
-// writeParquet writes the rows, and the half seconds of each.
+// writeParquet writes the rows to results.parquet and their half-second samples to series.parquet.
 func writeParquet(dir string, rows []*lab.Row) error {
 	flat := make([]lab.Row, len(rows))
 	var points []lab.Point
-	for i, r := range rows {
-		flat[i] = *r
-		for _, x := range r.Points {
-			x.Variant, x.Day, x.Seed = r.Variant, r.Day, r.Seed
-			points = append(points, x)
+	for i, row := range rows {
+		flat[i] = *row
+		for _, point := range row.Points {
+			point.Variant, point.Day, point.Seed = row.Variant, row.Day, row.Seed
+			points = append(points, point)
 		}
 	}
 	if err := parquet.WriteFile(filepath.Join(dir, "results.parquet"), flat, parquet.Compression(&zstd.Codec{})); err != nil {
@@ -29,7 +29,8 @@
 	return parquet.WriteFile(filepath.Join(dir, "series.parquet"), points, parquet.Compression(&zstd.Codec{}))
 }
 
-// ReadRows reads results.parquet and series.parquet back.
+// ReadRows reads the rows, with their samples, from results.parquet and series.parquet in dir. The scripted troubles and
+// notes of a row are not stored there.
 func ReadRows(dir string) ([]*lab.Row, error) {
 	flat, err := parquet.ReadFile[lab.Row](filepath.Join(dir, "results.parquet"))
 	if err != nil {
@@ -43,21 +44,22 @@
 		variant, day string
 		seed         int64
 	}
-	by := map[key]*lab.Row{}
+	rowByKey := map[key]*lab.Row{}
 	var rows []*lab.Row
 	for i := range flat {
-		r := &flat[i]
-		by[key{r.Variant, r.Day, r.Seed}] = r
-		rows = append(rows, r)
+		row := &flat[i]
+		rowByKey[key{row.Variant, row.Day, row.Seed}] = row
+		rows = append(rows, row)
 	}
-	for _, x := range points {
-		if r := by[key{x.Variant, x.Day, x.Seed}]; r != nil {
-			r.Points = append(r.Points, x)
+	for _, point := range points {
+		if row := rowByKey[key{point.Variant, point.Day, point.Seed}]; row != nil {
+			row.Points = append(row.Points, point)
 		}
 	}
 	return rows, nil
 }
 
+// formatNumber formats a number with three decimals, or as "-" if it is infinite or NaN.
 func formatNumber(x float64) string {
 	if math.IsInf(x, 0) || math.IsNaN(x) {
 		return "-"
@@ -65,89 +67,89 @@
 	return fmt.Sprintf("%.3f", x)
 }
 
-// report is the experiment in words and tables.
-func (p *Spec) report(rows []*lab.Row, plots []string) string {
-	var b strings.Builder
-	line := func(format string, a ...any) { fmt.Fprintf(&b, format+"\n", a...) }
-	line("# %s\n", p.Name)
-	if p.Question != "" {
-		line("%s\n", strings.TrimSpace(p.Question))
-	}
-	line("Days %s, seeds %s, on the virtual network. Worth is 0.7 of the whole, 0.2 of the worst 10 s and 0.1 of the worst plan, less prices; unserved, late, lower rung", strings.Join(dayNames(rows), ", "), p.Seeds)
+// report returns the Markdown report of the experiment.
+func (s *Spec) report(rows []*lab.Row, plots []string) string {
+	var text strings.Builder
+	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
+	line("# %s\n", s.Name)
+	if s.Question != "" {
+		line("%s\n", strings.TrimSpace(s.Question))
+	}
+	line("Days %s, seeds %s, on the virtual network. Worth is 0.7 of the whole, 0.2 of the worst 10 s and 0.1 of the worst plan, less prices; unserved, late, lower rung", strings.Join(dayNames(rows), ", "), s.Seeds)
 	line("and short are the parts of what was offered that were not earned, and why.\n")
 	line("## Variants\n")
-	head, rule := "| variant | days |", "| --- | --- |"
+	header, separator := "| variant | days |", "| --- | --- |"
 	for i := range Metrics {
-		head, rule = head+" "+Metrics[i].Name+" |", rule+" --- |"
+		header, separator = header+" "+Metrics[i].Name+" |", separator+" --- |"
 	}
-	line("%s best possible |\n%s --- |", head, rule)
-	possible := Metric{"", func(r *lab.Row) float64 { return r.Best }, 1}
-	for i := range p.Variants {
-		mine := variantRows(rows, p.Variants[i].Name)
-		if len(mine) == 0 {
+	line("%s best possible |\n%s --- |", header, separator)
+	bestPossible := Metric{"", func(row *lab.Row) float64 { return row.Best }, 1}
+	for i := range s.Variants {
+		selected := variantRows(rows, s.Variants[i].Name)
+		if len(selected) == 0 {
 			continue
 		}
-		s := fmt.Sprintf("| %s | %d |", p.Variants[i].Name, len(mine))
+		tableRow := fmt.Sprintf("| %s | %d |", s.Variants[i].Name, len(selected))
 		for k := range Metrics {
-			s += " " + formatNumber(metricMean(mine, &Metrics[k])) + " |"
+			tableRow += " " + formatNumber(metricMean(selected, &Metrics[k])) + " |"
 		}
-		line("%s %s |", s, formatNumber(metricMean(mine, &possible)))
+		line("%s %s |", tableRow, formatNumber(metricMean(selected, &bestPossible)))
 	}
-	base := p.Variants[0].Name
-	for i := 1; i < len(p.Variants); i++ {
-		name := p.Variants[i].Name
+	base := s.Variants[0].Name
+	for i := 1; i < len(s.Variants); i++ {
+		name := s.Variants[i].Name
 		line("\n## %s against %s\n", name, base)
 		line("Paired by day and seed; intervals of %.0f%%.\n", 100*confidenceLevel)
 		line("| figure | pairs | difference | from | to | |\n| --- | --- | --- | --- | --- | --- |")
-		all := Compare(rows, base, name)
+		differences := Compare(rows, base, name)
 		verdicts := map[string]string{}
-		for _, d := range all {
-			line("| %s | %d | %+.4f | %s | %s | %s |", d.Metric.Name, d.Pairs, d.Mean, formatNumber(d.Low), formatNumber(d.High), d.Verdict())
-			verdicts[d.Metric.Name] = d.Verdict()
+		for _, difference := range differences {
+			line("| %s | %d | %+.4f | %s | %s | %s |", difference.Metric.Name, difference.Pairs, difference.Mean, formatNumber(difference.Low), formatNumber(difference.High), difference.Verdict())
+			verdicts[difference.Metric.Name] = difference.Verdict()
 		}
-		if a, w := verdicts["whole"], verdicts["worst 10 s"]; a != w && a != "no difference seen" && w != "no difference seen" {
-			line("\nOn the whole it is %s, in the worst 10 s %s.", a, w)
+		if whole, worst := verdicts["whole"], verdicts["worst 10 s"]; whole != worst && whole != "no difference seen" && worst != "no difference seen" {
+			line("\nOn the whole it is %s, in the worst 10 s %s.", whole, worst)
 		}
 	}
 	line("\n## By day\n")
-	head, rule = "| day |", "| --- |"
-	for i := range p.Variants {
-		head, rule = head+" "+p.Variants[i].Name+" |", rule+" --- |"
+	header, separator = "| day |", "| --- |"
+	for i := range s.Variants {
+		header, separator = header+" "+s.Variants[i].Name+" |", separator+" --- |"
 	}
-	line("%s\n%s", head, rule)
+	line("%s\n%s", header, separator)
 	for _, day := range dayNames(rows) {
-		s := "| " + day + " |"
-		for i := range p.Variants {
-			var mine []*lab.Row
-			for _, r := range variantRows(rows, p.Variants[i].Name) {
-				if r.Day == day {
-					mine = append(mine, r)
+		tableRow := "| " + day + " |"
+		for i := range s.Variants {
+			var selected []*lab.Row
+			for _, row := range variantRows(rows, s.Variants[i].Name) {
+				if row.Day == day {
+					selected = append(selected, row)
 				}
 			}
-			if len(mine) > 0 {
-				s += " " + formatNumber(metricMean(mine, &Metrics[0]))
+			if len(selected) > 0 {
+				tableRow += " " + formatNumber(metricMean(selected, &Metrics[0]))
 			}
-			s += " |"
+			tableRow += " |"
 		}
-		line("%s", s)
-	}
-	odd := 0
-	for _, r := range rows {
-		odd += int(r.Odd)
-		for _, n := range r.Notes {
-			if b.Len() < 1<<20 {
-				line("\n- %s, %s, seed %d: %s", r.Variant, r.Day, r.Seed, n)
+		line("%s", tableRow)
+	}
+	inconsistencies := 0
+	for _, row := range rows {
+		inconsistencies += int(row.Odd)
+		for _, note := range row.Notes {
+			if text.Len() < 1<<20 {
+				line("\n- %s, %s, seed %d: %s", row.Variant, row.Day, row.Seed, note)
 			}
 		}
 	}
-	if odd > 0 {
-		line("\n%d things did not add up in the emulation: these results are not to be trusted.", odd)
+	if inconsistencies > 0 {
+		line("\n%d things did not add up in the emulation: these results are not to be trusted.", inconsistencies)
 	}
 	if len(plots) > 0 {
 		line("\n## Plots\n")
-		for _, x := range plots {
-			line("![%s](%s)\n", strings.TrimSuffix(x, ".png"), x)
+		for _, file := range plots {
+			line("![%s](%s)\n", strings.TrimSuffix(file, ".png"), file)
 		}
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -9,16 +9,16 @@
 	"pierlink/internal/lab"
 )
 
-const confidenceLevel = 0.95 // of the intervals
+const confidenceLevel = 0.95 // of the intervals, two-sided
 
-// Metric is a figure that variants are compared by.
+// Metric is a figure by which variants are compared.
 type Metric struct {
 	Name      string
 	Value     func(*lab.Row) float64
-	Direction int // 1 if more is better, -1 if less is
+	Direction int // 1 if a higher value is better, -1 if a lower one is
 }
 
-// Metrics are those of the report, in its order.
+// Metrics lists the metrics of the report, in its order. The first one is the score.
 var Metrics = []Metric{
 	{"worth", func(r *lab.Row) float64 { return r.Goal }, 1},
 	{"whole", func(r *lab.Row) float64 { return r.Whole }, 1},
@@ -33,18 +33,19 @@
 	{"rules broken", func(r *lab.Row) float64 { return float64(r.Broken) }, -1},
 }
 
-// Difference is a paired difference with its interval.
+// Difference is the mean paired difference of a metric between a variant and the baseline, with its confidence
+// interval.
 type Difference struct {
 	Metric    *Metric
-	Pairs     int
-	Mean      float64
-	Low, High float64
+	Pairs     int     // number of pairs of rows with the same day and seed
+	Mean      float64 // of variant minus baseline
+	Low, High float64 // bounds of the interval; infinite with a single pair
 }
 
-// Significant tells whether the interval does not hold zero.
+// Significant reports whether the confidence interval excludes zero.
 func (d *Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// Verdict is the difference in a word.
+// Verdict describes the difference: "better", "worse" or "no difference seen".
 func (d *Difference) Verdict() string {
 	switch {
 	case !d.Significant():
@@ -55,44 +56,46 @@
 	return "worse"
 }
 
-// Compare pairs the rows of a variant with those of the base by day and seed (Student's t over the pairs).
-func Compare(rows []*lab.Row, base, variant string) (all []Difference) {
+// Compare pairs the rows of a variant with those of the baseline by day and seed, and returns the difference of each
+// metric. The intervals are Student's t intervals of the mean over the pairs.
+func Compare(rows []*lab.Row, base, variant string) (differences []Difference) {
 	type key struct {
 		day  string
 		seed int64
 	}
-	from := map[key]*lab.Row{}
-	for _, r := range variantRows(rows, base) {
-		from[key{r.Day, r.Seed}] = r
+	baseRows := map[key]*lab.Row{}
+	for _, row := range variantRows(rows, base) {
+		baseRows[key{row.Day, row.Seed}] = row
 	}
 	for i := range Metrics {
-		m := &Metrics[i]
-		var x []float64
-		for _, r := range variantRows(rows, variant) {
-			if b := from[key{r.Day, r.Seed}]; b != nil {
-				x = append(x, m.Value(r)-m.Value(b))
+		metric := &Metrics[i]
+		var deltas []float64
+		for _, row := range variantRows(rows, variant) {
+			if baseRow := baseRows[key{row.Day, row.Seed}]; baseRow != nil {
+				deltas = append(deltas, metric.Value(row)-metric.Value(baseRow))
 			}
 		}
-		d := Difference{Metric: m, Pairs: len(x)}
-		if d.Pairs > 0 {
-			mean, dev := stat.MeanStdDev(x, nil)
-			d.Mean, d.Low, d.High = mean, mean, mean
-			if d.Pairs > 1 {
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(d.Pairs - 1)}.Quantile(0.5+confidenceLevel/2) * dev / math.Sqrt(float64(d.Pairs))
-				d.Low, d.High = mean-half, mean+half
+		difference := Difference{Metric: metric, Pairs: len(deltas)}
+		if difference.Pairs > 0 {
+			mean, deviation := stat.MeanStdDev(deltas, nil)
+			difference.Mean, difference.Low, difference.High = mean, mean, mean
+			if difference.Pairs > 1 {
+				halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(difference.Pairs - 1)}.Quantile(0.5+confidenceLevel/2) * deviation / math.Sqrt(float64(difference.Pairs))
+				difference.Low, difference.High = mean-halfWidth, mean+halfWidth
 			} else {
-				d.Low, d.High = math.Inf(-1), math.Inf(1) // one pair says nothing
+				difference.Low, difference.High = math.Inf(-1), math.Inf(1) // a single pair has no estimate of the variance
 			}
 		}
-		all = append(all, d)
+		differences = append(differences, difference)
 	}
-	return all
+	return differences
 }
 
-func metricMean(rows []*lab.Row, m *Metric) float64 {
-	x := make([]float64, len(rows))
-	for i, r := range rows {
-		x[i] = m.Value(r)
+// metricMean returns the mean of a metric over rows.
+func metricMean(rows []*lab.Row, metric *Metric) float64 {
+	values := make([]float64, len(rows))
+	for i, row := range rows {
+		values[i] = metric.Value(row)
 	}
-	return stat.Mean(x, nil)
+	return stat.Mean(values, nil)
 }
