--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -9,16 +9,16 @@
 	"pierlink/internal/lab"
 )
 
-const sure = 0.95 // of the intervals
+const confidenceLevel = 0.95 // of the intervals, two-sided
 
-// Metric is a figure that variants are compared by.
+// Metric is a figure by which variants are compared.
 type Metric struct {
-	Name   string
-	Of     func(*lab.Row) float64
-	Better int // 1 if more is better, -1 if less is
+	Name      string
+	Value     func(*lab.Row) float64
+	Direction int // 1 if a higher value is better, -1 if a lower one is
 }
 
-// Metrics are those of the report, in its order.
+// Metrics lists the metrics of the report, in its order. The first one is the score.
 var Metrics = []Metric{
 	{"worth", func(r *lab.Row) float64 { return r.Goal }, 1},
 	{"whole", func(r *lab.Row) float64 { return r.Whole }, 1},
@@ -33,66 +33,69 @@
 	{"rules broken", func(r *lab.Row) float64 { return float64(r.Broken) }, -1},
 }
 
-// Difference is a paired difference with its interval.
+// Difference is the mean paired difference of a metric between a variant and the baseline, with its confidence
+// interval.
 type Difference struct {
-	Metric   *Metric
-	N        int
-	Mean     float64
-	Low, Top float64
+	Metric    *Metric
+	Pairs     int     // number of pairs of rows with the same day and seed
+	Mean      float64 // of variant minus baseline
+	Low, High float64 // bounds of the interval; infinite with a single pair
 }
 
-// Apart tells whether the interval does not hold zero.
-func (d *Difference) Apart() bool { return d.Low > 0 || d.Top < 0 }
+// Significant reports whether the confidence interval excludes zero.
+func (d *Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// Verdict is the difference in a word.
+// Verdict describes the difference: "better", "worse" or "no difference seen".
 func (d *Difference) Verdict() string {
 	switch {
-	case !d.Apart():
+	case !d.Significant():
 		return "no difference seen"
-	case d.Mean*float64(d.Metric.Better) > 0:
+	case d.Mean*float64(d.Metric.Direction) > 0:
 		return "better"
 	}
 	return "worse"
 }
 
-// Compare pairs the rows of a variant with those of the base by day and seed (Student's t over the pairs).
-func Compare(rows []*lab.Row, base, variant string) (all []Difference) {
+// Compare pairs the rows of a variant with those of the baseline by day and seed, and returns the difference of each
+// metric. The intervals are Student's t intervals of the mean over the pairs.
+func Compare(rows []*lab.Row, base, variant string) (differences []Difference) {
 	type key struct {
 		day  string
 		seed int64
 	}
-	from := map[key]*lab.Row{}
-	for _, r := range of(rows, base) {
-		from[key{r.Day, r.Seed}] = r
+	baseRows := map[key]*lab.Row{}
+	for _, row := range variantRows(rows, base) {
+		baseRows[key{row.Day, row.Seed}] = row
 	}
 	for i := range Metrics {
-		m := &Metrics[i]
-		var x []float64
-		for _, r := range of(rows, variant) {
-			if b := from[key{r.Day, r.Seed}]; b != nil {
-				x = append(x, m.Of(r)-m.Of(b))
+		metric := &Metrics[i]
+		var deltas []float64
+		for _, row := range variantRows(rows, variant) {
+			if baseRow := baseRows[key{row.Day, row.Seed}]; baseRow != nil {
+				deltas = append(deltas, metric.Value(row)-metric.Value(baseRow))
 			}
 		}
-		d := Difference{Metric: m, N: len(x)}
-		if d.N > 0 {
-			mean, dev := stat.MeanStdDev(x, nil)
-			d.Mean, d.Low, d.Top = mean, mean, mean
-			if d.N > 1 {
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(d.N - 1)}.Quantile(0.5+sure/2) * dev / math.Sqrt(float64(d.N))
-				d.Low, d.Top = mean-half, mean+half
+		difference := Difference{Metric: metric, Pairs: len(deltas)}
+		if difference.Pairs > 0 {
+			mean, deviation := stat.MeanStdDev(deltas, nil)
+			difference.Mean, difference.Low, difference.High = mean, mean, mean
+			if difference.Pairs > 1 {
+				halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(difference.Pairs - 1)}.Quantile(0.5+confidenceLevel/2) * deviation / math.Sqrt(float64(difference.Pairs))
+				difference.Low, difference.High = mean-halfWidth, mean+halfWidth
 			} else {
-				d.Low, d.Top = math.Inf(-1), math.Inf(1) // one pair says nothing
+				difference.Low, difference.High = math.Inf(-1), math.Inf(1) // a single pair has no estimate of the variance
 			}
 		}
-		all = append(all, d)
+		differences = append(differences, difference)
 	}
-	return all
+	return differences
 }
 
-func mean(rows []*lab.Row, m *Metric) float64 {
-	x := make([]float64, len(rows))
-	for i, r := range rows {
-		x[i] = m.Of(r)
+// metricMean returns the mean of a metric over rows.
+func metricMean(rows []*lab.Row, metric *Metric) float64 {
+	values := make([]float64, len(rows))
+	for i, row := range rows {
+		values[i] = metric.Value(row)
 	}
-	return stat.Mean(x, nil)
+	return stat.Mean(values, nil)
 }
