--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -9,8 +9,8 @@
 // Boxes turns news of keys into news of boxes. It keeps what each box last was: a value that cannot be read,
 // or is of an unknown version, leaves the box as it was.
 type Boxes struct {
-	good      map[string]Box
-	told      map[string]int64 // the revision of the bad value last told of
+	lastValid map[string]Box
+	reported  map[string]int64 // the revision of the bad value last told of
 	Malformed int64
 }
 
@@ -24,12 +24,12 @@
 // Take returns the boxes that news is of (all, if whole), and what was wrong with values, each told once for
 // a revision.
 func (b *Boxes) Take(n News) (boxes []Named, bad []error) {
-	if b.good == nil {
-		b.good, b.told = map[string]Box{}, map[string]int64{}
+	if b.lastValid == nil {
+		b.lastValid, b.reported = map[string]Box{}, map[string]int64{}
 	}
-	before := b.good
+	before := b.lastValid
 	if n.Whole {
-		b.good = map[string]Box{}
+		b.lastValid = map[string]Box{}
 	}
 	for _, c := range n.Changes {
 		name, ok := strings.CutPrefix(c.Key, BoxesPrefix)
@@ -37,15 +37,15 @@
 			continue
 		}
 		if c.Deleted {
-			delete(b.good, name)
-			delete(b.told, name)
+			delete(b.lastValid, name)
+			delete(b.reported, name)
 			boxes = append(boxes, Named{Name: name, Gone: true})
 			continue
 		}
 		x, err := ReadBox(c.Value)
 		if err != nil {
-			if b.told[name] != c.Mod {
-				b.told[name] = c.Mod
+			if b.reported[name] != c.Mod {
+				b.reported[name] = c.Mod
 				b.Malformed++
 				bad = append(bad, fmt.Errorf("box %s at revision %d: %w; it stays as it was", name, c.Mod, err))
 			}
@@ -53,13 +53,13 @@
 				continue
 			}
 		}
-		b.good[name] = x
+		b.lastValid[name] = x
 		boxes = append(boxes, Named{Name: name, Box: x})
 	}
 	if n.Whole {
-		for name := range b.told {
+		for name := range b.reported {
 			if !slices.ContainsFunc(n.Changes, func(c Change) bool { return c.Key == BoxesPrefix+name }) {
-				delete(b.told, name)
+				delete(b.reported, name)
 			}
 		}
 	}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -33,23 +33,23 @@
 
 // Client follows a registry. Its goroutine owns the core.
 type Client struct {
-	core   *registry.Core
-	etcd   []*clientv3.Client // one for each endpoint: a try stays with one of them
-	at     atomic.Int64       // the endpoint that is asked; the next one after a failure
-	place  Place
-	log    *zap.Logger
-	post   chan func()
-	stop   chan struct{}
-	done   chan struct{}
-	news   func(registry.News, registry.Mark)
-	cancel context.CancelFunc // of the try under way
-	saveAt time.Time
-	dirty  bool
+	core          *registry.Core
+	etcd          []*clientv3.Client // one for each endpoint: a try stays with one of them
+	endpointIndex atomic.Int64       // the endpoint that is asked; the next one after a failure
+	config        Place
+	log           *zap.Logger
+	calls         chan func()
+	stop          chan struct{}
+	done          chan struct{}
+	onUpdate      func(registry.News, registry.Mark)
+	cancel        context.CancelFunc // of the try under way
+	nextSave      time.Time
+	dirty         bool
 }
 
 // redial has a connection that was lost tried again within a time-out: when to try is the core's to say, and
 // the library's own waits come on top of it.
-func redial(timeout time.Duration) []grpc.DialOption {
+func dialOptions(timeout time.Duration) []grpc.DialOption {
 	b := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
 	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: b, MinConnectTimeout: timeout})}
 }
@@ -62,19 +62,19 @@
 	if len(p.Endpoints) == 0 {
 		return nil, errors.New("no endpoint of the registry is given")
 	}
-	c := &Client{core: registry.New(p.Bounds, now()), place: p, log: log, post: make(chan func(), 64),
-		stop: make(chan struct{}), done: make(chan struct{}), news: news}
+	c := &Client{core: registry.New(p.Bounds, now()), config: p, log: log, calls: make(chan func(), 64),
+		stop: make(chan struct{}), done: make(chan struct{}), onUpdate: news}
 	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
 	for _, e := range p.Endpoints {
 		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{e}, TLS: p.TLS, Logger: zap.NewNop(), DialTimeout: timeout,
-			DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: redial(timeout)})
+			DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err != nil {
-			c.shut()
+			c.closeEndpoints()
 			return nil, err
 		}
 		c.etcd = append(c.etcd, etcd)
 	}
-	c.at.Store(int64(p.Bounds.Seed % uint64(len(p.Endpoints))))
+	c.endpointIndex.Store(int64(p.Bounds.Seed % uint64(len(p.Endpoints))))
 	if p.Kept != "" {
 		k, err := Load(p.Kept)
 		switch {
@@ -94,7 +94,7 @@
 func (c *Client) Close() {
 	close(c.stop)
 	<-c.done
-	c.shut()
+	c.closeEndpoints()
 }
 
 // Age is how long ago the view was last known to be the registry's; the time since 1970 where nothing ever was.
@@ -106,28 +106,28 @@
 // Done is closed once the client has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-func (c *Client) shut() {
+func (c *Client) closeEndpoints() {
 	for _, e := range c.etcd {
 		_ = e.Close()
 	}
 }
 
 // member is the endpoint whose turn it is.
-func (c *Client) member() *clientv3.Client { return c.etcd[int(c.at.Load())%len(c.etcd)] }
+func (c *Client) endpoint() *clientv3.Client { return c.etcd[int(c.endpointIndex.Load())%len(c.etcd)] }
 
 // fail ends a try; the next one goes to the next endpoint unless this one has answered.
-func (c *Client) fail(w registry.Want, why registry.Failure) {
+func (c *Client) reportFailure(w registry.Want, why registry.Failure) {
 	if why == registry.Lost {
-		c.at.Add(1)
+		c.endpointIndex.Add(1)
 	}
-	c.say(func() { c.core.Ended(w.Try, why) })
+	c.enqueue(func() { c.core.Ended(w.Try, why) })
 }
 
 // Do runs a function with the core, in its goroutine.
 func (c *Client) Do(call func(*registry.Core)) {
 	ran := make(chan struct{})
 	select {
-	case c.post <- func() { call(c.core); close(ran) }:
+	case c.calls <- func() { call(c.core); close(ran) }:
 		<-ran
 	case <-c.done:
 	}
@@ -142,56 +142,56 @@
 			if c.cancel != nil {
 				c.cancel()
 			}
-			c.keep(true)
+			c.saveView(true)
 			return
-		case call := <-c.post:
+		case call := <-c.calls:
 			c.core.At(now())
 			call()
 		case <-timer.C:
 			c.core.At(now())
 		}
-		next := c.core.Settle(c.do, func(n registry.News) {
+		next := c.core.Settle(c.perform, func(n registry.News) {
 			_, mark := c.core.Revision()
 			c.dirty = true
-			c.news(n, mark)
+			c.onUpdate(n, mark)
 		})
-		c.keep(false)
+		c.saveView(false)
 		timer.Reset(time.Duration(max(next-now(), 0)) * time.Microsecond)
 	}
 }
 
 // keep writes the view to disk, once in a time-out at most.
-func (c *Client) keep(last bool) {
-	if c.place.Kept == "" || !c.dirty || !last && time.Now().Before(c.saveAt) {
+func (c *Client) saveView(last bool) {
+	if c.config.Kept == "" || !c.dirty || !last && time.Now().Before(c.nextSave) {
 		return
 	}
 	c.dirty = false
-	c.saveAt = time.Now().Add(time.Duration(c.place.Bounds.Timeout) * time.Microsecond)
+	c.nextSave = time.Now().Add(time.Duration(c.config.Bounds.Timeout) * time.Microsecond)
 	_, mark := c.core.Revision()
 	k := Kept{View: c.core.View(), Head: c.core.Head(), Mark: mark, AsOf: now() - c.core.Age()}
-	if err := k.Save(c.place.Kept); err != nil {
-		c.log.Error("the view cannot be kept on disk", zap.String("file", c.place.Kept), zap.Error(err))
+	if err := k.Save(c.config.Kept); err != nil {
+		c.log.Error("the view cannot be kept on disk", zap.String("file", c.config.Kept), zap.Error(err))
 	}
 }
 
 // say brings something to the core's goroutine, unless the client has ended.
-func (c *Client) say(call func()) {
+func (c *Client) enqueue(call func()) {
 	select {
-	case c.post <- call:
+	case c.calls <- call:
 	case <-c.done:
 	}
 }
 
 // do carries one act out, in a goroutine of its own that ends with the act. What is still under way from the
 // one before ends.
-func (c *Client) do(w registry.Want) {
+func (c *Client) perform(w registry.Want) {
 	if c.cancel != nil {
 		c.cancel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	if w.Move {
-		c.at.Add(1)
+		c.endpointIndex.Add(1)
 		c.log.Warn("a member of the registry has fallen behind the others, the next one is asked")
 	}
 	if w.Act == registry.List {
@@ -201,17 +201,17 @@
 	}
 }
 
-func (c *Client) limit(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, time.Duration(c.place.Bounds.Timeout)*time.Microsecond)
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, time.Duration(c.config.Bounds.Timeout)*time.Microsecond)
 }
 
 // list reads all keys and the mark in one transaction; a registry without a mark is given one.
 func (c *Client) list(ctx context.Context, w registry.Want) {
-	ctx, cancel := c.limit(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
 	name := make([]byte, 16)
 	_, _ = rand.Read(name)
-	etcd := c.member()
+	etcd := c.endpoint()
 	_, err := etcd.Txn(ctx).If(clientv3.Compare(clientv3.Version(registry.MarkKey), "=", 0)).
 		Then(clientv3.OpPut(registry.MarkKey, hex.EncodeToString(name))).Commit()
 	var r *clientv3.TxnResponse
@@ -220,7 +220,7 @@
 	}
 	if err != nil {
 		c.log.Info("registry list failed", zap.Error(err))
-		c.fail(w, registry.Lost)
+		c.reportFailure(w, registry.Lost)
 		return
 	}
 	keys, mark := map[string]registry.Entry{}, registry.Mark("")
@@ -231,27 +231,27 @@
 		}
 	}
 	h := registry.Head{Cluster: r.Header.ClusterId, Revision: r.Header.Revision}
-	c.say(func() { c.core.Listed(w.Try, h, mark, keys) })
+	c.enqueue(func() { c.core.Listed(w.Try, h, mark, keys) })
 }
 
 // elsewhere asks one of the other members how far it has come.
-func (c *Client) elsewhere(ctx context.Context, n int) {
+func (c *Client) queryOtherMember(ctx context.Context, n int) {
 	others := len(c.etcd) - 1
-	etcd := c.etcd[(int(c.at.Load())+1+n%others)%len(c.etcd)]
-	lim, cancel := c.limit(ctx)
+	etcd := c.etcd[(int(c.endpointIndex.Load())+1+n%others)%len(c.etcd)]
+	lim, cancel := c.withTimeout(ctx)
 	defer cancel()
 	if g, err := etcd.Get(lim, registry.MarkKey); err == nil && len(g.Kvs) == 1 {
 		h, mark := registry.Head{Cluster: g.Header.ClusterId, Revision: g.Header.Revision}, registry.Mark(g.Kvs[0].Value)
-		c.say(func() { c.core.Elsewhere(h, mark) })
+		c.enqueue(func() { c.core.Elsewhere(h, mark) })
 	}
 }
 
 // watch opens a stream of its own, so that nothing resumes behind the core's back. The history is made sure
 // of before, and again once the stream is open: a registry that began anew in between shows then.
 func (c *Client) watch(ctx context.Context, w registry.Want) {
-	etcd := c.member()
-	end := func(why registry.Failure) { c.fail(w, why) }
-	timeout := time.Duration(c.place.Bounds.Timeout) * time.Microsecond
+	etcd := c.endpoint()
+	end := func(why registry.Failure) { c.reportFailure(w, why) }
+	timeout := time.Duration(c.config.Bounds.Timeout) * time.Microsecond
 	over, cancel := context.WithCancel(ctx)
 	defer cancel()
 	silent := time.AfterFunc(timeout, cancel) // a member that takes the stream and answers nothing
@@ -277,7 +277,7 @@
 					return
 				}
 				if n++; len(c.etcd) > 1 {
-					c.elsewhere(over, n)
+					c.queryOtherMember(over, n)
 				}
 			}
 		}
@@ -291,10 +291,10 @@
 			}
 			return
 		}
-		silent.Reset(time.Duration(c.place.Bounds.Silence()) * time.Microsecond)
+		silent.Reset(time.Duration(c.config.Bounds.Silence()) * time.Microsecond)
 		if first {
 			first = false
-			lim, cancel := c.limit(ctx)
+			lim, cancel := c.withTimeout(ctx)
 			g, err := etcd.Get(lim, registry.MarkKey)
 			cancel()
 			if err != nil {
@@ -320,6 +320,6 @@
 			changes[i] = registry.Change{Key: string(e.Kv.Key), Value: e.Kv.Value, Mod: e.Kv.ModRevision, Deleted: e.Type == mvccpb.Event_DELETE}
 		}
 		fragment, created := r.Fragment, r.Created
-		c.say(func() { c.core.Watched(w.Try, h, changes, fragment, created) })
+		c.enqueue(func() { c.core.Watched(w.Try, h, changes, fragment, created) })
 	}
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -14,13 +14,13 @@
 )
 
 // view gathers what a client tells.
-type view struct {
+type recorder struct {
 	mu   sync.Mutex
 	keys map[string]string
 	n    int
 }
 
-func (v *view) take(n registry.News, _ registry.Mark) {
+func (v *recorder) take(n registry.News, _ registry.Mark) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.n++
@@ -36,7 +36,7 @@
 	}
 }
 
-func (v *view) until(t *testing.T, what string, ok func(map[string]string) bool) {
+func (v *recorder) until(t *testing.T, what string, ok func(map[string]string) bool) {
 	t.Helper()
 	for range 1000 {
 		v.mu.Lock()
@@ -56,7 +56,7 @@
 
 // A client follows, survives a cut and a compaction, and starts from the kept view while the registry is
 // down; one of its endpoints hangs all the while.
-func TestFollows(t *testing.T) {
+func TestFollowsRegistry(t *testing.T) {
 	store := standin.NewStore(1, "h", registry.MarkKey)
 	s, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
@@ -73,7 +73,7 @@
 	place := client.Place{Endpoints: []string{addr, stuck.Addr()}, Kept: filepath.Join(t.TempDir(), "view"),
 		Bounds: registry.Bounds{Grace: 200_000, Timeout: 200_000, Held: 1000}}
 	store.Put(map[string][]byte{box: []byte("1")})
-	v := &view{}
+	v := &recorder{}
 	c, err := client.New(place, zap.NewNop(), v.take)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	v.until(t, "a change that was compacted away", has(box, "4"))
 	c.Close()
 	s.Stop()
-	w := &view{}
+	w := &recorder{}
 	c, err = client.New(place, zap.NewNop(), w.take)
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 	}
 	box := registry.BoxesPrefix + "a"
 	store.Put(map[string][]byte{box: []byte("1")})
-	v := &view{}
+	v := &recorder{}
 	c, err := client.New(client.Place{Endpoints: ends, Bounds: registry.Bounds{Grace: 200_000, Timeout: 100_000, Held: 1000}}, zap.NewNop(), v.take)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/client/kept.go
+++ b/internal/registry/client/kept.go
@@ -16,15 +16,15 @@
 	AsOf registry.Time
 }
 
-const format = "registry view 1"
+const viewFormat = "registry view 1"
 
 // Save replaces the file.
-func (k *Kept) Save(path string) error { return kept.Save(path, format, k) }
+func (k *Kept) Save(path string) error { return kept.Save(path, viewFormat, k) }
 
 // Load reads a file. The errors are those of package kept.
 func Load(path string) (*Kept, error) {
 	k := &Kept{}
-	if err := kept.Load(path, format, k); err != nil {
+	if err := kept.Load(path, viewFormat, k); err != nil {
 		return nil, err
 	}
 	return k, nil
--- a/internal/registry/client/kept_test.go
+++ b/internal/registry/client/kept_test.go
@@ -10,7 +10,7 @@
 )
 
 // A kept view comes back as it was; one that is truncated anywhere, or has any bit flipped, is refused.
-func TestKept(t *testing.T) {
+func TestStoredView(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "view")
 	if _, err := Load(file); !errors.Is(err, ErrNone) {
 		t.Fatal(err)
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -16,9 +16,9 @@
 	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
 	for at := 0; ctx.Err() == nil; at++ {
 		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{p.Endpoints[at%len(p.Endpoints)]}, TLS: p.TLS, Logger: zap.NewNop(),
-			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: redial(timeout)})
+			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err == nil {
-			err = hold(ctx, etcd, key, value, again, seconds, timeout)
+			err = holdLease(ctx, etcd, key, value, again, seconds, timeout)
 			_ = etcd.Close()
 		}
 		if ctx.Err() != nil {
@@ -33,7 +33,7 @@
 }
 
 // hold writes the key and returns when its lease is lost.
-func hold(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, again <-chan struct{}, seconds int64, timeout time.Duration) error {
+func holdLease(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, again <-chan struct{}, seconds int64, timeout time.Duration) error {
 	lim, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	l, err := etcd.Grant(lim, seconds)
--- a/internal/registry/client/tls_test.go
+++ b/internal/registry/client/tls_test.go
@@ -25,7 +25,7 @@
 	return a
 }
 
-func pair(t *testing.T, a *authority.Authority) tls.Certificate {
+func keyPair(t *testing.T, a *authority.Authority) tls.Certificate {
 	t.Helper()
 	c, err := a.Pair()
 	if err != nil {
@@ -39,7 +39,7 @@
 func TestTLS(t *testing.T) {
 	a := newAuthority(t)
 	store := standin.NewStore(1, "h", registry.MarkKey)
-	s, err := standin.Serve("127.0.0.1:0", store, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair(t, a)},
+	s, err := standin.Serve("127.0.0.1:0", store, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{keyPair(t, a)},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: a.Pool()})))
 	if err != nil {
 		t.Fatal(err)
@@ -47,14 +47,14 @@
 	defer s.Stop()
 	box := registry.BoxesPrefix + "a"
 	store.Put(map[string][]byte{box: []byte("1")})
-	mine := pair(t, a)
+	mine := keyPair(t, a)
 	var asked atomic.Int32
 	place := client.Place{Endpoints: []string{s.Addr()}, Bounds: registry.Bounds{Grace: 200_000, Timeout: 500_000, Held: 100},
 		TLS: &tls.Config{RootCAs: a.Pool(), GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			asked.Add(1)
 			return &mine, nil
 		}}}
-	v := &view{}
+	v := &recorder{}
 	c, err := client.New(place, zap.NewNop(), v.take)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 		t.Error("the key was not asked for anew")
 	}
 	place.TLS = &tls.Config{RootCAs: newAuthority(t).Pool()}
-	w := &view{}
+	w := &recorder{}
 	d, err := client.New(place, zap.NewNop(), w.take)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -88,15 +88,15 @@
 }
 
 const (
-	backFrom  = 16  // the first wait after a failure is this part of a time-out
-	backTimes = 2   // and doubles each time
-	guardPart = 2   // a list that lost much is confirmed within this part of the grace
-	lossPart  = 0.5 // much is more than this part of the keys
-	staleFor  = 4   // time-outs without any answer until a watch is taken for stuck
-	silentFor = 3   // time-outs without a word on a stream that is asked for one in each
-	anewPart  = 4   // a lost registration is taken anew after this part of a time-out
-	olderFor  = 16  // time-outs in which lists older than the view are not followed
-	aheadFor  = 2   // time-outs that a watch may lie behind what another member told
+	initialBackoffDivisor = 16  // the first wait after a failure is this part of a time-out
+	backoffMultiplier     = 2   // and doubles each time
+	confirmDivisor        = 2   // a list that lost much is confirmed within this part of the grace
+	massRemovalShare      = 0.5 // much is more than this part of the keys
+	watchIdleTimeouts     = 4   // time-outs without any answer until a watch is taken for stuck
+	streamIdleTimeouts    = 3   // time-outs without a word on a stream that is asked for one in each
+	reregisterDivisor     = 4   // a lost registration is taken anew after this part of a time-out
+	olderListTimeouts     = 16  // time-outs in which lists older than the view are not followed
+	memberLagTimeouts     = 2   // time-outs that a watch may lie behind what another member told
 )
 
 // Counts tell what was met.
@@ -107,36 +107,36 @@
 // Core is the registry's view.
 type Core struct {
 	Bounds
-	Counts   Counts
-	now      Time
-	view     map[string]Entry
-	revision int64
-	cluster  uint64
-	mark     Mark
-	known    bool // a list was taken
-	asOf     Time // when the view was last known to be the registry's
-
-	act      Act // under way
-	try      int
-	since    Time // the try's beginning, or the watch's last sign of life
-	relist   bool
-	waitTo   Time
-	failures int
-	pieces   []Change // of an answer that is not whole
-	held     *listed  // a list that lost much
-	heldTo   Time
-	news     []News
-	draws    uint32
-	ahead    int64 // the revision that another member told of
-	aheadAt  Time
-	move     bool
-	olderAt  Time // since when lists have been older than the view, 0 for none
+	Counts     Counts
+	now        Time
+	view       map[string]Entry
+	revision   int64
+	cluster    uint64
+	history    Mark
+	synced     bool // a list was taken
+	verifiedAt Time // when the view was last known to be the registry's
+
+	op            Act // under way
+	try           int
+	lastActivity  Time // the try's beginning, or the watch's last sign of life
+	needsList     bool
+	retryAt       Time
+	failures      int
+	fragments     []Change    // of an answer that is not whole
+	pendingList   *listResult // a list that lost much
+	pendingUntil  Time
+	updates       []News
+	jitterDraws   uint32
+	aheadRevision int64 // the revision that another member told of
+	aheadSince    Time
+	switchMember  bool
+	olderSince    Time // since when lists have been older than the view, 0 for none
 }
 
-type listed struct {
-	head Head
-	mark Mark
-	keys map[string]Entry
+type listResult struct {
+	header  Head
+	history Mark
+	keys    map[string]Entry
 }
 
 // New makes a core that knows nothing.
@@ -144,21 +144,21 @@
 
 // Resume gives it a view kept from before: it is served until the registry answers.
 func (c *Core) Resume(view map[string]Entry, head Head, mark Mark, asOf Time) {
-	c.view, c.revision, c.cluster, c.mark = maps.Clone(view), head.Revision, head.Cluster, mark
-	c.known, c.asOf = true, asOf
-	n := c.whole()
+	c.view, c.revision, c.cluster, c.history = maps.Clone(view), head.Revision, head.Cluster, mark
+	c.synced, c.verifiedAt = true, asOf
+	n := c.snapshot()
 	n.Kept = true
-	c.tell(n)
+	c.queueUpdate(n)
 }
 
 // At begins a turn.
 func (c *Core) At(now Time) { c.now = max(c.now, now) }
 
 // Revision is the one that the view stands for, in the history of the mark; 0 before any.
-func (c *Core) Revision() (int64, Mark) { return c.revision, c.mark }
+func (c *Core) Revision() (int64, Mark) { return c.revision, c.history }
 
 // Age is how long ago the view was last known to be the registry's.
-func (c *Core) Age() Time { return c.now - c.asOf }
+func (c *Core) Age() Time { return c.now - c.verifiedAt }
 
 // View is the state at the revision.
 func (c *Core) View() map[string]Entry { return c.view }
@@ -168,78 +168,78 @@
 
 // Listed takes the answer to a List.
 func (c *Core) Listed(try int, h Head, mark Mark, keys map[string]Entry) {
-	if try != c.try || c.act != List {
+	if try != c.try || c.op != List {
 		return
 	}
-	c.act = None
-	l := &listed{h, mark, keys}
-	if c.known && c.older(l) {
+	c.op = None
+	l := &listResult{h, mark, keys}
+	if c.synced && c.isOlder(l) {
 		// A member that has fallen behind says what the view knew before: it tells nothing that must bind in
 		// time. Others are asked until one is as far; only a registry that goes on being older, as one restored
 		// from a copy does, is followed back.
-		if c.olderAt == 0 {
-			c.olderAt = c.now
+		if c.olderSince == 0 {
+			c.olderSince = c.now
 		}
-		if c.now-c.olderAt <= olderFor*c.Timeout {
+		if c.now-c.olderSince <= olderListTimeouts*c.Timeout {
 			c.Counts.Guarded++
-			c.relist, c.move = true, true
-			c.backOff()
+			c.needsList, c.switchMember = true, true
+			c.scheduleRetry()
 			return
 		}
-	} else if c.olderAt > 0 {
+	} else if c.olderSince > 0 {
 		c.Counts.Refuted++
 	}
 	c.failures = 0
 	switch {
-	case c.held != nil: // the confirmation: the later list counts, whichever it is
-		if !c.loses(l) {
+	case c.pendingList != nil: // the confirmation: the later list counts, whichever it is
+		if !c.losesMany(l) {
 			c.Counts.Refuted++
 		}
-		c.held = nil
-		c.take(l, true)
-	case c.known && c.Grace > 0 && c.loses(l):
+		c.pendingList = nil
+		c.install(l, true)
+	case c.synced && c.Grace > 0 && c.losesMany(l):
 		// Something may be wrong with the registry, or the member asked, rather than with the boxes: another
 		// member is asked, if there is one. What was read binds in time for the grace whether or not that answer comes, as the manager has been told.
 		c.Counts.Guarded++
-		c.held, c.heldTo, c.relist, c.move = l, c.now+c.Grace/guardPart, true, true
+		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = l, c.now+c.Grace/confirmDivisor, true, true
 	default:
-		c.take(l, false)
+		c.install(l, false)
 	}
 }
 
 // loses tells whether a list lacks more than a part of what is known.
-func (c *Core) loses(l *listed) bool {
+func (c *Core) losesMany(l *listResult) bool {
 	gone := 0
 	for k := range c.view {
 		if _, ok := l.keys[k]; !ok {
 			gone++
 		}
 	}
-	return gone > 0 && float64(gone) > lossPart*float64(len(c.view))
+	return gone > 0 && float64(gone) > massRemovalShare*float64(len(c.view))
 }
 
 // older tells whether a list is of an earlier state of the same history: of a member that has fallen behind,
 // or of a registry restored from a copy.
-func (c *Core) older(l *listed) bool {
-	return l.mark == c.mark && l.head.Cluster == c.cluster && l.head.Revision < c.revision
+func (c *Core) isOlder(l *listResult) bool {
+	return l.history == c.history && l.header.Cluster == c.cluster && l.header.Revision < c.revision
 }
 
 // take makes a list the view.
-func (c *Core) take(l *listed, guarded bool) {
+func (c *Core) install(l *listResult, guarded bool) {
 	switch {
-	case c.known && (l.mark != c.mark || l.head.Cluster != c.cluster):
+	case c.synced && (l.history != c.history || l.header.Cluster != c.cluster):
 		c.Counts.Histories++
-	case c.known && l.head.Revision < c.revision:
+	case c.synced && l.header.Revision < c.revision:
 		c.Counts.Lower++
 	}
-	c.relist, c.known, c.asOf, c.olderAt = false, true, c.now, 0
-	c.view, c.revision, c.cluster, c.mark = l.keys, l.head.Revision, l.head.Cluster, l.mark
-	n := c.whole()
+	c.needsList, c.synced, c.verifiedAt, c.olderSince = false, true, c.now, 0
+	c.view, c.revision, c.cluster, c.history = l.keys, l.header.Revision, l.header.Cluster, l.history
+	n := c.snapshot()
 	n.Guarded = guarded
-	c.tell(n)
+	c.queueUpdate(n)
 }
 
-func (c *Core) whole() News {
+func (c *Core) snapshot() News {
 	n := News{Whole: true, Revision: c.revision}
 	for _, k := range slices.Sorted(maps.Keys(c.view)) {
 		n.Changes = append(n.Changes, Change{Key: k, Value: c.view[k].Value, Mod: c.view[k].Mod})
@@ -247,38 +247,38 @@
 	return n
 }
 
-func (c *Core) tell(n News) { c.news = append(c.news, n) }
+func (c *Core) queueUpdate(n News) { c.updates = append(c.updates, n) }
 
 // Watched takes an answer of a watch. With fragment set more pieces of the same answer follow. An answer
 // without changes tells how far the registry has come (a progress notification), or that the watch began.
 func (c *Core) Watched(try int, h Head, changes []Change, fragment, created bool) {
-	if try != c.try || c.act != Watch {
+	if try != c.try || c.op != Watch {
 		return
 	}
-	c.since = c.now
+	c.lastActivity = c.now
 	if h.Cluster != c.cluster || !created && h.Revision < c.revision {
-		c.again(true)
+		c.restart(true)
 		return
 	}
 	c.failures = 0
 	if created {
 		if h.Revision < c.revision { // it has not even come as far as the view
-			c.again(true)
+			c.restart(true)
 		}
 		return
 	}
-	c.pieces = append(c.pieces, changes...)
-	if c.Held > 0 && len(c.pieces) > c.Held {
+	c.fragments = append(c.fragments, changes...)
+	if c.Held > 0 && len(c.fragments) > c.Held {
 		c.Counts.Overfull++
-		c.again(true)
+		c.restart(true)
 		return
 	}
 	if fragment {
 		return
 	}
-	all := c.pieces
-	c.pieces = nil
-	c.asOf = c.now
+	all := c.fragments
+	c.fragments = nil
+	c.verifiedAt = c.now
 	if len(all) == 0 {
 		c.revision = max(c.revision, h.Revision)
 		return
@@ -290,8 +290,8 @@
 // that answers all that it is asked and hears of nothing any more: a watch there that has not come as far
 // within some time-outs is left for the next member. It costs one small read of another member in a while.
 func (c *Core) Elsewhere(h Head, mark Mark) {
-	if c.act == Watch && mark == c.mark && h.Cluster == c.cluster && h.Revision > c.revision && c.ahead <= c.revision {
-		c.ahead, c.aheadAt = h.Revision, c.now
+	if c.op == Watch && mark == c.history && h.Cluster == c.cluster && h.Revision > c.revision && c.aheadRevision <= c.revision {
+		c.aheadRevision, c.aheadSince = h.Revision, c.now
 	}
 }
 
@@ -305,7 +305,7 @@
 			continue
 		}
 		if x.Mod < last { // out of order: nothing of it can be trusted
-			c.again(true)
+			c.restart(true)
 			return
 		}
 		last = x.Mod
@@ -320,102 +320,102 @@
 	}
 	if c.revision = last; len(n.Changes) > 0 {
 		n.Revision = last
-		c.tell(n)
+		c.queueUpdate(n)
 	}
 }
 
 // Ended takes the end of a try that brought nothing more.
 func (c *Core) Ended(try int, why Failure) {
-	if try != c.try || c.act == None {
+	if try != c.try || c.op == None {
 		return
 	}
 	c.Counts.Failures++
 	switch why {
 	case Compacted:
 		c.Counts.Compactions++
-		c.again(true)
+		c.restart(true)
 	case Foreign:
-		c.again(true)
+		c.restart(true)
 	case Dropped:
-		c.again(false)
+		c.restart(false)
 	default:
-		c.again(false)
-		c.backOff()
+		c.restart(false)
+		c.scheduleRetry()
 	}
 }
 
 // again ends what is under way; a list follows, or the watch from where it stood.
-func (c *Core) again(list bool) {
-	c.act, c.pieces = None, nil
-	c.relist = c.relist || list
+func (c *Core) restart(list bool) {
+	c.op, c.fragments = None, nil
+	c.needsList = c.needsList || list
 }
 
 // backOff waits before the next try: doubling, and spread by chance over the last half, so that managers
 // that lost the registry together do not come back together.
-func (c *Core) backOff() {
-	span := min(c.Timeout/backFrom<<min(c.failures, 10), c.Timeout)
+func (c *Core) scheduleRetry() {
+	span := min(c.Timeout/initialBackoffDivisor<<min(c.failures, 10), c.Timeout)
 	c.failures++
-	c.draws++
-	b := [8]byte{byte(c.Seed >> 24), byte(c.Seed >> 16), byte(c.Seed >> 8), byte(c.Seed), byte(c.draws >> 24), byte(c.draws >> 16),
-		byte(c.draws >> 8), byte(c.draws)}
+	c.jitterDraws++
+	b := [8]byte{byte(c.Seed >> 24), byte(c.Seed >> 16), byte(c.Seed >> 8), byte(c.Seed), byte(c.jitterDraws >> 24), byte(c.jitterDraws >> 16),
+		byte(c.jitterDraws >> 8), byte(c.jitterDraws)}
 	chance := float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
-	c.waitTo = c.now + span/2 + Time(float64(span/2)*chance)
+	c.retryAt = c.now + span/2 + Time(float64(span/2)*chance)
 }
 
 // Silence is how long a stream that is asked for a word once in each time-out may say nothing.
-func (b *Bounds) Silence() Time { return silentFor * b.Timeout }
+func (b *Bounds) Silence() Time { return streamIdleTimeouts * b.Timeout }
 
 // Anew is how long one waits before a registration that was lost is taken anew.
-func (b *Bounds) Anew() Time { return b.Timeout / anewPart }
+func (b *Bounds) Anew() Time { return b.Timeout / reregisterDivisor }
 
 // Settle emits what is to be done now, and the news since the last time. It returns when it wants to be
 // called again at the latest.
 func (c *Core) Settle(do func(Want), tell func(News)) Time {
-	if c.held != nil && c.now >= c.heldTo { // unconfirmed, yet the manager has been told
-		l := c.held
-		c.held = nil
-		c.take(l, true)
-		c.act, c.try = None, c.try+1
+	if c.pendingList != nil && c.now >= c.pendingUntil { // unconfirmed, yet the manager has been told
+		l := c.pendingList
+		c.pendingList = nil
+		c.install(l, true)
+		c.op, c.try = None, c.try+1
 	}
 	switch {
-	case c.act == List && c.now-c.since > c.Timeout, c.act == Watch && c.now-c.since > staleFor*c.Timeout:
+	case c.op == List && c.now-c.lastActivity > c.Timeout, c.op == Watch && c.now-c.lastActivity > watchIdleTimeouts*c.Timeout:
 		c.Counts.Failures++
-		c.again(c.act == List)
-		c.backOff()
+		c.restart(c.op == List)
+		c.scheduleRetry()
 	}
-	if c.act == Watch && c.ahead > c.revision && c.now-c.aheadAt > aheadFor*c.Timeout {
+	if c.op == Watch && c.aheadRevision > c.revision && c.now-c.aheadSince > memberLagTimeouts*c.Timeout {
 		c.Counts.Stale++
-		c.again(false)
-		c.ahead, c.move = 0, true
+		c.restart(false)
+		c.aheadRevision, c.switchMember = 0, true
 	}
-	if c.act == None && c.now >= c.waitTo {
+	if c.op == None && c.now >= c.retryAt {
 		c.try++
-		c.since = c.now
-		if c.act = Watch; !c.known || c.relist || c.held != nil {
-			c.act = List
+		c.lastActivity = c.now
+		if c.op = Watch; !c.synced || c.needsList || c.pendingList != nil {
+			c.op = List
 			c.Counts.Lists++
 		} else {
 			c.Counts.Watches++
 		}
-		do(Want{Act: c.act, Try: c.try, From: c.revision + 1, Mark: c.mark, Move: c.move})
-		c.move = false
+		do(Want{Act: c.op, Try: c.try, From: c.revision + 1, Mark: c.history, Move: c.switchMember})
+		c.switchMember = false
 	}
-	for _, n := range c.news {
+	for _, n := range c.updates {
 		tell(n)
 	}
-	c.news = nil
-	next := c.waitTo
-	switch c.act {
+	c.updates = nil
+	next := c.retryAt
+	switch c.op {
 	case List:
-		next = c.since + c.Timeout + 1
+		next = c.lastActivity + c.Timeout + 1
 	case Watch:
-		next = c.since + staleFor*c.Timeout + 1
-		if c.ahead > c.revision {
-			next = min(next, c.aheadAt+aheadFor*c.Timeout+1)
+		next = c.lastActivity + watchIdleTimeouts*c.Timeout + 1
+		if c.aheadRevision > c.revision {
+			next = min(next, c.aheadSince+memberLagTimeouts*c.Timeout+1)
 		}
 	}
-	if c.held != nil {
-		next = min(next, c.heldTo)
+	if c.pendingList != nil {
+		next = min(next, c.pendingUntil)
 	}
 	return max(next, c.now+1)
 }
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -12,30 +12,30 @@
 // model is a registry: a history of transactions that may be compacted, or begin anew.
 type model struct {
 	cluster   uint64
-	mark      Mark
+	historyID Mark
 	revision  int64
 	compacted int64
 	state     map[string]Entry
 	history   map[Mark]map[int64]map[string]Entry
 	log       []Change
-	marks     int
+	histories int
 }
 
 func newModel() *model {
 	m := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
-	m.begin(1, false)
+	m.startHistory(1, false)
 	return m
 }
 
 // begin starts another history, perhaps with the same cluster id.
-func (m *model) begin(revision int64, other bool) {
-	m.marks++
-	m.mark, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.marks)), revision, revision
+func (m *model) startHistory(revision int64, other bool) {
+	m.histories++
+	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.histories)), revision, revision
 	if other {
 		m.cluster++
 	}
 	m.state, m.log = map[string]Entry{}, nil
-	m.history[m.mark] = map[int64]map[string]Entry{revision: {}}
+	m.history[m.historyID] = map[int64]map[string]Entry{revision: {}}
 }
 
 // put makes one transaction of some changes.
@@ -50,7 +50,7 @@
 		}
 		m.log = append(m.log, c)
 	}
-	m.history[m.mark][m.revision] = maps.Clone(m.state)
+	m.history[m.historyID][m.revision] = maps.Clone(m.state)
 }
 
 func same(a, b map[string]Entry) bool {
@@ -59,38 +59,38 @@
 
 // reader plays the edge against the model, as badly as the draws have it.
 type reader struct {
-	m      *model
-	c      *Core
-	now    Time
-	want   Want
-	open   bool // the watch is under way
-	mark   Mark // the history that it was opened in
-	sent   int64
-	view   map[string]Entry // made of the news alone
-	rev    int64
-	at     Mark
-	bad    string
-	lists  int
-	shift  int64 // a core broken on purpose resumes so far off
-	unsafe bool  // the edge does not look at marks
+	model            *model
+	core             *Core
+	now              Time
+	request          Want
+	open             bool // the watch is under way
+	watchHistory     Mark // the history that it was opened in
+	sentRevision     int64
+	view             map[string]Entry // made of the news alone
+	revision         int64
+	history          Mark
+	violation        string
+	lists            int
+	revisionShift    int64 // a core broken on purpose resumes so far off
+	skipHistoryCheck bool  // the edge does not look at marks
 }
 
-func (r *reader) settle() {
-	r.c.At(r.now)
-	r.c.Settle(func(w Want) {
-		r.want, r.open = w, false
-		r.want.From += r.shift
+func (r *reader) process() {
+	r.core.At(r.now)
+	r.core.Settle(func(w Want) {
+		r.request, r.open = w, false
+		r.request.From += r.revisionShift
 	}, func(n News) {
-		rev, mark := r.c.Revision()
-		if !n.Whole && r.at == mark && n.Revision < r.rev {
-			r.bad = "revisions went back"
+		rev, mark := r.core.Revision()
+		if !n.Whole && r.history == mark && n.Revision < r.revision {
+			r.violation = "revisions went back"
 		}
 		if n.Whole {
 			r.view = map[string]Entry{}
 		}
 		for _, x := range n.Changes {
 			if old, ok := r.view[x.Key]; ok && !n.Whole && old.Mod >= x.Mod {
-				r.bad = "a change applied twice"
+				r.violation = "a change applied twice"
 			}
 			if x.Deleted {
 				delete(r.view, x.Key)
@@ -98,37 +98,37 @@
 				r.view[x.Key] = Entry{x.Value, x.Mod}
 			}
 		}
-		r.rev, r.at = n.Revision, mark
-		if want, ok := r.m.history[mark][n.Revision]; !ok || !same(want, r.view) {
-			r.bad = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", n.Revision, mark, rev)
+		r.revision, r.history = n.Revision, mark
+		if want, ok := r.model.history[mark][n.Revision]; !ok || !same(want, r.view) {
+			r.violation = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", n.Revision, mark, rev)
 		}
 	})
 }
 
 // step answers what is wanted, or fails it.
 func (r *reader) step(t *rapid.T) {
-	m := r.m
+	m := r.model
 	h := Head{m.cluster, m.revision}
-	switch r.want.Act {
+	switch r.request.Act {
 	case List:
 		if rapid.IntRange(0, 3).Draw(t, "list") == 0 {
-			r.c.Ended(r.want.Try, Lost)
+			r.core.Ended(r.request.Try, Lost)
 			break
 		}
 		r.lists++
-		r.c.Listed(r.want.Try, h, m.mark, maps.Clone(m.state))
+		r.core.Listed(r.request.Try, h, m.historyID, maps.Clone(m.state))
 	case Watch:
 		switch {
-		case !r.open && r.want.Mark != m.mark && !r.unsafe:
-			r.c.Ended(r.want.Try, Foreign)
-		case !r.open && r.want.From <= m.compacted:
-			r.c.Ended(r.want.Try, Compacted)
+		case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
+			r.core.Ended(r.request.Try, Foreign)
+		case !r.open && r.request.From <= m.compacted:
+			r.core.Ended(r.request.Try, Compacted)
 		case !r.open:
-			r.open, r.mark, r.sent = true, m.mark, r.want.From-1
-			r.c.Watched(r.want.Try, h, nil, false, true)
-		case r.mark != m.mark || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
+			r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
+			r.core.Watched(r.request.Try, h, nil, false, true)
+		case r.watchHistory != m.historyID || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
 			r.open = false
-			r.c.Ended(r.want.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(Dropped)}).Draw(t, "why")))
+			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(Dropped)}).Draw(t, "why")))
 		default:
 			r.send(t, h)
 		}
@@ -138,13 +138,13 @@
 // send brings changes: whole revisions, perhaps in pieces, cut in the middle, or told twice.
 func (r *reader) send(t *rapid.T, h Head) {
 	var all []Change
-	for _, x := range r.m.log {
-		if x.Mod > r.sent {
+	for _, x := range r.model.log {
+		if x.Mod > r.sentRevision {
 			all = append(all, x)
 		}
 	}
 	if len(all) == 0 {
-		r.c.Watched(r.want.Try, h, nil, false, false) // progress
+		r.core.Watched(r.request.Try, h, nil, false, false) // progress
 		return
 	}
 	upTo := all[rapid.IntRange(0, len(all)-1).Draw(t, "upto")].Mod
@@ -156,25 +156,25 @@
 	}
 	head := Head{h.Cluster, upTo}
 	if n := rapid.IntRange(0, len(now)-1).Draw(t, "piece"); n > 0 {
-		r.c.Watched(r.want.Try, head, now[:n], true, false)
+		r.core.Watched(r.request.Try, head, now[:n], true, false)
 		if rapid.IntRange(0, 3).Draw(t, "cut within") == 0 {
 			r.open = false
-			r.c.Ended(r.want.Try, Lost)
+			r.core.Ended(r.request.Try, Lost)
 			return
 		}
 		now = now[n:]
 	}
-	r.c.Watched(r.want.Try, head, now, false, false)
-	r.sent = upTo
+	r.core.Watched(r.request.Try, head, now, false, false)
+	r.sentRevision = upTo
 	if rapid.IntRange(0, 4).Draw(t, "twice") == 0 {
-		r.c.Watched(r.want.Try, head, now, false, false)
-		r.c.Watched(r.want.Try-1, head, now, false, false) // of a connection that has gone
+		r.core.Watched(r.request.Try, head, now, false, false)
+		r.core.Watched(r.request.Try-1, head, now, false, false) // of a connection that has gone
 	}
 }
 
-func play(t *rapid.T, shift int64, unsafe bool) string {
+func simulate(t *rapid.T, shift int64, unsafe bool) string {
 	m := newModel()
-	r := &reader{m: m, c: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, shift: shift, unsafe: unsafe,
+	r := &reader{model: m, core: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, revisionShift: shift, skipHistoryCheck: unsafe,
 		view: map[string]Entry{}}
 	for range rapid.IntRange(1, 80).Draw(t, "steps") {
 		r.now += Time(rapid.IntRange(0, 400_000).Draw(t, "dt"))
@@ -183,7 +183,7 @@
 			m.compacted = max(m.compacted, m.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
 		case 1:
 			if rapid.IntRange(0, 3).Draw(t, "anew") == 0 {
-				m.begin(max(1, m.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
+				m.startHistory(max(1, m.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
 			}
 		case 2, 3, 4:
 			var txn []Change
@@ -194,83 +194,83 @@
 					dup = dup || x.Key == key
 				}
 				if !dup {
-					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(m.mark, m.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
+					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(m.historyID, m.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
 				}
 			}
 			m.put(txn)
 		default:
-			r.settle()
+			r.process()
 			r.step(t)
 		}
-		r.settle()
-		if r.bad != "" {
-			return r.bad
+		r.process()
+		if r.violation != "" {
+			return r.violation
 		}
 	}
 	for range 60 { // quiet
 		r.now += 400_000
-		r.settle()
-		r.quiet()
-		r.settle()
+		r.process()
+		r.answerAll()
+		r.process()
 	}
-	if r.bad != "" {
-		return r.bad
+	if r.violation != "" {
+		return r.violation
 	}
-	if !same(r.view, m.state) || !same(r.c.View(), m.state) {
+	if !same(r.view, m.state) || !same(r.core.View(), m.state) {
 		return fmt.Sprintf("after quiet the view is %v, the registry %v", r.view, m.state)
 	}
 	return ""
 }
 
 // quiet answers all that is wanted, well.
-func (r *reader) quiet() {
-	m := r.m
+func (r *reader) answerAll() {
+	m := r.model
 	h := Head{m.cluster, m.revision}
 	switch {
-	case r.want.Act == List:
-		r.c.Listed(r.want.Try, h, m.mark, maps.Clone(m.state))
-	case r.want.Act != Watch:
-	case !r.open && r.want.Mark != m.mark && !r.unsafe:
-		r.c.Ended(r.want.Try, Foreign)
-	case !r.open && r.want.From <= m.compacted:
-		r.c.Ended(r.want.Try, Compacted)
+	case r.request.Act == List:
+		r.core.Listed(r.request.Try, h, m.historyID, maps.Clone(m.state))
+	case r.request.Act != Watch:
+	case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
+		r.core.Ended(r.request.Try, Foreign)
+	case !r.open && r.request.From <= m.compacted:
+		r.core.Ended(r.request.Try, Compacted)
 	case !r.open:
-		r.open, r.mark, r.sent = true, m.mark, r.want.From-1
-		r.c.Watched(r.want.Try, h, nil, false, true)
-	case r.mark != m.mark:
+		r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
+		r.core.Watched(r.request.Try, h, nil, false, true)
+	case r.watchHistory != m.historyID:
 		r.open = false
-		r.c.Ended(r.want.Try, Lost)
+		r.core.Ended(r.request.Try, Lost)
 	default:
 		var all []Change
 		for _, x := range m.log {
-			if x.Mod > r.sent {
+			if x.Mod > r.sentRevision {
 				all = append(all, x)
 			}
 		}
-		r.c.Watched(r.want.Try, h, all, false, false)
-		r.sent = m.revision
+		r.core.Watched(r.request.Try, h, all, false, false)
+		r.sentRevision = m.revision
 	}
 }
 
 // Whatever the registry does, each state told is one that it had, no change comes twice, revisions do not go
 // back within a history, and after quiet the view is the registry's.
-func TestAnyRegistry(t *testing.T) {
+func TestViewMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if bad := play(rt, 0, false); bad != "" {
+		if bad := simulate(rt, 0, false); bad != "" {
 			rt.Fatal(bad)
 		}
 	})
 }
 
 // The same check reports a core that resumes one revision late, and one whose edge mixes histories.
-func TestBrokenOnesAreCaught(t *testing.T) {
+func TestChecksDetectBrokenCores(t *testing.T) {
 	for name, c := range map[string]struct {
 		shift  int64
 		unsafe bool
 	}{"one late": {1, false}, "histories mixed": {0, true}} {
 		caught := false
 		for seed := range 400 {
-			bad := rapid.Custom(func(rt *rapid.T) string { return play(rt, c.shift, c.unsafe) }).Example(seed)
+			bad := rapid.Custom(func(rt *rapid.T) string { return simulate(rt, c.shift, c.unsafe) }).Example(seed)
 			if caught = caught || bad != ""; caught {
 				break
 			}
@@ -282,7 +282,7 @@
 }
 
 // A list that lost most of its boxes is confirmed first, yet binds within the grace.
-func TestGuard(t *testing.T) {
+func TestMassRemovalConfirmed(t *testing.T) {
 	keys := map[string]Entry{}
 	for i := range 10 {
 		keys[fmt.Sprint("k", i)] = Entry{Mod: 5}
@@ -310,7 +310,7 @@
 		if c.second != nil {
 			k.Listed(want.Try, Head{1, 10}, "m", maps.Clone(c.second))
 		} else {
-			k.At(1 + k.Grace/guardPart)
+			k.At(1 + k.Grace/confirmDivisor)
 		}
 		settle()
 		if whole != c.whole || len(k.View()) != c.left {
@@ -364,7 +364,7 @@
 		settle()
 		rev, _ := k.Revision()
 		if k.Listed(want.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); rev == 4 {
-			if at < 12+olderFor {
+			if at < 12+olderListTimeouts {
 				t.Error("followed back after", at-12)
 			}
 			return
@@ -387,7 +387,7 @@
 }
 
 // BenchmarkChange is one change of a view of so many boxes, and what a box of the view holds.
-func BenchmarkChange(b *testing.B) {
+func BenchmarkWatchChange(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
 			var before, after runtime.MemStats
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -16,31 +16,31 @@
 //
 // Numbers are the names' order, the same for all that see the same names.
 type Fleet struct {
-	Own   string
-	Lease Time
-	seen  map[string]Time     // last, by name; never for those that are there
-	ready map[string][]string // addresses of those that are ready, as life.Others takes them
-	Lost  bool                // this one's own key has gone, though it lives
+	Own      string
+	Lease    Time
+	lastSeen map[string]Time     // last, by name; never for those that are there
+	ready    map[string][]string // addresses of those that are ready, as life.Others takes them
+	Lost     bool                // this one's own key has gone, though it lives
 }
 
 const (
-	heldFor = 4
-	there   = Time(1) << 62
+	holdLeases = 4
+	present    = Time(1) << 62
 )
 
 // Take follows the managers' keys.
 func (f *Fleet) Take(n News, now Time) {
-	if f.seen == nil {
-		f.seen, f.ready = map[string]Time{}, map[string][]string{}
+	if f.lastSeen == nil {
+		f.lastSeen, f.ready = map[string]Time{}, map[string][]string{}
 	}
 	gone := func(name string) {
 		delete(f.ready, name)
-		if f.seen[name] == there {
-			f.seen[name] = now
+		if f.lastSeen[name] == present {
+			f.lastSeen[name] = now
 		}
 	}
 	if n.Whole {
-		for name := range f.seen {
+		for name := range f.lastSeen {
 			gone(name)
 		}
 	}
@@ -52,7 +52,7 @@
 			gone(name)
 			f.Lost = f.Lost || name == f.Own
 		default:
-			f.seen[name] = there
+			f.lastSeen[name] = present
 			delete(f.ready, name)
 			if m, err := ReadManager(c.Value); err == nil && m.State == "ready" && m.Address != "" {
 				f.ready[name] = []string{m.Address}
@@ -67,10 +67,10 @@
 // Count is how many managers there are, and this one's number, from 0.
 func (f *Fleet) Count(now Time) (fronts, front int) {
 	names := []string{f.Own}
-	for name, last := range f.seen {
+	for name, last := range f.lastSeen {
 		switch {
-		case last != there && now-last > heldFor*f.Lease:
-			delete(f.seen, name)
+		case last != present && now-last > holdLeases*f.Lease:
+			delete(f.lastSeen, name)
 		case name != f.Own:
 			names = append(names, name)
 		}
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-func put(name string) Change  { return Change{Key: ManagersPrefix + name} }
-func gone(name string) Change { return Change{Key: ManagersPrefix + name, Deleted: true} }
+func putManager(name string) Change    { return Change{Key: ManagersPrefix + name} }
+func deleteManager(name string) Change { return Change{Key: ManagersPrefix + name, Deleted: true} }
 
 // One that loses its lease still counts for a while; one that is new counts at once; each has its own number.
-func TestFleet(t *testing.T) {
+func TestManagerCount(t *testing.T) {
 	f := &Fleet{Own: "b", Lease: 1000}
 	if n, i := f.Count(0); n != 1 || i != 0 {
 		t.Error(n, i)
 	}
-	f.Take(News{Whole: true, Changes: []Change{put("a"), put("b"), put("c"), {Key: BoxesPrefix + "x"}}}, 1)
+	f.Take(News{Whole: true, Changes: []Change{putManager("a"), putManager("b"), putManager("c"), {Key: BoxesPrefix + "x"}}}, 1)
 	if n, i := f.Count(1); n != 3 || i != 1 {
 		t.Error(n, i)
 	}
-	f.Take(News{Changes: []Change{gone("a"), put("d")}}, 10)
+	f.Take(News{Changes: []Change{deleteManager("a"), putManager("d")}}, 10)
 	if n, i := f.Count(11); n != 4 || i != 1 {
 		t.Error(n, i)
 	}
@@ -29,14 +29,14 @@
 	if n, _ := f.Count(21); n != 4 {
 		t.Error(n)
 	}
-	if n, i := f.Count(20 + heldFor*1000 + 1); n != 1 || i != 0 {
+	if n, i := f.Count(20 + holdLeases*1000 + 1); n != 1 || i != 0 {
 		t.Error(n, i)
 	}
 }
 
 // Whatever the order in which managers hear of one another: those that live and have heard of all that live
 // for longer than the delay take parts that add up to no more than one, and no two have the same number.
-func TestPartsAddUp(t *testing.T) {
+func TestManagerSharesSum(t *testing.T) {
 	const delay, lease = 50, 100
 	judged := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -61,21 +61,21 @@
 				live[name] = &manager{&Fleet{Own: name, Lease: lease}, now}
 				var all []Change
 				for _, k := range slices.Sorted(maps.Keys(keys)) {
-					all = append(all, put(k))
+					all = append(all, putManager(k))
 				}
 				live[name].f.Take(News{Whole: true, Changes: all}, now)
 				keys[name] = true
-				c = put(name)
+				c = putManager(name)
 			case rapid.Bool().Draw(rt, "lease only"): // lost while it lives; it comes back well within the hold
 				keys[name] = !keys[name]
-				if c = put(name); !keys[name] {
+				if c = putManager(name); !keys[name] {
 					delete(keys, name)
-					c = gone(name)
+					c = deleteManager(name)
 				}
 			default:
 				delete(live, name)
 				delete(keys, name)
-				c = gone(name)
+				c = deleteManager(name)
 			}
 			for _, n := range slices.Sorted(maps.Keys(live)) { // in order, so that a failure can be played again
 				if c.Key == "" {
--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -35,28 +35,28 @@
 // Secret is a password: however it is printed, logged or encoded it does not show.
 type Secret string
 
-const hidden = "(secret)"
+const redacted = "(secret)"
 
-func (Secret) String() string               { return hidden }
-func (Secret) GoString() string             { return hidden }
-func (Secret) MarshalText() ([]byte, error) { return []byte(hidden), nil }
+func (Secret) String() string               { return redacted }
+func (Secret) GoString() string             { return redacted }
+func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
 // Client carries out a core's wants. Do is called in the turns of the core's owner; what comes of it reaches the
 // core by post.
 type Client struct {
-	place  Place
-	post   func(func(*tenants.Core))
-	log    *zap.Logger
-	mu     sync.Mutex
-	idle   [][]*ldap.Conn     // by endpoint
-	cancel context.CancelFunc // of the synchronisation under way
-	closed bool
-	wait   sync.WaitGroup
-	Asked  atomic.Int64 // searches
-	Bad    atomic.Int64 // entries that could not be read
+	config  Place
+	post    func(func(*tenants.Core))
+	log     *zap.Logger
+	mu      sync.Mutex
+	idle    [][]*ldap.Conn     // by endpoint
+	cancel  context.CancelFunc // of the synchronisation under way
+	closed  bool
+	pending sync.WaitGroup
+	Asked   atomic.Int64 // searches
+	Bad     atomic.Int64 // entries that could not be read
 }
 
-const filter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
+const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
 // New makes a client; nothing is asked before Do.
 func New(p Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
@@ -66,7 +66,7 @@
 	if _, err := ldap.ParseDN(p.Base); err != nil {
 		return nil, fmt.Errorf("base %q: %w", p.Base, err)
 	}
-	return &Client{place: p, post: post, log: log, idle: make([][]*ldap.Conn, len(p.Endpoints))}, nil
+	return &Client{config: p, post: post, log: log, idle: make([][]*ldap.Conn, len(p.Endpoints))}, nil
 }
 
 // Close ends what is under way.
@@ -83,11 +83,11 @@
 	}
 	clear(c.idle)
 	c.mu.Unlock()
-	c.wait.Wait()
+	c.pending.Wait()
 }
 
 func (c *Client) timeout() time.Duration {
-	return time.Duration(c.place.Terms.Timeout) * time.Microsecond
+	return time.Duration(c.config.Terms.Timeout) * time.Microsecond
 }
 
 // dial connects to an endpoint and binds there.
@@ -95,19 +95,19 @@
 	d := &net.Dialer{Timeout: c.timeout()}
 	var raw net.Conn
 	var err error
-	if c.place.TLS != nil {
-		raw, err = tls.DialWithDialer(d, "tcp", c.place.Endpoints[end], c.place.TLS)
+	if c.config.TLS != nil {
+		raw, err = tls.DialWithDialer(d, "tcp", c.config.Endpoints[end], c.config.TLS)
 	} else {
-		raw, err = d.Dial("tcp", c.place.Endpoints[end])
+		raw, err = d.Dial("tcp", c.config.Endpoints[end])
 	}
 	if err != nil {
 		return nil, err
 	}
-	x := ldap.NewConn(raw, c.place.TLS != nil)
+	x := ldap.NewConn(raw, c.config.TLS != nil)
 	x.Start()
 	x.SetTimeout(c.timeout())
-	if c.place.Bind != "" {
-		if err := x.Bind(c.place.Bind, string(c.place.Password)); err != nil {
+	if c.config.Bind != "" {
+		if err := x.Bind(c.config.Bind, string(c.config.Password)); err != nil {
 			_ = x.Close()
 			return nil, fmt.Errorf("bind: %w", err)
 		}
@@ -122,9 +122,9 @@
 	if c.closed {
 		return
 	}
-	c.wait.Add(1)
+	c.pending.Add(1)
 	if w.Act == tenants.Look || w.Act == tenants.Tenure {
-		go func() { defer c.wait.Done(); c.look(w) }()
+		go func() { defer c.pending.Done(); c.lookUp(w) }()
 		return
 	}
 	if c.cancel != nil {
@@ -133,24 +133,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	go func() {
-		defer c.wait.Done()
+		defer c.pending.Done()
 		defer cancel()
-		c.sync(ctx, w)
+		c.synchronise(ctx, w)
 	}()
 }
 
-func (c *Client) search(f string, size int) *ldap.SearchRequest {
-	return ldap.NewSearchRequest(c.place.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, size, 0, false, f, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
+func (c *Client) searchRequest(f string, size int) *ldap.SearchRequest {
+	return ldap.NewSearchRequest(c.config.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, size, 0, false, f, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
 }
 
-func (c *Client) bad(e *ldap.Entry, err error) {
+func (c *Client) reportUnreadable(e *ldap.Entry, err error) {
 	c.Bad.Add(1)
 	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", e.DN), zap.Error(err))
 }
 
 // referred tells whether an answer names another place to ask (RFC 4511 section 4.1.10), and which endpoint that is:
 // less than 0 for one that the settings do not name.
-func (c *Client) referred(err error) (end int, ok bool) {
+func (c *Client) referral(err error) (end int, ok bool) {
 	var e *ldap.Error
 	if !errors.As(err, &e) || e.ResultCode != ldap.LDAPResultReferral {
 		return 0, false
@@ -161,7 +161,7 @@
 			if err != nil {
 				continue
 			}
-			if i := slices.Index(c.place.Endpoints, u.Host); i >= 0 {
+			if i := slices.Index(c.config.Endpoints, u.Host); i >= 0 {
 				return i, true
 			}
 		}
@@ -170,10 +170,10 @@
 }
 
 // look asks for one account or tenant, on a connection that stays for the next.
-func (c *Client) look(w tenants.Want) {
+func (c *Client) lookUp(w tenants.Want) {
 	fail := func(err error) {
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.place.Endpoints[w.End]), zap.Error(err))
-		if to, ok := c.referred(err); ok {
+		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.End]), zap.Error(err))
+		if to, ok := c.referral(err); ok {
 			c.post(func(k *tenants.Core) { k.Referred(w.Try, to) })
 			return
 		}
@@ -197,9 +197,9 @@
 		f = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(w.Account) + "))"
 	}
 	c.Asked.Add(1)
-	got, err := x.Search(c.search(f, 2))
+	got, err := x.Search(c.searchRequest(f, 2))
 	if err == nil && len(got.Entries) == 0 && len(got.Referrals) > 0 {
-		err = fmt.Errorf("a part of %s is said to be at %s", c.place.Base, got.Referrals[0])
+		err = fmt.Errorf("a part of %s is said to be at %s", c.config.Base, got.Referrals[0])
 	}
 	if err != nil {
 		_ = x.Close()
@@ -210,13 +210,13 @@
 	for _, e := range got.Entries {
 		r, err := Read(e)
 		if err != nil {
-			c.bad(e, err)
+			c.reportUnreadable(e, err)
 		} else if tenants.Fold(r.Name) == w.Account {
 			found = &r
 		}
 	}
 	c.mu.Lock()
-	if !c.closed && len(c.idle[w.End]) < max(c.place.Terms.Lookups, 1) {
+	if !c.closed && len(c.idle[w.End]) < max(c.config.Terms.Lookups, 1) {
 		c.idle[w.End] = append(c.idle[w.End], x)
 		x = nil
 	}
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -56,8 +56,8 @@
 		if err != nil {
 			return
 		}
-		if r.ID == "" && id != "" && strings.TrimSpace(id) != "" || r.Name == "" || len(r.Name) > nameMost || !utf8.ValidString(r.Name) || len(r.Plans) > 1 ||
-			!(r.Weight >= 0 && r.Weight <= numberMax) || r.Seats < 0 {
+		if r.ID == "" && id != "" && strings.TrimSpace(id) != "" || r.Name == "" || len(r.Name) > maxNameBytes || !utf8.ValidString(r.Name) || len(r.Plans) > 1 ||
+			!(r.Weight >= 0 && r.Weight <= maxNumber) || r.Seats < 0 {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -141,7 +141,7 @@
 
 // A view follows a directory with and without content synchronisation; an account whose name would change a query
 // is looked up by its name; half a page is not the whole.
-func TestFollows(t *testing.T) {
+func TestFollowsDirectory(t *testing.T) {
 	store := directory.NewStore()
 	put := func(cn string) {
 		store.Put("cn="+cn+",dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {cn}, "pierlinkPlan": {"p"}})
@@ -194,7 +194,7 @@
 
 // What is changed over LDAP arrives at one that polls: a modified, an added, a renamed and a deleted entry, one of a
 // replica that is behind, under stamps of long ago, and none of it by reading all anew.
-func TestPolls(t *testing.T) {
+func TestPolledChanges(t *testing.T) {
 	store := directory.NewStore()
 	store.Skew = -3 * time.Hour
 	for i := range 50 {
@@ -277,11 +277,11 @@
 // elsewhere leaves the view not whole, with nothing deleted.
 func TestReferrals(t *testing.T) {
 	for _, paged := range []bool{false, true} {
-		t.Run(fmt.Sprint("paged ", paged), func(t *testing.T) { t.Parallel(); referrals(t, paged) })
+		t.Run(fmt.Sprint("paged ", paged), func(t *testing.T) { t.Parallel(); testReferrals(t, paged) })
 	}
 }
 
-func referrals(t *testing.T, paged bool) {
+func testReferrals(t *testing.T, paged bool) {
 	t.Helper()
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}, "pierlinkPlan": {"p"}})
@@ -329,7 +329,7 @@
 }
 
 // However a directory refuses, what is logged, printed or encoded shows neither the password nor an account's proof.
-func TestSecretsStayOut(t *testing.T) {
+func TestSecretsNotLogged(t *testing.T) {
 	const password, ha1 = "hunter2-of-the-directory", "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}})
--- a/internal/tenants/client/read.go
+++ b/internal/tenants/client/read.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	nameMost  = 64
-	plansMost = 64
-	numberMax = 1e9
+	maxNameBytes = 64
+	maxPlans     = 64
+	maxNumber    = 1e9
 )
 
 // Read makes a record of an entry. Attributes (docs/tenants.md): of pierlinkTenant cn, pierlinkPlan,
@@ -40,28 +40,28 @@
 		return ""
 	}
 	number := func(name string) float64 {
-		s := one(name, nameMost, false)
+		s := one(name, maxNameBytes, false)
 		if s == "" || err != nil {
 			return 0
 		}
 		x, bad := strconv.ParseFloat(s, 64)
-		if bad != nil || !(x >= 0 && x <= numberMax) {
+		if bad != nil || !(x >= 0 && x <= maxNumber) {
 			err = fmt.Errorf("%s: a number from 0 on is expected", name)
 		}
 		return x
 	}
 	r.DN = strings.ToLower(e.DN)
-	r.ID, r.Stamp = id(e), stamp(e)
-	if _ = one("entryUUID", nameMost, true); err != nil {
+	r.ID, r.Stamp = entryUUID(e), modifyStamp(e)
+	if _ = one("entryUUID", maxNameBytes, true); err != nil {
 		return r, err
 	}
 	switch classes := e.GetEqualFoldAttributeValues("objectClass"); {
 	case slices.ContainsFunc(classes, func(s string) bool { return strings.EqualFold(s, "pierlinkTenant") }):
-		r.Kind, r.Name = tenants.Tenant, one("cn", nameMost, true)
+		r.Kind, r.Name = tenants.Tenant, one("cn", maxNameBytes, true)
 		r.Weight, r.Quota, r.Seats = number("pierlinkWeight"), number("pierlinkQuota"), int(number("pierlinkSeats"))
 	case slices.ContainsFunc(classes, func(s string) bool { return strings.EqualFold(s, "pierlinkMember") }):
-		r.Kind, r.Name, r.Tenant = tenants.Member, one("uid", nameMost, true), one("pierlinkTenant", nameMost, true)
-		r.Digest = one("pierlinkDigest", nameMost, false)
+		r.Kind, r.Name, r.Tenant = tenants.Member, one("uid", maxNameBytes, true), one("pierlinkTenant", maxNameBytes, true)
+		r.Digest = one("pierlinkDigest", maxNameBytes, false)
 	default:
 		err = errors.New("objectClass: pierlinkTenant or pierlinkMember is expected")
 	}
@@ -69,23 +69,25 @@
 		err = errors.New("a name that is not empty is expected")
 	}
 	for _, p := range e.GetEqualFoldAttributeValues("pierlinkPlan") {
-		if p = strings.TrimSpace(p); len(p) > nameMost || !utf8.ValidString(p) {
+		if p = strings.TrimSpace(p); len(p) > maxNameBytes || !utf8.ValidString(p) {
 			err = errors.Join(err, errors.New("pierlinkPlan: names of plans are expected"))
 		} else if p != "" && !slices.Contains(r.Plans, p) {
 			r.Plans = append(r.Plans, p)
 		}
 	}
-	if len(r.Plans) > plansMost {
-		err = errors.Join(err, fmt.Errorf("pierlinkPlan: at most %d values are expected", plansMost))
+	if len(r.Plans) > maxPlans {
+		err = errors.Join(err, fmt.Errorf("pierlinkPlan: at most %d values are expected", maxPlans))
 	}
 	return r, err
 }
 
-func id(e *ldap.Entry) string { return strings.ToLower(e.GetEqualFoldAttributeValue("entryUUID")) }
+func entryUUID(e *ldap.Entry) string {
+	return strings.ToLower(e.GetEqualFoldAttributeValue("entryUUID"))
+}
 
 // stamp is an entry's modifyTimestamp, 0 where there is none that can be read: generalized time (RFC 4517 section
 // 3.3.13) in UTC, with or without parts of a second.
-func stamp(e *ldap.Entry) tenants.Time {
+func modifyStamp(e *ldap.Entry) tenants.Time {
 	t, err := time.Parse("20060102150405Z", e.GetEqualFoldAttributeValue("modifyTimestamp"))
 	if err != nil || t.Year() < 1970 {
 		return 0
@@ -94,4 +96,4 @@
 }
 
 // generalized writes a time for a filter, in whole seconds.
-func generalized(t tenants.Time) string { return time.UnixMicro(t).UTC().Format("20060102150405Z") }
+func generalizedTime(t tenants.Time) string { return time.UnixMicro(t).UTC().Format("20060102150405Z") }
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -13,22 +13,22 @@
 	"pierlink/internal/tenants"
 )
 
-const together = 256 // entries that are brought in one go
+const batchSize = 256 // entries that are brought in one go
 
 // sync synchronises: from the cookie on, and then what changes, until it ends.
-func (c *Client) sync(ctx context.Context, w tenants.Want) {
+func (c *Client) synchronise(ctx context.Context, w tenants.Want) {
 	end := func(why tenants.Why, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.place.Endpoints[w.End]), zap.Error(err))
-		if to, ok := c.referred(err); ok {
+		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.End]), zap.Error(err))
+		if to, ok := c.referral(err); ok {
 			c.post(func(k *tenants.Core) { k.Referred(w.Try, to) })
 			return
 		}
 		c.post(func(k *tenants.Core) { k.Ended(w.Try, why) })
 	}
-	if w.Act == tenants.Sync && c.place.Paged {
+	if w.Act == tenants.Sync && c.config.Paged {
 		end(tenants.NoSync, errors.New("content synchronisation is not to be tried"))
 		return
 	}
@@ -41,14 +41,14 @@
 	stop := context.AfterFunc(ctx, func() { _ = x.Close() })
 	defer stop()
 	if w.Act != tenants.Sync {
-		if err := c.pages(ctx, x, w); err != nil {
+		if err := c.searchPages(ctx, x, w); err != nil {
 			end(tenants.BrokeOff, err)
 		}
 		return
 	}
 	c.Asked.Add(1)
 	x.SetTimeout(0) // a stream may be quiet; the core times it
-	r := x.Syncrepl(ctx, c.search(filter, 0), together, ldap.SyncRequestModeRefreshAndPersist, w.Cookie, false)
+	r := x.Syncrepl(ctx, c.searchRequest(entryFilter, 0), batchSize, ldap.SyncRequestModeRefreshAndPersist, w.Cookie, false)
 	var batch []tenants.Record
 	var present, gone []string
 	flush := func() {
@@ -68,7 +68,7 @@
 	refreshed := false
 	for r.Next() {
 		if r.Referral() != "" { // a part lies elsewhere: this is not the whole
-			end(tenants.BrokeOff, fmt.Errorf("a part of %s is said to be at %s", c.place.Base, r.Referral()))
+			end(tenants.BrokeOff, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, r.Referral()))
 			return
 		}
 		state := int64(-1)
@@ -118,12 +118,12 @@
 				if rec, err := Read(e); err == nil {
 					batch = append(batch, rec)
 				} else {
-					c.bad(e, err)
+					c.reportUnreadable(e, err)
 					present = append(present, id) // it stays as it was
 				}
 			}
 		}
-		if refreshed || len(batch)+len(present)+len(gone) >= together {
+		if refreshed || len(batch)+len(present)+len(gone) >= batchSize {
 			flush()
 			if len(cookie) > 0 {
 				t := slices.Clone(cookie)
@@ -146,26 +146,26 @@
 }
 
 // filter is what an act searches for.
-func filterOf(w tenants.Want) string {
+func requestFilter(w tenants.Want) string {
 	switch w.Act {
 	case tenants.Poll:
-		return "(&" + filter + "(modifyTimestamp>=" + generalized(w.Since) + "))"
+		return "(&" + entryFilter + "(modifyTimestamp>=" + generalizedTime(w.Since) + "))"
 	case tenants.Again:
 		var b strings.Builder
-		b.WriteString("(&" + filter + "(|")
+		b.WriteString("(&" + entryFilter + "(|")
 		for _, id := range w.IDs {
 			b.WriteString("(entryUUID=" + ldap.EscapeFilter(id) + ")")
 		}
 		return b.String() + "))"
 	}
-	return filter
+	return entryFilter
 }
 
 // pages searches by pages. An answer that breaks off says nothing of what it did not bring.
-func (c *Client) pages(ctx context.Context, x *ldap.Conn, w tenants.Want) error {
-	p := ldap.NewControlPaging(max(c.place.PageSize, 1))
+func (c *Client) searchPages(ctx context.Context, x *ldap.Conn, w tenants.Want) error {
+	p := ldap.NewControlPaging(max(c.config.PageSize, 1))
 	for ctx.Err() == nil {
-		r := c.search(filterOf(w), 0)
+		r := c.searchRequest(requestFilter(w), 0)
 		if r.Controls = []ldap.Control{p}; w.Act == tenants.List {
 			r.Attributes = []string{"entryUUID", "modifyTimestamp"}
 		}
@@ -175,13 +175,13 @@
 		case err != nil:
 			return err
 		case len(got.Referrals) > 0: // a part lies elsewhere: this is not the whole
-			return fmt.Errorf("a part of %s is said to be at %s", c.place.Base, got.Referrals[0])
+			return fmt.Errorf("a part of %s is said to be at %s", c.config.Base, got.Referrals[0])
 		}
 		next, ok := ldap.FindControl(got.Controls, ldap.ControlTypePaging).(*ldap.ControlPaging)
 		if !ok {
 			return errors.New("a page without its cookie: it cannot be told whether it was the last")
 		}
-		c.page(w, got.Entries)
+		c.deliverPage(w, got.Entries)
 		if len(next.Cookie) == 0 { // its estimate of the total means nothing
 			c.post(func(k *tenants.Core) { k.Done(w.Try) })
 			return nil
@@ -192,19 +192,19 @@
 }
 
 // page brings the entries of one page.
-func (c *Client) page(w tenants.Want, all []*ldap.Entry) {
+func (c *Client) deliverPage(w tenants.Want, all []*ldap.Entry) {
 	var batch []tenants.Record
 	var seen, stay []tenants.Seen
 	for _, e := range all {
 		if w.Act == tenants.List {
-			seen = append(seen, tenants.Seen{ID: id(e), Stamp: stamp(e)})
+			seen = append(seen, tenants.Seen{ID: entryUUID(e), Stamp: modifyStamp(e)})
 			continue
 		}
 		if rec, err := Read(e); err == nil {
 			batch = append(batch, rec)
 		} else {
-			c.bad(e, err)
-			stay = append(stay, tenants.Seen{ID: id(e), Stamp: stamp(e)})
+			c.reportUnreadable(e, err)
+			stay = append(stay, tenants.Seen{ID: entryUUID(e), Stamp: modifyStamp(e)})
 		}
 	}
 	c.post(func(k *tenants.Core) {
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -152,55 +152,55 @@
 }
 
 const (
-	negatives = 4 // times as many names as may wait are remembered as not there
-	lastWord  = 8 // a question is answered this part of a time-out before it must be
+	negativeCacheFactor = 4 // times as many names as may wait are remembered as not there
+	answerMarginDivisor = 8 // a question is answered this part of a time-out before it must be
 )
 
 type entry struct {
 	Record
-	asOf   Time
-	looked Time   // by a look-up of its own
-	round  uint64 // of the synchronisation that brought it last
-	place  int    // among all
+	verifiedAt Time
+	lookedUpAt Time   // by a look-up of its own
+	syncRound  uint64 // of the synchronisation that brought it last
+	position   int    // among all
 }
 
 // Core is the view. One goroutine owns it.
 type Core struct {
 	Terms
-	Counts   Counts
-	now      Time
-	byID     map[string]*entry
-	all      []*entry // in no order
-	accounts map[string]*entry
-	tenants  map[string]*entry
-	negative map[string]Time // until when it is known not to be there
-	playing  map[string]int  // by the tenant's id: seats go with it over a rename
-	asOf     Time            // the view was the directory's then
-	whole    bool            // it was, once
-	mark     Mark
-	newest   Time // stamp that the mark's endpoint has told
-	newestAt Time // when it was first told
-	ends     ends
-
-	try     int
-	sync    sync
-	bad     map[string]Time // entries that could not be read, by their stamps
-	round   uint64
-	again   Time
-	looks   map[int]*look
-	line    map[string]*look
-	queue   []*look
-	waiting int
-	answers []Answer
-	news    []Record // tenants that have changed: shares for the module and the door
+	Counts        Counts
+	now           Time
+	byID          map[string]*entry
+	entries       []*entry // in no order
+	accounts      map[string]*entry
+	tenants       map[string]*entry
+	absentUntil   map[string]Time // until when it is known not to be there
+	seatsTaken    map[string]int  // by the tenant's id: seats go with it over a rename
+	verifiedAt    Time            // the view was the directory's then
+	synced        bool            // it was, once
+	checkpoint    Mark
+	latestStamp   Time // stamp that the mark's endpoint has told
+	latestStampAt Time // when it was first told
+	endpoints     endpointSet
+
+	lastAttempt      int
+	sync             syncState
+	unreadable       map[string]Time // entries that could not be read, by their stamps
+	syncRound        uint64
+	nextSyncAt       Time
+	lookups          map[int]*lookup
+	lookupsByAccount map[string]*lookup
+	lookupQueue      []*lookup
+	waiting          int
+	answers          []Answer
+	changedTenants   []Record // tenants that have changed: shares for the module and the door
 }
 
 // New makes a core that knows nothing.
 func New(t Terms, now Time) *Core {
-	c := &Core{Terms: t, now: now, mark: Mark{End: -1}, bad: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
-		negative: map[string]Time{}, playing: map[string]int{}, looks: map[int]*look{}, line: map[string]*look{}}
-	c.ends = newEnds(&c.Terms, t.Ends)
-	c.sync.prefer = -1
+	c := &Core{Terms: t, now: now, checkpoint: Mark{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
+		absentUntil: map[string]Time{}, seatsTaken: map[string]int{}, lookups: map[int]*lookup{}, lookupsByAccount: map[string]*lookup{}}
+	c.endpoints = newEndpointSet(&c.Terms, t.Ends)
+	c.sync.preferred = -1
 	return c
 }
 
@@ -215,9 +215,9 @@
 // more has less than 0 for it.
 func (c *Core) Resume(all []Record, mark Mark, asOf Time) {
 	for i := range all {
-		c.put(&all[i], asOf)
+		c.upsert(&all[i], asOf)
 	}
-	c.mark, c.asOf, c.whole, c.newest = mark, asOf, true, mark.Stamp
+	c.checkpoint, c.verifiedAt, c.synced, c.latestStamp = mark, asOf, true, mark.Stamp
 }
 
 // Records is the view in no order, for keeping and for checks; the mark and the moment that it stands for.
@@ -226,16 +226,16 @@
 	for _, e := range c.byID {
 		all = append(all, e.Record)
 	}
-	return all, c.mark, c.asOf
+	return all, c.checkpoint, c.verifiedAt
 }
 
 // Part is so many records, from a place down, and the place for the next part; less than 0 after the last. What
 // stands there throughout is brought by the parts together, though the view changes in between: an entry that goes
 // leaves its place to one that was brought already. Begin with Size, and with the mark as it was before.
 func (c *Core) Part(from, n int) (some []Record, next int) {
-	from = min(from, len(c.all))
+	from = min(from, len(c.entries))
 	next = max(from-n, 0)
-	for _, e := range c.all[next:from] {
+	for _, e := range c.entries[next:from] {
 		some = append(some, e.Record)
 	}
 	if next == 0 {
@@ -245,10 +245,12 @@
 }
 
 // Mark is how far the view has come, and the moment that it stands for.
-func (c *Core) Mark() (Mark, Time) { return c.mark, c.asOf }
+func (c *Core) Mark() (Mark, Time) { return c.checkpoint, c.verifiedAt }
 
 // Stands tells whether the view was ever whole, how many entries it has, and the moment that it stands for.
-func (c *Core) Stands() (whole bool, entries int, asOf Time) { return c.whole, len(c.byID), c.asOf }
+func (c *Core) Stands() (whole bool, entries int, asOf Time) {
+	return c.synced, len(c.byID), c.verifiedAt
+}
 
 // Name is an entry's name, empty for none.
 func (c *Core) Name(id string) string {
@@ -261,7 +263,7 @@
 // TellAll has all tenants' shares told anew.
 func (c *Core) TellAll() {
 	for _, e := range c.tenants {
-		c.news = append(c.news, e.Record)
+		c.changedTenants = append(c.changedTenants, e.Record)
 	}
 }
 
@@ -269,21 +271,21 @@
 func (c *Core) Size() int { return len(c.byID) }
 
 // age is how old what an entry says may be.
-func (c *Core) age(e *entry) Time { return c.now - max(e.asOf, c.fresh()) }
+func (c *Core) age(e *entry) Time { return c.now - max(e.verifiedAt, c.lastVerified()) }
 
 // fresh is when the whole view was last known to be the directory's: while a stream lives, its word counts.
-func (c *Core) fresh() Time {
-	if !c.whole {
+func (c *Core) lastVerified() Time {
+	if !c.synced {
 		return 0
 	}
-	return c.asOf
+	return c.verifiedAt
 }
 
 // Age is how old the view is.
-func (c *Core) Age() Time { return c.now - c.fresh() }
+func (c *Core) Age() Time { return c.now - c.lastVerified() }
 
 // put takes an entry in.
-func (c *Core) put(r *Record, asOf Time) {
+func (c *Core) upsert(r *Record, asOf Time) {
 	e := c.byID[r.ID]
 	if e == nil {
 		if c.Entries > 0 && len(c.byID) >= c.Entries {
@@ -292,19 +294,19 @@
 		}
 		e = &entry{}
 		c.byID[r.ID] = e
-		e.place = len(c.all)
-		c.all = append(c.all, e)
+		e.position = len(c.entries)
+		c.entries = append(c.entries, e)
 	} else {
-		c.unname(e)
+		c.removeName(e)
 	}
 	changed := e.Name != r.Name || e.Weight != r.Weight || e.Quota != r.Quota || e.Seats != r.Seats
-	e.Record, e.asOf = *r, max(e.asOf, asOf)
-	e.round = c.round
+	e.Record, e.verifiedAt = *r, max(e.verifiedAt, asOf)
+	e.syncRound = c.syncRound
 	c.index(e)[Fold(e.Name)] = e
 	if changed && r.Kind == Tenant {
-		c.news = append(c.news, e.Record)
+		c.changedTenants = append(c.changedTenants, e.Record)
 	}
-	delete(c.negative, Fold(r.Name))
+	delete(c.absentUntil, Fold(r.Name))
 	c.Counts.Changes++
 }
 
@@ -318,38 +320,38 @@
 
 // found puts an entry's name back on its index, if no other has it: a look-up at a replica that was behind may have
 // missed it.
-func (c *Core) found(e *entry) {
+func (c *Core) restoreName(e *entry) {
 	if key := Fold(e.Name); c.index(e)[key] == nil {
 		c.index(e)[key] = e
 	}
 }
 
 // unname takes an entry's name off the indexes, if it is still its own.
-func (c *Core) unname(e *entry) {
+func (c *Core) removeName(e *entry) {
 	if key := Fold(e.Name); c.index(e)[key] == e {
 		delete(c.index(e), key)
 	}
 }
 
-func (c *Core) drop(id string) {
+func (c *Core) remove(id string) {
 	if e := c.byID[id]; e != nil {
-		c.unname(e)
+		c.removeName(e)
 		delete(c.byID, id)
-		last := c.all[len(c.all)-1]
-		c.all[e.place], last.place = last, e.place
-		c.all[len(c.all)-1] = nil
-		c.all = c.all[:len(c.all)-1]
+		last := c.entries[len(c.entries)-1]
+		c.entries[e.position], last.position = last, e.position
+		c.entries[len(c.entries)-1] = nil
+		c.entries = c.entries[:len(c.entries)-1]
 		c.Counts.Deleted++
 		if e.Kind == Tenant {
 			gone := e.Record
 			gone.Weight, gone.Quota, gone.Seats = 0, 0, 0
-			c.news = append(c.news, gone)
+			c.changedTenants = append(c.changedTenants, gone)
 		}
 	}
 }
 
 // judge answers a question from what is known; false where nothing is.
-func (c *Core) judge(q *Question) (Answer, bool) {
+func (c *Core) decide(q *Question) (Answer, bool) {
 	a := Answer{ID: q.ID, Verdict: Unknown}
 	e := c.accounts[Fold(q.Account)]
 	if e == nil {
@@ -357,7 +359,7 @@
 	}
 	t := c.tenants[Fold(e.Tenant)]
 	if t == nil {
-		return a, c.whole // its tenant is not there
+		return a, c.synced // its tenant is not there
 	}
 	a.Tenant = t.Name
 	a.Age = max(c.age(e), c.age(t))
@@ -371,7 +373,7 @@
 		a.Verdict = Stale
 	case !slices.Contains(plans, q.Plan):
 		a.Verdict = NotPlan
-	case t.Seats > 0 && c.playing[t.ID] >= t.Seats:
+	case t.Seats > 0 && c.seatsTaken[t.ID] >= t.Seats:
 		a.Verdict = NoSeat
 	default:
 		if a.Age > c.Longest {
@@ -384,10 +386,10 @@
 
 // Cancel takes a question out whose player has left.
 func (c *Core) Cancel(id int) {
-	for _, l := range c.line {
-		n := len(l.asks)
-		l.asks = slices.DeleteFunc(l.asks, func(q Question) bool { return q.ID == id })
-		c.waiting -= n - len(l.asks)
+	for _, l := range c.lookupsByAccount {
+		n := len(l.queries)
+		l.queries = slices.DeleteFunc(l.queries, func(q Question) bool { return q.ID == id })
+		c.waiting -= n - len(l.queries)
 	}
 }
 
@@ -399,10 +401,10 @@
 	if t == nil {
 		return "", true
 	}
-	if t.Seats > 0 && c.playing[t.ID] >= t.Seats {
+	if t.Seats > 0 && c.seatsTaken[t.ID] >= t.Seats {
 		return "", false
 	}
-	c.playing[t.ID]++
+	c.seatsTaken[t.ID]++
 	return t.ID, true
 }
 
@@ -411,8 +413,8 @@
 	if id == "" {
 		return
 	}
-	if c.playing[id]--; c.playing[id] <= 0 {
-		delete(c.playing, id)
+	if c.seatsTaken[id]--; c.seatsTaken[id] <= 0 {
+		delete(c.seatsTaken, id)
 	}
 }
 
@@ -427,15 +429,15 @@
 // Settle emits what is to be asked now, the answers that are ready, and tenants whose shares have changed. It
 // returns when it wants to be called again.
 func (c *Core) Settle(do func(Want), answer func(Answer), share func(Record)) Time {
-	next := min(c.settleSync(do), c.settleLooks(do))
-	c.Counts.Opened, c.Counts.Trials = c.ends.opened, c.ends.trials
+	next := min(c.processSync(do), c.processLookups(do))
+	c.Counts.Opened, c.Counts.Trials = c.endpoints.opened, c.endpoints.probes
 	for _, a := range c.answers {
 		answer(a)
 	}
 	c.answers = nil
-	for _, r := range c.news {
+	for _, r := range c.changedTenants {
 		share(r)
 	}
-	c.news = nil
+	c.changedTenants = nil
 	return max(next, c.now+1)
 }
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -15,7 +15,7 @@
 // Whatever breaks off, comes twice or comes late, at an endpoint that synchronises or at one that is polled: after a
 // whole synchronisation the view is the directory's; before it no entry that is there and was known is lost; questions
 // get one answer each, and none is allowed on an entry that was deleted longer ago than the terms have it.
-func TestAnyDirectory(t *testing.T) {
+func TestViewMatchesDirectory(t *testing.T) {
 	const unit = 100_000 // so that stamps, which are whole seconds, matter
 	rapid.Check(t, func(rt *rapid.T) {
 		now := Time(1_000 * unit)
@@ -53,7 +53,7 @@
 			}, check, func(Record) {})
 		}
 		put := func(id string, r Record) {
-			r.ID, r.Stamp = id, now/granule*granule
+			r.ID, r.Stamp = id, now/stampResolution*stampResolution
 			if old, ok := d[id]; ok && old.Name != r.Name {
 				deleted[old.Name] = now
 			}
@@ -76,11 +76,11 @@
 					all = append(all, fmt.Sprintf("%s is %+v, not %+v", id, *e, r))
 				}
 			}
-			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", c.sync, c.mark, c.asOf, now, c.newestAt, c.newest))
+			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", c.sync, c.checkpoint, c.verifiedAt, now, c.latestStampAt, c.latestStamp))
 		}
 		// whole answers what is asked, and tells whether the view must be the directory's then.
 		whole := func(live bool) bool {
-			must := c.mine(sync.Try) && !c.sync.live && !beside
+			must := c.isCurrent(sync.Try) && !c.sync.streaming && !beside
 			switch sync.Act {
 			case Sync:
 				if sync.End == 1 {
@@ -197,17 +197,17 @@
 			rt.Fatal("left without an answer: ", open)
 		}
 		out := 0
-		for i := range c.ends.all {
-			out += c.ends.all[i].out
+		for i := range c.endpoints.all {
+			out += c.endpoints.all[i].inFlight
 		}
-		if c.waiting != 0 || out != len(c.looks) {
-			rt.Fatal("counted as waiting: ", c.waiting, ", out ", out, " of ", len(c.looks))
+		if c.waiting != 0 || out != len(c.lookups) {
+			rt.Fatal("counted as waiting: ", c.waiting, ", out ", out, " of ", len(c.lookups))
 		}
 	})
 }
 
 // A tenant that moves or is renamed keeps its seats, once; its old name is free.
-func TestSeatsGoAlong(t *testing.T) {
+func TestSeatsFollowRename(t *testing.T) {
 	c := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
 	try := 0
 	settle := func() { c.Settle(func(w Want) { try = w.Try }, func(Answer) {}, func(Record) {}) }
@@ -235,14 +235,14 @@
 	}
 	c.Over(b)
 	c.Over(b)
-	if c.playing["1"] != 0 {
+	if c.seatsTaken["1"] != 0 {
 		t.Error("seats given back twice")
 	}
 }
 
-func TestGuesses(t *testing.T) {
+func TestFailureLimits(t *testing.T) {
 	g := Guesses{Span: 1000, Seed: 7}
-	for i := range guesses {
+	for i := range maxAccountFailures {
 		if !g.May("ann", fmt.Sprint("place-", i), 10) {
 			t.Fatal("held after", i)
 		}
@@ -254,7 +254,7 @@
 	if !g.May("ann", "another", 1500) {
 		t.Error("held for ever")
 	}
-	for i := range perPlace {
+	for i := range maxAddressFailures {
 		g.Failed(fmt.Sprint("user-", i), "one place")
 	}
 	if g.May("zoe", "one place", 1501) {
@@ -266,32 +266,32 @@
 // the quick one; a look-up that one of them failed is asked of the other while there is time.
 func TestEndpoints(t *testing.T) {
 	terms := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
-	e := newEnds(&terms, 2)
+	e := newEndpointSet(&terms, 2)
 	now := Time(1)
 	asked := [2]int{}
 	for i := range 400 {
 		now += 10_000
 		at, _ := e.pick(now, -1)
 		asked[at]++
-		e.answered(at, now, []Time{90_000, 1_000}[at])
+		e.succeeded(at, now, []Time{90_000, 1_000}[at])
 		_ = i
 	}
 	if asked[0] == 0 || asked[0]*4 > asked[1] {
 		t.Error("a slow and a quick one:", asked)
 	}
-	for range trips {
+	for range tripFailures {
 		e.failed(0, now)
 	}
 	if at, trial := e.pick(now, 0); at != 1 || trial {
 		t.Error("one whose circuit is open was asked:", at, trial)
 	}
-	for range trips {
+	for range tripFailures {
 		e.failed(1, now)
 	}
-	if e.can(now) {
+	if e.available(now) {
 		t.Error("both are open")
 	}
-	now = e.due()
+	now = e.nextProbe()
 	one, trial := e.pick(now, -1)
 	if one < 0 || !trial {
 		t.Fatal("no trial", one, trial)
@@ -299,7 +299,7 @@
 	if at, _ := e.pick(now, -1); at == one {
 		t.Error("a second trial")
 	}
-	e.answered(one, now, 10)
+	e.succeeded(one, now, 10)
 	if at, trial := e.pick(now, -1); at != one || trial {
 		t.Error("not closed after its trial", at, trial)
 	}
@@ -345,7 +345,7 @@
 }
 
 // Whoever doubts an account waits for one look-up, whether it is there or not, and not again at once.
-func TestDoubt(t *testing.T) {
+func TestForcedLookup(t *testing.T) {
 	c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
 	c.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
 	for _, name := range []string{"ann", "bob"} {
@@ -384,12 +384,12 @@
 }
 
 // What stands throughout is in the parts together, whatever comes and goes between them.
-func TestParts(t *testing.T) {
+func TestChunksCoverView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
 		put := func(i int) {
 			id := fmt.Sprint(i)
-			c.put(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
+			c.upsert(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
 		}
 		stays := map[string]bool{}
 		n := rapid.IntRange(0, 40).Draw(rt, "entries")
@@ -407,7 +407,7 @@
 			for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 				i := rapid.IntRange(0, 60).Draw(rt, "which")
 				if rapid.Bool().Draw(rt, "goes") {
-					c.drop(fmt.Sprint(i))
+					c.remove(fmt.Sprint(i))
 					delete(stays, fmt.Sprint(i))
 				} else {
 					put(i)
@@ -419,11 +419,11 @@
 				rt.Fatal(id, " stood there throughout and was not brought")
 			}
 		}
-		if len(c.all) != len(c.byID) {
-			rt.Fatal(len(c.all), " of ", len(c.byID))
+		if len(c.entries) != len(c.byID) {
+			rt.Fatal(len(c.entries), " of ", len(c.byID))
 		}
-		for i, e := range c.all {
-			if e.place != i || c.byID[e.ID] != e {
+		for i, e := range c.entries {
+			if e.position != i || c.byID[e.ID] != e {
 				rt.Fatal("out of place: ", i)
 			}
 		}
@@ -432,8 +432,8 @@
 
 // What is modified between two pages is polled for, whatever stamps a later page has; and entries for which there is no
 // room are not read by name.
-func TestBetweenPages(t *testing.T) {
-	const s = granule
+func TestModifiedBetweenPages(t *testing.T) {
+	const s = stampResolution
 	c := New(Terms{Longest: 8 * s, Renew: s, Timeout: 5 * s, Waiting: 10, Lookups: 1, Entries: 2}, 100*s)
 	var w Want
 	settle := func(now Time) {
--- a/internal/tenants/rows.go
+++ b/internal/tenants/rows.go
@@ -14,30 +14,30 @@
 	Size  int  // of the table, those included
 	Rest  Time // that a row given up is left alone
 
-	want map[string]float64 // quotas, by the tenant's entry
-	rows []row
-	byID map[string]int
-	told bool // what stands in the table is not known
+	quotas  map[string]float64 // quotas, by the tenant's entry
+	rows    []row
+	byID    map[string]int
+	written bool // what stands in the table is not known
 }
 
 type row struct {
-	id    string
-	quota float64
-	freed Time
+	id      string
+	quota   float64
+	freedAt Time
 }
 
 // Want notes a tenant's quota, 0 for none.
 func (r *Rows) Want(id string, quota float64) {
-	if r.want == nil {
-		r.want, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
+	if r.quotas == nil {
+		r.quotas, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
 	}
-	if r.want[id] = quota; quota <= 0 {
-		delete(r.want, id)
+	if r.quotas[id] = quota; quota <= 0 {
+		delete(r.quotas, id)
 	}
 }
 
 // Again has all quotas told anew: the table was written by another hand.
-func (r *Rows) Again() { r.told = false }
+func (r *Rows) Again() { r.written = false }
 
 // Row is a tenant's row, or the table's size for none.
 func (r *Rows) Row(id string) int {
@@ -48,46 +48,46 @@
 }
 
 // Without is how many tenants have a quota and no row.
-func (r *Rows) Without() int { return len(r.want) - len(r.byID) }
+func (r *Rows) Without() int { return len(r.quotas) - len(r.byID) }
 
 // Settle tells what changes in the table, and when it wants to be called again: never is 0.
 func (r *Rows) Settle(now Time, set func(row int, quota float64)) (next Time) {
 	for i := range r.rows {
 		x := &r.rows[i]
-		quota := r.want[x.id]
+		quota := r.quotas[x.id]
 		if x.id != "" && quota == 0 {
 			delete(r.byID, x.id)
-			x.id, x.freed = "", now
+			x.id, x.freedAt = "", now
 		}
-		if quota != x.quota || !r.told {
+		if quota != x.quota || !r.written {
 			x.quota = quota
 			set(r.First+i, quota)
 		}
 	}
-	r.told = true
+	r.written = true
 	if r.Without() == 0 || len(r.byID) == len(r.rows) {
 		return 0
 	}
-	ids := slices.Sorted(maps.Keys(r.want))
+	ids := slices.Sorted(maps.Keys(r.quotas))
 	k := 0
 	for i := range r.rows {
 		x := &r.rows[i]
 		if x.id != "" {
 			continue
 		}
-		if x.freed > 0 && now-x.freed < r.Rest {
-			if next == 0 || x.freed+r.Rest < next {
-				next = x.freed + r.Rest
+		if x.freedAt > 0 && now-x.freedAt < r.Rest {
+			if next == 0 || x.freedAt+r.Rest < next {
+				next = x.freedAt + r.Rest
 			}
 			continue
 		}
-		for k < len(ids) && r.has(ids[k]) {
+		for k < len(ids) && r.hasRow(ids[k]) {
 			k++
 		}
 		if k == len(ids) {
 			return 0
 		}
-		x.id, x.quota = ids[k], r.want[ids[k]]
+		x.id, x.quota = ids[k], r.quotas[ids[k]]
 		r.byID[x.id] = i
 		set(r.First+i, x.quota)
 	}
@@ -97,7 +97,7 @@
 	return next
 }
 
-func (r *Rows) has(id string) bool {
+func (r *Rows) hasRow(id string) bool {
 	_, ok := r.byID[id]
 	return ok
 }
--- a/internal/tenants/rows_test.go
+++ b/internal/tenants/rows_test.go
@@ -9,7 +9,7 @@
 
 // Whatever quotas come and go: the table has each tenant's quota at its row and none elsewhere, a row that was given
 // up rests, no two share one, and none is without while there is a row to be had.
-func TestRows(t *testing.T) {
+func TestQuotaRows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := Rows{First: 2, Size: 2 + rapid.IntRange(0, 4).Draw(rt, "rows"), Rest: 10}
 		want, table := map[string]float64{}, map[int]float64{}
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -1,56 +1,56 @@
 package tenants
 
 // sync is the synchronisation under way.
-type sync struct {
-	act          Act
-	try, end     int
-	out, live    bool
-	asked, heard Time
-	next         Act  // the step that follows, 0 for none
-	listed       bool // what it does not name is gone
-	before       Time // all that was modified before it was over by the beginning
-	first        Time // the latest stamp of its first page, 0 until that is read
-	stamp        Time // the latest that it brought
-	unread       []string
-	prefer       int // an endpoint that another one named, -1 for none
-	hops         int
+type syncState struct {
+	op                   Act
+	attempt, endpoint    int
+	active, streaming    bool
+	startedAt, lastHeard Time
+	nextOp               Act  // the step that follows, 0 for none
+	removesUnlisted      bool // what it does not name is gone
+	completeBefore       Time // all that was modified before it was over by the beginning
+	firstPageStamp       Time // the latest stamp of its first page, 0 until that is read
+	latestStamp          Time // the latest that it brought
+	toReread             []string
+	preferred            int // an endpoint that another one named, -1 for none
+	referrals            int
 }
 
 const (
-	listPart   = 2         // a list is due when the view would be older than this part of Longest by the next time
-	readAtOnce = 100       // entries that are read by name in one search
-	granule    = 1_000_000 // of stamps (RFC 4517 section 3.3.13)
+	listAgeDivisor  = 2         // a list is due when the view would be older than this part of Longest by the next time
+	rereadBatch     = 100       // entries that are read by name in one search
+	stampResolution = 1_000_000 // of stamps (RFC 4517 section 3.3.13)
 )
 
 // mine tells whether news belongs to the synchronisation under way.
-func (c *Core) mine(try int) bool { return try == c.sync.try && c.sync.out }
+func (c *Core) isCurrent(try int) bool { return try == c.sync.attempt && c.sync.active }
 
 // Entry takes an entry of a synchronisation. It is fresh as of the synchronisation's beginning while that
 // refreshes, and as of now on a stream that lives.
 func (c *Core) Entry(try int, r Record) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	s := &c.sync
-	s.heard = c.now
-	asOf := s.asked
-	if s.live {
+	s.lastHeard = c.now
+	asOf := s.startedAt
+	if s.streaming {
 		asOf = c.now
 	}
-	s.stamp = max(s.stamp, r.Stamp)
-	c.put(&r, asOf)
+	s.latestStamp = max(s.latestStamp, r.Stamp)
+	c.upsert(&r, asOf)
 }
 
 // Present tells that entries are still as they were (RFC 4533 section 3.3).
 func (c *Core) Present(try int, ids []string) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
-	c.sync.heard = c.now
+	c.sync.lastHeard = c.now
 	for _, id := range ids {
 		if e := c.byID[id]; e != nil {
-			e.round, e.asOf = c.round, max(e.asOf, c.sync.asked)
-			c.found(e)
+			e.syncRound, e.verifiedAt = c.syncRound, max(e.verifiedAt, c.sync.startedAt)
+			c.restoreName(e)
 		}
 	}
 }
@@ -58,42 +58,42 @@
 // Unread tells of an entry that is there and cannot be read: it stays as it was, and is not read anew until it is
 // modified again.
 func (c *Core) Unread(try int, x Seen) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	c.Present(try, []string{x.ID})
-	c.sync.stamp = max(c.sync.stamp, x.Stamp)
+	c.sync.latestStamp = max(c.sync.latestStamp, x.Stamp)
 	if e := c.byID[x.ID]; e != nil {
 		e.Stamp = x.Stamp
 		return
 	}
-	if len(c.bad) >= max(c.Waiting, 1) {
-		clear(c.bad)
+	if len(c.unreadable) >= max(c.Waiting, 1) {
+		clear(c.unreadable)
 	}
-	c.bad[x.ID] = x.Stamp
+	c.unreadable[x.ID] = x.Stamp
 }
 
 // Seen takes a part of a list. What has another stamp than the view has it with, or none, is read by its name after
 // it: polls may have missed it, as a replica may bring changes late, under the stamps of another's clock.
 func (c *Core) Seen(try int, all []Seen) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
-	c.sync.heard = c.now
+	c.sync.lastHeard = c.now
 	for _, x := range all {
 		e := c.byID[x.ID]
-		switch at, bad := c.bad[x.ID]; {
+		switch at, bad := c.unreadable[x.ID]; {
 		case e != nil && x.Stamp != 0 && x.Stamp == e.Stamp:
-			e.round = c.round
-			c.found(e)
+			e.syncRound = c.syncRound
+			c.restoreName(e)
 		case e == nil && bad && at == x.Stamp:
 		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // no room: it would be read again at each list
 			c.Counts.Overfull++
 		default:
 			if e != nil {
-				e.round = c.round // it is there, whatever it is like
+				e.syncRound = c.syncRound // it is there, whatever it is like
 			}
-			c.sync.unread = append(c.sync.unread, x.ID)
+			c.sync.toReread = append(c.sync.toReread, x.ID)
 		}
 	}
 }
@@ -102,226 +102,226 @@
 // later one, whatever page it is on: the next poll begins there. A later page's stamps tell nothing of that, as what
 // had been read by then may have been modified before them.
 func (c *Core) Paged(try int) {
-	if s := &c.sync; c.mine(try) && s.first == 0 {
-		s.first = s.stamp
+	if s := &c.sync; c.isCurrent(try) && s.firstPageStamp == 0 {
+		s.firstPageStamp = s.latestStamp
 	}
 }
 
 // Gone tells that entries are deleted, which the directory says by name: it counts at once.
 func (c *Core) Gone(try int, ids []string) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
-	c.sync.heard = c.now
+	c.sync.lastHeard = c.now
 	for _, id := range ids {
-		c.drop(id)
+		c.remove(id)
 	}
 }
 
 // Refreshed tells that a synchronisation has brought all that there is. Where it listed what is there (rather
 // than what is deleted), what it did not list is gone. With live set the stream goes on with changes.
 func (c *Core) Refreshed(try int, cookie []byte, listed, live bool) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	s := &c.sync
-	s.heard, s.live = c.now, live
-	s.listed = listed
-	c.mark = Mark{End: s.end, Cookie: cookie}
-	c.complete()
-	if s.hops = 0; !live {
-		s.out = false
-		c.again = s.asked + c.Renew
+	s.lastHeard, s.streaming = c.now, live
+	s.removesUnlisted = listed
+	c.checkpoint = Mark{End: s.endpoint, Cookie: cookie}
+	c.completeSync()
+	if s.referrals = 0; !live {
+		s.active = false
+		c.nextSyncAt = s.startedAt + c.Renew
 	}
 }
 
 // complete makes the view the directory's, as of the synchronisation's beginning.
-func (c *Core) complete() {
+func (c *Core) completeSync() {
 	s := &c.sync
-	if s.listed {
+	if s.removesUnlisted {
 		for id, e := range c.byID {
-			if e.round != c.round {
-				c.drop(id)
+			if e.syncRound != c.syncRound {
+				c.remove(id)
 			}
 		}
 	}
-	c.asOf, c.whole = max(c.asOf, s.asked), true
+	c.verifiedAt, c.synced = max(c.verifiedAt, s.startedAt), true
 	c.Counts.Whole++
-	c.ends.answered(s.end, c.now, 0)
+	c.endpoints.succeeded(s.endpoint, c.now, 0)
 }
 
 // Done tells that a search has come to its end. What a list found changed is read next; only then is the view the
 // directory's.
 func (c *Core) Done(try int) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	s := &c.sync
-	s.heard = c.now
-	if c.mark.End != s.end {
-		c.mark, c.newest = Mark{End: s.end}, 0
+	s.lastHeard = c.now
+	if c.checkpoint.End != s.endpoint {
+		c.checkpoint, c.latestStamp = Mark{End: s.endpoint}, 0
 	}
-	if s.stamp > c.newest {
-		c.newest, c.newestAt = s.stamp, c.now
+	if s.latestStamp > c.latestStamp {
+		c.latestStamp, c.latestStampAt = s.latestStamp, c.now
 	}
-	if s.act == All || s.act == Poll {
-		c.mark.Stamp = max(c.mark.Stamp, s.before, s.first)
+	if s.op == All || s.op == Poll {
+		c.checkpoint.Stamp = max(c.checkpoint.Stamp, s.completeBefore, s.firstPageStamp)
 	}
-	s.out = false
+	s.active = false
 	switch {
-	case s.act == Poll && s.listed: // what is modified under a stamp that a list has seen too, the next poll brings
-		s.next = List
+	case s.op == Poll && s.removesUnlisted: // what is modified under a stamp that a list has seen too, the next poll brings
+		s.nextOp = List
 		return
-	case s.act != Poll && len(s.unread) > 0:
-		s.next = Again
+	case s.op != Poll && len(s.toReread) > 0:
+		s.nextOp = Again
 		return
-	case s.act == Poll:
-		c.ends.answered(s.end, c.now, 0)
+	case s.op == Poll:
+		c.endpoints.succeeded(s.endpoint, c.now, 0)
 	default:
-		c.complete()
+		c.completeSync()
 	}
-	s.hops = 0
-	c.again = s.asked + c.Renew
+	s.referrals = 0
+	c.nextSyncAt = s.startedAt + c.Renew
 }
 
 // Cookie takes a stream's word on how far it has come.
 func (c *Core) Cookie(try int, cookie []byte) {
-	if c.mine(try) && c.sync.live && len(cookie) > 0 {
-		c.mark.Cookie, c.sync.heard = cookie, c.now
+	if c.isCurrent(try) && c.sync.streaming && len(cookie) > 0 {
+		c.checkpoint.Cookie, c.sync.lastHeard = cookie, c.now
 	}
 }
 
 // Ended takes the end of a synchronisation that did not come to its own. Nothing is deleted for it.
 func (c *Core) Ended(try int, why Why) {
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	s := &c.sync
-	s.out, s.next = false, 0
+	s.active, s.nextOp = false, 0
 	c.Counts.Broken++
 	switch {
-	case why == CookieOld && len(c.mark.Cookie) > 0: // an answer too: all is asked for next
-		c.mark = Mark{End: s.end}
-		c.ends.answered(s.end, c.now, 0)
-		c.again = c.now
-	case why == NoSync && c.ends.syncs(s.end, c.now):
-		c.ends.hasNoSync(s.end, c.now)
-		if c.mark.End != s.end {
-			c.mark = Mark{End: s.end}
+	case why == CookieOld && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
+		c.checkpoint = Mark{End: s.endpoint}
+		c.endpoints.succeeded(s.endpoint, c.now, 0)
+		c.nextSyncAt = c.now
+	case why == NoSync && c.endpoints.supportsSync(s.endpoint, c.now):
+		c.endpoints.markNoSync(s.endpoint, c.now)
+		if c.checkpoint.End != s.endpoint {
+			c.checkpoint = Mark{End: s.endpoint}
 		}
-		c.mark.Cookie = nil
-		c.ends.answered(s.end, c.now, 0)
-		c.again = c.now
+		c.checkpoint.Cookie = nil
+		c.endpoints.succeeded(s.endpoint, c.now, 0)
+		c.nextSyncAt = c.now
 	default:
-		c.ends.failed(s.end, c.now)
+		c.endpoints.failed(s.endpoint, c.now)
 	}
 }
 
 // Referred takes an endpoint's word that another is to be asked (RFC 4511 section 4.1.10): one that the settings
 // name, by its number, or less than 0. Elsewhere nobody is asked, as what binds there would be given to strangers.
 func (c *Core) Referred(try, to int) {
-	if l := c.looks[try]; l != nil {
-		if to < 0 || to >= len(c.ends.all) || l.hops >= len(c.ends.all) {
+	if l := c.lookups[try]; l != nil {
+		if to < 0 || to >= len(c.endpoints.all) || l.referrals >= len(c.endpoints.all) {
 			c.Unlooked(try)
 			return
 		}
 		c.Counts.Referred++
 		c.release(l)
-		c.ends.answered(l.end, c.now, c.now-l.asked)
-		l.hops++
-		l.prefer = to
-		c.queue = append([]*look{l}, c.queue...)
+		c.endpoints.succeeded(l.endpoint, c.now, c.now-l.sentAt)
+		l.referrals++
+		l.preferred = to
+		c.lookupQueue = append([]*lookup{l}, c.lookupQueue...)
 		return
 	}
-	if !c.mine(try) {
+	if !c.isCurrent(try) {
 		return
 	}
 	s := &c.sync
-	if to < 0 || to >= len(c.ends.all) || s.hops >= len(c.ends.all) {
+	if to < 0 || to >= len(c.endpoints.all) || s.referrals >= len(c.endpoints.all) {
 		c.Ended(try, BrokeOff)
 		return
 	}
 	c.Counts.Referred++
-	s.hops++
-	s.out, s.next, s.prefer = false, 0, to
-	c.ends.answered(s.end, c.now, 0)
-	c.again = c.now
+	s.referrals++
+	s.active, s.nextOp, s.preferred = false, 0, to
+	c.endpoints.succeeded(s.endpoint, c.now, 0)
+	c.nextSyncAt = c.now
 }
 
 // settleSync emits the next step of synchronising.
-func (c *Core) settleSync(do func(Want)) Time {
+func (c *Core) processSync(do func(Want)) Time {
 	s := &c.sync
 	switch {
-	case s.out && !s.live && c.now-s.heard > c.Timeout:
-		c.Ended(s.try, BrokeOff)
-	case s.out && s.live && c.now-s.asked >= c.Renew: // it may have gone silent: it is opened anew, from its cookie
-		s.out = false
-		c.again = c.now
-	}
-	if !s.out && s.next != 0 {
-		c.try++
-		s.act, s.next, s.try, s.out, s.heard = s.next, 0, c.try, true, c.now
-		w := Want{Act: s.act, Try: c.try, End: s.end}
-		if s.act == List {
+	case s.active && !s.streaming && c.now-s.lastHeard > c.Timeout:
+		c.Ended(s.attempt, BrokeOff)
+	case s.active && s.streaming && c.now-s.startedAt >= c.Renew: // it may have gone silent: it is opened anew, from its cookie
+		s.active = false
+		c.nextSyncAt = c.now
+	}
+	if !s.active && s.nextOp != 0 {
+		c.lastAttempt++
+		s.op, s.nextOp, s.attempt, s.active, s.lastHeard = s.nextOp, 0, c.lastAttempt, true, c.now
+		w := Want{Act: s.op, Try: c.lastAttempt, End: s.endpoint}
+		if s.op == List {
 			c.Counts.Lists++
 		} else {
-			n := min(len(s.unread), readAtOnce)
-			w.IDs, s.unread = s.unread[:n:n], s.unread[n:]
+			n := min(len(s.toReread), rereadBatch)
+			w.IDs, s.toReread = s.toReread[:n:n], s.toReread[n:]
 			c.Counts.Reread += int64(n)
 		}
 		do(w)
 	}
-	if !s.out && c.now >= c.again && c.ends.can(c.now) {
-		prefer := s.prefer
+	if !s.active && c.now >= c.nextSyncAt && c.endpoints.available(c.now) {
+		prefer := s.preferred
 		if prefer < 0 {
-			prefer = c.mark.End
+			prefer = c.checkpoint.End
 		}
-		if at, trial := c.ends.pick(c.now, prefer); at >= 0 {
-			c.begin(at, trial, do)
+		if at, trial := c.endpoints.pick(c.now, prefer); at >= 0 {
+			c.startSync(at, trial, do)
 		}
 	}
 	switch {
-	case s.out && s.live:
-		return s.asked + c.Renew
-	case s.out:
-		return s.heard + c.Timeout + 1
-	case !c.ends.can(c.now):
-		return max(c.ends.due(), c.again, c.now+1)
-	}
-	return max(c.again, c.now+1)
+	case s.active && s.streaming:
+		return s.startedAt + c.Renew
+	case s.active:
+		return s.lastHeard + c.Timeout + 1
+	case !c.endpoints.available(c.now):
+		return max(c.endpoints.nextProbe(), c.nextSyncAt, c.now+1)
+	}
+	return max(c.nextSyncAt, c.now+1)
 }
 
 // begin asks an endpoint for what it can tell best.
-func (c *Core) begin(at int, trial bool, do func(Want)) {
+func (c *Core) startSync(at int, trial bool, do func(Want)) {
 	s := &c.sync
-	c.try++
-	c.round++
-	hops := s.hops
-	*s = sync{try: c.try, end: at, out: true, asked: c.now, heard: c.now, prefer: -1, hops: hops}
-	w := Want{Try: c.try, End: at, Trial: trial}
-	known := c.mark.End == at
-	if s.before = c.newest; !known {
-		s.before = 0
-	} else if c.newest > 0 && c.now-c.newestAt > granule { // nothing more comes under that second
-		s.before += granule
+	c.lastAttempt++
+	c.syncRound++
+	hops := s.referrals
+	*s = syncState{attempt: c.lastAttempt, endpoint: at, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: hops}
+	w := Want{Try: c.lastAttempt, End: at, Trial: trial}
+	known := c.checkpoint.End == at
+	if s.completeBefore = c.latestStamp; !known {
+		s.completeBefore = 0
+	} else if c.latestStamp > 0 && c.now-c.latestStampAt > stampResolution { // nothing more comes under that second
+		s.completeBefore += stampResolution
 	}
 	c.Counts.Syncs++
 	switch {
-	case c.ends.syncs(at, c.now):
+	case c.endpoints.supportsSync(at, c.now):
 		if w.Act = Sync; known {
-			w.Cookie = c.mark.Cookie
+			w.Cookie = c.checkpoint.Cookie
 		}
 		if len(w.Cookie) == 0 {
 			c.Counts.Full++
 		}
-	case !known || c.mark.Stamp == 0 || !c.whole:
-		w.Act, s.listed = All, true
+	case !known || c.checkpoint.Stamp == 0 || !c.synced:
+		w.Act, s.removesUnlisted = All, true
 		c.Counts.Full++
 	default:
-		w.Act, w.Since = Poll, c.mark.Stamp
-		s.listed = c.now+c.Renew-c.asOf >= c.Longest/listPart // by the next time it would be due
+		w.Act, w.Since = Poll, c.checkpoint.Stamp
+		s.removesUnlisted = c.now+c.Renew-c.verifiedAt >= c.Longest/listAgeDivisor // by the next time it would be due
 		c.Counts.Polls++
 	}
-	s.act = w.Act
+	s.op = w.Act
 	do(w)
 }
