--- a/internal/registry/boxes_test.go
+++ b/internal/registry/boxes_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A malformed value leaves its box as it was and is told once for a revision; one that goes, goes.
-func TestBoxUpdates(t *testing.T) {
+func TestBoxTracker(t *testing.T) {
 	good := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value()
 	var b Boxes
 	named, bad := b.Take(News{Whole: true, Changes: []Change{{Key: BoxesPrefix + "a", Value: good, Mod: 1}, {Key: MarkKey, Mod: 1},
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -79,10 +79,10 @@
 		k, err := Load(p.Kept)
 		switch {
 		case err == nil:
-			c.core.Resume(k.View, k.Head, k.Mark, k.AsOf)
+			c.core.Restore(k.View, k.Head, k.Mark, k.AsOf)
 			log.Info("serving the view kept on disk until the registry answers",
 				zap.Duration("age", time.Since(time.UnixMicro(k.AsOf))), zap.Int("keys", len(k.View)))
-		case !errors.Is(err, ErrNone):
+		case !errors.Is(err, ErrNoView):
 			log.Warn("the kept view is not used", zap.Error(err))
 		}
 	}
@@ -168,7 +168,7 @@
 	c.dirty = false
 	c.nextSave = time.Now().Add(time.Duration(c.config.Bounds.Timeout) * time.Microsecond)
 	_, mark := c.core.Revision()
-	k := Kept{View: c.core.View(), Head: c.core.Head(), Mark: mark, AsOf: now() - c.core.Age()}
+	k := StoredView{View: c.core.View(), Head: c.core.Header(), Mark: mark, AsOf: now() - c.core.Age()}
 	if err := k.Save(c.config.Kept); err != nil {
 		c.log.Error("the view cannot be kept on disk", zap.String("file", c.config.Kept), zap.Error(err))
 	}
@@ -190,7 +190,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	if w.Move {
+	if w.NextMember {
 		c.endpointIndex.Add(1)
 		c.log.Warn("a member of the registry has fallen behind the others, the next one is asked")
 	}
@@ -242,7 +242,7 @@
 	defer cancel()
 	if g, err := etcd.Get(lim, registry.MarkKey); err == nil && len(g.Kvs) == 1 {
 		h, mark := registry.Head{Cluster: g.Header.ClusterId, Revision: g.Header.Revision}, registry.Mark(g.Kvs[0].Value)
-		c.enqueue(func() { c.core.Elsewhere(h, mark) })
+		c.enqueue(func() { c.core.HandleMemberRevision(h, mark) })
 	}
 }
 
@@ -291,7 +291,7 @@
 			}
 			return
 		}
-		silent.Reset(time.Duration(c.config.Bounds.Silence()) * time.Microsecond)
+		silent.Reset(time.Duration(c.config.Bounds.StreamIdleTimeout()) * time.Microsecond)
 		if first {
 			first = false
 			lim, cancel := c.withTimeout(ctx)
@@ -311,7 +311,7 @@
 			if r.CompactRevision > 0 {
 				end(registry.Compacted)
 			} else {
-				end(registry.Dropped)
+				end(registry.WatcherDropped)
 			}
 			return
 		}
--- a/internal/registry/client/kept.go
+++ b/internal/registry/client/kept.go
@@ -6,10 +6,10 @@
 )
 
 // ErrNone says that no view is kept.
-var ErrNone = kept.ErrNone
+var ErrNoView = kept.ErrNone
 
 // Kept is a view as it lies on disk.
-type Kept struct {
+type StoredView struct {
 	View map[string]registry.Entry
 	Head registry.Head
 	Mark registry.Mark
@@ -19,11 +19,11 @@
 const viewFormat = "registry view 1"
 
 // Save replaces the file.
-func (k *Kept) Save(path string) error { return kept.Save(path, viewFormat, k) }
+func (k *StoredView) Save(path string) error { return kept.Save(path, viewFormat, k) }
 
 // Load reads a file. The errors are those of package kept.
-func Load(path string) (*Kept, error) {
-	k := &Kept{}
+func Load(path string) (*StoredView, error) {
+	k := &StoredView{}
 	if err := kept.Load(path, viewFormat, k); err != nil {
 		return nil, err
 	}
--- a/internal/registry/client/kept_test.go
+++ b/internal/registry/client/kept_test.go
@@ -12,10 +12,10 @@
 // A kept view comes back as it was; one that is truncated anywhere, or has any bit flipped, is refused.
 func TestStoredView(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "view")
-	if _, err := Load(file); !errors.Is(err, ErrNone) {
+	if _, err := Load(file); !errors.Is(err, ErrNoView) {
 		t.Fatal(err)
 	}
-	k := &Kept{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Head{Cluster: 3, Revision: 9},
+	k := &StoredView{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Head{Cluster: 3, Revision: 9},
 		Mark: "m", AsOf: 5}
 	if err := k.Save(file); err != nil {
 		t.Fatal(err)
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -27,7 +27,7 @@
 		log.Warn("registration lost, it is taken anew", zap.String("key", key), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(p.Bounds.Anew()) * time.Microsecond):
+		case <-time.After(time.Duration(p.Bounds.ReregisterDelay()) * time.Microsecond):
 		}
 	}
 }
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -41,22 +41,22 @@
 type Mark string
 
 // Act is what the core wants done.
-type Act int
+type Operation int
 
 // The acts. For each List and Watch exactly one of the answers comes, under the try's number.
 const (
-	None  Act = iota
-	List      // all keys and the mark, in one linearizable transaction
-	Watch     // from a revision on, after the mark was read and found the same
+	None  Operation = iota
+	List            // all keys and the mark, in one linearizable transaction
+	Watch           // from a revision on, after the mark was read and found the same
 )
 
 // Want is one act.
 type Want struct {
-	Act  Act
-	Move bool  // by another member than the last time
-	Try  int   // its number; what comes under another number is of the past
-	From int64 // of Watch: the first revision wanted
-	Mark Mark  // of Watch: the history that it must be
+	Act        Operation
+	NextMember bool  // by another member than the last time
+	Try        int   // its number; what comes under another number is of the past
+	From       int64 // of Watch: the first revision wanted
+	Mark       Mark  // of Watch: the history that it must be
 }
 
 // News is what the view has become: whole after a list, changes otherwise.
@@ -73,10 +73,10 @@
 
 // The failures.
 const (
-	Lost      Failure = iota // the connection, a time-out, a server that is away
-	Compacted                // the revision asked for is gone: only a list helps
-	Foreign                  // the mark read is another than the one asked for
-	Dropped                  // the registry dropped a slow watcher; it may be resumed
+	Lost           Failure = iota // the connection, a time-out, a server that is away
+	Compacted                     // the revision asked for is gone: only a list helps
+	Foreign                       // the mark read is another than the one asked for
+	WatcherDropped                // the registry dropped a slow watcher; it may be resumed
 )
 
 // Bounds are told at the start.
@@ -116,8 +116,8 @@
 	synced     bool // a list was taken
 	verifiedAt Time // when the view was last known to be the registry's
 
-	op            Act // under way
-	try           int
+	op            Operation // under way
+	attempt       int
 	lastActivity  Time // the try's beginning, or the watch's last sign of life
 	needsList     bool
 	retryAt       Time
@@ -143,7 +143,7 @@
 func New(b Bounds, now Time) *Core { return &Core{Bounds: b, now: now, view: map[string]Entry{}} }
 
 // Resume gives it a view kept from before: it is served until the registry answers.
-func (c *Core) Resume(view map[string]Entry, head Head, mark Mark, asOf Time) {
+func (c *Core) Restore(view map[string]Entry, head Head, mark Mark, asOf Time) {
 	c.view, c.revision, c.cluster, c.history = maps.Clone(view), head.Revision, head.Cluster, mark
 	c.synced, c.verifiedAt = true, asOf
 	n := c.snapshot()
@@ -164,11 +164,11 @@
 func (c *Core) View() map[string]Entry { return c.view }
 
 // Head is what the view's history tells of itself.
-func (c *Core) Head() Head { return Head{c.cluster, c.revision} }
+func (c *Core) Header() Head { return Head{c.cluster, c.revision} }
 
 // Listed takes the answer to a List.
 func (c *Core) Listed(try int, h Head, mark Mark, keys map[string]Entry) {
-	if try != c.try || c.op != List {
+	if try != c.attempt || c.op != List {
 		return
 	}
 	c.op = None
@@ -252,7 +252,7 @@
 // Watched takes an answer of a watch. With fragment set more pieces of the same answer follow. An answer
 // without changes tells how far the registry has come (a progress notification), or that the watch began.
 func (c *Core) Watched(try int, h Head, changes []Change, fragment, created bool) {
-	if try != c.try || c.op != Watch {
+	if try != c.attempt || c.op != Watch {
 		return
 	}
 	c.lastActivity = c.now
@@ -289,7 +289,7 @@
 // Elsewhere takes how far another member says that the history of a mark has come. It guards against a member
 // that answers all that it is asked and hears of nothing any more: a watch there that has not come as far
 // within some time-outs is left for the next member. It costs one small read of another member in a while.
-func (c *Core) Elsewhere(h Head, mark Mark) {
+func (c *Core) HandleMemberRevision(h Head, mark Mark) {
 	if c.op == Watch && mark == c.history && h.Cluster == c.cluster && h.Revision > c.revision && c.aheadRevision <= c.revision {
 		c.aheadRevision, c.aheadSince = h.Revision, c.now
 	}
@@ -326,7 +326,7 @@
 
 // Ended takes the end of a try that brought nothing more.
 func (c *Core) Ended(try int, why Failure) {
-	if try != c.try || c.op == None {
+	if try != c.attempt || c.op == None {
 		return
 	}
 	c.Counts.Failures++
@@ -336,7 +336,7 @@
 		c.restart(true)
 	case Foreign:
 		c.restart(true)
-	case Dropped:
+	case WatcherDropped:
 		c.restart(false)
 	default:
 		c.restart(false)
@@ -363,10 +363,10 @@
 }
 
 // Silence is how long a stream that is asked for a word once in each time-out may say nothing.
-func (b *Bounds) Silence() Time { return streamIdleTimeouts * b.Timeout }
+func (b *Bounds) StreamIdleTimeout() Time { return streamIdleTimeouts * b.Timeout }
 
 // Anew is how long one waits before a registration that was lost is taken anew.
-func (b *Bounds) Anew() Time { return b.Timeout / reregisterDivisor }
+func (b *Bounds) ReregisterDelay() Time { return b.Timeout / reregisterDivisor }
 
 // Settle emits what is to be done now, and the news since the last time. It returns when it wants to be
 // called again at the latest.
@@ -375,7 +375,7 @@
 		l := c.pendingList
 		c.pendingList = nil
 		c.install(l, true)
-		c.op, c.try = None, c.try+1
+		c.op, c.attempt = None, c.attempt+1
 	}
 	switch {
 	case c.op == List && c.now-c.lastActivity > c.Timeout, c.op == Watch && c.now-c.lastActivity > watchIdleTimeouts*c.Timeout:
@@ -389,7 +389,7 @@
 		c.aheadRevision, c.switchMember = 0, true
 	}
 	if c.op == None && c.now >= c.retryAt {
-		c.try++
+		c.attempt++
 		c.lastActivity = c.now
 		if c.op = Watch; !c.synced || c.needsList || c.pendingList != nil {
 			c.op = List
@@ -397,7 +397,7 @@
 		} else {
 			c.Counts.Watches++
 		}
-		do(Want{Act: c.op, Try: c.try, From: c.revision + 1, Mark: c.history, Move: c.switchMember})
+		do(Want{Act: c.op, Try: c.attempt, From: c.revision + 1, Mark: c.history, NextMember: c.switchMember})
 		c.switchMember = false
 	}
 	for _, n := range c.updates {
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -128,7 +128,7 @@
 			r.core.Watched(r.request.Try, h, nil, false, true)
 		case r.watchHistory != m.historyID || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
 			r.open = false
-			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(Dropped)}).Draw(t, "why")))
+			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(WatcherDropped)}).Draw(t, "why")))
 		default:
 			r.send(t, h)
 		}
@@ -328,21 +328,21 @@
 	settle()
 	k.Listed(want.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
 	settle()
-	k.Elsewhere(Head{1, 9}, "m")
+	k.HandleMemberRevision(Head{1, 9}, "m")
 	k.At(1 + k.Timeout)
 	k.Watched(want.Try, Head{1, 5}, nil, false, false) // it answers, and has nothing new
-	if settle(); want.Move {
+	if settle(); want.NextMember {
 		t.Fatal("left within the time-outs allowed")
 	}
 	k.At(2 + 3*k.Timeout)
-	if settle(); !want.Move || want.Act != Watch || want.From != 6 {
+	if settle(); !want.NextMember || want.Act != Watch || want.From != 6 {
 		t.Fatalf("not left: %+v", want)
 	}
-	want.Move = false
-	k.Elsewhere(Head{1, 7}, "m")
+	want.NextMember = false
+	k.HandleMemberRevision(Head{1, 7}, "m")
 	k.Watched(want.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
 	k.At(2 + 9*k.Timeout/2)
-	if settle(); want.Move {
+	if settle(); want.NextMember {
 		t.Fatal("left though it had come as far")
 	}
 	k.Ended(want.Try, Compacted)
@@ -350,7 +350,7 @@
 	settle()
 	k.Listed(want.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
 	k.At(2 + 11*k.Timeout)
-	if settle(); want.Act != List || !want.Move {
+	if settle(); want.Act != List || !want.NextMember {
 		t.Fatalf("an older list was taken: %+v", want)
 	}
 	k.Listed(want.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -54,7 +54,7 @@
 		default:
 			f.lastSeen[name] = present
 			delete(f.ready, name)
-			if m, err := ReadManager(c.Value); err == nil && m.State == "ready" && m.Address != "" {
+			if m, err := DecodeManager(c.Value); err == nil && m.State == "ready" && m.Address != "" {
 				f.ready[name] = []string{m.Address}
 				if m.Secure != "" {
 					f.ready[name] = append(f.ready[name], "rtsps://"+m.Secure)
--- a/internal/registry/value.go
+++ b/internal/registry/value.go
@@ -81,7 +81,7 @@
 
 // ReadManager reads a manager's value. One that cannot be read counts as a manager all the same, to which no
 // viewer is sent.
-func ReadManager(v []byte) (m Manager, err error) {
+func DecodeManager(v []byte) (m Manager, err error) {
 	if err := json.Unmarshal(v, &m); err != nil {
 		return Manager{}, fmt.Errorf("not a session manager: %w", err)
 	}
--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -44,16 +44,16 @@
 // Client carries out a core's wants. Do is called in the turns of the core's owner; what comes of it reaches the
 // core by post.
 type Client struct {
-	config  Place
-	post    func(func(*tenants.Core))
-	log     *zap.Logger
-	mu      sync.Mutex
-	idle    [][]*ldap.Conn     // by endpoint
-	cancel  context.CancelFunc // of the synchronisation under way
-	closed  bool
-	pending sync.WaitGroup
-	Asked   atomic.Int64 // searches
-	Bad     atomic.Int64 // entries that could not be read
+	config     Place
+	post       func(func(*tenants.Core))
+	log        *zap.Logger
+	mu         sync.Mutex
+	idle       [][]*ldap.Conn     // by endpoint
+	cancel     context.CancelFunc // of the synchronisation under way
+	closed     bool
+	pending    sync.WaitGroup
+	Searches   atomic.Int64 // searches
+	Unreadable atomic.Int64 // entries that could not be read
 }
 
 const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
@@ -123,7 +123,7 @@
 		return
 	}
 	c.pending.Add(1)
-	if w.Act == tenants.Look || w.Act == tenants.Tenure {
+	if w.Act == tenants.Look || w.Act == tenants.LookUpTenant {
 		go func() { defer c.pending.Done(); c.lookUp(w) }()
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 func (c *Client) reportUnreadable(e *ldap.Entry, err error) {
-	c.Bad.Add(1)
+	c.Unreadable.Add(1)
 	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", e.DN), zap.Error(err))
 }
 
@@ -172,31 +172,31 @@
 // look asks for one account or tenant, on a connection that stays for the next.
 func (c *Client) lookUp(w tenants.Want) {
 	fail := func(err error) {
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.End]), zap.Error(err))
+		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.Endpoint]), zap.Error(err))
 		if to, ok := c.referral(err); ok {
-			c.post(func(k *tenants.Core) { k.Referred(w.Try, to) })
+			c.post(func(k *tenants.Core) { k.HandleReferral(w.Try, to) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.Unlooked(w.Try) })
+		c.post(func(k *tenants.Core) { k.HandleLookupFailure(w.Try) })
 	}
 	c.mu.Lock()
 	var x *ldap.Conn
-	if n := len(c.idle[w.End]); n > 0 {
-		x, c.idle[w.End] = c.idle[w.End][n-1], c.idle[w.End][:n-1]
+	if n := len(c.idle[w.Endpoint]); n > 0 {
+		x, c.idle[w.Endpoint] = c.idle[w.Endpoint][n-1], c.idle[w.Endpoint][:n-1]
 	}
 	c.mu.Unlock()
 	if x == nil || x.IsClosing() {
 		var err error
-		if x, err = c.dial(w.End); err != nil {
+		if x, err = c.dial(w.Endpoint); err != nil {
 			fail(err)
 			return
 		}
 	}
 	f := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(w.Account) + "))"
-	if w.Act == tenants.Tenure {
+	if w.Act == tenants.LookUpTenant {
 		f = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(w.Account) + "))"
 	}
-	c.Asked.Add(1)
+	c.Searches.Add(1)
 	got, err := x.Search(c.searchRequest(f, 2))
 	if err == nil && len(got.Entries) == 0 && len(got.Referrals) > 0 {
 		err = fmt.Errorf("a part of %s is said to be at %s", c.config.Base, got.Referrals[0])
@@ -216,8 +216,8 @@
 		}
 	}
 	c.mu.Lock()
-	if !c.closed && len(c.idle[w.End]) < max(c.config.Terms.Lookups, 1) {
-		c.idle[w.End] = append(c.idle[w.End], x)
+	if !c.closed && len(c.idle[w.Endpoint]) < max(c.config.Terms.Lookups, 1) {
+		c.idle[w.Endpoint] = append(c.idle[w.Endpoint], x)
 		x = nil
 	}
 	c.mu.Unlock()
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -162,7 +162,7 @@
 		terms := tenants.Terms{Longest: 3e6, Renew: 300_000, Timeout: 200_000, Negative: 1e6, Waiting: 10, Lookups: 2}
 		o := newOwner(t, Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
 		has := func(n int) func(*tenants.Core) bool {
-			return func(c *tenants.Core) bool { whole, m, _ := c.Stands(); return whole && m == n }
+			return func(c *tenants.Core) bool { whole, m, _ := c.Status(); return whole && m == n }
 		}
 		o.until(t, "the first view", has(6))
 		s.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
@@ -258,7 +258,7 @@
 	store.Put("cn=t5,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"t5", "two"}, "pierlinkWeight": {"8"}})
 	var c, later tenants.Counts
 	for range 200 {
-		if o.do(func(k *tenants.Core) { c = k.Counts }); c.Reread > 0 && o.client.Bad.Load() > 0 {
+		if o.do(func(k *tenants.Core) { c = k.Counts }); c.Reread > 0 && o.client.Unreadable.Load() > 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -300,7 +300,7 @@
 	terms := tenants.Terms{Longest: 400_000, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
 	o := newOwner(t, Place{Endpoints: []string{all[0].Addr(), all[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
 	defer o.close()
-	whole := func(c *tenants.Core) bool { w, n, _ := c.Stands(); return w && n == 2 }
+	whole := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
 	o.until(t, "sent on", whole)
 	var sentOn, broken int64
 	o.do(func(c *tenants.Core) { sentOn = c.Counts.Referred })
@@ -323,7 +323,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if o.do(func(c *tenants.Core) { _, n, _ := c.Stands(); broken = int64(n) }); broken != 2 {
+	if o.do(func(c *tenants.Core) { _, n, _ := c.Status(); broken = int64(n) }); broken != 2 {
 		t.Error("a part was taken for the whole")
 	}
 }
@@ -346,7 +346,7 @@
 	o := newOwnerLogged(t, place, zap.New(logged))
 	o.until(t, "no refusal", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
 	s.Password = password
-	o.until(t, "no view", func(c *tenants.Core) bool { whole, _, _ := c.Stands(); return whole && o.client.Bad.Load() > 0 })
+	o.until(t, "no view", func(c *tenants.Core) bool { whole, _, _ := c.Status(); return whole && o.client.Unreadable.Load() > 0 })
 	o.close()
 	all := fmt.Sprintf("%v %+v %#v", place, place, place)
 	b, err := json.Marshal(place)
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -17,24 +17,24 @@
 
 // sync synchronises: from the cookie on, and then what changes, until it ends.
 func (c *Client) synchronise(ctx context.Context, w tenants.Want) {
-	end := func(why tenants.Why, err error) {
+	end := func(why tenants.SyncFailure, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.End]), zap.Error(err))
+		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.Endpoint]), zap.Error(err))
 		if to, ok := c.referral(err); ok {
-			c.post(func(k *tenants.Core) { k.Referred(w.Try, to) })
+			c.post(func(k *tenants.Core) { k.HandleReferral(w.Try, to) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.Ended(w.Try, why) })
+		c.post(func(k *tenants.Core) { k.HandleSyncFailure(w.Try, why) })
 	}
 	if w.Act == tenants.Sync && c.config.Paged {
-		end(tenants.NoSync, errors.New("content synchronisation is not to be tried"))
+		end(tenants.SyncUnsupported, errors.New("content synchronisation is not to be tried"))
 		return
 	}
-	x, err := c.dial(w.End)
+	x, err := c.dial(w.Endpoint)
 	if err != nil {
-		end(tenants.BrokeOff, err)
+		end(tenants.Interrupted, err)
 		return
 	}
 	defer x.Close()
@@ -42,11 +42,11 @@
 	defer stop()
 	if w.Act != tenants.Sync {
 		if err := c.searchPages(ctx, x, w); err != nil {
-			end(tenants.BrokeOff, err)
+			end(tenants.Interrupted, err)
 		}
 		return
 	}
-	c.Asked.Add(1)
+	c.Searches.Add(1)
 	x.SetTimeout(0) // a stream may be quiet; the core times it
 	r := x.Syncrepl(ctx, c.searchRequest(entryFilter, 0), batchSize, ldap.SyncRequestModeRefreshAndPersist, w.Cookie, false)
 	var batch []tenants.Record
@@ -61,14 +61,14 @@
 			for i := range b {
 				k.Entry(w.Try, b[i])
 			}
-			k.Present(w.Try, p)
+			k.HandlePresent(w.Try, p)
 			k.Gone(w.Try, g)
 		})
 	}
 	refreshed := false
 	for r.Next() {
 		if r.Referral() != "" { // a part lies elsewhere: this is not the whole
-			end(tenants.BrokeOff, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, r.Referral()))
+			end(tenants.Interrupted, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, r.Referral()))
 			return
 		}
 		state := int64(-1)
@@ -127,7 +127,7 @@
 			flush()
 			if len(cookie) > 0 {
 				t := slices.Clone(cookie)
-				c.post(func(k *tenants.Core) { k.Cookie(w.Try, t) })
+				c.post(func(k *tenants.Core) { k.HandleCookie(w.Try, t) })
 			}
 		}
 	}
@@ -135,13 +135,13 @@
 	err = r.Err()
 	switch {
 	case ldap.IsErrorWithCode(err, ldap.LDAPResultUnavailableCriticalExtension):
-		end(tenants.NoSync, err)
+		end(tenants.SyncUnsupported, err)
 	case ldap.IsErrorWithCode(err, ldap.LDAPResultSyncRefreshRequired):
-		end(tenants.CookieOld, err)
+		end(tenants.CookieExpired, err)
 	case err == nil:
-		end(tenants.BrokeOff, errors.New("the stream ended"))
+		end(tenants.Interrupted, errors.New("the stream ended"))
 	default:
-		end(tenants.BrokeOff, err)
+		end(tenants.Interrupted, err)
 	}
 }
 
@@ -150,7 +150,7 @@
 	switch w.Act {
 	case tenants.Poll:
 		return "(&" + entryFilter + "(modifyTimestamp>=" + generalizedTime(w.Since) + "))"
-	case tenants.Again:
+	case tenants.Reread:
 		var b strings.Builder
 		b.WriteString("(&" + entryFilter + "(|")
 		for _, id := range w.IDs {
@@ -169,7 +169,7 @@
 		if r.Controls = []ldap.Control{p}; w.Act == tenants.List {
 			r.Attributes = []string{"entryUUID", "modifyTimestamp"}
 		}
-		c.Asked.Add(1)
+		c.Searches.Add(1)
 		got, err := x.Search(r)
 		switch {
 		case err != nil:
@@ -183,7 +183,7 @@
 		}
 		c.deliverPage(w, got.Entries)
 		if len(next.Cookie) == 0 { // its estimate of the total means nothing
-			c.post(func(k *tenants.Core) { k.Done(w.Try) })
+			c.post(func(k *tenants.Core) { k.HandleSearchEnd(w.Try) })
 			return nil
 		}
 		p.SetCookie(next.Cookie)
@@ -194,17 +194,17 @@
 // page brings the entries of one page.
 func (c *Client) deliverPage(w tenants.Want, all []*ldap.Entry) {
 	var batch []tenants.Record
-	var seen, stay []tenants.Seen
+	var seen, stay []tenants.ListedEntry
 	for _, e := range all {
 		if w.Act == tenants.List {
-			seen = append(seen, tenants.Seen{ID: entryUUID(e), Stamp: modifyStamp(e)})
+			seen = append(seen, tenants.ListedEntry{ID: entryUUID(e), Stamp: modifyStamp(e)})
 			continue
 		}
 		if rec, err := Read(e); err == nil {
 			batch = append(batch, rec)
 		} else {
 			c.reportUnreadable(e, err)
-			stay = append(stay, tenants.Seen{ID: entryUUID(e), Stamp: modifyStamp(e)})
+			stay = append(stay, tenants.ListedEntry{ID: entryUUID(e), Stamp: modifyStamp(e)})
 		}
 	}
 	c.post(func(k *tenants.Core) {
@@ -212,9 +212,9 @@
 			k.Entry(w.Try, batch[i])
 		}
 		for _, x := range stay {
-			k.Unread(w.Try, x)
+			k.HandleUnreadable(w.Try, x)
 		}
-		k.Seen(w.Try, seen)
-		k.Paged(w.Try)
+		k.HandleListed(w.Try, seen)
+		k.HandlePageEnd(w.Try)
 	})
 }
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -53,33 +53,33 @@
 }
 
 // Act is what the core wants done.
-type Act int
+type Operation int
 
 // The acts.
 const (
-	Sync   Act = iota + 1 // content synchronisation from a cookie on
-	All                   // a paged search of all entries
-	Poll                  // a paged search of those that were modified at Since or later
-	List                  // a paged search of all, for their names and stamps alone
-	Again                 // the entries of some names
-	Look                  // one account
-	Tenure                // one tenant
+	Sync         Operation = iota + 1 // content synchronisation from a cookie on
+	FullSearch                        // a paged search of all entries
+	Poll                              // a paged search of those that were modified at Since or later
+	List                              // a paged search of all, for their names and stamps alone
+	Reread                            // the entries of some names
+	Look                              // one account
+	LookUpTenant                      // one tenant
 )
 
-func (a Act) String() string {
+func (a Operation) String() string {
 	return [...]string{"nothing", "synchronisation", "whole search", "poll", "list", "entries by name", "look-up", "look-up of a tenant"}[a]
 }
 
 // Want is one act under a number.
 type Want struct {
-	Act     Act
-	Try     int
-	End     int      // the endpoint to ask
-	Cookie  []byte   // of Sync: empty for all
-	Since   Time     // of Poll
-	IDs     []string // of Again
-	Account string   // of Look and Tenure
-	Trial   bool     // the single one that an open circuit lets through
+	Act      Operation
+	Try      int
+	Endpoint int      // the endpoint to ask
+	Cookie   []byte   // of Sync: empty for all
+	Since    Time     // of Poll
+	IDs      []string // of Again
+	Account  string   // of Look and Tenure
+	Probe    bool     // the single one that an open circuit lets through
 }
 
 // Mark is how far a synchronisation has come: it means something to the endpoint alone that told it.
@@ -90,19 +90,19 @@
 }
 
 // Seen is what a list tells of an entry.
-type Seen struct {
+type ListedEntry struct {
 	ID    string
 	Stamp Time
 }
 
 // Why tells how a synchronisation ended that did not come to its own end.
-type Why int
+type SyncFailure int
 
 // The reasons.
 const (
-	BrokeOff  Why = iota
-	CookieOld     // RFC 4533 e-syncRefreshRequired
-	NoSync        // the endpoint has no content synchronisation
+	Interrupted     SyncFailure = iota
+	CookieExpired               // RFC 4533 e-syncRefreshRequired
+	SyncUnsupported             // the endpoint has no content synchronisation
 )
 
 // Verdict is what becomes of a playback's question.
@@ -182,7 +182,7 @@
 	latestStampAt Time // when it was first told
 	endpoints     endpointSet
 
-	lastAttempt      int
+	attempt          int
 	sync             syncState
 	unreadable       map[string]Time // entries that could not be read, by their stamps
 	syncRound        uint64
@@ -248,7 +248,7 @@
 func (c *Core) Mark() (Mark, Time) { return c.checkpoint, c.verifiedAt }
 
 // Stands tells whether the view was ever whole, how many entries it has, and the moment that it stands for.
-func (c *Core) Stands() (whole bool, entries int, asOf Time) {
+func (c *Core) Status() (whole bool, entries int, asOf Time) {
 	return c.synced, len(c.byID), c.verifiedAt
 }
 
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -45,7 +45,7 @@
 		settle := func() {
 			c.At(now)
 			c.Settle(func(w Want) {
-				if w.Act == Look || w.Act == Tenure {
+				if w.Act == Look || w.Act == LookUpTenant {
 					looks[w.Try] = w
 				} else {
 					sync, beside = w, false
@@ -83,8 +83,8 @@
 			must := c.isCurrent(sync.Try) && !c.sync.streaming && !beside
 			switch sync.Act {
 			case Sync:
-				if sync.End == 1 {
-					c.Ended(sync.Try, NoSync)
+				if sync.Endpoint == 1 {
+					c.HandleSyncFailure(sync.Try, SyncUnsupported)
 					return false
 				}
 				for _, id := range slices.Sorted(maps.Keys(d)) {
@@ -96,22 +96,22 @@
 			case List:
 				for _, id := range slices.Sorted(maps.Keys(d)) {
 					r := d[id]
-					c.Seen(sync.Try, []Seen{{id, r.Stamp}})
+					c.HandleListed(sync.Try, []ListedEntry{{id, r.Stamp}})
 				}
-				c.Done(sync.Try)
+				c.HandleSearchEnd(sync.Try)
 				return false
 			}
 			for _, id := range slices.Sorted(maps.Keys(d)) {
 				r := d[id]
-				if sync.Act == All || sync.Act == Poll && r.Stamp >= sync.Since || sync.Act == Again && slices.Contains(sync.IDs, id) {
+				if sync.Act == FullSearch || sync.Act == Poll && r.Stamp >= sync.Since || sync.Act == Reread && slices.Contains(sync.IDs, id) {
 					c.Entry(sync.Try, r)
 					if rapid.Bool().Draw(rt, "page") {
-						c.Paged(sync.Try)
+						c.HandlePageEnd(sync.Try)
 					}
 				}
 			}
-			c.Done(sync.Try)
-			return must && sync.Act == All
+			c.HandleSearchEnd(sync.Try)
+			return must && sync.Act == FullSearch
 		}
 		settle()
 		for range 80 {
@@ -137,7 +137,7 @@
 						c.Entry(sync.Try, r)
 					}
 				}
-				c.Ended(sync.Try, Why(rapid.IntRange(0, 1).Draw(rt, "why")))
+				c.HandleSyncFailure(sync.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
 			case 5, 6: // one comes to its end
 				if whole(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
@@ -159,9 +159,9 @@
 					}
 					switch rapid.IntRange(0, 3).Draw(rt, "how") {
 					case 0:
-						c.Unlooked(try)
+						c.HandleLookupFailure(try)
 					case 1:
-						c.Referred(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
+						c.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
 					default:
 						c.Looked(try, found)
 						beside = beside || found != nil
@@ -319,25 +319,25 @@
 	c.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
 	settle()
 	first := w
-	c.Unlooked(w.Try)
+	c.HandleLookupFailure(w.Try)
 	settle()
-	if looks != 2 || w.End == first.End || len(got) != 0 {
+	if looks != 2 || w.Endpoint == first.Endpoint || len(got) != 0 {
 		t.Fatal("the other was not asked:", looks, w, first, got)
 	}
-	c.Unlooked(w.Try)
+	c.HandleLookupFailure(w.Try)
 	settle()
 	if looks != 2 || len(got) != 1 || got[0].Verdict != Busy {
 		t.Error("after both:", looks, got)
 	}
 	c.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
 	settle()
-	c.Referred(w.Try, 1-w.End)
-	was := w.End
+	c.HandleReferral(w.Try, 1-w.Endpoint)
+	was := w.Endpoint
 	settle()
-	if w.End == was || c.Counts.Referred != 1 {
+	if w.Endpoint == was || c.Counts.Referred != 1 {
 		t.Error("not sent on:", w)
 	}
-	c.Referred(w.Try, -1) // to a stranger
+	c.HandleReferral(w.Try, -1) // to a stranger
 	settle()
 	if c.Counts.Referred != 1 {
 		t.Error("sent to a stranger")
@@ -441,30 +441,30 @@
 		c.Settle(func(x Want) { w = x }, func(Answer) {}, func(Record) {})
 	}
 	settle(100 * s)
-	c.Ended(w.Try, NoSync)
+	c.HandleSyncFailure(w.Try, SyncUnsupported)
 	settle(100*s + 1)
-	if w.Act != All {
+	if w.Act != FullSearch {
 		t.Fatal(w)
 	}
 	c.Entry(w.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * s})
-	c.Paged(w.Try)
+	c.HandlePageEnd(w.Try)
 	c.At(103 * s) // here a is modified, under 102, and b after it
 	c.Entry(w.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * s})
-	c.Paged(w.Try)
-	c.Done(w.Try)
+	c.HandlePageEnd(w.Try)
+	c.HandleSearchEnd(w.Try)
 	settle(104 * s)
 	if w.Act != Poll || w.Since > 102*s {
 		t.Errorf("%v since %d: what was modified under 102 is missed", w.Act, w.Since/s)
 	}
-	c.Done(w.Try)
+	c.HandleSearchEnd(w.Try)
 	settle(104*s + 1)
 	if w.Act != List {
 		t.Fatal(w.Act)
 	}
-	c.Seen(w.Try, []Seen{{"a", 90 * s}, {"b", 103 * s}, {"c", 1}, {"d", 2}})
-	c.Done(w.Try)
+	c.HandleListed(w.Try, []ListedEntry{{"a", 90 * s}, {"b", 103 * s}, {"c", 1}, {"d", 2}})
+	c.HandleSearchEnd(w.Try)
 	settle(104*s + 2)
-	if w.Act == Again || c.Counts.Overfull != 2 || c.Size() != 2 {
+	if w.Act == Reread || c.Counts.Overfull != 2 || c.Size() != 2 {
 		t.Error(w.Act, c.Counts.Overfull, c.Size())
 	}
 }
--- a/internal/tenants/looks.go
+++ b/internal/tenants/looks.go
@@ -89,7 +89,7 @@
 
 // Unlooked takes the failure of a look-up. Another endpoint is asked while there is time for it; otherwise those who
 // wait come again.
-func (c *Core) Unlooked(try int) {
+func (c *Core) HandleLookupFailure(try int) {
 	l := c.lookups[try]
 	if l == nil {
 		return
@@ -169,13 +169,13 @@
 			break // all have as much out as they may
 		}
 		c.lookupQueue = c.lookupQueue[1:]
-		c.lastAttempt++
-		l.attempt, l.sentAt, l.endpoint = c.lastAttempt, c.now, at
-		c.lookups[c.lastAttempt] = l
+		c.attempt++
+		l.attempt, l.sentAt, l.endpoint = c.attempt, c.now, at
+		c.lookups[c.attempt] = l
 		c.endpoints.all[at].inFlight++
-		w := Want{Act: Look, Try: c.lastAttempt, End: at, Account: l.account, Trial: trial}
+		w := Want{Act: Look, Try: c.attempt, Endpoint: at, Account: l.account, Probe: trial}
 		if l.tenant != "" {
-			w.Act, w.Account = Tenure, l.tenant
+			w.Act, w.Account = LookUpTenant, l.tenant
 		}
 		c.Counts.Looks++
 		do(w)
@@ -183,7 +183,7 @@
 	next := c.now + c.Renew
 	for _, l := range c.lookups {
 		if c.now-l.sentAt > c.Timeout {
-			c.Unlooked(l.attempt)
+			c.HandleLookupFailure(l.attempt)
 			next = c.now // another endpoint may be asked
 			continue
 		}
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -2,15 +2,15 @@
 
 // sync is the synchronisation under way.
 type syncState struct {
-	op                   Act
+	op                   Operation
 	attempt, endpoint    int
 	active, streaming    bool
 	startedAt, lastHeard Time
-	nextOp               Act  // the step that follows, 0 for none
-	removesUnlisted      bool // what it does not name is gone
-	completeBefore       Time // all that was modified before it was over by the beginning
-	firstPageStamp       Time // the latest stamp of its first page, 0 until that is read
-	latestStamp          Time // the latest that it brought
+	nextOp               Operation // the step that follows, 0 for none
+	removesUnlisted      bool      // what it does not name is gone
+	completeBefore       Time      // all that was modified before it was over by the beginning
+	firstPageStamp       Time      // the latest stamp of its first page, 0 until that is read
+	latestStamp          Time      // the latest that it brought
 	toReread             []string
 	preferred            int // an endpoint that another one named, -1 for none
 	referrals            int
@@ -42,7 +42,7 @@
 }
 
 // Present tells that entries are still as they were (RFC 4533 section 3.3).
-func (c *Core) Present(try int, ids []string) {
+func (c *Core) HandlePresent(try int, ids []string) {
 	if !c.isCurrent(try) {
 		return
 	}
@@ -57,11 +57,11 @@
 
 // Unread tells of an entry that is there and cannot be read: it stays as it was, and is not read anew until it is
 // modified again.
-func (c *Core) Unread(try int, x Seen) {
+func (c *Core) HandleUnreadable(try int, x ListedEntry) {
 	if !c.isCurrent(try) {
 		return
 	}
-	c.Present(try, []string{x.ID})
+	c.HandlePresent(try, []string{x.ID})
 	c.sync.latestStamp = max(c.sync.latestStamp, x.Stamp)
 	if e := c.byID[x.ID]; e != nil {
 		e.Stamp = x.Stamp
@@ -75,7 +75,7 @@
 
 // Seen takes a part of a list. What has another stamp than the view has it with, or none, is read by its name after
 // it: polls may have missed it, as a replica may bring changes late, under the stamps of another's clock.
-func (c *Core) Seen(try int, all []Seen) {
+func (c *Core) HandleListed(try int, all []ListedEntry) {
 	if !c.isCurrent(try) {
 		return
 	}
@@ -101,7 +101,7 @@
 // Paged tells that a page has been read. What is modified after the first page was read has its latest stamp or a
 // later one, whatever page it is on: the next poll begins there. A later page's stamps tell nothing of that, as what
 // had been read by then may have been modified before them.
-func (c *Core) Paged(try int) {
+func (c *Core) HandlePageEnd(try int) {
 	if s := &c.sync; c.isCurrent(try) && s.firstPageStamp == 0 {
 		s.firstPageStamp = s.latestStamp
 	}
@@ -152,7 +152,7 @@
 
 // Done tells that a search has come to its end. What a list found changed is read next; only then is the view the
 // directory's.
-func (c *Core) Done(try int) {
+func (c *Core) HandleSearchEnd(try int) {
 	if !c.isCurrent(try) {
 		return
 	}
@@ -164,7 +164,7 @@
 	if s.latestStamp > c.latestStamp {
 		c.latestStamp, c.latestStampAt = s.latestStamp, c.now
 	}
-	if s.op == All || s.op == Poll {
+	if s.op == FullSearch || s.op == Poll {
 		c.checkpoint.Stamp = max(c.checkpoint.Stamp, s.completeBefore, s.firstPageStamp)
 	}
 	s.active = false
@@ -173,7 +173,7 @@
 		s.nextOp = List
 		return
 	case s.op != Poll && len(s.toReread) > 0:
-		s.nextOp = Again
+		s.nextOp = Reread
 		return
 	case s.op == Poll:
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
@@ -185,14 +185,14 @@
 }
 
 // Cookie takes a stream's word on how far it has come.
-func (c *Core) Cookie(try int, cookie []byte) {
+func (c *Core) HandleCookie(try int, cookie []byte) {
 	if c.isCurrent(try) && c.sync.streaming && len(cookie) > 0 {
 		c.checkpoint.Cookie, c.sync.lastHeard = cookie, c.now
 	}
 }
 
 // Ended takes the end of a synchronisation that did not come to its own. Nothing is deleted for it.
-func (c *Core) Ended(try int, why Why) {
+func (c *Core) HandleSyncFailure(try int, why SyncFailure) {
 	if !c.isCurrent(try) {
 		return
 	}
@@ -200,11 +200,11 @@
 	s.active, s.nextOp = false, 0
 	c.Counts.Broken++
 	switch {
-	case why == CookieOld && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
+	case why == CookieExpired && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
 		c.checkpoint = Mark{End: s.endpoint}
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
 		c.nextSyncAt = c.now
-	case why == NoSync && c.endpoints.supportsSync(s.endpoint, c.now):
+	case why == SyncUnsupported && c.endpoints.supportsSync(s.endpoint, c.now):
 		c.endpoints.markNoSync(s.endpoint, c.now)
 		if c.checkpoint.End != s.endpoint {
 			c.checkpoint = Mark{End: s.endpoint}
@@ -219,10 +219,10 @@
 
 // Referred takes an endpoint's word that another is to be asked (RFC 4511 section 4.1.10): one that the settings
 // name, by its number, or less than 0. Elsewhere nobody is asked, as what binds there would be given to strangers.
-func (c *Core) Referred(try, to int) {
+func (c *Core) HandleReferral(try, to int) {
 	if l := c.lookups[try]; l != nil {
 		if to < 0 || to >= len(c.endpoints.all) || l.referrals >= len(c.endpoints.all) {
-			c.Unlooked(try)
+			c.HandleLookupFailure(try)
 			return
 		}
 		c.Counts.Referred++
@@ -238,7 +238,7 @@
 	}
 	s := &c.sync
 	if to < 0 || to >= len(c.endpoints.all) || s.referrals >= len(c.endpoints.all) {
-		c.Ended(try, BrokeOff)
+		c.HandleSyncFailure(try, Interrupted)
 		return
 	}
 	c.Counts.Referred++
@@ -253,15 +253,15 @@
 	s := &c.sync
 	switch {
 	case s.active && !s.streaming && c.now-s.lastHeard > c.Timeout:
-		c.Ended(s.attempt, BrokeOff)
+		c.HandleSyncFailure(s.attempt, Interrupted)
 	case s.active && s.streaming && c.now-s.startedAt >= c.Renew: // it may have gone silent: it is opened anew, from its cookie
 		s.active = false
 		c.nextSyncAt = c.now
 	}
 	if !s.active && s.nextOp != 0 {
-		c.lastAttempt++
-		s.op, s.nextOp, s.attempt, s.active, s.lastHeard = s.nextOp, 0, c.lastAttempt, true, c.now
-		w := Want{Act: s.op, Try: c.lastAttempt, End: s.endpoint}
+		c.attempt++
+		s.op, s.nextOp, s.attempt, s.active, s.lastHeard = s.nextOp, 0, c.attempt, true, c.now
+		w := Want{Act: s.op, Try: c.attempt, Endpoint: s.endpoint}
 		if s.op == List {
 			c.Counts.Lists++
 		} else {
@@ -294,11 +294,11 @@
 // begin asks an endpoint for what it can tell best.
 func (c *Core) startSync(at int, trial bool, do func(Want)) {
 	s := &c.sync
-	c.lastAttempt++
+	c.attempt++
 	c.syncRound++
 	hops := s.referrals
-	*s = syncState{attempt: c.lastAttempt, endpoint: at, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: hops}
-	w := Want{Try: c.lastAttempt, End: at, Trial: trial}
+	*s = syncState{attempt: c.attempt, endpoint: at, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: hops}
+	w := Want{Try: c.attempt, Endpoint: at, Probe: trial}
 	known := c.checkpoint.End == at
 	if s.completeBefore = c.latestStamp; !known {
 		s.completeBefore = 0
@@ -315,7 +315,7 @@
 			c.Counts.Full++
 		}
 	case !known || c.checkpoint.Stamp == 0 || !c.synced:
-		w.Act, s.removesUnlisted = All, true
+		w.Act, s.removesUnlisted = FullSearch, true
 		c.Counts.Full++
 	default:
 		w.Act, w.Since = Poll, c.checkpoint.Stamp
