--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -23,45 +23,45 @@
 
 // Take returns the boxes that news is of (all, if whole), and what was wrong with values, each told once for
 // a revision.
-func (b *Boxes) Take(n News) (boxes []Named, bad []error) {
-	if b.lastValid == nil {
-		b.lastValid, b.reported = map[string]Box{}, map[string]int64{}
+func (tracker *Boxes) Take(update News) (boxes []Named, problems []error) {
+	if tracker.lastValid == nil {
+		tracker.lastValid, tracker.reported = map[string]Box{}, map[string]int64{}
 	}
-	before := b.lastValid
-	if n.Whole {
-		b.lastValid = map[string]Box{}
+	previous := tracker.lastValid
+	if update.Whole {
+		tracker.lastValid = map[string]Box{}
 	}
-	for _, c := range n.Changes {
-		name, ok := strings.CutPrefix(c.Key, BoxesPrefix)
+	for _, change := range update.Changes {
+		name, ok := strings.CutPrefix(change.Key, BoxesPrefix)
 		if !ok {
 			continue
 		}
-		if c.Deleted {
-			delete(b.lastValid, name)
-			delete(b.reported, name)
+		if change.Deleted {
+			delete(tracker.lastValid, name)
+			delete(tracker.reported, name)
 			boxes = append(boxes, Named{Name: name, Gone: true})
 			continue
 		}
-		x, err := ReadBox(c.Value)
+		box, err := ReadBox(change.Value)
 		if err != nil {
-			if b.reported[name] != c.Mod {
-				b.reported[name] = c.Mod
-				b.Malformed++
-				bad = append(bad, fmt.Errorf("box %s at revision %d: %w; it stays as it was", name, c.Mod, err))
+			if tracker.reported[name] != change.Mod {
+				tracker.reported[name] = change.Mod
+				tracker.Malformed++
+				problems = append(problems, fmt.Errorf("box %s at revision %d: %w; it stays as it was", name, change.Mod, err))
 			}
-			if x, ok = before[name]; !ok {
+			if box, ok = previous[name]; !ok {
 				continue
 			}
 		}
-		b.lastValid[name] = x
-		boxes = append(boxes, Named{Name: name, Box: x})
+		tracker.lastValid[name] = box
+		boxes = append(boxes, Named{Name: name, Box: box})
 	}
-	if n.Whole {
-		for name := range b.reported {
-			if !slices.ContainsFunc(n.Changes, func(c Change) bool { return c.Key == BoxesPrefix+name }) {
-				delete(b.reported, name)
+	if update.Whole {
+		for name := range tracker.reported {
+			if !slices.ContainsFunc(update.Changes, func(change Change) bool { return change.Key == BoxesPrefix+name }) {
+				delete(tracker.reported, name)
 			}
 		}
 	}
-	return boxes, bad
+	return boxes, problems
 }
--- a/internal/registry/boxes_test.go
+++ b/internal/registry/boxes_test.go
@@ -4,22 +4,22 @@
 
 // A malformed value leaves its box as it was and is told once for a revision; one that goes, goes.
 func TestBoxTracker(t *testing.T) {
-	good := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value()
-	var b Boxes
-	named, bad := b.Take(News{Whole: true, Changes: []Change{{Key: BoxesPrefix + "a", Value: good, Mod: 1}, {Key: MarkKey, Mod: 1},
+	valid := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value()
+	var tracker Boxes
+	boxes, problems := tracker.Take(News{Whole: true, Changes: []Change{{Key: BoxesPrefix + "a", Value: valid, Mod: 1}, {Key: MarkKey, Mod: 1},
 		{Key: BoxesPrefix + "b", Value: []byte("x"), Mod: 2}}})
-	if len(named) != 1 || named[0].Name != "a" || len(bad) != 1 {
-		t.Fatal(named, bad)
+	if len(boxes) != 1 || boxes[0].Name != "a" || len(problems) != 1 {
+		t.Fatal(boxes, problems)
 	}
-	named, bad = b.Take(News{Changes: []Change{{Key: BoxesPrefix + "a", Value: []byte(`{"version":9}`), Mod: 3}}})
-	if len(named) != 1 || named[0].Address != "127.0.0.1:1" || len(bad) != 1 {
-		t.Fatal(named, bad)
+	boxes, problems = tracker.Take(News{Changes: []Change{{Key: BoxesPrefix + "a", Value: []byte(`{"version":9}`), Mod: 3}}})
+	if len(boxes) != 1 || boxes[0].Address != "127.0.0.1:1" || len(problems) != 1 {
+		t.Fatal(boxes, problems)
 	}
-	named, bad = b.Take(News{Whole: true, Changes: []Change{{Key: BoxesPrefix + "a", Value: []byte(`{"version":9}`), Mod: 3}}})
-	if len(named) != 1 || named[0].Address != "127.0.0.1:1" || len(bad) != 0 || b.Malformed != 2 {
-		t.Fatal(named, bad, b.Malformed)
+	boxes, problems = tracker.Take(News{Whole: true, Changes: []Change{{Key: BoxesPrefix + "a", Value: []byte(`{"version":9}`), Mod: 3}}})
+	if len(boxes) != 1 || boxes[0].Address != "127.0.0.1:1" || len(problems) != 0 || tracker.Malformed != 2 {
+		t.Fatal(boxes, problems, tracker.Malformed)
 	}
-	if named, _ = b.Take(News{Changes: []Change{{Key: BoxesPrefix + "a", Mod: 4, Deleted: true}}}); len(named) != 1 || !named[0].Gone {
-		t.Fatal(named)
+	if boxes, _ = tracker.Take(News{Changes: []Change{{Key: BoxesPrefix + "a", Mod: 4, Deleted: true}}}); len(boxes) != 1 || !boxes[0].Gone {
+		t.Fatal(boxes)
 	}
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -50,44 +50,44 @@
 // redial has a connection that was lost tried again within a time-out: when to try is the core's to say, and
 // the library's own waits come on top of it.
 func dialOptions(timeout time.Duration) []grpc.DialOption {
-	b := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
-	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: b, MinConnectTimeout: timeout})}
+	backoffConfig := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
+	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoffConfig, MinConnectTimeout: timeout})}
 }
 
 func now() registry.Time { return time.Now().UnixMicro() }
 
 // New begins to follow. news is called for each change of the view, by one goroutine, in order; it is called
 // with the view kept on disk first, if there is one.
-func New(p Place, log *zap.Logger, news func(registry.News, registry.Mark)) (*Client, error) {
-	if len(p.Endpoints) == 0 {
+func New(config Place, log *zap.Logger, onUpdate func(registry.News, registry.Mark)) (*Client, error) {
+	if len(config.Endpoints) == 0 {
 		return nil, errors.New("no endpoint of the registry is given")
 	}
-	c := &Client{core: registry.New(p.Bounds, now()), config: p, log: log, calls: make(chan func(), 64),
-		stop: make(chan struct{}), done: make(chan struct{}), onUpdate: news}
-	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
-	for _, e := range p.Endpoints {
-		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{e}, TLS: p.TLS, Logger: zap.NewNop(), DialTimeout: timeout,
+	client := &Client{core: registry.New(config.Bounds, now()), config: config, log: log, calls: make(chan func(), 64),
+		stop: make(chan struct{}), done: make(chan struct{}), onUpdate: onUpdate}
+	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
+	for _, endpoint := range config.Endpoints {
+		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{endpoint}, TLS: config.TLS, Logger: zap.NewNop(), DialTimeout: timeout,
 			DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err != nil {
-			c.closeEndpoints()
+			client.closeEndpoints()
 			return nil, err
 		}
-		c.etcd = append(c.etcd, etcd)
+		client.etcd = append(client.etcd, etcd)
 	}
-	c.endpointIndex.Store(int64(p.Bounds.Seed % uint64(len(p.Endpoints))))
-	if p.Kept != "" {
-		k, err := Load(p.Kept)
+	client.endpointIndex.Store(int64(config.Bounds.Seed % uint64(len(config.Endpoints))))
+	if config.Kept != "" {
+		stored, err := Load(config.Kept)
 		switch {
 		case err == nil:
-			c.core.Restore(k.View, k.Head, k.Mark, k.AsOf)
+			client.core.Restore(stored.View, stored.Head, stored.Mark, stored.AsOf)
 			log.Info("serving the view kept on disk until the registry answers",
-				zap.Duration("age", time.Since(time.UnixMicro(k.AsOf))), zap.Int("keys", len(k.View)))
+				zap.Duration("age", time.Since(time.UnixMicro(stored.AsOf))), zap.Int("keys", len(stored.View)))
 		case !errors.Is(err, ErrNoView):
 			log.Warn("the kept view is not used", zap.Error(err))
 		}
 	}
-	go c.run()
-	return c, nil
+	go client.run()
+	return client, nil
 }
 
 // Close ends it; the view is kept.
@@ -116,11 +116,11 @@
 func (c *Client) endpoint() *clientv3.Client { return c.etcd[int(c.endpointIndex.Load())%len(c.etcd)] }
 
 // fail ends a try; the next one goes to the next endpoint unless this one has answered.
-func (c *Client) reportFailure(w registry.Want, why registry.Failure) {
-	if why == registry.Lost {
+func (c *Client) reportFailure(request registry.Want, failure registry.Failure) {
+	if failure == registry.Lost {
 		c.endpointIndex.Add(1)
 	}
-	c.enqueue(func() { c.core.Ended(w.Try, why) })
+	c.enqueue(func() { c.core.Ended(request.Try, failure) })
 }
 
 // Do runs a function with the core, in its goroutine.
@@ -150,10 +150,10 @@
 		case <-timer.C:
 			c.core.At(now())
 		}
-		next := c.core.Settle(c.perform, func(n registry.News) {
-			_, mark := c.core.Revision()
+		next := c.core.Settle(c.perform, func(update registry.News) {
+			_, history := c.core.Revision()
 			c.dirty = true
-			c.onUpdate(n, mark)
+			c.onUpdate(update, history)
 		})
 		c.saveView(false)
 		timer.Reset(time.Duration(max(next-now(), 0)) * time.Microsecond)
@@ -161,15 +161,15 @@
 }
 
 // keep writes the view to disk, once in a time-out at most.
-func (c *Client) saveView(last bool) {
-	if c.config.Kept == "" || !c.dirty || !last && time.Now().Before(c.nextSave) {
+func (c *Client) saveView(force bool) {
+	if c.config.Kept == "" || !c.dirty || !force && time.Now().Before(c.nextSave) {
 		return
 	}
 	c.dirty = false
 	c.nextSave = time.Now().Add(time.Duration(c.config.Bounds.Timeout) * time.Microsecond)
-	_, mark := c.core.Revision()
-	k := StoredView{View: c.core.View(), Head: c.core.Header(), Mark: mark, AsOf: now() - c.core.Age()}
-	if err := k.Save(c.config.Kept); err != nil {
+	_, history := c.core.Revision()
+	view := StoredView{View: c.core.View(), Head: c.core.Header(), Mark: history, AsOf: now() - c.core.Age()}
+	if err := view.Save(c.config.Kept); err != nil {
 		c.log.Error("the view cannot be kept on disk", zap.String("file", c.config.Kept), zap.Error(err))
 	}
 }
@@ -184,20 +184,20 @@
 
 // do carries one act out, in a goroutine of its own that ends with the act. What is still under way from the
 // one before ends.
-func (c *Client) perform(w registry.Want) {
+func (c *Client) perform(request registry.Want) {
 	if c.cancel != nil {
 		c.cancel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	if w.NextMember {
+	if request.NextMember {
 		c.endpointIndex.Add(1)
 		c.log.Warn("a member of the registry has fallen behind the others, the next one is asked")
 	}
-	if w.Act == registry.List {
-		go c.list(ctx, w)
+	if request.Act == registry.List {
+		go c.list(ctx, request)
 	} else {
-		go c.watch(ctx, w)
+		go c.watch(ctx, request)
 	}
 }
 
@@ -206,120 +206,120 @@
 }
 
 // list reads all keys and the mark in one transaction; a registry without a mark is given one.
-func (c *Client) list(ctx context.Context, w registry.Want) {
+func (c *Client) list(ctx context.Context, request registry.Want) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	name := make([]byte, 16)
-	_, _ = rand.Read(name)
+	historyID := make([]byte, 16)
+	_, _ = rand.Read(historyID)
 	etcd := c.endpoint()
 	_, err := etcd.Txn(ctx).If(clientv3.Compare(clientv3.Version(registry.MarkKey), "=", 0)).
-		Then(clientv3.OpPut(registry.MarkKey, hex.EncodeToString(name))).Commit()
-	var r *clientv3.TxnResponse
+		Then(clientv3.OpPut(registry.MarkKey, hex.EncodeToString(historyID))).Commit()
+	var response *clientv3.TxnResponse
 	if err == nil {
-		r, err = etcd.Txn(ctx).Then(clientv3.OpGet(prefix, clientv3.WithPrefix())).Commit()
+		response, err = etcd.Txn(ctx).Then(clientv3.OpGet(prefix, clientv3.WithPrefix())).Commit()
 	}
 	if err != nil {
 		c.log.Info("registry list failed", zap.Error(err))
-		c.reportFailure(w, registry.Lost)
+		c.reportFailure(request, registry.Lost)
 		return
 	}
-	keys, mark := map[string]registry.Entry{}, registry.Mark("")
-	for _, kv := range r.Responses[0].GetResponseRange().Kvs {
+	keys, history := map[string]registry.Entry{}, registry.Mark("")
+	for _, kv := range response.Responses[0].GetResponseRange().Kvs {
 		keys[string(kv.Key)] = registry.Entry{Value: kv.Value, Mod: kv.ModRevision}
 		if string(kv.Key) == registry.MarkKey {
-			mark = registry.Mark(kv.Value)
+			history = registry.Mark(kv.Value)
 		}
 	}
-	h := registry.Head{Cluster: r.Header.ClusterId, Revision: r.Header.Revision}
-	c.enqueue(func() { c.core.Listed(w.Try, h, mark, keys) })
+	header := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}
+	c.enqueue(func() { c.core.Listed(request.Try, header, history, keys) })
 }
 
 // elsewhere asks one of the other members how far it has come.
-func (c *Client) queryOtherMember(ctx context.Context, n int) {
+func (c *Client) queryOtherMember(ctx context.Context, attempt int) {
 	others := len(c.etcd) - 1
-	etcd := c.etcd[(int(c.endpointIndex.Load())+1+n%others)%len(c.etcd)]
-	lim, cancel := c.withTimeout(ctx)
+	etcd := c.etcd[(int(c.endpointIndex.Load())+1+attempt%others)%len(c.etcd)]
+	getCtx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if g, err := etcd.Get(lim, registry.MarkKey); err == nil && len(g.Kvs) == 1 {
-		h, mark := registry.Head{Cluster: g.Header.ClusterId, Revision: g.Header.Revision}, registry.Mark(g.Kvs[0].Value)
-		c.enqueue(func() { c.core.HandleMemberRevision(h, mark) })
+	if response, err := etcd.Get(getCtx, registry.MarkKey); err == nil && len(response.Kvs) == 1 {
+		header, history := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}, registry.Mark(response.Kvs[0].Value)
+		c.enqueue(func() { c.core.HandleMemberRevision(header, history) })
 	}
 }
 
 // watch opens a stream of its own, so that nothing resumes behind the core's back. The history is made sure
 // of before, and again once the stream is open: a registry that began anew in between shows then.
-func (c *Client) watch(ctx context.Context, w registry.Want) {
+func (c *Client) watch(ctx context.Context, request registry.Want) {
 	etcd := c.endpoint()
-	end := func(why registry.Failure) { c.reportFailure(w, why) }
+	fail := func(failure registry.Failure) { c.reportFailure(request, failure) }
 	timeout := time.Duration(c.config.Bounds.Timeout) * time.Microsecond
-	over, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(timeout, cancel) // a member that takes the stream and answers nothing
-	defer silent.Stop()
-	stream, err := pb.NewWatchClient(etcd.ActiveConnection()).Watch(over)
+	idle := time.AfterFunc(timeout, cancel) // a member that takes the stream and answers nothing
+	defer idle.Stop()
+	stream, err := pb.NewWatchClient(etcd.ActiveConnection()).Watch(watchCtx)
 	if err == nil {
 		err = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_CreateRequest{CreateRequest: &pb.WatchCreateRequest{
-			Key: []byte(prefix), RangeEnd: []byte(clientv3.GetPrefixRangeEnd(prefix)), StartRevision: w.From, ProgressNotify: true, Fragment: true}}})
+			Key: []byte(prefix), RangeEnd: []byte(clientv3.GetPrefixRangeEnd(prefix)), StartRevision: request.From, ProgressNotify: true, Fragment: true}}})
 	}
 	if err != nil {
-		end(registry.Lost)
+		fail(registry.Lost)
 		return
 	}
 	go func() { // it is asked how far it has come, or a quiet registry could not be told from one that hangs
 		tick := time.NewTicker(timeout)
 		defer tick.Stop()
-		for n := 0; ; {
+		for ticks := 0; ; {
 			select {
-			case <-over.Done():
+			case <-watchCtx.Done():
 				return
 			case <-tick.C:
 				if stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_ProgressRequest{ProgressRequest: &pb.WatchProgressRequest{}}}) != nil {
 					return
 				}
-				if n++; len(c.etcd) > 1 {
-					c.queryOtherMember(over, n)
+				if ticks++; len(c.etcd) > 1 {
+					c.queryOtherMember(watchCtx, ticks)
 				}
 			}
 		}
 	}()
 	first := true
 	for {
-		r, err := stream.Recv()
+		response, err := stream.Recv()
 		if err != nil {
 			if ctx.Err() == nil {
-				end(registry.Lost)
+				fail(registry.Lost)
 			}
 			return
 		}
-		silent.Reset(time.Duration(c.config.Bounds.StreamIdleTimeout()) * time.Microsecond)
+		idle.Reset(time.Duration(c.config.Bounds.StreamIdleTimeout()) * time.Microsecond)
 		if first {
 			first = false
-			lim, cancel := c.withTimeout(ctx)
-			g, err := etcd.Get(lim, registry.MarkKey)
+			getCtx, cancel := c.withTimeout(ctx)
+			stored, err := etcd.Get(getCtx, registry.MarkKey)
 			cancel()
 			if err != nil {
-				end(registry.Lost)
+				fail(registry.Lost)
 				return
 			}
-			if len(g.Kvs) == 0 || registry.Mark(g.Kvs[0].Value) != w.Mark {
-				end(registry.Foreign)
+			if len(stored.Kvs) == 0 || registry.Mark(stored.Kvs[0].Value) != request.Mark {
+				fail(registry.Foreign)
 				return
 			}
 		}
-		h := registry.Head{Cluster: r.Header.ClusterId, Revision: r.Header.Revision}
-		if r.Canceled {
-			if r.CompactRevision > 0 {
-				end(registry.Compacted)
+		header := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}
+		if response.Canceled {
+			if response.CompactRevision > 0 {
+				fail(registry.Compacted)
 			} else {
-				end(registry.WatcherDropped)
+				fail(registry.WatcherDropped)
 			}
 			return
 		}
-		changes := make([]registry.Change, len(r.Events))
-		for i, e := range r.Events {
-			changes[i] = registry.Change{Key: string(e.Kv.Key), Value: e.Kv.Value, Mod: e.Kv.ModRevision, Deleted: e.Type == mvccpb.Event_DELETE}
+		changes := make([]registry.Change, len(response.Events))
+		for i, event := range response.Events {
+			changes[i] = registry.Change{Key: string(event.Kv.Key), Value: event.Kv.Value, Mod: event.Kv.ModRevision, Deleted: event.Type == mvccpb.Event_DELETE}
 		}
-		fragment, created := r.Fragment, r.Created
-		c.enqueue(func() { c.core.Watched(w.Try, h, changes, fragment, created) })
+		fragment, created := response.Fragment, response.Created
+		c.enqueue(func() { c.core.Watched(request.Try, header, changes, fragment, created) })
 	}
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -20,18 +20,18 @@
 	n    int
 }
 
-func (v *recorder) take(n registry.News, _ registry.Mark) {
+func (v *recorder) take(update registry.News, _ registry.Mark) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.n++
-	if n.Whole || v.keys == nil {
+	if update.Whole || v.keys == nil {
 		v.keys = map[string]string{}
 	}
-	for _, c := range n.Changes {
-		if c.Deleted {
-			delete(v.keys, c.Key)
+	for _, change := range update.Changes {
+		if change.Deleted {
+			delete(v.keys, change.Key)
 		} else {
-			v.keys[c.Key] = string(c.Value)
+			v.keys[change.Key] = string(change.Value)
 		}
 	}
 }
@@ -58,55 +58,55 @@
 // down; one of its endpoints hangs all the while.
 func TestFollowsRegistry(t *testing.T) {
 	store := standin.NewStore(1, "h", registry.MarkKey)
-	s, err := standin.Serve("127.0.0.1:0", store)
+	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := s.Addr()
-	stuck, err := standin.Serve("127.0.0.1:0", store)
+	addr := server.Addr()
+	hanging, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stuck.Hang(true)
-	defer stuck.Stop()
+	hanging.Hang(true)
+	defer hanging.Stop()
 	box := registry.BoxesPrefix + "a"
-	place := client.Place{Endpoints: []string{addr, stuck.Addr()}, Kept: filepath.Join(t.TempDir(), "view"),
+	config := client.Place{Endpoints: []string{addr, hanging.Addr()}, Kept: filepath.Join(t.TempDir(), "view"),
 		Bounds: registry.Bounds{Grace: 200_000, Timeout: 200_000, Held: 1000}}
 	store.Put(map[string][]byte{box: []byte("1")})
-	v := &recorder{}
-	c, err := client.New(place, zap.NewNop(), v.take)
+	view := &recorder{}
+	c, err := client.New(config, zap.NewNop(), view.take)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.until(t, "first list", has(box, "1"))
+	view.until(t, "first list", has(box, "1"))
 	store.Put(map[string][]byte{box: []byte("2")})
-	v.until(t, "a change", has(box, "2"))
-	s.Cut()
+	view.until(t, "a change", has(box, "2"))
+	server.Cut()
 	store.Put(map[string][]byte{box: []byte("3")})
-	v.until(t, "a change over a cut", has(box, "3"))
-	s.Stop()
+	view.until(t, "a change over a cut", has(box, "3"))
+	server.Stop()
 	store.Put(map[string][]byte{box: []byte("4")})
 	store.Compact(1 << 40)
-	if s, err = standin.Serve(addr, store); err != nil {
+	if server, err = standin.Serve(addr, store); err != nil {
 		t.Fatal(err)
 	}
-	v.until(t, "a change that was compacted away", has(box, "4"))
+	view.until(t, "a change that was compacted away", has(box, "4"))
 	c.Close()
-	s.Stop()
-	w := &recorder{}
-	c, err = client.New(place, zap.NewNop(), w.take)
+	server.Stop()
+	restored := &recorder{}
+	c, err = client.New(config, zap.NewNop(), restored.take)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.until(t, "the kept view", has(box, "4"))
-	if s, err = standin.Serve(addr, store); err != nil {
+	restored.until(t, "the kept view", has(box, "4"))
+	if server, err = standin.Serve(addr, store); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
+	defer server.Stop()
 	store.Put(map[string][]byte{box: []byte("5")})
-	w.until(t, "a change after the kept view", has(box, "5"))
+	restored.until(t, "a change after the kept view", has(box, "5"))
 	c.Close()
-	if w.keys[registry.MarkKey] != "h" {
+	if restored.keys[registry.MarkKey] != "h" {
 		t.Error("no mark")
 	}
 }
@@ -114,7 +114,7 @@
 // A member that answers and hears of nothing new is left for one that does.
 func TestLeavesStaleMember(t *testing.T) {
 	store := standin.NewStore(1, "h", registry.MarkKey)
-	var ends []string
+	var endpoints []string
 	var members []*standin.Server
 	for range 2 {
 		s, err := standin.Serve("127.0.0.1:0", store)
@@ -122,18 +122,18 @@
 			t.Fatal(err)
 		}
 		defer s.Stop()
-		ends, members = append(ends, s.Addr()), append(members, s)
+		endpoints, members = append(endpoints, s.Addr()), append(members, s)
 	}
 	box := registry.BoxesPrefix + "a"
 	store.Put(map[string][]byte{box: []byte("1")})
-	v := &recorder{}
-	c, err := client.New(client.Place{Endpoints: ends, Bounds: registry.Bounds{Grace: 200_000, Timeout: 100_000, Held: 1000}}, zap.NewNop(), v.take)
+	view := &recorder{}
+	c, err := client.New(client.Place{Endpoints: endpoints, Bounds: registry.Bounds{Grace: 200_000, Timeout: 100_000, Held: 1000}}, zap.NewNop(), view.take)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	v.until(t, "first list", has(box, "1"))
+	view.until(t, "first list", has(box, "1"))
 	members[0].Freeze(true)
 	store.Put(map[string][]byte{box: []byte("2")})
-	v.until(t, "what the stale member does not know", has(box, "2"))
+	view.until(t, "what the stale member does not know", has(box, "2"))
 }
--- a/internal/registry/client/kept.go
+++ b/internal/registry/client/kept.go
@@ -19,13 +19,13 @@
 const viewFormat = "registry view 1"
 
 // Save replaces the file.
-func (k *StoredView) Save(path string) error { return kept.Save(path, viewFormat, k) }
+func (view *StoredView) Save(path string) error { return kept.Save(path, viewFormat, view) }
 
 // Load reads a file. The errors are those of package kept.
 func Load(path string) (*StoredView, error) {
-	k := &StoredView{}
-	if err := kept.Load(path, viewFormat, k); err != nil {
+	view := &StoredView{}
+	if err := kept.Load(path, viewFormat, view); err != nil {
 		return nil, err
 	}
-	return k, nil
+	return view, nil
 }
--- a/internal/registry/client/kept_test.go
+++ b/internal/registry/client/kept_test.go
@@ -15,13 +15,13 @@
 	if _, err := Load(file); !errors.Is(err, ErrNoView) {
 		t.Fatal(err)
 	}
-	k := &StoredView{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Head{Cluster: 3, Revision: 9},
+	view := &StoredView{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Head{Cluster: 3, Revision: 9},
 		Mark: "m", AsOf: 5}
-	if err := k.Save(file); err != nil {
+	if err := view.Save(file); err != nil {
 		t.Fatal(err)
 	}
 	got, err := Load(file)
-	if err != nil || got.Head != k.Head || got.Mark != "m" || string(got.View["/pierlink/boxes/a"].Value) != "v" {
+	if err != nil || got.Head != view.Head || got.Mark != "m" || string(got.View["/pierlink/boxes/a"].Value) != "v" {
 		t.Fatal(got, err)
 	}
 	text, err := os.ReadFile(file)
@@ -44,7 +44,7 @@
 			t.Error("flipped at", i)
 		}
 	}
-	if err := k.Save(filepath.Join(t.TempDir(), "none", "view")); err == nil {
+	if err := view.Save(filepath.Join(t.TempDir(), "none", "view")); err == nil {
 		t.Error("saved where there is no folder")
 	}
 }
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -12,13 +12,13 @@
 // then goes at once, and without a word when the process dies. A lease that is lost while the process lives
 // is taken anew. value is asked each time the key is written: at first, and when something comes on again (nil
 // for never).
-func Register(ctx context.Context, p Place, key string, value func() []byte, again <-chan struct{}, seconds int64, log *zap.Logger) {
-	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
-	for at := 0; ctx.Err() == nil; at++ {
-		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{p.Endpoints[at%len(p.Endpoints)]}, TLS: p.TLS, Logger: zap.NewNop(),
+func Register(ctx context.Context, config Place, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, log *zap.Logger) {
+	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{config.Endpoints[attempt%len(config.Endpoints)]}, TLS: config.TLS, Logger: zap.NewNop(),
 			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err == nil {
-			err = holdLease(ctx, etcd, key, value, again, seconds, timeout)
+			err = holdLease(ctx, etcd, key, value, rewrite, ttlSeconds, timeout)
 			_ = etcd.Close()
 		}
 		if ctx.Err() != nil {
@@ -27,32 +27,32 @@
 		log.Warn("registration lost, it is taken anew", zap.String("key", key), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(p.Bounds.ReregisterDelay()) * time.Microsecond):
+		case <-time.After(time.Duration(config.Bounds.ReregisterDelay()) * time.Microsecond):
 		}
 	}
 }
 
 // hold writes the key and returns when its lease is lost.
-func holdLease(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, again <-chan struct{}, seconds int64, timeout time.Duration) error {
-	lim, cancel := context.WithTimeout(ctx, timeout)
+func holdLease(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, timeout time.Duration) error {
+	writeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	l, err := etcd.Grant(lim, seconds)
+	lease, err := etcd.Grant(writeCtx, ttlSeconds)
 	if err != nil {
 		return err
 	}
-	if _, err := etcd.Put(lim, key, string(value()), clientv3.WithLease(l.ID)); err != nil {
+	if _, err := etcd.Put(writeCtx, key, string(value()), clientv3.WithLease(lease.ID)); err != nil {
 		return err
 	}
-	alive, err := etcd.KeepAlive(ctx, l.ID)
+	alive, err := etcd.KeepAlive(ctx, lease.ID)
 	if err != nil {
 		return err
 	}
 	for open := true; open; { // ends when the lease does, or the context
 		select {
 		case _, open = <-alive:
-		case <-again:
-			lim, cancel := context.WithTimeout(ctx, timeout)
-			_, err := etcd.Put(lim, key, string(value()), clientv3.WithLease(l.ID))
+		case <-rewrite:
+			writeCtx, cancel := context.WithTimeout(ctx, timeout)
+			_, err := etcd.Put(writeCtx, key, string(value()), clientv3.WithLease(lease.ID))
 			cancel()
 			if err != nil && ctx.Err() == nil {
 				return err
@@ -60,9 +60,9 @@
 		}
 	}
 	if ctx.Err() != nil {
-		bye, cancel := context.WithTimeout(context.Background(), timeout)
+		revokeCtx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		_, err = etcd.Revoke(bye, l.ID)
+		_, err = etcd.Revoke(revokeCtx, lease.ID)
 	}
 	return err
 }
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -143,8 +143,8 @@
 func New(b Bounds, now Time) *Core { return &Core{Bounds: b, now: now, view: map[string]Entry{}} }
 
 // Resume gives it a view kept from before: it is served until the registry answers.
-func (c *Core) Restore(view map[string]Entry, head Head, mark Mark, asOf Time) {
-	c.view, c.revision, c.cluster, c.history = maps.Clone(view), head.Revision, head.Cluster, mark
+func (c *Core) Restore(view map[string]Entry, header Head, history Mark, asOf Time) {
+	c.view, c.revision, c.cluster, c.history = maps.Clone(view), header.Revision, header.Cluster, history
 	c.synced, c.verifiedAt = true, asOf
 	n := c.snapshot()
 	n.Kept = true
@@ -167,13 +167,13 @@
 func (c *Core) Header() Head { return Head{c.cluster, c.revision} }
 
 // Listed takes the answer to a List.
-func (c *Core) Listed(try int, h Head, mark Mark, keys map[string]Entry) {
+func (c *Core) Listed(try int, header Head, history Mark, keys map[string]Entry) {
 	if try != c.attempt || c.op != List {
 		return
 	}
 	c.op = None
-	l := &listResult{h, mark, keys}
-	if c.synced && c.isOlder(l) {
+	list := &listResult{header, history, keys}
+	if c.synced && c.isOlder(list) {
 		// A member that has fallen behind says what the view knew before: it tells nothing that must bind in
 		// time. Others are asked until one is as far; only a registry that goes on being older, as one restored
 		// from a copy does, is followed back.
@@ -192,77 +192,77 @@
 	c.failures = 0
 	switch {
 	case c.pendingList != nil: // the confirmation: the later list counts, whichever it is
-		if !c.losesMany(l) {
+		if !c.losesMany(list) {
 			c.Counts.Refuted++
 		}
 		c.pendingList = nil
-		c.install(l, true)
-	case c.synced && c.Grace > 0 && c.losesMany(l):
+		c.install(list, true)
+	case c.synced && c.Grace > 0 && c.losesMany(list):
 		// Something may be wrong with the registry, or the member asked, rather than with the boxes: another
 		// member is asked, if there is one. What was read binds in time for the grace whether or not that answer comes, as the manager has been told.
 		c.Counts.Guarded++
-		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = l, c.now+c.Grace/confirmDivisor, true, true
+		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = list, c.now+c.Grace/confirmDivisor, true, true
 	default:
-		c.install(l, false)
+		c.install(list, false)
 	}
 }
 
 // loses tells whether a list lacks more than a part of what is known.
-func (c *Core) losesMany(l *listResult) bool {
-	gone := 0
+func (c *Core) losesMany(list *listResult) bool {
+	removed := 0
 	for k := range c.view {
-		if _, ok := l.keys[k]; !ok {
-			gone++
+		if _, ok := list.keys[k]; !ok {
+			removed++
 		}
 	}
-	return gone > 0 && float64(gone) > massRemovalShare*float64(len(c.view))
+	return removed > 0 && float64(removed) > massRemovalShare*float64(len(c.view))
 }
 
 // older tells whether a list is of an earlier state of the same history: of a member that has fallen behind,
 // or of a registry restored from a copy.
-func (c *Core) isOlder(l *listResult) bool {
-	return l.history == c.history && l.header.Cluster == c.cluster && l.header.Revision < c.revision
+func (c *Core) isOlder(list *listResult) bool {
+	return list.history == c.history && list.header.Cluster == c.cluster && list.header.Revision < c.revision
 }
 
 // take makes a list the view.
-func (c *Core) install(l *listResult, guarded bool) {
+func (c *Core) install(list *listResult, deferred bool) {
 	switch {
-	case c.synced && (l.history != c.history || l.header.Cluster != c.cluster):
+	case c.synced && (list.history != c.history || list.header.Cluster != c.cluster):
 		c.Counts.Histories++
-	case c.synced && l.header.Revision < c.revision:
+	case c.synced && list.header.Revision < c.revision:
 		c.Counts.Lower++
 	}
 	c.needsList, c.synced, c.verifiedAt, c.olderSince = false, true, c.now, 0
-	c.view, c.revision, c.cluster, c.history = l.keys, l.header.Revision, l.header.Cluster, l.history
-	n := c.snapshot()
-	n.Guarded = guarded
-	c.queueUpdate(n)
+	c.view, c.revision, c.cluster, c.history = list.keys, list.header.Revision, list.header.Cluster, list.history
+	update := c.snapshot()
+	update.Guarded = deferred
+	c.queueUpdate(update)
 }
 
 func (c *Core) snapshot() News {
-	n := News{Whole: true, Revision: c.revision}
+	update := News{Whole: true, Revision: c.revision}
 	for _, k := range slices.Sorted(maps.Keys(c.view)) {
-		n.Changes = append(n.Changes, Change{Key: k, Value: c.view[k].Value, Mod: c.view[k].Mod})
+		update.Changes = append(update.Changes, Change{Key: k, Value: c.view[k].Value, Mod: c.view[k].Mod})
 	}
-	return n
+	return update
 }
 
-func (c *Core) queueUpdate(n News) { c.updates = append(c.updates, n) }
+func (c *Core) queueUpdate(update News) { c.updates = append(c.updates, update) }
 
 // Watched takes an answer of a watch. With fragment set more pieces of the same answer follow. An answer
 // without changes tells how far the registry has come (a progress notification), or that the watch began.
-func (c *Core) Watched(try int, h Head, changes []Change, fragment, created bool) {
+func (c *Core) Watched(try int, header Head, changes []Change, fragment, created bool) {
 	if try != c.attempt || c.op != Watch {
 		return
 	}
 	c.lastActivity = c.now
-	if h.Cluster != c.cluster || !created && h.Revision < c.revision {
+	if header.Cluster != c.cluster || !created && header.Revision < c.revision {
 		c.restart(true)
 		return
 	}
 	c.failures = 0
 	if created {
-		if h.Revision < c.revision { // it has not even come as far as the view
+		if header.Revision < c.revision { // it has not even come as far as the view
 			c.restart(true)
 		}
 		return
@@ -276,61 +276,61 @@
 	if fragment {
 		return
 	}
-	all := c.fragments
+	complete := c.fragments
 	c.fragments = nil
 	c.verifiedAt = c.now
-	if len(all) == 0 {
-		c.revision = max(c.revision, h.Revision)
+	if len(complete) == 0 {
+		c.revision = max(c.revision, header.Revision)
 		return
 	}
-	c.apply(all)
+	c.apply(complete)
 }
 
 // Elsewhere takes how far another member says that the history of a mark has come. It guards against a member
 // that answers all that it is asked and hears of nothing any more: a watch there that has not come as far
 // within some time-outs is left for the next member. It costs one small read of another member in a while.
-func (c *Core) HandleMemberRevision(h Head, mark Mark) {
-	if c.op == Watch && mark == c.history && h.Cluster == c.cluster && h.Revision > c.revision && c.aheadRevision <= c.revision {
-		c.aheadRevision, c.aheadSince = h.Revision, c.now
+func (c *Core) HandleMemberRevision(header Head, history Mark) {
+	if c.op == Watch && history == c.history && header.Cluster == c.cluster && header.Revision > c.revision && c.aheadRevision <= c.revision {
+		c.aheadRevision, c.aheadSince = header.Revision, c.now
 	}
 }
 
 // apply takes whole transactions on, in order; what is known already is passed over.
-func (c *Core) apply(all []Change) {
-	n := News{}
-	last := c.revision
-	for _, x := range all {
-		if x.Mod <= c.revision {
+func (c *Core) apply(changes []Change) {
+	update := News{}
+	lastRevision := c.revision
+	for _, change := range changes {
+		if change.Mod <= c.revision {
 			c.Counts.Duplicates++
 			continue
 		}
-		if x.Mod < last { // out of order: nothing of it can be trusted
+		if change.Mod < lastRevision { // out of order: nothing of it can be trusted
 			c.restart(true)
 			return
 		}
-		last = x.Mod
-		n.Changes = append(n.Changes, x)
+		lastRevision = change.Mod
+		update.Changes = append(update.Changes, change)
 	}
-	for _, x := range n.Changes {
-		if x.Deleted {
-			delete(c.view, x.Key)
+	for _, change := range update.Changes {
+		if change.Deleted {
+			delete(c.view, change.Key)
 		} else {
-			c.view[x.Key] = Entry{x.Value, x.Mod}
+			c.view[change.Key] = Entry{change.Value, change.Mod}
 		}
 	}
-	if c.revision = last; len(n.Changes) > 0 {
-		n.Revision = last
-		c.queueUpdate(n)
+	if c.revision = lastRevision; len(update.Changes) > 0 {
+		update.Revision = lastRevision
+		c.queueUpdate(update)
 	}
 }
 
 // Ended takes the end of a try that brought nothing more.
-func (c *Core) Ended(try int, why Failure) {
+func (c *Core) Ended(try int, failure Failure) {
 	if try != c.attempt || c.op == None {
 		return
 	}
 	c.Counts.Failures++
-	switch why {
+	switch failure {
 	case Compacted:
 		c.Counts.Compactions++
 		c.restart(true)
@@ -345,21 +345,21 @@
 }
 
 // again ends what is under way; a list follows, or the watch from where it stood.
-func (c *Core) restart(list bool) {
+func (c *Core) restart(needsList bool) {
 	c.op, c.fragments = None, nil
-	c.needsList = c.needsList || list
+	c.needsList = c.needsList || needsList
 }
 
 // backOff waits before the next try: doubling, and spread by chance over the last half, so that managers
 // that lost the registry together do not come back together.
 func (c *Core) scheduleRetry() {
-	span := min(c.Timeout/initialBackoffDivisor<<min(c.failures, 10), c.Timeout)
+	delay := min(c.Timeout/initialBackoffDivisor<<min(c.failures, 10), c.Timeout)
 	c.failures++
 	c.jitterDraws++
 	b := [8]byte{byte(c.Seed >> 24), byte(c.Seed >> 16), byte(c.Seed >> 8), byte(c.Seed), byte(c.jitterDraws >> 24), byte(c.jitterDraws >> 16),
 		byte(c.jitterDraws >> 8), byte(c.jitterDraws)}
-	chance := float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
-	c.retryAt = c.now + span/2 + Time(float64(span/2)*chance)
+	jitter := float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
+	c.retryAt = c.now + delay/2 + Time(float64(delay/2)*jitter)
 }
 
 // Silence is how long a stream that is asked for a word once in each time-out may say nothing.
@@ -370,11 +370,11 @@
 
 // Settle emits what is to be done now, and the news since the last time. It returns when it wants to be
 // called again at the latest.
-func (c *Core) Settle(do func(Want), tell func(News)) Time {
+func (c *Core) Settle(request func(Want), publish func(News)) Time {
 	if c.pendingList != nil && c.now >= c.pendingUntil { // unconfirmed, yet the manager has been told
-		l := c.pendingList
+		list := c.pendingList
 		c.pendingList = nil
-		c.install(l, true)
+		c.install(list, true)
 		c.op, c.attempt = None, c.attempt+1
 	}
 	switch {
@@ -397,11 +397,11 @@
 		} else {
 			c.Counts.Watches++
 		}
-		do(Want{Act: c.op, Try: c.attempt, From: c.revision + 1, Mark: c.history, NextMember: c.switchMember})
+		request(Want{Act: c.op, Try: c.attempt, From: c.revision + 1, Mark: c.history, NextMember: c.switchMember})
 		c.switchMember = false
 	}
-	for _, n := range c.updates {
-		tell(n)
+	for _, update := range c.updates {
+		publish(update)
 	}
 	c.updates = nil
 	next := c.retryAt
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -22,16 +22,16 @@
 }
 
 func newModel() *model {
-	m := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
-	m.startHistory(1, false)
-	return m
+	registry := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
+	registry.startHistory(1, false)
+	return registry
 }
 
 // begin starts another history, perhaps with the same cluster id.
-func (m *model) startHistory(revision int64, other bool) {
+func (m *model) startHistory(revision int64, newCluster bool) {
 	m.histories++
 	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.histories)), revision, revision
-	if other {
+	if newCluster {
 		m.cluster++
 	}
 	m.state, m.log = map[string]Entry{}, nil
@@ -41,14 +41,14 @@
 // put makes one transaction of some changes.
 func (m *model) put(changes []Change) {
 	m.revision++
-	for _, c := range changes {
-		c.Mod = m.revision
-		if c.Deleted {
-			delete(m.state, c.Key)
+	for _, change := range changes {
+		change.Mod = m.revision
+		if change.Deleted {
+			delete(m.state, change.Key)
 		} else {
-			m.state[c.Key] = Entry{c.Value, c.Mod}
+			m.state[change.Key] = Entry{change.Value, change.Mod}
 		}
-		m.log = append(m.log, c)
+		m.log = append(m.log, change)
 	}
 	m.history[m.historyID][m.revision] = maps.Clone(m.state)
 }
@@ -77,30 +77,30 @@
 
 func (r *reader) process() {
 	r.core.At(r.now)
-	r.core.Settle(func(w Want) {
-		r.request, r.open = w, false
+	r.core.Settle(func(request Want) {
+		r.request, r.open = request, false
 		r.request.From += r.revisionShift
-	}, func(n News) {
-		rev, mark := r.core.Revision()
-		if !n.Whole && r.history == mark && n.Revision < r.revision {
+	}, func(update News) {
+		revision, history := r.core.Revision()
+		if !update.Whole && r.history == history && update.Revision < r.revision {
 			r.violation = "revisions went back"
 		}
-		if n.Whole {
+		if update.Whole {
 			r.view = map[string]Entry{}
 		}
-		for _, x := range n.Changes {
-			if old, ok := r.view[x.Key]; ok && !n.Whole && old.Mod >= x.Mod {
+		for _, change := range update.Changes {
+			if old, ok := r.view[change.Key]; ok && !update.Whole && old.Mod >= change.Mod {
 				r.violation = "a change applied twice"
 			}
-			if x.Deleted {
-				delete(r.view, x.Key)
+			if change.Deleted {
+				delete(r.view, change.Key)
 			} else {
-				r.view[x.Key] = Entry{x.Value, x.Mod}
+				r.view[change.Key] = Entry{change.Value, change.Mod}
 			}
 		}
-		r.revision, r.history = n.Revision, mark
-		if want, ok := r.model.history[mark][n.Revision]; !ok || !same(want, r.view) {
-			r.violation = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", n.Revision, mark, rev)
+		r.revision, r.history = update.Revision, history
+		if expected, ok := r.model.history[history][update.Revision]; !ok || !same(expected, r.view) {
+			r.violation = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", update.Revision, history, revision)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 // step answers what is wanted, or fails it.
 func (r *reader) step(t *rapid.T) {
 	m := r.model
-	h := Head{m.cluster, m.revision}
+	header := Head{m.cluster, m.revision}
 	switch r.request.Act {
 	case List:
 		if rapid.IntRange(0, 3).Draw(t, "list") == 0 {
@@ -116,7 +116,7 @@
 			break
 		}
 		r.lists++
-		r.core.Listed(r.request.Try, h, m.historyID, maps.Clone(m.state))
+		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
 	case Watch:
 		switch {
 		case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
@@ -125,79 +125,79 @@
 			r.core.Ended(r.request.Try, Compacted)
 		case !r.open:
 			r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
-			r.core.Watched(r.request.Try, h, nil, false, true)
+			r.core.Watched(r.request.Try, header, nil, false, true)
 		case r.watchHistory != m.historyID || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
 			r.open = false
 			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(WatcherDropped)}).Draw(t, "why")))
 		default:
-			r.send(t, h)
+			r.send(t, header)
 		}
 	}
 }
 
 // send brings changes: whole revisions, perhaps in pieces, cut in the middle, or told twice.
-func (r *reader) send(t *rapid.T, h Head) {
-	var all []Change
-	for _, x := range r.model.log {
-		if x.Mod > r.sentRevision {
-			all = append(all, x)
+func (r *reader) send(t *rapid.T, header Head) {
+	var pending []Change
+	for _, change := range r.model.log {
+		if change.Mod > r.sentRevision {
+			pending = append(pending, change)
 		}
 	}
-	if len(all) == 0 {
-		r.core.Watched(r.request.Try, h, nil, false, false) // progress
+	if len(pending) == 0 {
+		r.core.Watched(r.request.Try, header, nil, false, false) // progress
 		return
 	}
-	upTo := all[rapid.IntRange(0, len(all)-1).Draw(t, "upto")].Mod
-	var now []Change
-	for _, x := range all {
-		if x.Mod <= upTo {
-			now = append(now, x)
+	upTo := pending[rapid.IntRange(0, len(pending)-1).Draw(t, "upto")].Mod
+	var batch []Change
+	for _, change := range pending {
+		if change.Mod <= upTo {
+			batch = append(batch, change)
 		}
 	}
-	head := Head{h.Cluster, upTo}
-	if n := rapid.IntRange(0, len(now)-1).Draw(t, "piece"); n > 0 {
-		r.core.Watched(r.request.Try, head, now[:n], true, false)
+	head := Head{header.Cluster, upTo}
+	if n := rapid.IntRange(0, len(batch)-1).Draw(t, "piece"); n > 0 {
+		r.core.Watched(r.request.Try, head, batch[:n], true, false)
 		if rapid.IntRange(0, 3).Draw(t, "cut within") == 0 {
 			r.open = false
 			r.core.Ended(r.request.Try, Lost)
 			return
 		}
-		now = now[n:]
+		batch = batch[n:]
 	}
-	r.core.Watched(r.request.Try, head, now, false, false)
+	r.core.Watched(r.request.Try, head, batch, false, false)
 	r.sentRevision = upTo
 	if rapid.IntRange(0, 4).Draw(t, "twice") == 0 {
-		r.core.Watched(r.request.Try, head, now, false, false)
-		r.core.Watched(r.request.Try-1, head, now, false, false) // of a connection that has gone
+		r.core.Watched(r.request.Try, head, batch, false, false)
+		r.core.Watched(r.request.Try-1, head, batch, false, false) // of a connection that has gone
 	}
 }
 
-func simulate(t *rapid.T, shift int64, unsafe bool) string {
-	m := newModel()
-	r := &reader{model: m, core: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, revisionShift: shift, skipHistoryCheck: unsafe,
+func simulate(t *rapid.T, revisionShift int64, skipHistoryCheck bool) string {
+	registry := newModel()
+	r := &reader{model: registry, core: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, revisionShift: revisionShift, skipHistoryCheck: skipHistoryCheck,
 		view: map[string]Entry{}}
 	for range rapid.IntRange(1, 80).Draw(t, "steps") {
 		r.now += Time(rapid.IntRange(0, 400_000).Draw(t, "dt"))
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0:
-			m.compacted = max(m.compacted, m.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
+			registry.compacted = max(registry.compacted, registry.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
 		case 1:
 			if rapid.IntRange(0, 3).Draw(t, "anew") == 0 {
-				m.startHistory(max(1, m.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
+				registry.startHistory(max(1, registry.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
 			}
 		case 2, 3, 4:
 			var txn []Change
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
 				key := fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 				dup := false
-				for _, x := range txn {
-					dup = dup || x.Key == key
+				for _, change := range txn {
+					dup = dup || change.Key == key
 				}
 				if !dup {
-					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(m.historyID, m.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
+					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(registry.historyID, registry.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
 				}
 			}
-			m.put(txn)
+			registry.put(txn)
 		default:
 			r.process()
 			r.step(t)
@@ -216,8 +216,8 @@
 	if r.violation != "" {
 		return r.violation
 	}
-	if !same(r.view, m.state) || !same(r.core.View(), m.state) {
-		return fmt.Sprintf("after quiet the view is %v, the registry %v", r.view, m.state)
+	if !same(r.view, registry.state) || !same(r.core.View(), registry.state) {
+		return fmt.Sprintf("after quiet the view is %v, the registry %v", r.view, registry.state)
 	}
 	return ""
 }
@@ -225,10 +225,10 @@
 // quiet answers all that is wanted, well.
 func (r *reader) answerAll() {
 	m := r.model
-	h := Head{m.cluster, m.revision}
+	header := Head{m.cluster, m.revision}
 	switch {
 	case r.request.Act == List:
-		r.core.Listed(r.request.Try, h, m.historyID, maps.Clone(m.state))
+		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
 	case r.request.Act != Watch:
 	case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
 		r.core.Ended(r.request.Try, Foreign)
@@ -236,18 +236,18 @@
 		r.core.Ended(r.request.Try, Compacted)
 	case !r.open:
 		r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
-		r.core.Watched(r.request.Try, h, nil, false, true)
+		r.core.Watched(r.request.Try, header, nil, false, true)
 	case r.watchHistory != m.historyID:
 		r.open = false
 		r.core.Ended(r.request.Try, Lost)
 	default:
-		var all []Change
-		for _, x := range m.log {
-			if x.Mod > r.sentRevision {
-				all = append(all, x)
+		var pending []Change
+		for _, change := range m.log {
+			if change.Mod > r.sentRevision {
+				pending = append(pending, change)
 			}
 		}
-		r.core.Watched(r.request.Try, h, all, false, false)
+		r.core.Watched(r.request.Try, header, pending, false, false)
 		r.sentRevision = m.revision
 	}
 }
@@ -256,22 +256,22 @@
 // back within a history, and after quiet the view is the registry's.
 func TestViewMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if bad := simulate(rt, 0, false); bad != "" {
-			rt.Fatal(bad)
+		if violation := simulate(rt, 0, false); violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
 // The same check reports a core that resumes one revision late, and one whose edge mixes histories.
 func TestChecksDetectBrokenCores(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, fault := range map[string]struct {
 		shift  int64
 		unsafe bool
 	}{"one late": {1, false}, "histories mixed": {0, true}} {
 		caught := false
 		for seed := range 400 {
-			bad := rapid.Custom(func(rt *rapid.T) string { return simulate(rt, c.shift, c.unsafe) }).Example(seed)
-			if caught = caught || bad != ""; caught {
+			violation := rapid.Custom(func(rt *rapid.T) string { return simulate(rt, fault.shift, fault.unsafe) }).Example(seed)
+			if caught = caught || violation != ""; caught {
 				break
 			}
 		}
@@ -287,34 +287,34 @@
 	for i := range 10 {
 		keys[fmt.Sprint("k", i)] = Entry{Mod: 5}
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		second map[string]Entry // nil: never comes
 		whole  int              // news told
 		left   int
 	}{"confirmed": {map[string]Entry{}, 2, 0}, "refuted": {keys, 2, 10}, "unanswered": {nil, 2, 0}} {
-		k := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-		var want Want
-		whole := 0
-		settle := func() Time {
-			return k.Settle(func(w Want) { want = w }, func(n News) { whole++ })
+		core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
+		var request Want
+		updates := 0
+		process := func() Time {
+			return core.Settle(func(w Want) { request = w }, func(n News) { updates++ })
 		}
-		settle()
-		k.Listed(want.Try, Head{1, 5}, "m", maps.Clone(keys))
-		settle()
-		k.Ended(want.Try, Compacted)
-		settle()
-		k.Listed(want.Try, Head{1, 9}, "m", map[string]Entry{})
-		if settle(); want.Act != List || len(k.View()) != 10 {
-			t.Fatalf("%s: not asked again (%v)", name, want)
+		process()
+		core.Listed(request.Try, Head{1, 5}, "m", maps.Clone(keys))
+		process()
+		core.Ended(request.Try, Compacted)
+		process()
+		core.Listed(request.Try, Head{1, 9}, "m", map[string]Entry{})
+		if process(); request.Act != List || len(core.View()) != 10 {
+			t.Fatalf("%s: not asked again (%v)", name, request)
 		}
-		if c.second != nil {
-			k.Listed(want.Try, Head{1, 10}, "m", maps.Clone(c.second))
+		if test.second != nil {
+			core.Listed(request.Try, Head{1, 10}, "m", maps.Clone(test.second))
 		} else {
-			k.At(1 + k.Grace/confirmDivisor)
+			core.At(1 + core.Grace/confirmDivisor)
 		}
-		settle()
-		if whole != c.whole || len(k.View()) != c.left {
-			t.Errorf("%s: told %d times, %d left", name, whole, len(k.View()))
+		process()
+		if updates != test.whole || len(core.View()) != test.left {
+			t.Errorf("%s: told %d times, %d left", name, updates, len(core.View()))
 		}
 	}
 }
@@ -322,48 +322,48 @@
 // A watch at a member that has fallen behind another is left for the next one; a list of an earlier state of
 // the same history is asked for once more before it counts.
 func TestStaleMembers(t *testing.T) {
-	k := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-	var want Want
-	settle := func() { k.Settle(func(w Want) { want = w }, func(News) {}) }
-	settle()
-	k.Listed(want.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
-	settle()
-	k.HandleMemberRevision(Head{1, 9}, "m")
-	k.At(1 + k.Timeout)
-	k.Watched(want.Try, Head{1, 5}, nil, false, false) // it answers, and has nothing new
-	if settle(); want.NextMember {
+	core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
+	var request Want
+	process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+	process()
+	core.Listed(request.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
+	process()
+	core.HandleMemberRevision(Head{1, 9}, "m")
+	core.At(1 + core.Timeout)
+	core.Watched(request.Try, Head{1, 5}, nil, false, false) // it answers, and has nothing new
+	if process(); request.NextMember {
 		t.Fatal("left within the time-outs allowed")
 	}
-	k.At(2 + 3*k.Timeout)
-	if settle(); !want.NextMember || want.Act != Watch || want.From != 6 {
-		t.Fatalf("not left: %+v", want)
+	core.At(2 + 3*core.Timeout)
+	if process(); !request.NextMember || request.Act != Watch || request.From != 6 {
+		t.Fatalf("not left: %+v", request)
 	}
-	want.NextMember = false
-	k.HandleMemberRevision(Head{1, 7}, "m")
-	k.Watched(want.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
-	k.At(2 + 9*k.Timeout/2)
-	if settle(); want.NextMember {
+	request.NextMember = false
+	core.HandleMemberRevision(Head{1, 7}, "m")
+	core.Watched(request.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
+	core.At(2 + 9*core.Timeout/2)
+	if process(); request.NextMember {
 		t.Fatal("left though it had come as far")
 	}
-	k.Ended(want.Try, Compacted)
-	k.At(2 + 10*k.Timeout)
-	settle()
-	k.Listed(want.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
-	k.At(2 + 11*k.Timeout)
-	if settle(); want.Act != List || !want.NextMember {
-		t.Fatalf("an older list was taken: %+v", want)
+	core.Ended(request.Try, Compacted)
+	core.At(2 + 10*core.Timeout)
+	process()
+	core.Listed(request.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
+	core.At(2 + 11*core.Timeout)
+	if process(); request.Act != List || !request.NextMember {
+		t.Fatalf("an older list was taken: %+v", request)
 	}
-	k.Listed(want.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
-	settle()
-	if rev, _ := k.Revision(); rev != 8 || k.Counts.Refuted != 1 {
-		t.Error(rev, k.Counts)
+	core.Listed(request.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
+	process()
+	if revision, _ := core.Revision(); revision != 8 || core.Counts.Refuted != 1 {
+		t.Error(revision, core.Counts)
 	}
-	k.Ended(want.Try, Compacted) // a registry restored from a copy is older for good
+	core.Ended(request.Try, Compacted) // a registry restored from a copy is older for good
 	for at := Time(12); at < 40; at++ {
-		k.At(2 + at*k.Timeout)
-		settle()
-		rev, _ := k.Revision()
-		if k.Listed(want.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); rev == 4 {
+		core.At(2 + at*core.Timeout)
+		process()
+		revision, _ := core.Revision()
+		if core.Listed(request.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); revision == 4 {
 			if at < 12+olderListTimeouts {
 				t.Error("followed back after", at-12)
 			}
@@ -374,9 +374,9 @@
 }
 
 func TestValues(t *testing.T) {
-	good := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
-	if b, err := ReadBox(good.Value()); err != nil || b.Address != good.Address {
-		t.Error(b, err)
+	valid := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
+	if box, err := ReadBox(valid.Value()); err != nil || box.Address != valid.Address {
+		t.Error(box, err)
 	}
 	for _, v := range []string{"", "{}", "[]", `{"version":2}`, `{"version":1,"state":"off","address":"a:1"}`,
 		`{"version":1,"state":"ready","address":"a"}`, `{"version":1,"state":"ready","address":"a:1","cell":-1}`} {
@@ -393,24 +393,24 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := New(Bounds{Grace: 1, Timeout: 1_000_000, Held: 1 << 20}, 1)
-			var want Want
-			settle := func() { c.Settle(func(w Want) { want = w }, func(News) {}) }
-			settle()
+			core := New(Bounds{Grace: 1, Timeout: 1_000_000, Held: 1 << 20}, 1)
+			var request Want
+			process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+			process()
 			keys := map[string]Entry{}
 			for i := range n {
 				keys[fmt.Sprint(BoxesPrefix, "box-", i)] = Entry{Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value(), 1}
 			}
-			c.Listed(want.Try, Head{1, 1}, "m", keys)
-			settle()
+			core.Listed(request.Try, Head{1, 1}, "m", keys)
+			process()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			value := Box{Address: "127.0.0.1:2", Zone: "z", Kind: "std", State: "draining"}.Value()
-			rev := int64(1)
+			revision := int64(1)
 			for b.Loop() {
-				rev++
-				c.Watched(want.Try, Head{1, rev}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", rev%int64(n)), Value: value, Mod: rev}}, false, false)
-				settle()
+				revision++
+				core.Watched(request.Try, Head{1, revision}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", revision%int64(n)), Value: value, Mod: revision}}, false, false)
+				process()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/box")
 		})
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -29,35 +29,35 @@
 )
 
 // Take follows the managers' keys.
-func (f *Fleet) Take(n News, now Time) {
+func (f *Fleet) Take(update News, now Time) {
 	if f.lastSeen == nil {
 		f.lastSeen, f.ready = map[string]Time{}, map[string][]string{}
 	}
-	gone := func(name string) {
+	markGone := func(name string) {
 		delete(f.ready, name)
 		if f.lastSeen[name] == present {
 			f.lastSeen[name] = now
 		}
 	}
-	if n.Whole {
+	if update.Whole {
 		for name := range f.lastSeen {
-			gone(name)
+			markGone(name)
 		}
 	}
-	for _, c := range n.Changes {
-		name, ok := strings.CutPrefix(c.Key, ManagersPrefix)
+	for _, change := range update.Changes {
+		name, ok := strings.CutPrefix(change.Key, ManagersPrefix)
 		switch {
 		case !ok:
-		case c.Deleted:
-			gone(name)
+		case change.Deleted:
+			markGone(name)
 			f.Lost = f.Lost || name == f.Own
 		default:
 			f.lastSeen[name] = present
 			delete(f.ready, name)
-			if m, err := DecodeManager(c.Value); err == nil && m.State == "ready" && m.Address != "" {
-				f.ready[name] = []string{m.Address}
-				if m.Secure != "" {
-					f.ready[name] = append(f.ready[name], "rtsps://"+m.Secure)
+			if manager, err := DecodeManager(change.Value); err == nil && manager.State == "ready" && manager.Address != "" {
+				f.ready[name] = []string{manager.Address}
+				if manager.Secure != "" {
+					f.ready[name] = append(f.ready[name], "rtsps://"+manager.Secure)
 				}
 			}
 		}
@@ -65,11 +65,11 @@
 }
 
 // Count is how many managers there are, and this one's number, from 0.
-func (f *Fleet) Count(now Time) (fronts, front int) {
+func (f *Fleet) Count(now Time) (managers, number int) {
 	names := []string{f.Own}
-	for name, last := range f.lastSeen {
+	for name, seen := range f.lastSeen {
 		switch {
-		case last != present && now-last > holdLeases*f.Lease:
+		case seen != present && now-seen > holdLeases*f.Lease:
 			delete(f.lastSeen, name)
 		case name != f.Own:
 			names = append(names, name)
@@ -80,11 +80,11 @@
 }
 
 // Others are the addresses of the other managers that are ready, in the order of their names.
-func (f *Fleet) Others() (all []string) {
+func (f *Fleet) Others() (addresses []string) {
 	for _, name := range slices.Sorted(maps.Keys(f.ready)) {
 		if name != f.Own {
-			all = append(all, f.ready[name]...)
+			addresses = append(addresses, f.ready[name]...)
 		}
 	}
-	return all
+	return addresses
 }
--- a/internal/registry/value.go
+++ b/internal/registry/value.go
@@ -34,31 +34,31 @@
 // Value writes a box.
 func (b Box) Value() []byte {
 	b.Version = Version
-	v, err := json.Marshal(b)
+	encoded, err := json.Marshal(b)
 	if err != nil {
 		return nil // no field of it can fail
 	}
-	return v
+	return encoded
 }
 
 // ReadBox reads a box's value. The error says what was expected.
-func ReadBox(v []byte) (b Box, err error) {
-	d := json.NewDecoder(strings.NewReader(string(v)))
-	if err := d.Decode(&b); err != nil {
-		return b, fmt.Errorf("not a box: %w", err)
+func ReadBox(value []byte) (box Box, err error) {
+	decoder := json.NewDecoder(strings.NewReader(string(value)))
+	if err := decoder.Decode(&box); err != nil {
+		return box, fmt.Errorf("not a box: %w", err)
 	}
 	switch {
-	case b.Version != Version:
-		return b, fmt.Errorf("version %d is not known, %d is expected", b.Version, Version)
-	case b.State != "ready" && b.State != "draining":
-		return b, fmt.Errorf("state %q: ready or draining is expected", b.State)
-	case b.Cell < 0 || b.Weight < 0:
-		return b, fmt.Errorf("cell and weight of 0 or more are expected")
+	case box.Version != Version:
+		return box, fmt.Errorf("version %d is not known, %d is expected", box.Version, Version)
+	case box.State != "ready" && box.State != "draining":
+		return box, fmt.Errorf("state %q: ready or draining is expected", box.State)
+	case box.Cell < 0 || box.Weight < 0:
+		return box, fmt.Errorf("cell and weight of 0 or more are expected")
 	}
-	if _, _, err := net.SplitHostPort(b.Address); err != nil {
-		return b, fmt.Errorf("address %q: host:port is expected", b.Address)
+	if _, _, err := net.SplitHostPort(box.Address); err != nil {
+		return box, fmt.Errorf("address %q: host:port is expected", box.Address)
 	}
-	return b, nil
+	return box, nil
 }
 
 // Manager is the value of a session manager's key.
@@ -72,21 +72,21 @@
 // Value writes a manager.
 func (m Manager) Value() []byte {
 	m.Version = Version
-	v, err := json.Marshal(m)
+	encoded, err := json.Marshal(m)
 	if err != nil {
 		return nil // no field of it can fail
 	}
-	return v
+	return encoded
 }
 
 // ReadManager reads a manager's value. One that cannot be read counts as a manager all the same, to which no
 // viewer is sent.
-func DecodeManager(v []byte) (m Manager, err error) {
-	if err := json.Unmarshal(v, &m); err != nil {
+func DecodeManager(value []byte) (manager Manager, err error) {
+	if err := json.Unmarshal(value, &manager); err != nil {
 		return Manager{}, fmt.Errorf("not a session manager: %w", err)
 	}
-	if m.Version != Version {
-		return Manager{}, fmt.Errorf("version %d is not known, %d is expected", m.Version, Version)
+	if manager.Version != Version {
+		return Manager{}, fmt.Errorf("version %d is not known, %d is expected", manager.Version, Version)
 	}
-	return m, nil
+	return manager, nil
 }
