--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -59,14 +59,14 @@
 const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
 // New makes a client; nothing is asked before Do.
-func New(p Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
-	if len(p.Endpoints) == 0 || p.Base == "" {
+func New(config Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
+	if len(config.Endpoints) == 0 || config.Base == "" {
 		return nil, errors.New("an endpoint and a base of the directory are expected")
 	}
-	if _, err := ldap.ParseDN(p.Base); err != nil {
-		return nil, fmt.Errorf("base %q: %w", p.Base, err)
+	if _, err := ldap.ParseDN(config.Base); err != nil {
+		return nil, fmt.Errorf("base %q: %w", config.Base, err)
 	}
-	return &Client{config: p, post: post, log: log, idle: make([][]*ldap.Conn, len(p.Endpoints))}, nil
+	return &Client{config: config, post: post, log: log, idle: make([][]*ldap.Conn, len(config.Endpoints))}, nil
 }
 
 // Close ends what is under way.
@@ -76,9 +76,9 @@
 	if c.cancel != nil {
 		c.cancel()
 	}
-	for _, all := range c.idle {
-		for _, x := range all {
-			_ = x.Close()
+	for _, conns := range c.idle {
+		for _, conn := range conns {
+			_ = conn.Close()
 		}
 	}
 	clear(c.idle)
@@ -91,40 +91,40 @@
 }
 
 // dial connects to an endpoint and binds there.
-func (c *Client) dial(end int) (*ldap.Conn, error) {
-	d := &net.Dialer{Timeout: c.timeout()}
+func (c *Client) dial(endpoint int) (*ldap.Conn, error) {
+	dialer := &net.Dialer{Timeout: c.timeout()}
 	var raw net.Conn
 	var err error
 	if c.config.TLS != nil {
-		raw, err = tls.DialWithDialer(d, "tcp", c.config.Endpoints[end], c.config.TLS)
+		raw, err = tls.DialWithDialer(dialer, "tcp", c.config.Endpoints[endpoint], c.config.TLS)
 	} else {
-		raw, err = d.Dial("tcp", c.config.Endpoints[end])
+		raw, err = dialer.Dial("tcp", c.config.Endpoints[endpoint])
 	}
 	if err != nil {
 		return nil, err
 	}
-	x := ldap.NewConn(raw, c.config.TLS != nil)
-	x.Start()
-	x.SetTimeout(c.timeout())
+	conn := ldap.NewConn(raw, c.config.TLS != nil)
+	conn.Start()
+	conn.SetTimeout(c.timeout())
 	if c.config.Bind != "" {
-		if err := x.Bind(c.config.Bind, string(c.config.Password)); err != nil {
-			_ = x.Close()
+		if err := conn.Bind(c.config.Bind, string(c.config.Password)); err != nil {
+			_ = conn.Close()
 			return nil, fmt.Errorf("bind: %w", err)
 		}
 	}
-	return x, nil
+	return conn, nil
 }
 
 // Do carries out one act, without waiting for it.
-func (c *Client) Do(w tenants.Want) {
+func (c *Client) Do(request tenants.Want) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	c.pending.Add(1)
-	if w.Act == tenants.Look || w.Act == tenants.LookUpTenant {
-		go func() { defer c.pending.Done(); c.lookUp(w) }()
+	if request.Act == tenants.Look || request.Act == tenants.LookUpTenant {
+		go func() { defer c.pending.Done(); c.lookUp(request) }()
 		return
 	}
 	if c.cancel != nil {
@@ -135,33 +135,33 @@
 	go func() {
 		defer c.pending.Done()
 		defer cancel()
-		c.synchronise(ctx, w)
+		c.synchronise(ctx, request)
 	}()
 }
 
-func (c *Client) searchRequest(f string, size int) *ldap.SearchRequest {
-	return ldap.NewSearchRequest(c.config.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, size, 0, false, f, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
+func (c *Client) searchRequest(filter string, sizeLimit int) *ldap.SearchRequest {
+	return ldap.NewSearchRequest(c.config.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, sizeLimit, 0, false, filter, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
 }
 
-func (c *Client) reportUnreadable(e *ldap.Entry, err error) {
+func (c *Client) reportUnreadable(entry *ldap.Entry, err error) {
 	c.Unreadable.Add(1)
-	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", e.DN), zap.Error(err))
+	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", entry.DN), zap.Error(err))
 }
 
 // referred tells whether an answer names another place to ask (RFC 4511 section 4.1.10), and which endpoint that is:
 // less than 0 for one that the settings do not name.
-func (c *Client) referral(err error) (end int, ok bool) {
-	var e *ldap.Error
-	if !errors.As(err, &e) || e.ResultCode != ldap.LDAPResultReferral {
+func (c *Client) referral(err error) (endpoint int, ok bool) {
+	var ldapErr *ldap.Error
+	if !errors.As(err, &ldapErr) || ldapErr.ResultCode != ldap.LDAPResultReferral {
 		return 0, false
 	}
-	if e.Packet != nil && len(e.Packet.Children) > 1 && len(e.Packet.Children[1].Children) > 3 {
-		for _, p := range e.Packet.Children[1].Children[3].Children {
-			u, err := url.Parse(p.Data.String())
+	if ldapErr.Packet != nil && len(ldapErr.Packet.Children) > 1 && len(ldapErr.Packet.Children[1].Children) > 3 {
+		for _, uri := range ldapErr.Packet.Children[1].Children[3].Children {
+			target, err := url.Parse(uri.Data.String())
 			if err != nil {
 				continue
 			}
-			if i := slices.Index(c.config.Endpoints, u.Host); i >= 0 {
+			if i := slices.Index(c.config.Endpoints, target.Host); i >= 0 {
 				return i, true
 			}
 		}
@@ -170,59 +170,59 @@
 }
 
 // look asks for one account or tenant, on a connection that stays for the next.
-func (c *Client) lookUp(w tenants.Want) {
+func (c *Client) lookUp(request tenants.Want) {
 	fail := func(err error) {
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.Endpoint]), zap.Error(err))
-		if to, ok := c.referral(err); ok {
-			c.post(func(k *tenants.Core) { k.HandleReferral(w.Try, to) })
+		c.log.Info("the directory did not answer", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		if target, ok := c.referral(err); ok {
+			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.HandleLookupFailure(w.Try) })
+		c.post(func(core *tenants.Core) { core.HandleLookupFailure(request.Try) })
 	}
 	c.mu.Lock()
-	var x *ldap.Conn
-	if n := len(c.idle[w.Endpoint]); n > 0 {
-		x, c.idle[w.Endpoint] = c.idle[w.Endpoint][n-1], c.idle[w.Endpoint][:n-1]
+	var conn *ldap.Conn
+	if n := len(c.idle[request.Endpoint]); n > 0 {
+		conn, c.idle[request.Endpoint] = c.idle[request.Endpoint][n-1], c.idle[request.Endpoint][:n-1]
 	}
 	c.mu.Unlock()
-	if x == nil || x.IsClosing() {
+	if conn == nil || conn.IsClosing() {
 		var err error
-		if x, err = c.dial(w.Endpoint); err != nil {
+		if conn, err = c.dial(request.Endpoint); err != nil {
 			fail(err)
 			return
 		}
 	}
-	f := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(w.Account) + "))"
-	if w.Act == tenants.LookUpTenant {
-		f = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(w.Account) + "))"
+	filter := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(request.Account) + "))"
+	if request.Act == tenants.LookUpTenant {
+		filter = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(request.Account) + "))"
 	}
 	c.Searches.Add(1)
-	got, err := x.Search(c.searchRequest(f, 2))
-	if err == nil && len(got.Entries) == 0 && len(got.Referrals) > 0 {
-		err = fmt.Errorf("a part of %s is said to be at %s", c.config.Base, got.Referrals[0])
+	result, err := conn.Search(c.searchRequest(filter, 2))
+	if err == nil && len(result.Entries) == 0 && len(result.Referrals) > 0 {
+		err = fmt.Errorf("a part of %s is said to be at %s", c.config.Base, result.Referrals[0])
 	}
 	if err != nil {
-		_ = x.Close()
+		_ = conn.Close()
 		fail(err)
 		return
 	}
 	var found *tenants.Record
-	for _, e := range got.Entries {
-		r, err := Read(e)
+	for _, entry := range result.Entries {
+		record, err := Read(entry)
 		if err != nil {
-			c.reportUnreadable(e, err)
-		} else if tenants.Fold(r.Name) == w.Account {
-			found = &r
+			c.reportUnreadable(entry, err)
+		} else if tenants.Fold(record.Name) == request.Account {
+			found = &record
 		}
 	}
 	c.mu.Lock()
-	if !c.closed && len(c.idle[w.Endpoint]) < max(c.config.Terms.Lookups, 1) {
-		c.idle[w.Endpoint] = append(c.idle[w.Endpoint], x)
-		x = nil
+	if !c.closed && len(c.idle[request.Endpoint]) < max(c.config.Terms.Lookups, 1) {
+		c.idle[request.Endpoint] = append(c.idle[request.Endpoint], conn)
+		conn = nil
 	}
 	c.mu.Unlock()
-	if x != nil {
-		_ = x.Close()
+	if conn != nil {
+		_ = conn.Close()
 	}
-	c.post(func(k *tenants.Core) { k.Looked(w.Try, found) })
+	c.post(func(core *tenants.Core) { core.Looked(request.Try, found) })
 }
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -20,23 +20,23 @@
 func entry(attrs map[string][]string) *ldap.Entry { return ldap.NewEntry("uid=a,dc=pier", attrs) }
 
 func TestRead(t *testing.T) {
-	good := map[string][]string{"entryUUID": {"U-1"}, "objectClass": {"top", "PierlinkMember"}, "uid": {" Ann "}, "pierlinkTenant": {"school"},
+	valid := map[string][]string{"entryUUID": {"U-1"}, "objectClass": {"top", "PierlinkMember"}, "uid": {" Ann "}, "pierlinkTenant": {"school"},
 		"PIERLINKPLAN": {"live", "live", "recorded"}}
-	r, err := Read(entry(good))
-	if err != nil || r.ID != "u-1" || r.Name != "Ann" || len(r.Plans) != 2 || r.Kind != tenants.Member {
-		t.Errorf("%+v %v", r, err)
+	record, err := Read(entry(valid))
+	if err != nil || record.ID != "u-1" || record.Name != "Ann" || len(record.Plans) != 2 || record.Kind != tenants.Member {
+		t.Errorf("%+v %v", record, err)
 	}
 	for name, value := range map[string][]string{"uid": {"a", "b"}, "entryUUID": {}, "pierlinkTenant": {strings.Repeat("x", 65)}, "objectClass": {"person"},
 		"pierlinkPlan": {"\xff"}, "pierlinkDigest": {"a", "b"}} {
-		bad := map[string][]string{}
-		for k, v := range good {
-			bad[k] = v
+		invalid := map[string][]string{}
+		for k, v := range valid {
+			invalid[k] = v
 		}
-		if bad[name] = value; name == "pierlinkPlan" {
-			delete(bad, "PIERLINKPLAN")
+		if invalid[name] = value; name == "pierlinkPlan" {
+			delete(invalid, "PIERLINKPLAN")
 		}
-		if r, err := Read(entry(bad)); err == nil {
-			t.Errorf("%s %q was taken: %+v", name, value, r)
+		if record, err := Read(entry(invalid)); err == nil {
+			t.Errorf("%s %q was taken: %+v", name, value, record)
 		}
 	}
 	for _, n := range []string{"-1", "1e99", "NaN", "many"} {
@@ -51,14 +51,14 @@
 	f.Add("u", "pierlinkMember", "ann", "school", "live", "1", "d")
 	f.Add("u", "pierlinkTenant", "a\x00b", "", "\xff\xfe", "1e400", "")
 	f.Fuzz(func(t *testing.T, id, class, name, tenant, plan, number, digest string) {
-		r, err := Read(entry(map[string][]string{"entryUUID": {id}, "objectClass": {class}, "uid": {name}, "cn": {name}, "pierlinkTenant": {tenant},
+		record, err := Read(entry(map[string][]string{"entryUUID": {id}, "objectClass": {class}, "uid": {name}, "cn": {name}, "pierlinkTenant": {tenant},
 			"pierlinkPlan": {plan, plan}, "pierlinkWeight": {number}, "pierlinkSeats": {number}, "pierlinkQuota": {number}, "pierlinkDigest": {digest}}))
 		if err != nil {
 			return
 		}
-		if r.ID == "" && id != "" && strings.TrimSpace(id) != "" || r.Name == "" || len(r.Name) > maxNameBytes || !utf8.ValidString(r.Name) || len(r.Plans) > 1 ||
-			!(r.Weight >= 0 && r.Weight <= maxNumber) || r.Seats < 0 {
-			t.Errorf("%+v", r)
+		if record.ID == "" && id != "" && strings.TrimSpace(id) != "" || record.Name == "" || len(record.Name) > maxNameBytes || !utf8.ValidString(record.Name) || len(record.Plans) > 1 ||
+			!(record.Weight >= 0 && record.Weight <= maxNumber) || record.Seats < 0 {
+			t.Errorf("%+v", record)
 		}
 	})
 }
@@ -74,17 +74,17 @@
 	out    []tenants.Answer
 }
 
-func newOwner(t *testing.T, p Place) *owner {
+func newOwner(t *testing.T, config Place) *owner {
 	t.Helper()
-	return newOwnerLogged(t, p, zap.NewNop())
+	return newOwnerLogged(t, config, zap.NewNop())
 }
 
-func newOwnerLogged(t *testing.T, p Place, log *zap.Logger) *owner {
+func newOwnerLogged(t *testing.T, config Place, log *zap.Logger) *owner {
 	t.Helper()
-	p.Terms.Ends = len(p.Endpoints)
-	o := &owner{core: tenants.New(p.Terms, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
+	config.Terms.Ends = len(config.Endpoints)
+	o := &owner{core: tenants.New(config.Terms, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
 	var err error
-	o.client, err = New(p, func(f func(*tenants.Core)) {
+	o.client, err = New(config, func(f func(*tenants.Core)) {
 		select {
 		case o.calls <- f:
 		case <-o.done:
@@ -129,9 +129,9 @@
 func (o *owner) until(t *testing.T, what string, ok func(*tenants.Core) bool) {
 	t.Helper()
 	for range 1000 {
-		good := false
-		o.do(func(c *tenants.Core) { good = ok(c) })
-		if good {
+		met := false
+		o.do(func(c *tenants.Core) { met = ok(c) })
+		if met {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -149,40 +149,40 @@
 	for _, n := range []string{"a", "b", "c", "d", "e"} {
 		put(n)
 	}
-	odd := "x*)(uid=*"
-	store.Put("uid=odd,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {odd}, "pierlinkTenant": {"a"}})
-	s, err := directory.Serve("127.0.0.1:0", store)
+	oddName := "x*)(uid=*"
+	store.Put("uid=odd,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {oddName}, "pierlinkTenant": {"a"}})
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Password = "pass"
+	defer server.Stop()
+	server.Password = "pass"
 	for _, paged := range []bool{false, true} {
-		s.Upset(directory.Trouble{NoSync: paged})
+		server.Upset(directory.Trouble{NoSync: paged})
 		terms := tenants.Terms{Longest: 3e6, Renew: 300_000, Timeout: 200_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-		o := newOwner(t, Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
+		o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
 		has := func(n int) func(*tenants.Core) bool {
-			return func(c *tenants.Core) bool { whole, m, _ := c.Status(); return whole && m == n }
+			return func(c *tenants.Core) bool { whole, entries, _ := c.Status(); return whole && entries == n }
 		}
 		o.until(t, "the first view", has(6))
-		s.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
-		s.Cut()
+		server.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
+		server.Cut()
 		time.Sleep(700 * time.Millisecond)
 		o.until(t, "half an answer was taken for a whole one", has(6))
-		s.Upset(directory.Trouble{NoSync: paged})
+		server.Upset(directory.Trouble{NoSync: paged})
 		store.Delete("cn=e,dc=pier")
 		o.until(t, "a deletion", has(5))
 		put("e")
 		o.until(t, "an addition", has(6))
-		var a tenants.Answer
+		var answer tenants.Answer
 		o.do(func(c *tenants.Core) {
-			a = c.Ask(tenants.Question{ID: 1, Account: odd, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Question{ID: 1, Account: oddName, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
 		})
-		if a.Verdict != tenants.Allowed {
-			t.Error(a)
+		if answer.Verdict != tenants.Allowed {
+			t.Error(answer)
 		}
 		o.do(func(c *tenants.Core) {
-			a = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
 		})
 		o.until(t, "no answer to a look-up", func(*tenants.Core) bool { return len(o.out) > 0 })
 		if o.out[0].Verdict != tenants.Unknown {
@@ -201,18 +201,18 @@
 		n := fmt.Sprint("t", i)
 		store.Put("cn="+n+",dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {n}, "pierlinkWeight": {"1"}})
 	}
-	s, err := directory.Serve("127.0.0.1:0", store)
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Upset(directory.Trouble{NoSync: true})
+	defer server.Stop()
+	server.Upset(directory.Trouble{NoSync: true})
 	terms := tenants.Terms{Longest: 2e6, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", PageSize: 20, Terms: terms})
+	o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", PageSize: 20, Terms: terms})
 	defer o.close()
 	weights := func(want map[string]float64, n int) func(*tenants.Core) bool {
-		return func(c *tenants.Core) bool {
-			all, _, _ := c.Records()
+		return func(counts *tenants.Core) bool {
+			all, _, _ := counts.Records()
 			got := 0
 			for _, r := range all {
 				if w, ok := want[r.Name]; ok && w == r.Weight {
@@ -223,53 +223,53 @@
 		}
 	}
 	o.until(t, "the first view", weights(map[string]float64{"t1": 1}, 50))
-	x, err := ldap.DialURL("ldap://" + s.Addr())
+	conn, err := ldap.DialURL("ldap://" + server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer x.Close()
+	defer conn.Close()
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	m := ldap.NewModifyRequest("cn=t1,dc=pier", nil)
-	m.Replace("pierlinkWeight", []string{"7"})
-	must(x.Modify(m))
-	a := ldap.NewAddRequest("cn=new,dc=pier", nil)
-	a.Attribute("objectClass", []string{"pierlinkTenant"})
-	a.Attribute("cn", []string{"new"})
-	a.Attribute("pierlinkWeight", []string{"3"})
-	must(x.Add(a))
+	modify := ldap.NewModifyRequest("cn=t1,dc=pier", nil)
+	modify.Replace("pierlinkWeight", []string{"7"})
+	must(conn.Modify(modify))
+	addition := ldap.NewAddRequest("cn=new,dc=pier", nil)
+	addition.Attribute("objectClass", []string{"pierlinkTenant"})
+	addition.Attribute("cn", []string{"new"})
+	addition.Attribute("pierlinkWeight", []string{"3"})
+	must(conn.Add(addition))
 	o.until(t, "a change and an addition", weights(map[string]float64{"t1": 7, "new": 3}, 51))
-	must(x.ModifyDN(ldap.NewModifyDNRequest("cn=t2,dc=pier", "cn=moved", true, "ou=else,dc=pier")))
-	m = ldap.NewModifyRequest("cn=moved,ou=else,dc=pier", nil)
-	m.Replace("cn", []string{"moved"})
-	must(x.Modify(m))
-	must(x.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)))
+	must(conn.ModifyDN(ldap.NewModifyDNRequest("cn=t2,dc=pier", "cn=moved", true, "ou=else,dc=pier")))
+	modify = ldap.NewModifyRequest("cn=moved,ou=else,dc=pier", nil)
+	modify.Replace("cn", []string{"moved"})
+	must(conn.Modify(modify))
+	must(conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)))
 	o.until(t, "a move and a deletion", weights(map[string]float64{"moved": 1}, 50))
-	if err := x.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
+	if err := conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
 		t.Error("deleted twice:", err)
 	}
 	store.Skew = -5 * time.Hour
 	store.Put("cn=late,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"late"}, "pierlinkWeight": {"9"}})
 	o.until(t, "one that came late", weights(map[string]float64{"late": 9}, 51))
 	store.Put("cn=t5,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"t5", "two"}, "pierlinkWeight": {"8"}})
-	var c, later tenants.Counts
+	var counts, laterCounts tenants.Counts
 	for range 200 {
-		if o.do(func(k *tenants.Core) { c = k.Counts }); c.Reread > 0 && o.client.Unreadable.Load() > 0 {
+		if o.do(func(core *tenants.Core) { counts = core.Counts }); counts.Reread > 0 && o.client.Unreadable.Load() > 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	o.until(t, "one that cannot be read stays", weights(map[string]float64{"t5": 1}, 51))
 	time.Sleep(1500 * time.Millisecond) // some lists
-	if o.do(func(k *tenants.Core) { later = k.Counts }); later.Lists < c.Lists+1 || later.Reread > c.Reread+2 {
-		t.Errorf("what cannot be read is read again and again: %+v, then %+v", c, later)
+	if o.do(func(core *tenants.Core) { laterCounts = core.Counts }); laterCounts.Lists < counts.Lists+1 || laterCounts.Reread > counts.Reread+2 {
+		t.Errorf("what cannot be read is read again and again: %+v, then %+v", counts, laterCounts)
 	}
-	if later.Full != 2 || later.Polls < 10 { // content synchronisation is tried once
-		t.Errorf("read whole %d times, polled %d times", later.Full, later.Polls)
+	if laterCounts.Full != 2 || laterCounts.Polls < 10 { // content synchronisation is tried once
+		t.Errorf("read whole %d times, polled %d times", laterCounts.Full, laterCounts.Polls)
 	}
 }
 
@@ -286,27 +286,27 @@
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}, "pierlinkPlan": {"p"}})
 	store.Put("uid=ann,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {"ann"}, "pierlinkTenant": {"a"}})
-	var all [3]*directory.Server
-	for i := range all {
+	var servers [3]*directory.Server
+	for i := range servers {
 		s, err := directory.Serve("127.0.0.1:0", store)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Stop()
-		all[i] = s
+		servers[i] = s
 	}
-	stranger := all[2]
-	all[0].Upset(directory.Trouble{Refer: "ldap://" + all[1].Addr() + "/dc=pier"})
+	stranger := servers[2]
+	servers[0].Upset(directory.Trouble{Refer: "ldap://" + servers[1].Addr() + "/dc=pier"})
 	terms := tenants.Terms{Longest: 400_000, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{all[0].Addr(), all[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
+	o := newOwner(t, Place{Endpoints: []string{servers[0].Addr(), servers[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
 	defer o.close()
 	whole := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
 	o.until(t, "sent on", whole)
 	var sentOn, broken int64
 	o.do(func(c *tenants.Core) { sentOn = c.Counts.Referred })
-	all[0].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
-	all[1].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
-	all[1].Cut()
+	servers[0].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
+	servers[1].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
+	servers[1].Cut()
 	o.until(t, "no failure", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
 	if o.do(func(c *tenants.Core) { broken = c.Counts.Referred }); broken != sentOn {
 		t.Error("a referral to a stranger was followed to one of the endpoints")
@@ -314,11 +314,11 @@
 	if n := stranger.Searches.Load(); n != 0 {
 		t.Errorf("a stranger was asked %d times", n)
 	}
-	for _, s := range all[:2] {
+	for _, s := range servers[:2] {
 		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + stranger.Addr() + "/ou=x,dc=pier"})
 	}
 	store.Delete("uid=ann,dc=pier")
-	asked := func() int64 { return all[0].Searches.Load() + all[1].Searches.Load() }
+	asked := func() int64 { return servers[0].Searches.Load() + servers[1].Searches.Load() }
 	for before := asked(); asked() < before+4; { // circuits that were opened let single trials through
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -334,30 +334,30 @@
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}})
 	store.Put("uid=ann,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {"ann", "two"}, "pierlinkTenant": {"a"}, "pierlinkDigest": {ha1}})
-	s, err := directory.Serve("127.0.0.1:0", store)
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Password = "another"
+	defer server.Stop()
+	server.Password = "another"
 	logged, logs := observer.New(zap.DebugLevel)
 	terms := tenants.Terms{Longest: 3e6, Renew: 100_000, Timeout: 200_000, Waiting: 10, Lookups: 1}
-	place := Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
-	o := newOwnerLogged(t, place, zap.New(logged))
+	config := Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
+	o := newOwnerLogged(t, config, zap.New(logged))
 	o.until(t, "no refusal", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
-	s.Password = password
+	server.Password = password
 	o.until(t, "no view", func(c *tenants.Core) bool { whole, _, _ := c.Status(); return whole && o.client.Unreadable.Load() > 0 })
 	o.close()
-	all := fmt.Sprintf("%v %+v %#v", place, place, place)
-	b, err := json.Marshal(place)
+	output := fmt.Sprintf("%v %+v %#v", config, config, config)
+	b, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all += string(b)
+	output += string(b)
 	for _, e := range logs.All() {
-		all += fmt.Sprint(e.Message, e.ContextMap())
+		output += fmt.Sprint(e.Message, e.ContextMap())
 	}
-	if logs.Len() < 2 || strings.Contains(all, password) || strings.Contains(all, ha1) {
-		t.Errorf("%d lines: %s", logs.Len(), all)
+	if logs.Len() < 2 || strings.Contains(output, password) || strings.Contains(output, ha1) {
+		t.Errorf("%d lines: %s", logs.Len(), output)
 	}
 }
--- a/internal/tenants/client/read.go
+++ b/internal/tenants/client/read.go
@@ -23,72 +23,72 @@
 // Read makes a record of an entry. Attributes (docs/tenants.md): of pierlinkTenant cn, pierlinkPlan,
 // pierlinkWeight, pierlinkQuota, pierlinkSeats; of pierlinkMember uid, pierlinkTenant, pierlinkPlan,
 // pierlinkDigest; of both entryUUID, and modifyTimestamp where it is told. The error says what was expected.
-func Read(e *ldap.Entry) (r tenants.Record, err error) {
-	one := func(name string, most int, need bool) string {
-		all := e.GetEqualFoldAttributeValues(name)
+func Read(entry *ldap.Entry) (record tenants.Record, err error) {
+	single := func(name string, maxBytes int, required bool) string {
+		values := entry.GetEqualFoldAttributeValues(name)
 		switch {
 		case err != nil:
-		case len(all) == 0 && need:
+		case len(values) == 0 && required:
 			err = fmt.Errorf("%s: a value is expected", name)
-		case len(all) > 1:
-			err = fmt.Errorf("%s: one value is expected, there are %d", name, len(all))
-		case len(all) == 1 && (len(all[0]) > most || !utf8.ValidString(all[0]) || strings.ContainsAny(all[0], "\x00\r\n")):
-			err = fmt.Errorf("%s: at most %d bytes of text in UTF-8 are expected", name, most)
-		case len(all) == 1:
-			return strings.TrimSpace(all[0])
+		case len(values) > 1:
+			err = fmt.Errorf("%s: one value is expected, there are %d", name, len(values))
+		case len(values) == 1 && (len(values[0]) > maxBytes || !utf8.ValidString(values[0]) || strings.ContainsAny(values[0], "\x00\r\n")):
+			err = fmt.Errorf("%s: at most %d bytes of text in UTF-8 are expected", name, maxBytes)
+		case len(values) == 1:
+			return strings.TrimSpace(values[0])
 		}
 		return ""
 	}
 	number := func(name string) float64 {
-		s := one(name, maxNameBytes, false)
-		if s == "" || err != nil {
+		text := single(name, maxNameBytes, false)
+		if text == "" || err != nil {
 			return 0
 		}
-		x, bad := strconv.ParseFloat(s, 64)
-		if bad != nil || !(x >= 0 && x <= maxNumber) {
+		parsed, parseErr := strconv.ParseFloat(text, 64)
+		if parseErr != nil || !(parsed >= 0 && parsed <= maxNumber) {
 			err = fmt.Errorf("%s: a number from 0 on is expected", name)
 		}
-		return x
+		return parsed
 	}
-	r.DN = strings.ToLower(e.DN)
-	r.ID, r.Stamp = entryUUID(e), modifyStamp(e)
-	if _ = one("entryUUID", maxNameBytes, true); err != nil {
-		return r, err
+	record.DN = strings.ToLower(entry.DN)
+	record.ID, record.Stamp = entryUUID(entry), modifyStamp(entry)
+	if _ = single("entryUUID", maxNameBytes, true); err != nil {
+		return record, err
 	}
-	switch classes := e.GetEqualFoldAttributeValues("objectClass"); {
-	case slices.ContainsFunc(classes, func(s string) bool { return strings.EqualFold(s, "pierlinkTenant") }):
-		r.Kind, r.Name = tenants.Tenant, one("cn", maxNameBytes, true)
-		r.Weight, r.Quota, r.Seats = number("pierlinkWeight"), number("pierlinkQuota"), int(number("pierlinkSeats"))
-	case slices.ContainsFunc(classes, func(s string) bool { return strings.EqualFold(s, "pierlinkMember") }):
-		r.Kind, r.Name, r.Tenant = tenants.Member, one("uid", maxNameBytes, true), one("pierlinkTenant", maxNameBytes, true)
-		r.Digest = one("pierlinkDigest", maxNameBytes, false)
+	switch classes := entry.GetEqualFoldAttributeValues("objectClass"); {
+	case slices.ContainsFunc(classes, func(text string) bool { return strings.EqualFold(text, "pierlinkTenant") }):
+		record.Kind, record.Name = tenants.Tenant, single("cn", maxNameBytes, true)
+		record.Weight, record.Quota, record.Seats = number("pierlinkWeight"), number("pierlinkQuota"), int(number("pierlinkSeats"))
+	case slices.ContainsFunc(classes, func(text string) bool { return strings.EqualFold(text, "pierlinkMember") }):
+		record.Kind, record.Name, record.Tenant = tenants.Member, single("uid", maxNameBytes, true), single("pierlinkTenant", maxNameBytes, true)
+		record.Digest = single("pierlinkDigest", maxNameBytes, false)
 	default:
 		err = errors.New("objectClass: pierlinkTenant or pierlinkMember is expected")
 	}
-	if err == nil && r.Name == "" {
+	if err == nil && record.Name == "" {
 		err = errors.New("a name that is not empty is expected")
 	}
-	for _, p := range e.GetEqualFoldAttributeValues("pierlinkPlan") {
-		if p = strings.TrimSpace(p); len(p) > maxNameBytes || !utf8.ValidString(p) {
+	for _, plan := range entry.GetEqualFoldAttributeValues("pierlinkPlan") {
+		if plan = strings.TrimSpace(plan); len(plan) > maxNameBytes || !utf8.ValidString(plan) {
 			err = errors.Join(err, errors.New("pierlinkPlan: names of plans are expected"))
-		} else if p != "" && !slices.Contains(r.Plans, p) {
-			r.Plans = append(r.Plans, p)
+		} else if plan != "" && !slices.Contains(record.Plans, plan) {
+			record.Plans = append(record.Plans, plan)
 		}
 	}
-	if len(r.Plans) > maxPlans {
+	if len(record.Plans) > maxPlans {
 		err = errors.Join(err, fmt.Errorf("pierlinkPlan: at most %d values are expected", maxPlans))
 	}
-	return r, err
+	return record, err
 }
 
-func entryUUID(e *ldap.Entry) string {
-	return strings.ToLower(e.GetEqualFoldAttributeValue("entryUUID"))
+func entryUUID(entry *ldap.Entry) string {
+	return strings.ToLower(entry.GetEqualFoldAttributeValue("entryUUID"))
 }
 
 // stamp is an entry's modifyTimestamp, 0 where there is none that can be read: generalized time (RFC 4517 section
 // 3.3.13) in UTC, with or without parts of a second.
-func modifyStamp(e *ldap.Entry) tenants.Time {
-	t, err := time.Parse("20060102150405Z", e.GetEqualFoldAttributeValue("modifyTimestamp"))
+func modifyStamp(entry *ldap.Entry) tenants.Time {
+	t, err := time.Parse("20060102150405Z", entry.GetEqualFoldAttributeValue("modifyTimestamp"))
 	if err != nil || t.Year() < 1970 {
 		return 0
 	}
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -16,65 +16,65 @@
 const batchSize = 256 // entries that are brought in one go
 
 // sync synchronises: from the cookie on, and then what changes, until it ends.
-func (c *Client) synchronise(ctx context.Context, w tenants.Want) {
-	end := func(why tenants.SyncFailure, err error) {
+func (c *Client) synchronise(ctx context.Context, request tenants.Want) {
+	fail := func(reason tenants.SyncFailure, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.config.Endpoints[w.Endpoint]), zap.Error(err))
-		if to, ok := c.referral(err); ok {
-			c.post(func(k *tenants.Core) { k.HandleReferral(w.Try, to) })
+		c.log.Info("the directory did not answer", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		if target, ok := c.referral(err); ok {
+			c.post(func(k *tenants.Core) { k.HandleReferral(request.Try, target) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.HandleSyncFailure(w.Try, why) })
+		c.post(func(k *tenants.Core) { k.HandleSyncFailure(request.Try, reason) })
 	}
-	if w.Act == tenants.Sync && c.config.Paged {
-		end(tenants.SyncUnsupported, errors.New("content synchronisation is not to be tried"))
+	if request.Act == tenants.Sync && c.config.Paged {
+		fail(tenants.SyncUnsupported, errors.New("content synchronisation is not to be tried"))
 		return
 	}
-	x, err := c.dial(w.Endpoint)
+	conn, err := c.dial(request.Endpoint)
 	if err != nil {
-		end(tenants.Interrupted, err)
+		fail(tenants.Interrupted, err)
 		return
 	}
-	defer x.Close()
-	stop := context.AfterFunc(ctx, func() { _ = x.Close() })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if w.Act != tenants.Sync {
-		if err := c.searchPages(ctx, x, w); err != nil {
-			end(tenants.Interrupted, err)
+	if request.Act != tenants.Sync {
+		if err := c.searchPages(ctx, conn, request); err != nil {
+			fail(tenants.Interrupted, err)
 		}
 		return
 	}
 	c.Searches.Add(1)
-	x.SetTimeout(0) // a stream may be quiet; the core times it
-	r := x.Syncrepl(ctx, c.searchRequest(entryFilter, 0), batchSize, ldap.SyncRequestModeRefreshAndPersist, w.Cookie, false)
+	conn.SetTimeout(0) // a stream may be quiet; the core times it
+	results := conn.Syncrepl(ctx, c.searchRequest(entryFilter, 0), batchSize, ldap.SyncRequestModeRefreshAndPersist, request.Cookie, false)
 	var batch []tenants.Record
-	var present, gone []string
+	var present, deleted []string
 	flush := func() {
-		if len(batch)+len(present)+len(gone) == 0 {
+		if len(batch)+len(present)+len(deleted) == 0 {
 			return
 		}
-		b, p, g := batch, present, gone
-		batch, present, gone = nil, nil, nil
+		b, p, g := batch, present, deleted
+		batch, present, deleted = nil, nil, nil
 		c.post(func(k *tenants.Core) {
 			for i := range b {
-				k.Entry(w.Try, b[i])
+				k.Entry(request.Try, b[i])
 			}
-			k.HandlePresent(w.Try, p)
-			k.Gone(w.Try, g)
+			k.HandlePresent(request.Try, p)
+			k.Gone(request.Try, g)
 		})
 	}
 	refreshed := false
-	for r.Next() {
-		if r.Referral() != "" { // a part lies elsewhere: this is not the whole
-			end(tenants.Interrupted, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, r.Referral()))
+	for results.Next() {
+		if results.Referral() != "" { // a part lies elsewhere: this is not the whole
+			fail(tenants.Interrupted, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, results.Referral()))
 			return
 		}
 		state := int64(-1)
 		id := ""
 		var cookie []byte
-		for _, k := range r.Controls() {
+		for _, k := range results.Controls() {
 			switch k := k.(type) {
 			case *ldap.ControlSyncState:
 				state, id = int64(k.State), k.EntryUUID.String()
@@ -82,139 +82,139 @@
 			case *ldap.ControlSyncDone:
 				cookie = k.Cookie
 			case *ldap.ControlSyncInfo:
-				var told []byte
-				listed, over := false, false
+				var refreshCookie []byte
+				listed, refreshDone := false, false
 				switch {
 				case k.RefreshPresent != nil:
-					told, listed, over = k.RefreshPresent.Cookie, true, k.RefreshPresent.RefreshDone
+					refreshCookie, listed, refreshDone = k.RefreshPresent.Cookie, true, k.RefreshPresent.RefreshDone
 				case k.RefreshDelete != nil:
-					told, over = k.RefreshDelete.Cookie, k.RefreshDelete.RefreshDone
+					refreshCookie, refreshDone = k.RefreshDelete.Cookie, k.RefreshDelete.RefreshDone
 				case k.NewCookie != nil:
 					cookie = k.NewCookie.Cookie
 				case k.SyncIdSet != nil:
-					for _, u := range k.SyncIdSet.SyncUUIDs {
+					for _, uuid := range k.SyncIdSet.SyncUUIDs {
 						if k.SyncIdSet.RefreshDeletes {
-							gone = append(gone, u.String())
+							deleted = append(deleted, uuid.String())
 						} else {
-							present = append(present, u.String())
+							present = append(present, uuid.String())
 						}
 					}
 				}
-				if over {
+				if refreshDone {
 					flush()
 					refreshed = true
-					t := slices.Clone(told)
-					c.post(func(k *tenants.Core) { k.Refreshed(w.Try, t, listed, true) })
+					copied := slices.Clone(refreshCookie)
+					c.post(func(k *tenants.Core) { k.Refreshed(request.Try, copied, listed, true) })
 				}
 			}
 		}
-		if e := r.Entry(); e != nil {
+		if entry := results.Entry(); entry != nil {
 			switch ldap.ControlSyncStateState(state) {
 			case ldap.SyncStateDelete:
-				gone = append(gone, id)
+				deleted = append(deleted, id)
 			case ldap.SyncStatePresent:
 				present = append(present, id)
 			default:
-				if rec, err := Read(e); err == nil {
-					batch = append(batch, rec)
+				if record, err := Read(entry); err == nil {
+					batch = append(batch, record)
 				} else {
-					c.reportUnreadable(e, err)
+					c.reportUnreadable(entry, err)
 					present = append(present, id) // it stays as it was
 				}
 			}
 		}
-		if refreshed || len(batch)+len(present)+len(gone) >= batchSize {
+		if refreshed || len(batch)+len(present)+len(deleted) >= batchSize {
 			flush()
 			if len(cookie) > 0 {
-				t := slices.Clone(cookie)
-				c.post(func(k *tenants.Core) { k.HandleCookie(w.Try, t) })
+				copied := slices.Clone(cookie)
+				c.post(func(k *tenants.Core) { k.HandleCookie(request.Try, copied) })
 			}
 		}
 	}
 	flush()
-	err = r.Err()
+	err = results.Err()
 	switch {
 	case ldap.IsErrorWithCode(err, ldap.LDAPResultUnavailableCriticalExtension):
-		end(tenants.SyncUnsupported, err)
+		fail(tenants.SyncUnsupported, err)
 	case ldap.IsErrorWithCode(err, ldap.LDAPResultSyncRefreshRequired):
-		end(tenants.CookieExpired, err)
+		fail(tenants.CookieExpired, err)
 	case err == nil:
-		end(tenants.Interrupted, errors.New("the stream ended"))
+		fail(tenants.Interrupted, errors.New("the stream ended"))
 	default:
-		end(tenants.Interrupted, err)
+		fail(tenants.Interrupted, err)
 	}
 }
 
 // filter is what an act searches for.
-func requestFilter(w tenants.Want) string {
-	switch w.Act {
+func requestFilter(request tenants.Want) string {
+	switch request.Act {
 	case tenants.Poll:
-		return "(&" + entryFilter + "(modifyTimestamp>=" + generalizedTime(w.Since) + "))"
+		return "(&" + entryFilter + "(modifyTimestamp>=" + generalizedTime(request.Since) + "))"
 	case tenants.Reread:
-		var b strings.Builder
-		b.WriteString("(&" + entryFilter + "(|")
-		for _, id := range w.IDs {
-			b.WriteString("(entryUUID=" + ldap.EscapeFilter(id) + ")")
+		var text strings.Builder
+		text.WriteString("(&" + entryFilter + "(|")
+		for _, id := range request.IDs {
+			text.WriteString("(entryUUID=" + ldap.EscapeFilter(id) + ")")
 		}
-		return b.String() + "))"
+		return text.String() + "))"
 	}
 	return entryFilter
 }
 
 // pages searches by pages. An answer that breaks off says nothing of what it did not bring.
-func (c *Client) searchPages(ctx context.Context, x *ldap.Conn, w tenants.Want) error {
-	p := ldap.NewControlPaging(max(c.config.PageSize, 1))
+func (c *Client) searchPages(ctx context.Context, conn *ldap.Conn, request tenants.Want) error {
+	paging := ldap.NewControlPaging(max(c.config.PageSize, 1))
 	for ctx.Err() == nil {
-		r := c.searchRequest(requestFilter(w), 0)
-		if r.Controls = []ldap.Control{p}; w.Act == tenants.List {
-			r.Attributes = []string{"entryUUID", "modifyTimestamp"}
+		search := c.searchRequest(requestFilter(request), 0)
+		if search.Controls = []ldap.Control{paging}; request.Act == tenants.List {
+			search.Attributes = []string{"entryUUID", "modifyTimestamp"}
 		}
 		c.Searches.Add(1)
-		got, err := x.Search(r)
+		result, err := conn.Search(search)
 		switch {
 		case err != nil:
 			return err
-		case len(got.Referrals) > 0: // a part lies elsewhere: this is not the whole
-			return fmt.Errorf("a part of %s is said to be at %s", c.config.Base, got.Referrals[0])
+		case len(result.Referrals) > 0: // a part lies elsewhere: this is not the whole
+			return fmt.Errorf("a part of %s is said to be at %s", c.config.Base, result.Referrals[0])
 		}
-		next, ok := ldap.FindControl(got.Controls, ldap.ControlTypePaging).(*ldap.ControlPaging)
+		next, ok := ldap.FindControl(result.Controls, ldap.ControlTypePaging).(*ldap.ControlPaging)
 		if !ok {
 			return errors.New("a page without its cookie: it cannot be told whether it was the last")
 		}
-		c.deliverPage(w, got.Entries)
+		c.deliverPage(request, result.Entries)
 		if len(next.Cookie) == 0 { // its estimate of the total means nothing
-			c.post(func(k *tenants.Core) { k.HandleSearchEnd(w.Try) })
+			c.post(func(core *tenants.Core) { core.HandleSearchEnd(request.Try) })
 			return nil
 		}
-		p.SetCookie(next.Cookie)
+		paging.SetCookie(next.Cookie)
 	}
 	return ctx.Err()
 }
 
 // page brings the entries of one page.
-func (c *Client) deliverPage(w tenants.Want, all []*ldap.Entry) {
+func (c *Client) deliverPage(request tenants.Want, entries []*ldap.Entry) {
 	var batch []tenants.Record
-	var seen, stay []tenants.ListedEntry
-	for _, e := range all {
-		if w.Act == tenants.List {
-			seen = append(seen, tenants.ListedEntry{ID: entryUUID(e), Stamp: modifyStamp(e)})
+	var listed, unreadable []tenants.ListedEntry
+	for _, entry := range entries {
+		if request.Act == tenants.List {
+			listed = append(listed, tenants.ListedEntry{ID: entryUUID(entry), Stamp: modifyStamp(entry)})
 			continue
 		}
-		if rec, err := Read(e); err == nil {
-			batch = append(batch, rec)
+		if record, err := Read(entry); err == nil {
+			batch = append(batch, record)
 		} else {
-			c.reportUnreadable(e, err)
-			stay = append(stay, tenants.ListedEntry{ID: entryUUID(e), Stamp: modifyStamp(e)})
+			c.reportUnreadable(entry, err)
+			unreadable = append(unreadable, tenants.ListedEntry{ID: entryUUID(entry), Stamp: modifyStamp(entry)})
 		}
 	}
-	c.post(func(k *tenants.Core) {
+	c.post(func(core *tenants.Core) {
 		for i := range batch {
-			k.Entry(w.Try, batch[i])
+			core.Entry(request.Try, batch[i])
 		}
-		for _, x := range stay {
-			k.HandleUnreadable(w.Try, x)
+		for _, listedEntry := range unreadable {
+			core.HandleUnreadable(request.Try, listedEntry)
 		}
-		k.HandleListed(w.Try, seen)
-		k.HandlePageEnd(w.Try)
+		core.HandleListed(request.Try, listed)
+		core.HandlePageEnd(request.Try)
 	})
 }
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -196,10 +196,10 @@
 }
 
 // New makes a core that knows nothing.
-func New(t Terms, now Time) *Core {
-	c := &Core{Terms: t, now: now, checkpoint: Mark{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
+func New(config Terms, now Time) *Core {
+	c := &Core{Terms: config, now: now, checkpoint: Mark{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
 		absentUntil: map[string]Time{}, seatsTaken: map[string]int{}, lookups: map[int]*lookup{}, lookupsByAccount: map[string]*lookup{}}
-	c.endpoints = newEndpointSet(&c.Terms, t.Ends)
+	c.endpoints = newEndpointSet(&c.Terms, config.Ends)
 	c.sync.preferred = -1
 	return c
 }
@@ -213,35 +213,35 @@
 
 // Resume gives it a view kept by an earlier process, as old as it is. A mark of an endpoint that is not there any
 // more has less than 0 for it.
-func (c *Core) Resume(all []Record, mark Mark, asOf Time) {
-	for i := range all {
-		c.upsert(&all[i], asOf)
+func (c *Core) Resume(records []Record, checkpoint Mark, asOf Time) {
+	for i := range records {
+		c.upsert(&records[i], asOf)
 	}
-	c.checkpoint, c.verifiedAt, c.synced, c.latestStamp = mark, asOf, true, mark.Stamp
+	c.checkpoint, c.verifiedAt, c.synced, c.latestStamp = checkpoint, asOf, true, checkpoint.Stamp
 }
 
 // Records is the view in no order, for keeping and for checks; the mark and the moment that it stands for.
-func (c *Core) Records() (all []Record, mark Mark, asOf Time) {
-	all = make([]Record, 0, len(c.byID))
+func (c *Core) Records() (records []Record, checkpoint Mark, asOf Time) {
+	records = make([]Record, 0, len(c.byID))
 	for _, e := range c.byID {
-		all = append(all, e.Record)
+		records = append(records, e.Record)
 	}
-	return all, c.checkpoint, c.verifiedAt
+	return records, c.checkpoint, c.verifiedAt
 }
 
 // Part is so many records, from a place down, and the place for the next part; less than 0 after the last. What
 // stands there throughout is brought by the parts together, though the view changes in between: an entry that goes
 // leaves its place to one that was brought already. Begin with Size, and with the mark as it was before.
-func (c *Core) Part(from, n int) (some []Record, next int) {
+func (c *Core) Part(from, limit int) (records []Record, next int) {
 	from = min(from, len(c.entries))
-	next = max(from-n, 0)
+	next = max(from-limit, 0)
 	for _, e := range c.entries[next:from] {
-		some = append(some, e.Record)
+		records = append(records, e.Record)
 	}
 	if next == 0 {
 		next = -1
 	}
-	return some, next
+	return records, next
 }
 
 // Mark is how far the view has come, and the moment that it stands for.
@@ -285,28 +285,28 @@
 func (c *Core) Age() Time { return c.now - c.lastVerified() }
 
 // put takes an entry in.
-func (c *Core) upsert(r *Record, asOf Time) {
-	e := c.byID[r.ID]
+func (c *Core) upsert(record *Record, asOf Time) {
+	e := c.byID[record.ID]
 	if e == nil {
 		if c.Entries > 0 && len(c.byID) >= c.Entries {
 			c.Counts.Overfull++
 			return
 		}
 		e = &entry{}
-		c.byID[r.ID] = e
+		c.byID[record.ID] = e
 		e.position = len(c.entries)
 		c.entries = append(c.entries, e)
 	} else {
 		c.removeName(e)
 	}
-	changed := e.Name != r.Name || e.Weight != r.Weight || e.Quota != r.Quota || e.Seats != r.Seats
-	e.Record, e.verifiedAt = *r, max(e.verifiedAt, asOf)
+	changed := e.Name != record.Name || e.Weight != record.Weight || e.Quota != record.Quota || e.Seats != record.Seats
+	e.Record, e.verifiedAt = *record, max(e.verifiedAt, asOf)
 	e.syncRound = c.syncRound
 	c.index(e)[Fold(e.Name)] = e
-	if changed && r.Kind == Tenant {
+	if changed && record.Kind == Tenant {
 		c.changedTenants = append(c.changedTenants, e.Record)
 	}
-	delete(c.absentUntil, Fold(r.Name))
+	delete(c.absentUntil, Fold(record.Name))
 	c.Counts.Changes++
 }
 
@@ -343,69 +343,69 @@
 		c.entries = c.entries[:len(c.entries)-1]
 		c.Counts.Deleted++
 		if e.Kind == Tenant {
-			gone := e.Record
-			gone.Weight, gone.Quota, gone.Seats = 0, 0, 0
-			c.changedTenants = append(c.changedTenants, gone)
+			removed := e.Record
+			removed.Weight, removed.Quota, removed.Seats = 0, 0, 0
+			c.changedTenants = append(c.changedTenants, removed)
 		}
 	}
 }
 
 // judge answers a question from what is known; false where nothing is.
-func (c *Core) decide(q *Question) (Answer, bool) {
-	a := Answer{ID: q.ID, Verdict: Unknown}
-	e := c.accounts[Fold(q.Account)]
+func (c *Core) decide(query *Question) (Answer, bool) {
+	answer := Answer{ID: query.ID, Verdict: Unknown}
+	e := c.accounts[Fold(query.Account)]
 	if e == nil {
-		return a, false
+		return answer, false
 	}
-	t := c.tenants[Fold(e.Tenant)]
-	if t == nil {
-		return a, c.synced // its tenant is not there
+	tenant := c.tenants[Fold(e.Tenant)]
+	if tenant == nil {
+		return answer, c.synced // its tenant is not there
 	}
-	a.Tenant = t.Name
-	a.Age = max(c.age(e), c.age(t))
+	answer.Tenant = tenant.Name
+	answer.Age = max(c.age(e), c.age(tenant))
 	plans := e.Plans
 	if len(plans) == 0 {
-		plans = t.Plans
+		plans = tenant.Plans
 	}
 	switch {
-	case a.Age > c.Longest && !c.Admit:
+	case answer.Age > c.Longest && !c.Admit:
 		c.Counts.Stales++
-		a.Verdict = Stale
-	case !slices.Contains(plans, q.Plan):
-		a.Verdict = NotPlan
-	case t.Seats > 0 && c.seatsTaken[t.ID] >= t.Seats:
-		a.Verdict = NoSeat
+		answer.Verdict = Stale
+	case !slices.Contains(plans, query.Plan):
+		answer.Verdict = NotPlan
+	case tenant.Seats > 0 && c.seatsTaken[tenant.ID] >= tenant.Seats:
+		answer.Verdict = NoSeat
 	default:
-		if a.Age > c.Longest {
+		if answer.Age > c.Longest {
 			c.Counts.Fallbacks++
 		}
-		a.Verdict = Allowed
+		answer.Verdict = Allowed
 	}
-	return a, true
+	return answer, true
 }
 
 // Cancel takes a question out whose player has left.
 func (c *Core) Cancel(id int) {
-	for _, l := range c.lookupsByAccount {
-		n := len(l.queries)
-		l.queries = slices.DeleteFunc(l.queries, func(q Question) bool { return q.ID == id })
-		c.waiting -= n - len(l.queries)
+	for _, pending := range c.lookupsByAccount {
+		n := len(pending.queries)
+		pending.queries = slices.DeleteFunc(pending.queries, func(q Question) bool { return q.ID == id })
+		c.waiting -= n - len(pending.queries)
 	}
 }
 
 // Plays takes a seat for a playback that was allowed, and Over gives it back by the id returned. Several that were
 // allowed by one look-up may meet at the last seat: false for those that come too late. Seats belong to the
 // tenant's entry, whatever its name.
-func (c *Core) Plays(tenant string) (id string, ok bool) {
-	t := c.tenants[Fold(tenant)]
-	if t == nil {
+func (c *Core) Plays(name string) (id string, ok bool) {
+	record := c.tenants[Fold(name)]
+	if record == nil {
 		return "", true
 	}
-	if t.Seats > 0 && c.seatsTaken[t.ID] >= t.Seats {
+	if record.Seats > 0 && c.seatsTaken[record.ID] >= record.Seats {
 		return "", false
 	}
-	c.seatsTaken[t.ID]++
-	return t.ID, true
+	c.seatsTaken[record.ID]++
+	return record.ID, true
 }
 
 // Over gives a seat back.
@@ -428,8 +428,8 @@
 
 // Settle emits what is to be asked now, the answers that are ready, and tenants whose shares have changed. It
 // returns when it wants to be called again.
-func (c *Core) Settle(do func(Want), answer func(Answer), share func(Record)) Time {
-	next := min(c.processSync(do), c.processLookups(do))
+func (c *Core) Settle(request func(Want), answer func(Answer), share func(Record)) Time {
+	next := min(c.processSync(request), c.processLookups(request))
 	c.Counts.Opened, c.Counts.Trials = c.endpoints.opened, c.endpoints.probes
 	for _, a := range c.answers {
 		answer(a)
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -21,14 +21,14 @@
 		now := Time(1_000 * unit)
 		terms := Terms{Longest: 500 * unit, Renew: 100 * unit, Timeout: 40 * unit, Negative: 60 * unit, Waiting: 8, Lookups: 2, Ends: 2}
 		c := New(terms, now)
-		d := directory{}
+		dir := directory{}
 		deleted := map[string]Time{} // by account
 		known := map[string]bool{}   // came in whole, and has not been deleted since
-		var sync Want
-		beside := false // a look-up brought something meanwhile: it stays, deleted or not, until the next
+		var request Want
+		lookupMeanwhile := false // a look-up brought something meanwhile: it stays, deleted or not, until the next
 		looks := map[int]Want{}
 		open := map[int]string{}
-		n := 0
+		queries := 0
 		check := func(a Answer) {
 			account, ok := open[a.ID]
 			if !ok {
@@ -42,22 +42,22 @@
 				rt.Fatal(account, " allowed ", now-at, " after it was deleted")
 			}
 		}
-		settle := func() {
+		process := func() {
 			c.At(now)
 			c.Settle(func(w Want) {
 				if w.Act == Look || w.Act == LookUpTenant {
 					looks[w.Try] = w
 				} else {
-					sync, beside = w, false
+					request, lookupMeanwhile = w, false
 				}
 			}, check, func(Record) {})
 		}
 		put := func(id string, r Record) {
 			r.ID, r.Stamp = id, now/stampResolution*stampResolution
-			if old, ok := d[id]; ok && old.Name != r.Name {
+			if old, ok := dir[id]; ok && old.Name != r.Name {
 				deleted[old.Name] = now
 			}
-			d[id] = r
+			dir[id] = r
 			delete(deleted, r.Name)
 		}
 		same := func() bool {
@@ -65,11 +65,11 @@
 			for k, e := range c.byID {
 				got[k] = e.Record
 			}
-			return maps.EqualFunc(got, d, func(a, b Record) bool { return a.Name == b.Name && a.Weight == b.Weight })
+			return maps.EqualFunc(got, dir, func(a, b Record) bool { return a.Name == b.Name && a.Weight == b.Weight })
 		}
-		differs := func() (all []string) {
+		differences := func() (all []string) {
 			for _, id := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-				switch e, r := c.byID[id], d[id]; {
+				switch e, r := c.byID[id], dir[id]; {
 				case e == nil && r.ID != "":
 					all = append(all, id+" is missing")
 				case e != nil && (e.Name != r.Name || e.Weight != r.Weight):
@@ -80,40 +80,40 @@
 		}
 		// whole answers what is asked, and tells whether the view must be the directory's then.
 		whole := func(live bool) bool {
-			must := c.isCurrent(sync.Try) && !c.sync.streaming && !beside
-			switch sync.Act {
+			must := c.isCurrent(request.Try) && !c.sync.streaming && !lookupMeanwhile
+			switch request.Act {
 			case Sync:
-				if sync.Endpoint == 1 {
-					c.HandleSyncFailure(sync.Try, SyncUnsupported)
+				if request.Endpoint == 1 {
+					c.HandleSyncFailure(request.Try, SyncUnsupported)
 					return false
 				}
-				for _, id := range slices.Sorted(maps.Keys(d)) {
-					r := d[id]
-					c.Entry(sync.Try, r)
+				for _, id := range slices.Sorted(maps.Keys(dir)) {
+					r := dir[id]
+					c.Entry(request.Try, r)
 				}
-				c.Refreshed(sync.Try, []byte("x"), true, live)
+				c.Refreshed(request.Try, []byte("x"), true, live)
 				return must
 			case List:
-				for _, id := range slices.Sorted(maps.Keys(d)) {
-					r := d[id]
-					c.HandleListed(sync.Try, []ListedEntry{{id, r.Stamp}})
+				for _, id := range slices.Sorted(maps.Keys(dir)) {
+					r := dir[id]
+					c.HandleListed(request.Try, []ListedEntry{{id, r.Stamp}})
 				}
-				c.HandleSearchEnd(sync.Try)
+				c.HandleSearchEnd(request.Try)
 				return false
 			}
-			for _, id := range slices.Sorted(maps.Keys(d)) {
-				r := d[id]
-				if sync.Act == FullSearch || sync.Act == Poll && r.Stamp >= sync.Since || sync.Act == Reread && slices.Contains(sync.IDs, id) {
-					c.Entry(sync.Try, r)
+			for _, id := range slices.Sorted(maps.Keys(dir)) {
+				r := dir[id]
+				if request.Act == FullSearch || request.Act == Poll && r.Stamp >= request.Since || request.Act == Reread && slices.Contains(request.IDs, id) {
+					c.Entry(request.Try, r)
 					if rapid.Bool().Draw(rt, "page") {
-						c.HandlePageEnd(sync.Try)
+						c.HandlePageEnd(request.Try)
 					}
 				}
 			}
-			c.HandleSearchEnd(sync.Try)
-			return must && sync.Act == FullSearch
+			c.HandleSearchEnd(request.Try)
+			return must && request.Act == FullSearch
 		}
-		settle()
+		process()
 		for range 80 {
 			now += unit * Time(rapid.IntRange(0, 30).Draw(rt, "pass"))
 			c.At(now)
@@ -122,28 +122,28 @@
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0, 1:
 				put(id, Record{Kind: Member, Name: fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name")), Tenant: "t", Weight: float64(now)})
-				if _, ok := d["t"]; !ok {
+				if _, ok := dir["t"]; !ok {
 					put("t", Record{Kind: Tenant, Name: "t", Plans: []string{"p"}})
 				}
 			case 2:
-				if r, ok := d[id]; ok {
+				if r, ok := dir[id]; ok {
 					deleted[r.Name] = now
 				}
-				delete(d, id)
+				delete(dir, id)
 				delete(known, id)
 			case 3, 4: // a synchronisation brings some, and breaks off
 				for _, k := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-					if r, ok := d[k]; ok && sync.Act != List && rapid.Bool().Draw(rt, "brought") {
-						c.Entry(sync.Try, r)
+					if r, ok := dir[k]; ok && request.Act != List && rapid.Bool().Draw(rt, "brought") {
+						c.Entry(request.Try, r)
 					}
 				}
-				c.HandleSyncFailure(sync.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
+				c.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
 			case 5, 6: // one comes to its end
 				if whole(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
-						rt.Fatalf("after a whole one: %v", differs())
+						rt.Fatalf("after a whole one: %v", differences())
 					}
-					for k := range d {
+					for k := range dir {
 						known[k] = true
 					}
 				}
@@ -151,8 +151,8 @@
 				for _, try := range slices.Sorted(maps.Keys(looks)) {
 					w := looks[try]
 					var found *Record
-					for _, id := range slices.Sorted(maps.Keys(d)) {
-						r := d[id]
+					for _, id := range slices.Sorted(maps.Keys(dir)) {
+						r := dir[id]
 						if Fold(r.Name) == w.Account && (r.Kind == Member) == (w.Act == Look) {
 							found = &r
 						}
@@ -164,34 +164,34 @@
 						c.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
 					default:
 						c.Looked(try, found)
-						beside = beside || found != nil
+						lookupMeanwhile = lookupMeanwhile || found != nil
 					}
 					delete(looks, try)
 				}
 			default:
-				n++
+				queries++
 				account := fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name"))
-				open[n] = account
-				a := c.Ask(Question{ID: n, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
+				open[queries] = account
+				a := c.Ask(Question{ID: queries, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
 				if a.Verdict != Wait {
 					check(a)
 				}
 			}
 			for k := range known {
-				if _, there := d[k]; there && c.byID[k] == nil {
+				if _, there := dir[k]; there && c.byID[k] == nil {
 					rt.Fatal(k, " is lost though it is there")
 				}
 			}
-			settle()
+			process()
 		}
 		for range 60 { // quiet: what is asked is answered
 			now += 10 * unit
 			c.At(now)
 			whole(false)
-			settle()
+			process()
 		}
 		if !same() {
-			rt.Fatalf("after quiet: %v", differs())
+			rt.Fatalf("after quiet: %v", differences())
 		}
 		if len(open) > 0 {
 			rt.Fatal("left without an answer: ", open)
@@ -209,55 +209,55 @@
 // A tenant that moves or is renamed keeps its seats, once; its old name is free.
 func TestSeatsFollowRename(t *testing.T) {
 	c := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
-	try := 0
-	settle := func() { c.Settle(func(w Want) { try = w.Try }, func(Answer) {}, func(Record) {}) }
-	settle()
-	c.Entry(try, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	c.Entry(try, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
-	c.Refreshed(try, nil, true, true)
-	a, _ := c.Plays("school")
-	b, _ := c.Plays("school")
+	attempt := 0
+	process := func() { c.Settle(func(w Want) { attempt = w.Try }, func(Answer) {}, func(Record) {}) }
+	process()
+	c.Entry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	c.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
+	c.Refreshed(attempt, nil, true, true)
+	first, _ := c.Plays("school")
+	second, _ := c.Plays("school")
 	if _, ok := c.Plays("school"); ok || c.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
 		t.Fatal("more than its seats")
 	}
-	c.Entry(try, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
-	c.Entry(try, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
+	c.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
+	c.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
 	if c.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
 		t.Error("its seats did not go along")
 	}
-	c.Entry(try, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	c.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
 	if _, ok := c.Plays("school"); !ok {
 		t.Error("the old name's new tenant has its seats taken")
 	}
-	c.Over(a)
+	c.Over(first)
 	if x := c.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
 		t.Error(x)
 	}
-	c.Over(b)
-	c.Over(b)
+	c.Over(second)
+	c.Over(second)
 	if c.seatsTaken["1"] != 0 {
 		t.Error("seats given back twice")
 	}
 }
 
 func TestFailureLimits(t *testing.T) {
-	g := Guesses{Span: 1000, Seed: 7}
+	limiter := Guesses{Span: 1000, Seed: 7}
 	for i := range maxAccountFailures {
-		if !g.May("ann", fmt.Sprint("place-", i), 10) {
+		if !limiter.May("ann", fmt.Sprint("place-", i), 10) {
 			t.Fatal("held after", i)
 		}
-		g.Failed("ann", fmt.Sprint("place-", i))
+		limiter.Failed("ann", fmt.Sprint("place-", i))
 	}
-	if g.May("ann", "another", 20) || !g.May("bob", "another", 20) {
+	if limiter.May("ann", "another", 20) || !limiter.May("bob", "another", 20) {
 		t.Error("an account guessed at from many places")
 	}
-	if !g.May("ann", "another", 1500) {
+	if !limiter.May("ann", "another", 1500) {
 		t.Error("held for ever")
 	}
 	for i := range maxAddressFailures {
-		g.Failed(fmt.Sprint("user-", i), "one place")
+		limiter.Failed(fmt.Sprint("user-", i), "one place")
 	}
-	if g.May("zoe", "one place", 1501) {
+	if limiter.May("zoe", "one place", 1501) {
 		t.Error("a place that guesses at many accounts")
 	}
 }
@@ -265,80 +265,80 @@
 // Of two endpoints the one that hangs is left after a few, then tried by single questions; the slow one gets less than
 // the quick one; a look-up that one of them failed is asked of the other while there is time.
 func TestEndpoints(t *testing.T) {
-	terms := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
-	e := newEndpointSet(&terms, 2)
+	config := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
+	set := newEndpointSet(&config, 2)
 	now := Time(1)
 	asked := [2]int{}
 	for i := range 400 {
 		now += 10_000
-		at, _ := e.pick(now, -1)
+		at, _ := set.pick(now, -1)
 		asked[at]++
-		e.succeeded(at, now, []Time{90_000, 1_000}[at])
+		set.succeeded(at, now, []Time{90_000, 1_000}[at])
 		_ = i
 	}
 	if asked[0] == 0 || asked[0]*4 > asked[1] {
 		t.Error("a slow and a quick one:", asked)
 	}
 	for range tripFailures {
-		e.failed(0, now)
+		set.failed(0, now)
 	}
-	if at, trial := e.pick(now, 0); at != 1 || trial {
-		t.Error("one whose circuit is open was asked:", at, trial)
+	if at, probe := set.pick(now, 0); at != 1 || probe {
+		t.Error("one whose circuit is open was asked:", at, probe)
 	}
 	for range tripFailures {
-		e.failed(1, now)
+		set.failed(1, now)
 	}
-	if e.available(now) {
+	if set.available(now) {
 		t.Error("both are open")
 	}
-	now = e.nextProbe()
-	one, trial := e.pick(now, -1)
-	if one < 0 || !trial {
-		t.Fatal("no trial", one, trial)
+	now = set.nextProbe()
+	probed, probe := set.pick(now, -1)
+	if probed < 0 || !probe {
+		t.Fatal("no trial", probed, probe)
 	}
-	if at, _ := e.pick(now, -1); at == one {
+	if at, _ := set.pick(now, -1); at == probed {
 		t.Error("a second trial")
 	}
-	e.succeeded(one, now, 10)
-	if at, trial := e.pick(now, -1); at != one || trial {
-		t.Error("not closed after its trial", at, trial)
+	set.succeeded(probed, now, 10)
+	if at, probe := set.pick(now, -1); at != probed || probe {
+		t.Error("not closed after its trial", at, probe)
 	}
 
-	c := New(terms, 1)
-	var w Want
+	c := New(config, 1)
+	var request Want
 	looks := 0
-	var got []Answer
-	settle := func() {
+	var answers []Answer
+	process := func() {
 		c.Settle(func(x Want) {
 			if x.Act == Look {
-				w = x
+				request = x
 				looks++
 			}
-		}, func(a Answer) { got = append(got, a) }, func(Record) {})
+		}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 	}
 	c.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
-	settle()
-	first := w
-	c.HandleLookupFailure(w.Try)
-	settle()
-	if looks != 2 || w.Endpoint == first.Endpoint || len(got) != 0 {
-		t.Fatal("the other was not asked:", looks, w, first, got)
+	process()
+	first := request
+	c.HandleLookupFailure(request.Try)
+	process()
+	if looks != 2 || request.Endpoint == first.Endpoint || len(answers) != 0 {
+		t.Fatal("the other was not asked:", looks, request, first, answers)
 	}
-	c.HandleLookupFailure(w.Try)
-	settle()
-	if looks != 2 || len(got) != 1 || got[0].Verdict != Busy {
-		t.Error("after both:", looks, got)
+	c.HandleLookupFailure(request.Try)
+	process()
+	if looks != 2 || len(answers) != 1 || answers[0].Verdict != Busy {
+		t.Error("after both:", looks, answers)
 	}
 	c.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
-	settle()
-	c.HandleReferral(w.Try, 1-w.Endpoint)
-	was := w.Endpoint
-	settle()
-	if w.Endpoint == was || c.Counts.Referred != 1 {
-		t.Error("not sent on:", w)
+	process()
+	c.HandleReferral(request.Try, 1-request.Endpoint)
+	previous := request.Endpoint
+	process()
+	if request.Endpoint == previous || c.Counts.Referred != 1 {
+		t.Error("not sent on:", request)
 	}
-	c.HandleReferral(w.Try, -1) // to a stranger
-	settle()
+	c.HandleReferral(request.Try, -1) // to a stranger
+	process()
 	if c.Counts.Referred != 1 {
 		t.Error("sent to a stranger")
 	}
@@ -350,18 +350,18 @@
 	c.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
 	for _, name := range []string{"ann", "bob"} {
 		var looks []Want
-		var got []Answer
-		settle := func() {
+		var answers []Answer
+		process := func() {
 			c.Settle(func(x Want) {
 				if x.Act == Look {
 					looks = append(looks, x)
 				}
-			}, func(a Answer) { got = append(got, a) }, func(Record) {})
+			}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 		}
 		if a := c.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
 			t.Fatal(name, a)
 		}
-		settle()
+		process()
 		if len(looks) != 1 || looks[0].Account != name {
 			t.Fatal(name, looks)
 		}
@@ -370,9 +370,9 @@
 		} else {
 			c.Looked(looks[0].Try, nil)
 		}
-		settle()
-		if len(got) != 1 || (got[0].Verdict == Allowed) != (name == "ann") {
-			t.Error(name, got)
+		process()
+		if len(answers) != 1 || (answers[0].Verdict == Allowed) != (name == "ann") {
+			t.Error(name, answers)
 		}
 		if a := c.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
 			t.Error(name, "is looked up again at once")
@@ -397,12 +397,12 @@
 			put(i)
 			stays[fmt.Sprint(i)] = true
 		}
-		got := map[string]bool{}
+		delivered := map[string]bool{}
 		for next := 1 << 40; next >= 0; {
-			var some []Record
-			some, next = c.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
-			for _, r := range some {
-				got[r.ID] = true
+			var chunk []Record
+			chunk, next = c.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
+			for _, r := range chunk {
+				delivered[r.ID] = true
 			}
 			for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 				i := rapid.IntRange(0, 60).Draw(rt, "which")
@@ -415,7 +415,7 @@
 			}
 		}
 		for id := range stays {
-			if !got[id] {
+			if !delivered[id] {
 				rt.Fatal(id, " stood there throughout and was not brought")
 			}
 		}
@@ -433,38 +433,38 @@
 // What is modified between two pages is polled for, whatever stamps a later page has; and entries for which there is no
 // room are not read by name.
 func TestModifiedBetweenPages(t *testing.T) {
-	const s = stampResolution
-	c := New(Terms{Longest: 8 * s, Renew: s, Timeout: 5 * s, Waiting: 10, Lookups: 1, Entries: 2}, 100*s)
-	var w Want
-	settle := func(now Time) {
+	const second = stampResolution
+	c := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
+	var request Want
+	process := func(now Time) {
 		c.At(now)
-		c.Settle(func(x Want) { w = x }, func(Answer) {}, func(Record) {})
+		c.Settle(func(x Want) { request = x }, func(Answer) {}, func(Record) {})
 	}
-	settle(100 * s)
-	c.HandleSyncFailure(w.Try, SyncUnsupported)
-	settle(100*s + 1)
-	if w.Act != FullSearch {
-		t.Fatal(w)
+	process(100 * second)
+	c.HandleSyncFailure(request.Try, SyncUnsupported)
+	process(100*second + 1)
+	if request.Act != FullSearch {
+		t.Fatal(request)
 	}
-	c.Entry(w.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * s})
-	c.HandlePageEnd(w.Try)
-	c.At(103 * s) // here a is modified, under 102, and b after it
-	c.Entry(w.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * s})
-	c.HandlePageEnd(w.Try)
-	c.HandleSearchEnd(w.Try)
-	settle(104 * s)
-	if w.Act != Poll || w.Since > 102*s {
-		t.Errorf("%v since %d: what was modified under 102 is missed", w.Act, w.Since/s)
+	c.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
+	c.HandlePageEnd(request.Try)
+	c.At(103 * second) // here a is modified, under 102, and b after it
+	c.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
+	c.HandlePageEnd(request.Try)
+	c.HandleSearchEnd(request.Try)
+	process(104 * second)
+	if request.Act != Poll || request.Since > 102*second {
+		t.Errorf("%v since %d: what was modified under 102 is missed", request.Act, request.Since/second)
 	}
-	c.HandleSearchEnd(w.Try)
-	settle(104*s + 1)
-	if w.Act != List {
-		t.Fatal(w.Act)
+	c.HandleSearchEnd(request.Try)
+	process(104*second + 1)
+	if request.Act != List {
+		t.Fatal(request.Act)
 	}
-	c.HandleListed(w.Try, []ListedEntry{{"a", 90 * s}, {"b", 103 * s}, {"c", 1}, {"d", 2}})
-	c.HandleSearchEnd(w.Try)
-	settle(104*s + 2)
-	if w.Act == Reread || c.Counts.Overfull != 2 || c.Size() != 2 {
-		t.Error(w.Act, c.Counts.Overfull, c.Size())
+	c.HandleListed(request.Try, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
+	c.HandleSearchEnd(request.Try)
+	process(104*second + 2)
+	if request.Act == Reread || c.Counts.Overfull != 2 || c.Size() != 2 {
+		t.Error(request.Act, c.Counts.Overfull, c.Size())
 	}
 }
--- a/internal/tenants/ends.go
+++ b/internal/tenants/ends.go
@@ -40,26 +40,26 @@
 	noSyncUntil         Time
 }
 
-func newEndpointSet(t *Terms, n int) endpointSet {
-	e := endpointSet{config: t, all: make([]endpoint, max(n, 1))}
-	for i := range e.all {
-		e.all[i].latencies, e.all[i].answers = meter.NewCount(latencyWindowTimeouts*t.Timeout, latencyWindowParts), meter.NewCount(latencyWindowTimeouts*t.Timeout, latencyWindowParts)
+func newEndpointSet(config *Terms, count int) endpointSet {
+	set := endpointSet{config: config, all: make([]endpoint, max(count, 1))}
+	for i := range set.all {
+		set.all[i].latencies, set.all[i].answers = meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts), meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts)
 	}
-	return e
+	return set
 }
 
 // chance is a number from 0 to 1 of this core's own.
 func (e *endpointSet) random() float64 {
 	e.jitterDraws++
-	s := e.config.Seed
-	b := [8]byte{byte(s >> 24), byte(s >> 16), byte(s >> 8), byte(s), byte(e.jitterDraws >> 24), byte(e.jitterDraws >> 16), byte(e.jitterDraws >> 8), byte(e.jitterDraws)}
+	seed := e.config.Seed
+	b := [8]byte{byte(seed >> 24), byte(seed >> 16), byte(seed >> 8), byte(seed), byte(e.jitterDraws >> 24), byte(e.jitterDraws >> 16), byte(e.jitterDraws >> 8), byte(e.jitterDraws)}
 	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
 }
 
 // can tells whether any may be asked now.
 func (e *endpointSet) available(now Time) bool {
 	for i := range e.all {
-		if x := &e.all[i]; x.openUntil == 0 || now >= x.openUntil && !x.probing {
+		if candidate := &e.all[i]; candidate.openUntil == 0 || now >= candidate.openUntil && !candidate.probing {
 			return true
 		}
 	}
@@ -68,71 +68,71 @@
 
 // due is when one may be asked again, if none may now.
 func (e *endpointSet) nextProbe() Time {
-	least := Time(1) << 62
+	earliest := Time(1) << 62
 	for i := range e.all {
-		if x := &e.all[i]; !x.probing {
-			least = min(least, x.openUntil)
+		if candidate := &e.all[i]; !candidate.probing {
+			earliest = min(earliest, candidate.openUntil)
 		}
 	}
-	return least
+	return earliest
 }
 
 // pick is the endpoint that is asked next; less than 0 if all that may be asked have as much out as they may. The
 // preferred one is taken while it answers, whatever it has out; -1 for none. trial is set for a single one let through.
-func (e *endpointSet) pick(now Time, prefer int) (at int, trial bool) {
-	if prefer >= 0 && prefer < len(e.all) && e.all[prefer].openUntil == 0 {
-		return prefer, false
+func (e *endpointSet) pick(now Time, preferred int) (index int, probe bool) {
+	if preferred >= 0 && preferred < len(e.all) && e.all[preferred].openUntil == 0 {
+		return preferred, false
 	}
-	at = -1
-	best := 0.0
+	index = -1
+	bestCost := 0.0
 	first := int(e.config.Seed % uint64(len(e.all))) // managers begin at different ones
-	for k := range e.all {
-		i := (first + k) % len(e.all)
-		x := &e.all[i]
-		if x.openUntil > 0 || x.inFlight >= max(e.config.Lookups, 1) {
+	for offset := range e.all {
+		i := (first + offset) % len(e.all)
+		candidate := &e.all[i]
+		if candidate.openUntil > 0 || candidate.inFlight >= max(e.config.Lookups, 1) {
 			continue
 		}
-		took := x.latencies.Most(now) / max(x.answers.Most(now), 1)
-		if cost := (took + 1) * float64(x.inFlight+1); at < 0 || cost < best {
-			at, best = i, cost
+		latency := candidate.latencies.Most(now) / max(candidate.answers.Most(now), 1)
+		if cost := (latency + 1) * float64(candidate.inFlight+1); index < 0 || cost < bestCost {
+			index, bestCost = i, cost
 		}
 	}
-	if at >= 0 {
-		return at, false
+	if index >= 0 {
+		return index, false
 	}
 	for i := range e.all {
-		if x := &e.all[i]; x.openUntil > 0 && now >= x.openUntil && !x.probing && (at < 0 || x.openUntil < e.all[at].openUntil) {
-			at, trial = i, true
+		if candidate := &e.all[i]; candidate.openUntil > 0 && now >= candidate.openUntil && !candidate.probing && (index < 0 || candidate.openUntil < e.all[index].openUntil) {
+			index, probe = i, true
 		}
 	}
-	if trial {
-		e.all[at].probing = true
+	if probe {
+		e.all[index].probing = true
 		e.probes++
 	}
-	return at, trial
+	return index, probe
 }
 
 // answered takes an answer that came after so long; of a stream that lives on, none.
-func (e *endpointSet) succeeded(i int, now, took Time) {
-	x := &e.all[i]
-	x.failures, x.openUntil, x.openSpan, x.probing = 0, 0, 0, false
-	if took > 0 {
-		x.latencies.Add(now, float64(took))
-		x.answers.Add(now, 1)
+func (e *endpointSet) succeeded(i int, now, latency Time) {
+	peer := &e.all[i]
+	peer.failures, peer.openUntil, peer.openSpan, peer.probing = 0, 0, 0, false
+	if latency > 0 {
+		peer.latencies.Add(now, float64(latency))
+		peer.answers.Add(now, 1)
 	}
 }
 
 // failed takes a question that got none.
 func (e *endpointSet) failed(i int, now Time) {
-	x := &e.all[i]
-	x.latencies.Add(now, float64(e.config.Timeout))
-	x.answers.Add(now, 1)
-	if x.failures++; x.failures < tripFailures && !x.probing {
+	peer := &e.all[i]
+	peer.latencies.Add(now, float64(e.config.Timeout))
+	peer.answers.Add(now, 1)
+	if peer.failures++; peer.failures < tripFailures && !peer.probing {
 		return
 	}
-	x.probing = false
-	x.openSpan = min(max(2*x.openSpan, initialOpenTimeouts*e.config.Timeout), maxOpenTimeouts*e.config.Timeout)
-	x.openUntil = now + x.openSpan/2 + Time(float64(x.openSpan/2)*e.random())
+	peer.probing = false
+	peer.openSpan = min(max(2*peer.openSpan, initialOpenTimeouts*e.config.Timeout), maxOpenTimeouts*e.config.Timeout)
+	peer.openUntil = now + peer.openSpan/2 + Time(float64(peer.openSpan/2)*e.random())
 	e.opened++
 }
 
@@ -143,6 +143,6 @@
 }
 
 func (e *endpointSet) supportsSync(i int, now Time) bool {
-	x := &e.all[i]
-	return !x.noSync || now >= x.noSyncUntil
+	peer := &e.all[i]
+	return !peer.noSync || now >= peer.noSyncUntil
 }
--- a/internal/tenants/guess.go
+++ b/internal/tenants/guess.go
@@ -21,8 +21,8 @@
 	Held      int64
 }
 
-func (g *Guesses) slot(s string) uint32 {
-	return (crc32.ChecksumIEEE([]byte(s)) ^ g.Seed) * 2654435761 >> 20 % tableSlots
+func (g *Guesses) slot(key string) uint32 {
+	return (crc32.ChecksumIEEE([]byte(key)) ^ g.Seed) * 2654435761 >> 20 % tableSlots
 }
 
 func (g *Guesses) decay(now Time) {
@@ -50,9 +50,9 @@
 
 // Failed counts one that was wrong.
 func (g *Guesses) Failed(account, address string) {
-	for _, x := range []*uint8{&g.byAccount[g.slot(account)], &g.byAddress[g.slot(address)]} {
-		if *x < 255 {
-			*x++
+	for _, count := range []*uint8{&g.byAccount[g.slot(account)], &g.byAddress[g.slot(address)]} {
+		if *count < 255 {
+			*count++
 		}
 	}
 }
--- a/internal/tenants/looks.go
+++ b/internal/tenants/looks.go
@@ -16,45 +16,45 @@
 }
 
 // release gives back the place that a look-up has at its endpoint.
-func (c *Core) release(l *lookup) {
-	if c.lookups[l.attempt] == l {
-		delete(c.lookups, l.attempt)
-		c.endpoints.all[l.endpoint].inFlight--
+func (c *Core) release(pending *lookup) {
+	if c.lookups[pending.attempt] == pending {
+		delete(c.lookups, pending.attempt)
+		c.endpoints.all[pending.endpoint].inFlight--
 	}
 }
 
 // Looked takes the answer to a look-up of an account or a tenant: the entry, or none. Failed look-ups come by
 // Unlooked.
-func (c *Core) Looked(try int, found *Record) {
-	l := c.lookups[try]
-	if l == nil {
+func (c *Core) Looked(attempt int, found *Record) {
+	pending := c.lookups[attempt]
+	if pending == nil {
 		return
 	}
-	c.release(l)
-	c.endpoints.succeeded(l.endpoint, c.now, c.now-l.sentAt)
+	c.release(pending)
+	c.endpoints.succeeded(pending.endpoint, c.now, c.now-pending.sentAt)
 	if found != nil {
-		c.upsert(found, l.sentAt)
+		c.upsert(found, pending.sentAt)
 	}
-	if l.tenant == "" {
+	if pending.tenant == "" {
 		if found != nil {
-			c.byID[found.ID].markLookedUp(l.sentAt)
-			if t := Fold(found.Tenant); c.tenants[t] == nil {
-				l.tenant, l.preferred = t, l.endpoint
-				c.lookupQueue = append([]*lookup{l}, c.lookupQueue...)
+			c.byID[found.ID].markLookedUp(pending.sentAt)
+			if tenant := Fold(found.Tenant); c.tenants[tenant] == nil {
+				pending.tenant, pending.preferred = tenant, pending.endpoint
+				c.lookupQueue = append([]*lookup{pending}, c.lookupQueue...)
 				return
 			}
 		} else {
-			c.markAbsent(l)
+			c.markAbsent(pending)
 		}
 	}
-	delete(c.lookupsByAccount, l.account)
-	for _, q := range l.queries {
+	delete(c.lookupsByAccount, pending.account)
+	for _, query := range pending.queries {
 		c.waiting--
-		v, ok := c.decide(&q)
+		answer, ok := c.decide(&query)
 		if !ok {
-			v = Answer{ID: q.ID, Verdict: Unknown}
+			answer = Answer{ID: query.ID, Verdict: Unknown}
 		}
-		c.answers = append(c.answers, v)
+		c.answers = append(c.answers, answer)
 	}
 }
 
@@ -66,141 +66,141 @@
 }
 
 // absent notes that an account is not there.
-func (c *Core) markAbsent(l *lookup) {
-	if e := c.accounts[l.account]; e != nil && e.verifiedAt < l.sentAt { // not under this name any more; a synchronisation tells what became of it
+func (c *Core) markAbsent(pending *lookup) {
+	if e := c.accounts[pending.account]; e != nil && e.verifiedAt < pending.sentAt { // not under this name any more; a synchronisation tells what became of it
 		c.removeName(e)
 	}
-	if most := negativeCacheFactor * max(c.Waiting, 1); len(c.absentUntil) >= most {
-		for k, until := range c.absentUntil {
+	if limit := negativeCacheFactor * max(c.Waiting, 1); len(c.absentUntil) >= limit {
+		for account, until := range c.absentUntil {
 			if until <= c.now {
-				delete(c.absentUntil, k)
+				delete(c.absentUntil, account)
 			}
 		}
-		for k := range c.absentUntil {
-			if len(c.absentUntil) < most {
+		for account := range c.absentUntil {
+			if len(c.absentUntil) < limit {
 				break
 			}
-			delete(c.absentUntil, k)
+			delete(c.absentUntil, account)
 		}
 	}
-	c.absentUntil[l.account] = c.now + c.Negative
+	c.absentUntil[pending.account] = c.now + c.Negative
 	c.Counts.Negatives++
 }
 
 // Unlooked takes the failure of a look-up. Another endpoint is asked while there is time for it; otherwise those who
 // wait come again.
-func (c *Core) HandleLookupFailure(try int) {
-	l := c.lookups[try]
-	if l == nil {
+func (c *Core) HandleLookupFailure(attempt int) {
+	pending := c.lookups[attempt]
+	if pending == nil {
 		return
 	}
-	c.release(l)
-	c.endpoints.failed(l.endpoint, c.now)
-	l.failures++
-	time := slices.ContainsFunc(l.queries, func(q Question) bool { return q.Until-c.Timeout/answerMarginDivisor > c.now })
-	if l.failures < len(c.endpoints.all) && time && c.endpoints.available(c.now) {
+	c.release(pending)
+	c.endpoints.failed(pending.endpoint, c.now)
+	pending.failures++
+	timeLeft := slices.ContainsFunc(pending.queries, func(q Question) bool { return q.Until-c.Timeout/answerMarginDivisor > c.now })
+	if pending.failures < len(c.endpoints.all) && timeLeft && c.endpoints.available(c.now) {
 		c.Counts.Retried++
-		l.preferred = -1
-		c.lookupQueue = append([]*lookup{l}, c.lookupQueue...)
+		pending.preferred = -1
+		c.lookupQueue = append([]*lookup{pending}, c.lookupQueue...)
 		return
 	}
-	c.abandon(l, Busy)
+	c.abandon(pending, Busy)
 }
 
-func (c *Core) abandon(l *lookup, v Verdict) {
-	delete(c.lookupsByAccount, l.account)
-	c.lookupQueue = slices.DeleteFunc(c.lookupQueue, func(x *lookup) bool { return x == l })
-	for _, q := range l.queries {
+func (c *Core) abandon(pending *lookup, verdict Verdict) {
+	delete(c.lookupsByAccount, pending.account)
+	c.lookupQueue = slices.DeleteFunc(c.lookupQueue, func(x *lookup) bool { return x == pending })
+	for _, query := range pending.queries {
 		c.waiting--
-		c.answers = append(c.answers, Answer{ID: q.ID, Verdict: v})
+		c.answers = append(c.answers, Answer{ID: query.ID, Verdict: verdict})
 	}
-	l.queries = nil
+	pending.queries = nil
 }
 
 // Ask answers a playback's question: at once where something is known, or by Settle after a look-up. Many that
 // ask for one account wait for one look-up. Whoever doubts waits for one too, so that an account that is there and
 // one that is not take as long.
-func (c *Core) Ask(q Question) Answer {
-	can := c.endpoints.available(c.now)
-	key := Fold(q.Account)
-	if a, ok := c.decide(&q); ok && !q.Doubt {
-		if a.Verdict != Stale || !can { // too old, and nobody can be asked
-			return a
+func (c *Core) Ask(query Question) Answer {
+	available := c.endpoints.available(c.now)
+	key := Fold(query.Account)
+	if answer, ok := c.decide(&query); ok && !query.Doubt {
+		if answer.Verdict != Stale || !available { // too old, and nobody can be asked
+			return answer
 		}
 	} else if e := c.accounts[key]; ok && e != nil && e.lookedUpAt > 0 && c.now-e.lookedUpAt <= c.Negative {
-		return a
+		return answer
 	}
-	switch until, none := c.absentUntil[key]; {
+	switch until, absent := c.absentUntil[key]; {
 	case key == "":
-		return Answer{ID: q.ID, Verdict: Unknown}
-	case none && c.now < until:
+		return Answer{ID: query.ID, Verdict: Unknown}
+	case absent && c.now < until:
 		c.Counts.Negatives++
-		return Answer{ID: q.ID, Verdict: Unknown}
-	case !can, c.waiting >= c.Waiting:
+		return Answer{ID: query.ID, Verdict: Unknown}
+	case !available, c.waiting >= c.Waiting:
 		c.Counts.Refused++
-		return Answer{ID: q.ID, Verdict: Busy}
+		return Answer{ID: query.ID, Verdict: Busy}
 	}
-	if q.Doubt {
+	if query.Doubt {
 		c.Counts.Doubts++
 	}
-	l := c.lookupsByAccount[key]
-	if l == nil {
-		l = &lookup{account: key, preferred: -1}
-		c.lookupsByAccount[key] = l
-		c.lookupQueue = append(c.lookupQueue, l)
+	pending := c.lookupsByAccount[key]
+	if pending == nil {
+		pending = &lookup{account: key, preferred: -1}
+		c.lookupsByAccount[key] = pending
+		c.lookupQueue = append(c.lookupQueue, pending)
 	} else {
 		c.Counts.Joined++
 	}
-	l.queries = append(l.queries, q)
+	pending.queries = append(pending.queries, query)
 	c.waiting++
-	return Answer{ID: q.ID, Verdict: Wait}
+	return Answer{ID: query.ID, Verdict: Wait}
 }
 
 // settleLooks emits look-ups, and answers for whom there is no time left.
-func (c *Core) processLookups(do func(Want)) Time {
+func (c *Core) processLookups(request func(Want)) Time {
 	for len(c.lookupQueue) > 0 {
-		l := c.lookupQueue[0]
+		pending := c.lookupQueue[0]
 		if !c.endpoints.available(c.now) {
-			c.abandon(l, Busy)
+			c.abandon(pending, Busy)
 			continue
 		}
-		at, trial := c.endpoints.pick(c.now, l.preferred)
-		if at < 0 {
+		endpoint, probe := c.endpoints.pick(c.now, pending.preferred)
+		if endpoint < 0 {
 			break // all have as much out as they may
 		}
 		c.lookupQueue = c.lookupQueue[1:]
 		c.attempt++
-		l.attempt, l.sentAt, l.endpoint = c.attempt, c.now, at
-		c.lookups[c.attempt] = l
-		c.endpoints.all[at].inFlight++
-		w := Want{Act: Look, Try: c.attempt, Endpoint: at, Account: l.account, Probe: trial}
-		if l.tenant != "" {
-			w.Act, w.Account = LookUpTenant, l.tenant
+		pending.attempt, pending.sentAt, pending.endpoint = c.attempt, c.now, endpoint
+		c.lookups[c.attempt] = pending
+		c.endpoints.all[endpoint].inFlight++
+		want := Want{Act: Look, Try: c.attempt, Endpoint: endpoint, Account: pending.account, Probe: probe}
+		if pending.tenant != "" {
+			want.Act, want.Account = LookUpTenant, pending.tenant
 		}
 		c.Counts.Looks++
-		do(w)
+		request(want)
 	}
 	next := c.now + c.Renew
-	for _, l := range c.lookups {
-		if c.now-l.sentAt > c.Timeout {
-			c.HandleLookupFailure(l.attempt)
+	for _, pending := range c.lookups {
+		if c.now-pending.sentAt > c.Timeout {
+			c.HandleLookupFailure(pending.attempt)
 			next = c.now // another endpoint may be asked
 			continue
 		}
-		next = min(next, l.sentAt+c.Timeout+1)
+		next = min(next, pending.sentAt+c.Timeout+1)
 	}
-	for _, l := range c.lookupsByAccount { // none waits past its time
-		var rest []Question
-		for _, q := range l.queries {
-			if q.Until-c.Timeout/answerMarginDivisor <= c.now {
+	for _, pending := range c.lookupsByAccount { // none waits past its time
+		var remaining []Question
+		for _, query := range pending.queries {
+			if query.Until-c.Timeout/answerMarginDivisor <= c.now {
 				c.waiting--
-				c.answers = append(c.answers, Answer{ID: q.ID, Verdict: Busy})
+				c.answers = append(c.answers, Answer{ID: query.ID, Verdict: Busy})
 				continue
 			}
-			next = min(next, q.Until-c.Timeout/answerMarginDivisor)
-			rest = append(rest, q)
+			next = min(next, query.Until-c.Timeout/answerMarginDivisor)
+			remaining = append(remaining, query)
 		}
-		l.queries = rest
+		pending.queries = remaining
 	}
 	return next
 }
--- a/internal/tenants/rows.go
+++ b/internal/tenants/rows.go
@@ -53,14 +53,14 @@
 // Settle tells what changes in the table, and when it wants to be called again: never is 0.
 func (r *Rows) Settle(now Time, set func(row int, quota float64)) (next Time) {
 	for i := range r.rows {
-		x := &r.rows[i]
-		quota := r.quotas[x.id]
-		if x.id != "" && quota == 0 {
-			delete(r.byID, x.id)
-			x.id, x.freedAt = "", now
+		slot := &r.rows[i]
+		quota := r.quotas[slot.id]
+		if slot.id != "" && quota == 0 {
+			delete(r.byID, slot.id)
+			slot.id, slot.freedAt = "", now
 		}
-		if quota != x.quota || !r.written {
-			x.quota = quota
+		if quota != slot.quota || !r.written {
+			slot.quota = quota
 			set(r.First+i, quota)
 		}
 	}
@@ -69,27 +69,27 @@
 		return 0
 	}
 	ids := slices.Sorted(maps.Keys(r.quotas))
-	k := 0
+	nextID := 0
 	for i := range r.rows {
-		x := &r.rows[i]
-		if x.id != "" {
+		slot := &r.rows[i]
+		if slot.id != "" {
 			continue
 		}
-		if x.freedAt > 0 && now-x.freedAt < r.Rest {
-			if next == 0 || x.freedAt+r.Rest < next {
-				next = x.freedAt + r.Rest
+		if slot.freedAt > 0 && now-slot.freedAt < r.Rest {
+			if next == 0 || slot.freedAt+r.Rest < next {
+				next = slot.freedAt + r.Rest
 			}
 			continue
 		}
-		for k < len(ids) && r.hasRow(ids[k]) {
-			k++
+		for nextID < len(ids) && r.hasRow(ids[nextID]) {
+			nextID++
 		}
-		if k == len(ids) {
+		if nextID == len(ids) {
 			return 0
 		}
-		x.id, x.quota = ids[k], r.quotas[ids[k]]
-		r.byID[x.id] = i
-		set(r.First+i, x.quota)
+		slot.id, slot.quota = ids[nextID], r.quotas[ids[nextID]]
+		r.byID[slot.id] = i
+		set(r.First+i, slot.quota)
 	}
 	if r.Without() == 0 {
 		return 0
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -23,27 +23,27 @@
 )
 
 // mine tells whether news belongs to the synchronisation under way.
-func (c *Core) isCurrent(try int) bool { return try == c.sync.attempt && c.sync.active }
+func (c *Core) isCurrent(attempt int) bool { return attempt == c.sync.attempt && c.sync.active }
 
 // Entry takes an entry of a synchronisation. It is fresh as of the synchronisation's beginning while that
 // refreshes, and as of now on a stream that lives.
-func (c *Core) Entry(try int, r Record) {
-	if !c.isCurrent(try) {
+func (c *Core) Entry(attempt int, record Record) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
 	s.lastHeard = c.now
-	asOf := s.startedAt
+	verifiedAt := s.startedAt
 	if s.streaming {
-		asOf = c.now
+		verifiedAt = c.now
 	}
-	s.latestStamp = max(s.latestStamp, r.Stamp)
-	c.upsert(&r, asOf)
+	s.latestStamp = max(s.latestStamp, record.Stamp)
+	c.upsert(&record, verifiedAt)
 }
 
 // Present tells that entries are still as they were (RFC 4533 section 3.3).
-func (c *Core) HandlePresent(try int, ids []string) {
-	if !c.isCurrent(try) {
+func (c *Core) HandlePresent(attempt int, ids []string) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	c.sync.lastHeard = c.now
@@ -57,36 +57,36 @@
 
 // Unread tells of an entry that is there and cannot be read: it stays as it was, and is not read anew until it is
 // modified again.
-func (c *Core) HandleUnreadable(try int, x ListedEntry) {
-	if !c.isCurrent(try) {
+func (c *Core) HandleUnreadable(attempt int, listed ListedEntry) {
+	if !c.isCurrent(attempt) {
 		return
 	}
-	c.HandlePresent(try, []string{x.ID})
-	c.sync.latestStamp = max(c.sync.latestStamp, x.Stamp)
-	if e := c.byID[x.ID]; e != nil {
-		e.Stamp = x.Stamp
+	c.HandlePresent(attempt, []string{listed.ID})
+	c.sync.latestStamp = max(c.sync.latestStamp, listed.Stamp)
+	if e := c.byID[listed.ID]; e != nil {
+		e.Stamp = listed.Stamp
 		return
 	}
 	if len(c.unreadable) >= max(c.Waiting, 1) {
 		clear(c.unreadable)
 	}
-	c.unreadable[x.ID] = x.Stamp
+	c.unreadable[listed.ID] = listed.Stamp
 }
 
 // Seen takes a part of a list. What has another stamp than the view has it with, or none, is read by its name after
 // it: polls may have missed it, as a replica may bring changes late, under the stamps of another's clock.
-func (c *Core) HandleListed(try int, all []ListedEntry) {
-	if !c.isCurrent(try) {
+func (c *Core) HandleListed(attempt int, listed []ListedEntry) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	c.sync.lastHeard = c.now
-	for _, x := range all {
+	for _, x := range listed {
 		e := c.byID[x.ID]
-		switch at, bad := c.unreadable[x.ID]; {
+		switch stamp, unreadable := c.unreadable[x.ID]; {
 		case e != nil && x.Stamp != 0 && x.Stamp == e.Stamp:
 			e.syncRound = c.syncRound
 			c.restoreName(e)
-		case e == nil && bad && at == x.Stamp:
+		case e == nil && unreadable && stamp == x.Stamp:
 		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // no room: it would be read again at each list
 			c.Counts.Overfull++
 		default:
@@ -101,15 +101,15 @@
 // Paged tells that a page has been read. What is modified after the first page was read has its latest stamp or a
 // later one, whatever page it is on: the next poll begins there. A later page's stamps tell nothing of that, as what
 // had been read by then may have been modified before them.
-func (c *Core) HandlePageEnd(try int) {
-	if s := &c.sync; c.isCurrent(try) && s.firstPageStamp == 0 {
+func (c *Core) HandlePageEnd(attempt int) {
+	if s := &c.sync; c.isCurrent(attempt) && s.firstPageStamp == 0 {
 		s.firstPageStamp = s.latestStamp
 	}
 }
 
 // Gone tells that entries are deleted, which the directory says by name: it counts at once.
-func (c *Core) Gone(try int, ids []string) {
-	if !c.isCurrent(try) {
+func (c *Core) Gone(attempt int, ids []string) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	c.sync.lastHeard = c.now
@@ -120,16 +120,16 @@
 
 // Refreshed tells that a synchronisation has brought all that there is. Where it listed what is there (rather
 // than what is deleted), what it did not list is gone. With live set the stream goes on with changes.
-func (c *Core) Refreshed(try int, cookie []byte, listed, live bool) {
-	if !c.isCurrent(try) {
+func (c *Core) Refreshed(attempt int, cookie []byte, removesUnlisted, streaming bool) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
-	s.lastHeard, s.streaming = c.now, live
-	s.removesUnlisted = listed
+	s.lastHeard, s.streaming = c.now, streaming
+	s.removesUnlisted = removesUnlisted
 	c.checkpoint = Mark{End: s.endpoint, Cookie: cookie}
 	c.completeSync()
-	if s.referrals = 0; !live {
+	if s.referrals = 0; !streaming {
 		s.active = false
 		c.nextSyncAt = s.startedAt + c.Renew
 	}
@@ -152,8 +152,8 @@
 
 // Done tells that a search has come to its end. What a list found changed is read next; only then is the view the
 // directory's.
-func (c *Core) HandleSearchEnd(try int) {
-	if !c.isCurrent(try) {
+func (c *Core) HandleSearchEnd(attempt int) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
@@ -185,26 +185,26 @@
 }
 
 // Cookie takes a stream's word on how far it has come.
-func (c *Core) HandleCookie(try int, cookie []byte) {
-	if c.isCurrent(try) && c.sync.streaming && len(cookie) > 0 {
+func (c *Core) HandleCookie(attempt int, cookie []byte) {
+	if c.isCurrent(attempt) && c.sync.streaming && len(cookie) > 0 {
 		c.checkpoint.Cookie, c.sync.lastHeard = cookie, c.now
 	}
 }
 
 // Ended takes the end of a synchronisation that did not come to its own. Nothing is deleted for it.
-func (c *Core) HandleSyncFailure(try int, why SyncFailure) {
-	if !c.isCurrent(try) {
+func (c *Core) HandleSyncFailure(attempt int, reason SyncFailure) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
 	s.active, s.nextOp = false, 0
 	c.Counts.Broken++
 	switch {
-	case why == CookieExpired && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
+	case reason == CookieExpired && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
 		c.checkpoint = Mark{End: s.endpoint}
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
 		c.nextSyncAt = c.now
-	case why == SyncUnsupported && c.endpoints.supportsSync(s.endpoint, c.now):
+	case reason == SyncUnsupported && c.endpoints.supportsSync(s.endpoint, c.now):
 		c.endpoints.markNoSync(s.endpoint, c.now)
 		if c.checkpoint.End != s.endpoint {
 			c.checkpoint = Mark{End: s.endpoint}
@@ -219,37 +219,37 @@
 
 // Referred takes an endpoint's word that another is to be asked (RFC 4511 section 4.1.10): one that the settings
 // name, by its number, or less than 0. Elsewhere nobody is asked, as what binds there would be given to strangers.
-func (c *Core) HandleReferral(try, to int) {
-	if l := c.lookups[try]; l != nil {
-		if to < 0 || to >= len(c.endpoints.all) || l.referrals >= len(c.endpoints.all) {
-			c.HandleLookupFailure(try)
+func (c *Core) HandleReferral(attempt, target int) {
+	if pending := c.lookups[attempt]; pending != nil {
+		if target < 0 || target >= len(c.endpoints.all) || pending.referrals >= len(c.endpoints.all) {
+			c.HandleLookupFailure(attempt)
 			return
 		}
 		c.Counts.Referred++
-		c.release(l)
-		c.endpoints.succeeded(l.endpoint, c.now, c.now-l.sentAt)
-		l.referrals++
-		l.preferred = to
-		c.lookupQueue = append([]*lookup{l}, c.lookupQueue...)
+		c.release(pending)
+		c.endpoints.succeeded(pending.endpoint, c.now, c.now-pending.sentAt)
+		pending.referrals++
+		pending.preferred = target
+		c.lookupQueue = append([]*lookup{pending}, c.lookupQueue...)
 		return
 	}
-	if !c.isCurrent(try) {
+	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
-	if to < 0 || to >= len(c.endpoints.all) || s.referrals >= len(c.endpoints.all) {
-		c.HandleSyncFailure(try, Interrupted)
+	if target < 0 || target >= len(c.endpoints.all) || s.referrals >= len(c.endpoints.all) {
+		c.HandleSyncFailure(attempt, Interrupted)
 		return
 	}
 	c.Counts.Referred++
 	s.referrals++
-	s.active, s.nextOp, s.preferred = false, 0, to
+	s.active, s.nextOp, s.preferred = false, 0, target
 	c.endpoints.succeeded(s.endpoint, c.now, 0)
 	c.nextSyncAt = c.now
 }
 
 // settleSync emits the next step of synchronising.
-func (c *Core) processSync(do func(Want)) Time {
+func (c *Core) processSync(request func(Want)) Time {
 	s := &c.sync
 	switch {
 	case s.active && !s.streaming && c.now-s.lastHeard > c.Timeout:
@@ -261,23 +261,23 @@
 	if !s.active && s.nextOp != 0 {
 		c.attempt++
 		s.op, s.nextOp, s.attempt, s.active, s.lastHeard = s.nextOp, 0, c.attempt, true, c.now
-		w := Want{Act: s.op, Try: c.attempt, Endpoint: s.endpoint}
+		want := Want{Act: s.op, Try: c.attempt, Endpoint: s.endpoint}
 		if s.op == List {
 			c.Counts.Lists++
 		} else {
 			n := min(len(s.toReread), rereadBatch)
-			w.IDs, s.toReread = s.toReread[:n:n], s.toReread[n:]
+			want.IDs, s.toReread = s.toReread[:n:n], s.toReread[n:]
 			c.Counts.Reread += int64(n)
 		}
-		do(w)
+		request(want)
 	}
 	if !s.active && c.now >= c.nextSyncAt && c.endpoints.available(c.now) {
-		prefer := s.preferred
-		if prefer < 0 {
-			prefer = c.checkpoint.End
+		preferred := s.preferred
+		if preferred < 0 {
+			preferred = c.checkpoint.End
 		}
-		if at, trial := c.endpoints.pick(c.now, prefer); at >= 0 {
-			c.startSync(at, trial, do)
+		if endpoint, probe := c.endpoints.pick(c.now, preferred); endpoint >= 0 {
+			c.startSync(endpoint, probe, request)
 		}
 	}
 	switch {
@@ -292,14 +292,14 @@
 }
 
 // begin asks an endpoint for what it can tell best.
-func (c *Core) startSync(at int, trial bool, do func(Want)) {
+func (c *Core) startSync(endpoint int, probe bool, request func(Want)) {
 	s := &c.sync
 	c.attempt++
 	c.syncRound++
-	hops := s.referrals
-	*s = syncState{attempt: c.attempt, endpoint: at, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: hops}
-	w := Want{Try: c.attempt, Endpoint: at, Probe: trial}
-	known := c.checkpoint.End == at
+	referrals := s.referrals
+	*s = syncState{attempt: c.attempt, endpoint: endpoint, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: referrals}
+	want := Want{Try: c.attempt, Endpoint: endpoint, Probe: probe}
+	known := c.checkpoint.End == endpoint
 	if s.completeBefore = c.latestStamp; !known {
 		s.completeBefore = 0
 	} else if c.latestStamp > 0 && c.now-c.latestStampAt > stampResolution { // nothing more comes under that second
@@ -307,21 +307,21 @@
 	}
 	c.Counts.Syncs++
 	switch {
-	case c.endpoints.supportsSync(at, c.now):
-		if w.Act = Sync; known {
-			w.Cookie = c.checkpoint.Cookie
+	case c.endpoints.supportsSync(endpoint, c.now):
+		if want.Act = Sync; known {
+			want.Cookie = c.checkpoint.Cookie
 		}
-		if len(w.Cookie) == 0 {
+		if len(want.Cookie) == 0 {
 			c.Counts.Full++
 		}
 	case !known || c.checkpoint.Stamp == 0 || !c.synced:
-		w.Act, s.removesUnlisted = FullSearch, true
+		want.Act, s.removesUnlisted = FullSearch, true
 		c.Counts.Full++
 	default:
-		w.Act, w.Since = Poll, c.checkpoint.Stamp
+		want.Act, want.Since = Poll, c.checkpoint.Stamp
 		s.removesUnlisted = c.now+c.Renew-c.verifiedAt >= c.Longest/listAgeDivisor // by the next time it would be due
 		c.Counts.Polls++
 	}
-	s.op = w.Act
-	do(w)
+	s.op = want.Act
+	request(want)
 }
