--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -15,15 +15,15 @@
 
 // view gathers what a client tells.
 type recorder struct {
-	mu   sync.Mutex
-	keys map[string]string
-	n    int
+	mu      sync.Mutex
+	keys    map[string]string
+	updates int
 }
 
 func (v *recorder) take(update registry.News, _ registry.Mark) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.n++
+	v.updates++
 	if update.Whole || v.keys == nil {
 		v.keys = map[string]string{}
 	}
--- a/internal/registry/client/tls_test.go
+++ b/internal/registry/client/tls_test.go
@@ -76,7 +76,7 @@
 	}
 	time.Sleep(600 * time.Millisecond)
 	other.Close()
-	if untrusting.n != 0 {
+	if untrusting.updates != 0 {
 		t.Error("a registry that is not trusted was believed")
 	}
 }
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -167,12 +167,12 @@
 func (c *Core) Header() Head { return Head{c.cluster, c.revision} }
 
 // Listed takes the answer to a List.
-func (c *Core) Listed(try int, header Head, history Mark, keys map[string]Entry) {
-	if try != c.attempt || c.op != List {
+func (c *Core) Listed(attempt int, header Head, history Mark, entries map[string]Entry) {
+	if attempt != c.attempt || c.op != List {
 		return
 	}
 	c.op = None
-	list := &listResult{header, history, keys}
+	list := &listResult{header, history, entries}
 	if c.synced && c.isOlder(list) {
 		// A member that has fallen behind says what the view knew before: it tells nothing that must bind in
 		// time. Others are asked until one is as far; only a registry that goes on being older, as one restored
@@ -210,8 +210,8 @@
 // loses tells whether a list lacks more than a part of what is known.
 func (c *Core) losesMany(list *listResult) bool {
 	removed := 0
-	for k := range c.view {
-		if _, ok := list.keys[k]; !ok {
+	for key := range c.view {
+		if _, ok := list.keys[key]; !ok {
 			removed++
 		}
 	}
@@ -241,8 +241,8 @@
 
 func (c *Core) snapshot() News {
 	update := News{Whole: true, Revision: c.revision}
-	for _, k := range slices.Sorted(maps.Keys(c.view)) {
-		update.Changes = append(update.Changes, Change{Key: k, Value: c.view[k].Value, Mod: c.view[k].Mod})
+	for _, key := range slices.Sorted(maps.Keys(c.view)) {
+		update.Changes = append(update.Changes, Change{Key: key, Value: c.view[key].Value, Mod: c.view[key].Mod})
 	}
 	return update
 }
@@ -251,8 +251,8 @@
 
 // Watched takes an answer of a watch. With fragment set more pieces of the same answer follow. An answer
 // without changes tells how far the registry has come (a progress notification), or that the watch began.
-func (c *Core) Watched(try int, header Head, changes []Change, fragment, created bool) {
-	if try != c.attempt || c.op != Watch {
+func (c *Core) Watched(attempt int, header Head, changes []Change, fragment, created bool) {
+	if attempt != c.attempt || c.op != Watch {
 		return
 	}
 	c.lastActivity = c.now
@@ -325,8 +325,8 @@
 }
 
 // Ended takes the end of a try that brought nothing more.
-func (c *Core) Ended(try int, failure Failure) {
-	if try != c.attempt || c.op == None {
+func (c *Core) Ended(attempt int, failure Failure) {
+	if attempt != c.attempt || c.op == None {
 		return
 	}
 	c.Counts.Failures++
@@ -356,9 +356,9 @@
 	delay := min(c.Timeout/initialBackoffDivisor<<min(c.failures, 10), c.Timeout)
 	c.failures++
 	c.jitterDraws++
-	b := [8]byte{byte(c.Seed >> 24), byte(c.Seed >> 16), byte(c.Seed >> 8), byte(c.Seed), byte(c.jitterDraws >> 24), byte(c.jitterDraws >> 16),
+	seedBytes := [8]byte{byte(c.Seed >> 24), byte(c.Seed >> 16), byte(c.Seed >> 8), byte(c.Seed), byte(c.jitterDraws >> 24), byte(c.jitterDraws >> 16),
 		byte(c.jitterDraws >> 8), byte(c.jitterDraws)}
-	jitter := float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
+	jitter := float64(crc32.ChecksumIEEE(seedBytes[:])) / (1 << 32)
 	c.retryAt = c.now + delay/2 + Time(float64(delay/2)*jitter)
 }
 
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -11,14 +11,14 @@
 
 // model is a registry: a history of transactions that may be compacted, or begin anew.
 type model struct {
-	cluster   uint64
-	historyID Mark
-	revision  int64
-	compacted int64
-	state     map[string]Entry
-	history   map[Mark]map[int64]map[string]Entry
-	log       []Change
-	histories int
+	cluster      uint64
+	historyID    Mark
+	revision     int64
+	compacted    int64
+	state        map[string]Entry
+	history      map[Mark]map[int64]map[string]Entry
+	log          []Change
+	historyCount int
 }
 
 func newModel() *model {
@@ -29,8 +29,8 @@
 
 // begin starts another history, perhaps with the same cluster id.
 func (m *model) startHistory(revision int64, newCluster bool) {
-	m.histories++
-	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.histories)), revision, revision
+	m.historyCount++
+	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.historyCount)), revision, revision
 	if newCluster {
 		m.cluster++
 	}
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := Time(1_000 * unit)
 		terms := Terms{Longest: 500 * unit, Renew: 100 * unit, Timeout: 40 * unit, Negative: 60 * unit, Waiting: 8, Lookups: 2, Ends: 2}
-		c := New(terms, now)
+		core := New(terms, now)
 		dir := directory{}
 		deleted := map[string]Time{} // by account
 		known := map[string]bool{}   // came in whole, and has not been deleted since
@@ -28,7 +28,7 @@
 		lookupMeanwhile := false // a look-up brought something meanwhile: it stays, deleted or not, until the next
 		looks := map[int]Want{}
 		open := map[int]string{}
-		queries := 0
+		lastID := 0
 		check := func(a Answer) {
 			account, ok := open[a.ID]
 			if !ok {
@@ -43,8 +43,8 @@
 			}
 		}
 		process := func() {
-			c.At(now)
-			c.Settle(func(w Want) {
+			core.At(now)
+			core.Settle(func(w Want) {
 				if w.Act == Look || w.Act == LookUpTenant {
 					looks[w.Try] = w
 				} else {
@@ -62,61 +62,61 @@
 		}
 		same := func() bool {
 			got := directory{}
-			for k, e := range c.byID {
+			for k, e := range core.byID {
 				got[k] = e.Record
 			}
 			return maps.EqualFunc(got, dir, func(a, b Record) bool { return a.Name == b.Name && a.Weight == b.Weight })
 		}
 		differences := func() (all []string) {
 			for _, id := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-				switch e, r := c.byID[id], dir[id]; {
+				switch e, r := core.byID[id], dir[id]; {
 				case e == nil && r.ID != "":
 					all = append(all, id+" is missing")
 				case e != nil && (e.Name != r.Name || e.Weight != r.Weight):
 					all = append(all, fmt.Sprintf("%s is %+v, not %+v", id, *e, r))
 				}
 			}
-			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", c.sync, c.checkpoint, c.verifiedAt, now, c.latestStampAt, c.latestStamp))
+			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", core.sync, core.checkpoint, core.verifiedAt, now, core.latestStampAt, core.latestStamp))
 		}
 		// whole answers what is asked, and tells whether the view must be the directory's then.
 		whole := func(live bool) bool {
-			must := c.isCurrent(request.Try) && !c.sync.streaming && !lookupMeanwhile
+			must := core.isCurrent(request.Try) && !core.sync.streaming && !lookupMeanwhile
 			switch request.Act {
 			case Sync:
 				if request.Endpoint == 1 {
-					c.HandleSyncFailure(request.Try, SyncUnsupported)
+					core.HandleSyncFailure(request.Try, SyncUnsupported)
 					return false
 				}
 				for _, id := range slices.Sorted(maps.Keys(dir)) {
 					r := dir[id]
-					c.Entry(request.Try, r)
+					core.Entry(request.Try, r)
 				}
-				c.Refreshed(request.Try, []byte("x"), true, live)
+				core.Refreshed(request.Try, []byte("x"), true, live)
 				return must
 			case List:
 				for _, id := range slices.Sorted(maps.Keys(dir)) {
 					r := dir[id]
-					c.HandleListed(request.Try, []ListedEntry{{id, r.Stamp}})
+					core.HandleListed(request.Try, []ListedEntry{{id, r.Stamp}})
 				}
-				c.HandleSearchEnd(request.Try)
+				core.HandleSearchEnd(request.Try)
 				return false
 			}
 			for _, id := range slices.Sorted(maps.Keys(dir)) {
 				r := dir[id]
 				if request.Act == FullSearch || request.Act == Poll && r.Stamp >= request.Since || request.Act == Reread && slices.Contains(request.IDs, id) {
-					c.Entry(request.Try, r)
+					core.Entry(request.Try, r)
 					if rapid.Bool().Draw(rt, "page") {
-						c.HandlePageEnd(request.Try)
+						core.HandlePageEnd(request.Try)
 					}
 				}
 			}
-			c.HandleSearchEnd(request.Try)
+			core.HandleSearchEnd(request.Try)
 			return must && request.Act == FullSearch
 		}
 		process()
 		for range 80 {
 			now += unit * Time(rapid.IntRange(0, 30).Draw(rt, "pass"))
-			c.At(now)
+			core.At(now)
 			i := rapid.IntRange(0, 5).Draw(rt, "who")
 			id := fmt.Sprint("m", i)
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
@@ -134,10 +134,10 @@
 			case 3, 4: // a synchronisation brings some, and breaks off
 				for _, k := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
 					if r, ok := dir[k]; ok && request.Act != List && rapid.Bool().Draw(rt, "brought") {
-						c.Entry(request.Try, r)
+						core.Entry(request.Try, r)
 					}
 				}
-				c.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
+				core.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
 			case 5, 6: // one comes to its end
 				if whole(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
@@ -159,26 +159,26 @@
 					}
 					switch rapid.IntRange(0, 3).Draw(rt, "how") {
 					case 0:
-						c.HandleLookupFailure(try)
+						core.HandleLookupFailure(try)
 					case 1:
-						c.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
+						core.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
 					default:
-						c.Looked(try, found)
+						core.Looked(try, found)
 						lookupMeanwhile = lookupMeanwhile || found != nil
 					}
 					delete(looks, try)
 				}
 			default:
-				queries++
+				lastID++
 				account := fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name"))
-				open[queries] = account
-				a := c.Ask(Question{ID: queries, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
+				open[lastID] = account
+				a := core.Ask(Question{ID: lastID, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
 				if a.Verdict != Wait {
 					check(a)
 				}
 			}
 			for k := range known {
-				if _, there := dir[k]; there && c.byID[k] == nil {
+				if _, there := dir[k]; there && core.byID[k] == nil {
 					rt.Fatal(k, " is lost though it is there")
 				}
 			}
@@ -186,7 +186,7 @@
 		}
 		for range 60 { // quiet: what is asked is answered
 			now += 10 * unit
-			c.At(now)
+			core.At(now)
 			whole(false)
 			process()
 		}
@@ -197,45 +197,45 @@
 			rt.Fatal("left without an answer: ", open)
 		}
 		out := 0
-		for i := range c.endpoints.all {
-			out += c.endpoints.all[i].inFlight
+		for i := range core.endpoints.all {
+			out += core.endpoints.all[i].inFlight
 		}
-		if c.waiting != 0 || out != len(c.lookups) {
-			rt.Fatal("counted as waiting: ", c.waiting, ", out ", out, " of ", len(c.lookups))
+		if core.waiting != 0 || out != len(core.lookups) {
+			rt.Fatal("counted as waiting: ", core.waiting, ", out ", out, " of ", len(core.lookups))
 		}
 	})
 }
 
 // A tenant that moves or is renamed keeps its seats, once; its old name is free.
 func TestSeatsFollowRename(t *testing.T) {
-	c := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
+	core := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
 	attempt := 0
-	process := func() { c.Settle(func(w Want) { attempt = w.Try }, func(Answer) {}, func(Record) {}) }
+	process := func() { core.Settle(func(w Want) { attempt = w.Try }, func(Answer) {}, func(Record) {}) }
 	process()
-	c.Entry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	c.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
-	c.Refreshed(attempt, nil, true, true)
-	first, _ := c.Plays("school")
-	second, _ := c.Plays("school")
-	if _, ok := c.Plays("school"); ok || c.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
+	core.Entry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
+	core.Refreshed(attempt, nil, true, true)
+	first, _ := core.Plays("school")
+	second, _ := core.Plays("school")
+	if _, ok := core.Plays("school"); ok || core.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
 		t.Fatal("more than its seats")
 	}
-	c.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
-	c.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
-	if c.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
+	core.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
+	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
+	if core.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
 		t.Error("its seats did not go along")
 	}
-	c.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	if _, ok := c.Plays("school"); !ok {
+	core.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	if _, ok := core.Plays("school"); !ok {
 		t.Error("the old name's new tenant has its seats taken")
 	}
-	c.Over(first)
-	if x := c.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
+	core.Over(first)
+	if x := core.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
 		t.Error(x)
 	}
-	c.Over(second)
-	c.Over(second)
-	if c.seatsTaken["1"] != 0 {
+	core.Over(second)
+	core.Over(second)
+	if core.seatsTaken["1"] != 0 {
 		t.Error("seats given back twice")
 	}
 }
@@ -304,61 +304,61 @@
 		t.Error("not closed after its trial", at, probe)
 	}
 
-	c := New(config, 1)
+	core := New(config, 1)
 	var request Want
 	looks := 0
 	var answers []Answer
 	process := func() {
-		c.Settle(func(x Want) {
+		core.Settle(func(x Want) {
 			if x.Act == Look {
 				request = x
 				looks++
 			}
 		}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 	}
-	c.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
+	core.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
 	process()
 	first := request
-	c.HandleLookupFailure(request.Try)
+	core.HandleLookupFailure(request.Try)
 	process()
 	if looks != 2 || request.Endpoint == first.Endpoint || len(answers) != 0 {
 		t.Fatal("the other was not asked:", looks, request, first, answers)
 	}
-	c.HandleLookupFailure(request.Try)
+	core.HandleLookupFailure(request.Try)
 	process()
 	if looks != 2 || len(answers) != 1 || answers[0].Verdict != Busy {
 		t.Error("after both:", looks, answers)
 	}
-	c.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
+	core.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
 	process()
-	c.HandleReferral(request.Try, 1-request.Endpoint)
+	core.HandleReferral(request.Try, 1-request.Endpoint)
 	previous := request.Endpoint
 	process()
-	if request.Endpoint == previous || c.Counts.Referred != 1 {
+	if request.Endpoint == previous || core.Counts.Referred != 1 {
 		t.Error("not sent on:", request)
 	}
-	c.HandleReferral(request.Try, -1) // to a stranger
+	core.HandleReferral(request.Try, -1) // to a stranger
 	process()
-	if c.Counts.Referred != 1 {
+	if core.Counts.Referred != 1 {
 		t.Error("sent to a stranger")
 	}
 }
 
 // Whoever doubts an account waits for one look-up, whether it is there or not, and not again at once.
 func TestForcedLookup(t *testing.T) {
-	c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
-	c.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
+	core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
+	core.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
 	for _, name := range []string{"ann", "bob"} {
 		var looks []Want
 		var answers []Answer
 		process := func() {
-			c.Settle(func(x Want) {
+			core.Settle(func(x Want) {
 				if x.Act == Look {
 					looks = append(looks, x)
 				}
 			}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 		}
-		if a := c.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
+		if a := core.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
 			t.Fatal(name, a)
 		}
 		process()
@@ -366,19 +366,19 @@
 			t.Fatal(name, looks)
 		}
 		if name == "ann" {
-			c.Looked(looks[0].Try, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
+			core.Looked(looks[0].Try, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
 		} else {
-			c.Looked(looks[0].Try, nil)
+			core.Looked(looks[0].Try, nil)
 		}
 		process()
 		if len(answers) != 1 || (answers[0].Verdict == Allowed) != (name == "ann") {
 			t.Error(name, answers)
 		}
-		if a := c.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
+		if a := core.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
 			t.Error(name, "is looked up again at once")
 		}
 	}
-	if d, _ := c.Digest("ann"); d != "new" {
+	if d, _ := core.Digest("ann"); d != "new" {
 		t.Error("what the look-up brought was not taken")
 	}
 }
@@ -386,10 +386,10 @@
 // What stands throughout is in the parts together, whatever comes and goes between them.
 func TestChunksCoverView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
+		core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
 		put := func(i int) {
 			id := fmt.Sprint(i)
-			c.upsert(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
+			core.upsert(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
 		}
 		stays := map[string]bool{}
 		n := rapid.IntRange(0, 40).Draw(rt, "entries")
@@ -400,14 +400,14 @@
 		delivered := map[string]bool{}
 		for next := 1 << 40; next >= 0; {
 			var chunk []Record
-			chunk, next = c.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
+			chunk, next = core.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
 			for _, r := range chunk {
 				delivered[r.ID] = true
 			}
 			for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 				i := rapid.IntRange(0, 60).Draw(rt, "which")
 				if rapid.Bool().Draw(rt, "goes") {
-					c.remove(fmt.Sprint(i))
+					core.remove(fmt.Sprint(i))
 					delete(stays, fmt.Sprint(i))
 				} else {
 					put(i)
@@ -419,11 +419,11 @@
 				rt.Fatal(id, " stood there throughout and was not brought")
 			}
 		}
-		if len(c.entries) != len(c.byID) {
-			rt.Fatal(len(c.entries), " of ", len(c.byID))
+		if len(core.entries) != len(core.byID) {
+			rt.Fatal(len(core.entries), " of ", len(core.byID))
 		}
-		for i, e := range c.entries {
-			if e.position != i || c.byID[e.ID] != e {
+		for i, e := range core.entries {
+			if e.position != i || core.byID[e.ID] != e {
 				rt.Fatal("out of place: ", i)
 			}
 		}
@@ -434,37 +434,37 @@
 // room are not read by name.
 func TestModifiedBetweenPages(t *testing.T) {
 	const second = stampResolution
-	c := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
+	core := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
 	var request Want
 	process := func(now Time) {
-		c.At(now)
-		c.Settle(func(x Want) { request = x }, func(Answer) {}, func(Record) {})
+		core.At(now)
+		core.Settle(func(x Want) { request = x }, func(Answer) {}, func(Record) {})
 	}
 	process(100 * second)
-	c.HandleSyncFailure(request.Try, SyncUnsupported)
+	core.HandleSyncFailure(request.Try, SyncUnsupported)
 	process(100*second + 1)
 	if request.Act != FullSearch {
 		t.Fatal(request)
 	}
-	c.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
-	c.HandlePageEnd(request.Try)
-	c.At(103 * second) // here a is modified, under 102, and b after it
-	c.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
-	c.HandlePageEnd(request.Try)
-	c.HandleSearchEnd(request.Try)
+	core.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
+	core.HandlePageEnd(request.Try)
+	core.At(103 * second) // here a is modified, under 102, and b after it
+	core.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
+	core.HandlePageEnd(request.Try)
+	core.HandleSearchEnd(request.Try)
 	process(104 * second)
 	if request.Act != Poll || request.Since > 102*second {
 		t.Errorf("%v since %d: what was modified under 102 is missed", request.Act, request.Since/second)
 	}
-	c.HandleSearchEnd(request.Try)
+	core.HandleSearchEnd(request.Try)
 	process(104*second + 1)
 	if request.Act != List {
 		t.Fatal(request.Act)
 	}
-	c.HandleListed(request.Try, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
-	c.HandleSearchEnd(request.Try)
+	core.HandleListed(request.Try, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
+	core.HandleSearchEnd(request.Try)
 	process(104*second + 2)
-	if request.Act == Reread || c.Counts.Overfull != 2 || c.Size() != 2 {
-		t.Error(request.Act, c.Counts.Overfull, c.Size())
+	if request.Act == Reread || core.Counts.Overfull != 2 || core.Size() != 2 {
+		t.Error(request.Act, core.Counts.Overfull, core.Size())
 	}
 }
--- a/internal/tenants/ends.go
+++ b/internal/tenants/ends.go
@@ -52,8 +52,8 @@
 func (e *endpointSet) random() float64 {
 	e.jitterDraws++
 	seed := e.config.Seed
-	b := [8]byte{byte(seed >> 24), byte(seed >> 16), byte(seed >> 8), byte(seed), byte(e.jitterDraws >> 24), byte(e.jitterDraws >> 16), byte(e.jitterDraws >> 8), byte(e.jitterDraws)}
-	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
+	seedBytes := [8]byte{byte(seed >> 24), byte(seed >> 16), byte(seed >> 8), byte(seed), byte(e.jitterDraws >> 24), byte(e.jitterDraws >> 16), byte(e.jitterDraws >> 8), byte(e.jitterDraws)}
+	return float64(crc32.ChecksumIEEE(seedBytes[:])) / (1 << 32)
 }
 
 // can tells whether any may be asked now.
@@ -114,25 +114,25 @@
 
 // answered takes an answer that came after so long; of a stream that lives on, none.
 func (e *endpointSet) succeeded(i int, now, latency Time) {
-	peer := &e.all[i]
-	peer.failures, peer.openUntil, peer.openSpan, peer.probing = 0, 0, 0, false
+	target := &e.all[i]
+	target.failures, target.openUntil, target.openSpan, target.probing = 0, 0, 0, false
 	if latency > 0 {
-		peer.latencies.Add(now, float64(latency))
-		peer.answers.Add(now, 1)
+		target.latencies.Add(now, float64(latency))
+		target.answers.Add(now, 1)
 	}
 }
 
 // failed takes a question that got none.
 func (e *endpointSet) failed(i int, now Time) {
-	peer := &e.all[i]
-	peer.latencies.Add(now, float64(e.config.Timeout))
-	peer.answers.Add(now, 1)
-	if peer.failures++; peer.failures < tripFailures && !peer.probing {
+	target := &e.all[i]
+	target.latencies.Add(now, float64(e.config.Timeout))
+	target.answers.Add(now, 1)
+	if target.failures++; target.failures < tripFailures && !target.probing {
 		return
 	}
-	peer.probing = false
-	peer.openSpan = min(max(2*peer.openSpan, initialOpenTimeouts*e.config.Timeout), maxOpenTimeouts*e.config.Timeout)
-	peer.openUntil = now + peer.openSpan/2 + Time(float64(peer.openSpan/2)*e.random())
+	target.probing = false
+	target.openSpan = min(max(2*target.openSpan, initialOpenTimeouts*e.config.Timeout), maxOpenTimeouts*e.config.Timeout)
+	target.openUntil = now + target.openSpan/2 + Time(float64(target.openSpan/2)*e.random())
 	e.opened++
 }
 
@@ -143,6 +143,6 @@
 }
 
 func (e *endpointSet) supportsSync(i int, now Time) bool {
-	peer := &e.all[i]
-	return !peer.noSync || now >= peer.noSyncUntil
+	target := &e.all[i]
+	return !target.noSync || now >= target.noSyncUntil
 }
