--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Boxes turns news of keys into news of boxes. It keeps what each box last was: a value that cannot be read,
-// or is of an unknown version, leaves the box as it was.
+// Boxes derives changes of boxes from changes of keys. It remembers the last valid value of each box: a value that
+// cannot be decoded, or has an unknown version, leaves the box unchanged.
 type Boxes struct {
 	lastValid map[string]Box
-	reported  map[string]int64 // the revision of the bad value last told of
-	Malformed int64
+	reported  map[string]int64 // revision of the invalid value last reported, by box
+	Malformed int64            // invalid values seen
 }
 
-// Named is a box with its name.
+// Named is a box with its name, or the name of a box that was removed.
 type Named struct {
 	Name string
 	Box
 	Gone bool
 }
 
-// Take returns the boxes that news is of (all, if whole), and what was wrong with values, each told once for
-// a revision.
+// Take returns the boxes that an update concerns (all boxes if it is a complete view) and an error for each
+// invalid value, reported once per revision.
 func (tracker *Boxes) Take(update News) (boxes []Named, problems []error) {
 	if tracker.lastValid == nil {
 		tracker.lastValid, tracker.reported = map[string]Box{}, map[string]int64{}
@@ -47,7 +47,7 @@
 			if tracker.reported[name] != change.Mod {
 				tracker.reported[name] = change.Mod
 				tracker.Malformed++
-				problems = append(problems, fmt.Errorf("box %s at revision %d: %w; it stays as it was", name, change.Mod, err))
+				problems = append(problems, fmt.Errorf("box %s at revision %d: %w; keeping its previous value", name, change.Mod, err))
 			}
 			if box, ok = previous[name]; !ok {
 				continue
--- a/internal/registry/boxes_test.go
+++ b/internal/registry/boxes_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A malformed value leaves its box as it was and is told once for a revision; one that goes, goes.
+// Checks that a malformed value leaves its box unchanged and is reported once per revision, and that a deleted key
+// removes its box.
 func TestBoxTracker(t *testing.T) {
 	valid := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value()
 	var tracker Boxes
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,5 +1,5 @@
-// Package client carries out what the registry's core wants, by etcd's Go client: lists, watches, and a view
-// kept on disk.
+// Package client executes the requests of the registry core with etcd's Go client: lists and watches. It also
+// stores the view on disk, so that a new process can serve it before the registry answers.
 package client
 
 import (
@@ -23,32 +23,32 @@
 
 const prefix = "/pierlink/"
 
-// Place is where the registry is and how it is followed.
+// Place configures a client.
 type Place struct {
-	Endpoints []string
-	TLS       *tls.Config // nil for none; GetClientCertificate may read keys anew
+	Endpoints []string    // host:port of the members
+	TLS       *tls.Config // nil for plain TCP; GetClientCertificate may reload the key pair
 	Bounds    registry.Bounds
-	Kept      string // file of the last good view; none if empty
+	Kept      string // file that stores the last view; empty to store none
 }
 
-// Client follows a registry. Its goroutine owns the core.
+// Client keeps a core in step with a registry. Its goroutine owns the core.
 type Client struct {
 	core          *registry.Core
-	etcd          []*clientv3.Client // one for each endpoint: a try stays with one of them
-	endpointIndex atomic.Int64       // the endpoint that is asked; the next one after a failure
+	etcd          []*clientv3.Client // one client per endpoint, as an attempt uses a single endpoint
+	endpointIndex atomic.Int64       // endpoint in use; advanced after a failure
 	config        Place
 	log           *zap.Logger
 	calls         chan func()
 	stop          chan struct{}
 	done          chan struct{}
 	onUpdate      func(registry.News, registry.Mark)
-	cancel        context.CancelFunc // of the try under way
+	cancel        context.CancelFunc // cancels the attempt in progress
 	nextSave      time.Time
 	dirty         bool
 }
 
-// redial has a connection that was lost tried again within a time-out: when to try is the core's to say, and
-// the library's own waits come on top of it.
+// dialOptions limits gRPC's own reconnection backoff to less than a timeout, as it adds to the backoff of the core,
+// which decides when to retry.
 func dialOptions(timeout time.Duration) []grpc.DialOption {
 	backoffConfig := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
 	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoffConfig, MinConnectTimeout: timeout})}
@@ -56,11 +56,11 @@
 
 func now() registry.Time { return time.Now().UnixMicro() }
 
-// New begins to follow. news is called for each change of the view, by one goroutine, in order; it is called
-// with the view kept on disk first, if there is one.
+// New starts a client. onUpdate is called for each update of the view, in order and from one goroutine; the first
+// call carries the view stored on disk, if there is one.
 func New(config Place, log *zap.Logger, onUpdate func(registry.News, registry.Mark)) (*Client, error) {
 	if len(config.Endpoints) == 0 {
-		return nil, errors.New("no endpoint of the registry is given")
+		return nil, errors.New("no registry endpoint configured")
 	}
 	client := &Client{core: registry.New(config.Bounds, now()), config: config, log: log, calls: make(chan func(), 64),
 		stop: make(chan struct{}), done: make(chan struct{}), onUpdate: onUpdate}
@@ -80,30 +80,30 @@
 		switch {
 		case err == nil:
 			client.core.Restore(stored.View, stored.Head, stored.Mark, stored.AsOf)
-			log.Info("serving the view kept on disk until the registry answers",
+			log.Info("serving the stored registry view until the registry answers",
 				zap.Duration("age", time.Since(time.UnixMicro(stored.AsOf))), zap.Int("keys", len(stored.View)))
 		case !errors.Is(err, ErrNoView):
-			log.Warn("the kept view is not used", zap.Error(err))
+			log.Warn("cannot use the stored registry view", zap.Error(err))
 		}
 	}
 	go client.run()
 	return client, nil
 }
 
-// Close ends it; the view is kept.
+// Close stores the view and stops the client.
 func (c *Client) Close() {
 	close(c.stop)
 	<-c.done
 	c.closeEndpoints()
 }
 
-// Age is how long ago the view was last known to be the registry's; the time since 1970 where nothing ever was.
+// Age returns the time since the view was last known to match the registry; the time since 1970 if it never was.
 func (c *Client) Age() (age time.Duration) {
 	c.Do(func(k *registry.Core) { age = time.Duration(k.Age()) * time.Microsecond })
 	return age
 }
 
-// Done is closed once the client has ended.
+// Done returns a channel that is closed once the client has stopped.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
 func (c *Client) closeEndpoints() {
@@ -112,10 +112,10 @@
 	}
 }
 
-// member is the endpoint whose turn it is.
+// endpoint returns the etcd client of the endpoint in use.
 func (c *Client) endpoint() *clientv3.Client { return c.etcd[int(c.endpointIndex.Load())%len(c.etcd)] }
 
-// fail ends a try; the next one goes to the next endpoint unless this one has answered.
+// reportFailure ends an attempt. If the endpoint did not answer, the next attempt uses the next endpoint.
 func (c *Client) reportFailure(request registry.Want, failure registry.Failure) {
 	if failure == registry.Lost {
 		c.endpointIndex.Add(1)
@@ -123,7 +123,7 @@
 	c.enqueue(func() { c.core.Ended(request.Try, failure) })
 }
 
-// Do runs a function with the core, in its goroutine.
+// Do runs a function in the goroutine that owns the core, and waits for it.
 func (c *Client) Do(call func(*registry.Core)) {
 	ran := make(chan struct{})
 	select {
@@ -160,7 +160,7 @@
 	}
 }
 
-// keep writes the view to disk, once in a time-out at most.
+// saveView writes the view to disk if it has changed: at most once per timeout, unless force is set.
 func (c *Client) saveView(force bool) {
 	if c.config.Kept == "" || !c.dirty || !force && time.Now().Before(c.nextSave) {
 		return
@@ -170,11 +170,11 @@
 	_, history := c.core.Revision()
 	view := StoredView{View: c.core.View(), Head: c.core.Header(), Mark: history, AsOf: now() - c.core.Age()}
 	if err := view.Save(c.config.Kept); err != nil {
-		c.log.Error("the view cannot be kept on disk", zap.String("file", c.config.Kept), zap.Error(err))
+		c.log.Error("cannot store the registry view on disk", zap.String("file", c.config.Kept), zap.Error(err))
 	}
 }
 
-// say brings something to the core's goroutine, unless the client has ended.
+// enqueue hands a call to the goroutine of the core, unless the client has stopped.
 func (c *Client) enqueue(call func()) {
 	select {
 	case c.calls <- call:
@@ -182,8 +182,8 @@
 	}
 }
 
-// do carries one act out, in a goroutine of its own that ends with the act. What is still under way from the
-// one before ends.
+// perform executes a request in a goroutine of its own, which ends with the request. The previous request is
+// cancelled.
 func (c *Client) perform(request registry.Want) {
 	if c.cancel != nil {
 		c.cancel()
@@ -192,7 +192,7 @@
 	c.cancel = cancel
 	if request.NextMember {
 		c.endpointIndex.Add(1)
-		c.log.Warn("a member of the registry has fallen behind the others, the next one is asked")
+		c.log.Warn("registry member lags behind the others; switching to the next one")
 	}
 	if request.Act == registry.List {
 		go c.list(ctx, request)
@@ -205,7 +205,8 @@
 	return context.WithTimeout(ctx, time.Duration(c.config.Bounds.Timeout)*time.Microsecond)
 }
 
-// list reads all keys and the mark in one transaction; a registry without a mark is given one.
+// list reads all keys and the history identifier in one transaction, after writing an identifier if the registry
+// has none.
 func (c *Client) list(ctx context.Context, request registry.Want) {
 	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
@@ -234,7 +235,7 @@
 	c.enqueue(func() { c.core.Listed(request.Try, header, history, keys) })
 }
 
-// elsewhere asks one of the other members how far it has come.
+// queryOtherMember reads the revision of one of the other members.
 func (c *Client) queryOtherMember(ctx context.Context, attempt int) {
 	others := len(c.etcd) - 1
 	etcd := c.etcd[(int(c.endpointIndex.Load())+1+attempt%others)%len(c.etcd)]
@@ -246,15 +247,15 @@
 	}
 }
 
-// watch opens a stream of its own, so that nothing resumes behind the core's back. The history is made sure
-// of before, and again once the stream is open: a registry that began anew in between shows then.
+// watch opens a watch stream directly, as etcd's client would resume a watch without the core noticing. It checks
+// the history identifier once the stream is open, which detects a registry that was set up anew since the list.
 func (c *Client) watch(ctx context.Context, request registry.Want) {
 	etcd := c.endpoint()
 	fail := func(failure registry.Failure) { c.reportFailure(request, failure) }
 	timeout := time.Duration(c.config.Bounds.Timeout) * time.Microsecond
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(timeout, cancel) // a member that takes the stream and answers nothing
+	idle := time.AfterFunc(timeout, cancel) // guards against a member that accepts the stream and never responds
 	defer idle.Stop()
 	stream, err := pb.NewWatchClient(etcd.ActiveConnection()).Watch(watchCtx)
 	if err == nil {
@@ -265,7 +266,7 @@
 		fail(registry.Lost)
 		return
 	}
-	go func() { // it is asked how far it has come, or a quiet registry could not be told from one that hangs
+	go func() { // progress requests tell an idle registry from one that hangs
 		tick := time.NewTicker(timeout)
 		defer tick.Stop()
 		for ticks := 0; ; {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -13,7 +13,7 @@
 	standin "pierlink/internal/standin/registry"
 )
 
-// view gathers what a client tells.
+// recorder collects the updates of a client.
 type recorder struct {
 	mu      sync.Mutex
 	keys    map[string]string
@@ -54,8 +54,8 @@
 	return func(m map[string]string) bool { return m[key] == value }
 }
 
-// A client follows, survives a cut and a compaction, and starts from the kept view while the registry is
-// down; one of its endpoints hangs all the while.
+// Checks that a client follows changes, recovers from a broken connection and from a compaction, and starts from the
+// stored view while the registry is down; one of its endpoints hangs throughout.
 func TestFollowsRegistry(t *testing.T) {
 	store := standin.NewStore(1, "h", registry.MarkKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
@@ -83,14 +83,14 @@
 	view.until(t, "a change", has(box, "2"))
 	server.Cut()
 	store.Put(map[string][]byte{box: []byte("3")})
-	view.until(t, "a change over a cut", has(box, "3"))
+	view.until(t, "a change during a broken connection", has(box, "3"))
 	server.Stop()
 	store.Put(map[string][]byte{box: []byte("4")})
 	store.Compact(1 << 40)
 	if server, err = standin.Serve(addr, store); err != nil {
 		t.Fatal(err)
 	}
-	view.until(t, "a change that was compacted away", has(box, "4"))
+	view.until(t, "a change that was compacted", has(box, "4"))
 	c.Close()
 	server.Stop()
 	restored := &recorder{}
@@ -98,20 +98,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored.until(t, "the kept view", has(box, "4"))
+	restored.until(t, "the stored view", has(box, "4"))
 	if server, err = standin.Serve(addr, store); err != nil {
 		t.Fatal(err)
 	}
 	defer server.Stop()
 	store.Put(map[string][]byte{box: []byte("5")})
-	restored.until(t, "a change after the kept view", has(box, "5"))
+	restored.until(t, "a change after the stored view", has(box, "5"))
 	c.Close()
 	if restored.keys[registry.MarkKey] != "h" {
-		t.Error("no mark")
+		t.Error("the view lacks the history identifier")
 	}
 }
 
-// A member that answers and hears of nothing new is left for one that does.
+// Guards against a member that still answers but no longer receives changes: the client must switch to another.
 func TestLeavesStaleMember(t *testing.T) {
 	store := standin.NewStore(1, "h", registry.MarkKey)
 	var endpoints []string
@@ -135,5 +135,5 @@
 	view.until(t, "first list", has(box, "1"))
 	members[0].Freeze(true)
 	store.Put(map[string][]byte{box: []byte("2")})
-	view.until(t, "what the stale member does not know", has(box, "2"))
+	view.until(t, "a change that the stale member lacks", has(box, "2"))
 }
--- a/internal/registry/client/kept.go
+++ b/internal/registry/client/kept.go
@@ -5,23 +5,23 @@
 	"pierlink/internal/registry"
 )
 
-// ErrNone says that no view is kept.
+// ErrNoView reports that no view is stored.
 var ErrNoView = kept.ErrNone
 
-// Kept is a view as it lies on disk.
+// StoredView is a view as it is stored on disk.
 type StoredView struct {
 	View map[string]registry.Entry
 	Head registry.Head
-	Mark registry.Mark
-	AsOf registry.Time
+	Mark registry.Mark // identifier of the history
+	AsOf registry.Time // when the view was last known to match the registry
 }
 
 const viewFormat = "registry view 1"
 
-// Save replaces the file.
+// Save writes the view to a file, replacing it.
 func (view *StoredView) Save(path string) error { return kept.Save(path, viewFormat, view) }
 
-// Load reads a file. The errors are those of package kept.
+// Load reads a stored view. Its errors are those of package kept.
 func Load(path string) (*StoredView, error) {
 	view := &StoredView{}
 	if err := kept.Load(path, viewFormat, view); err != nil {
--- a/internal/registry/client/kept_test.go
+++ b/internal/registry/client/kept_test.go
@@ -9,7 +9,8 @@
 	"pierlink/internal/registry"
 )
 
-// A kept view comes back as it was; one that is truncated anywhere, or has any bit flipped, is refused.
+// Checks that a stored view is read back unchanged, and that a file truncated anywhere, or with any bit flipped, is
+// rejected.
 func TestStoredView(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "view")
 	if _, err := Load(file); !errors.Is(err, ErrNoView) {
@@ -33,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(file); err == nil {
-			t.Error("truncated at", i)
+			t.Error("loaded a file truncated at byte", i)
 		}
 		flipped := append([]byte(nil), text...)
 		flipped[i] ^= 1 << (i % 8)
@@ -41,10 +42,10 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(file); err == nil {
-			t.Error("flipped at", i)
+			t.Error("loaded a file with a bit flipped in byte", i)
 		}
 	}
 	if err := view.Save(filepath.Join(t.TempDir(), "none", "view")); err == nil {
-		t.Error("saved where there is no folder")
+		t.Error("no error on saving to a directory that does not exist")
 	}
 }
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-// Register writes a key under a lease of so many seconds and keeps it alive until the context ends; the key
-// then goes at once, and without a word when the process dies. A lease that is lost while the process lives
-// is taken anew. value is asked each time the key is written: at first, and when something comes on again (nil
-// for never).
+// Register writes a key under a lease with a TTL of ttlSeconds and keeps the lease alive until the context ends. The
+// lease is then revoked, which deletes the key at once; if the process dies, the key expires with the lease. A lease
+// that is lost while the process runs is replaced. value is called each time the key is written: at first, and for
+// each receive from rewrite (nil for never).
 func Register(ctx context.Context, config Place, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, log *zap.Logger) {
 	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -24,7 +24,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		log.Warn("registration lost, it is taken anew", zap.String("key", key), zap.Error(err))
+		log.Warn("registration lost; registering again", zap.String("key", key), zap.Error(err))
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(config.Bounds.ReregisterDelay()) * time.Microsecond):
@@ -32,7 +32,7 @@
 	}
 }
 
-// hold writes the key and returns when its lease is lost.
+// holdLease writes the key under a new lease and returns when the lease is lost or the context ends.
 func holdLease(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, timeout time.Duration) error {
 	writeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	for open := true; open; { // ends when the lease does, or the context
+	for open := true; open; { // alive is closed when the lease or the context ends
 		select {
 		case _, open = <-alive:
 		case <-rewrite:
--- a/internal/registry/client/tls_test.go
+++ b/internal/registry/client/tls_test.go
@@ -34,8 +34,8 @@
 	return c
 }
 
-// Over TLS on both sides: a client with a key of the authority follows, and its key is asked for anew at each
-// connection; one that trusts another authority hears nothing.
+// Checks mutual TLS: a client whose key is signed by the authority follows the registry, and its key is requested
+// again for each connection; a client that trusts another authority receives no update.
 func TestTLS(t *testing.T) {
 	ca := newAuthority(t)
 	store := standin.NewStore(1, "h", registry.MarkKey)
@@ -64,9 +64,9 @@
 	before := asked.Load()
 	server.Cut()
 	store.Put(map[string][]byte{box: []byte("2")})
-	view.until(t, "after a cut", has(box, "2"))
+	view.until(t, "a change after a broken connection", has(box, "2"))
 	if asked.Load() == before {
-		t.Error("the key was not asked for anew")
+		t.Error("the client key was not requested again for the new connection")
 	}
 	config.TLS = &tls.Config{RootCAs: newAuthority(t).Pool()}
 	untrusting := &recorder{}
@@ -77,6 +77,6 @@
 	time.Sleep(600 * time.Millisecond)
 	other.Close()
 	if untrusting.updates != 0 {
-		t.Error("a registry that is not trusted was believed")
+		t.Error("received updates from a registry that is not trusted")
 	}
 }
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -1,10 +1,10 @@
-// Package registry follows the server list in a key-value registry that speaks etcd v3's API (KV, Watch,
-// Lease). The core, free of I/O, owns the view, the revision that it stands for, and what to do next; an
-// edge lists, watches and waits as it is told, and brings back what came of it. docs/registry.md tells the
-// options weighed.
+// Package registry follows the server list in a key-value registry that serves the etcd v3 API (KV, Watch,
+// Lease). The core performs no I/O: it owns the view, its revision and the decision what to do next. A client
+// executes the lists and watches that the core requests and passes the results back. docs/registry.md compares
+// the design options.
 //
-// The view is always the registry's state at one revision: a transaction's changes show together, each once,
-// and never those of two histories mixed.
+// The view always equals the registry's state at one revision: the changes of a transaction become visible
+// together and once only, and changes of two histories are never mixed.
 package registry
 
 import (
@@ -13,16 +13,16 @@
 	"slices"
 )
 
-// Time is a clock value or span in microseconds.
+// Time is a clock value or a duration, in microseconds.
 type Time = int64
 
-// Entry is one key of the view.
+// Entry is the value of one key of the view.
 type Entry struct {
 	Value []byte
-	Mod   int64 // the revision of its latest change
+	Mod   int64 // revision of the latest change (mod_revision)
 }
 
-// Change is one change of a watch answer, in the registry's order.
+// Change is one event of a watch response. Changes keep the order in which the registry sent them.
 type Change struct {
 	Key     string
 	Value   []byte
@@ -30,81 +30,82 @@
 	Deleted bool
 }
 
-// Head is what every answer of the registry tells of itself (ResponseHeader of the API).
+// Head holds the fields of the API's ResponseHeader that every response carries.
 type Head struct {
 	Cluster  uint64
 	Revision int64
 }
 
-// Mark names a history: the value of a key that is written once for as long as the registry lives. Cluster
-// ids follow from settings and may stay the same over a new beginning; a mark does not.
+// Mark identifies a history of the registry: the value of a key that is written once in the registry's lifetime.
+// Cluster ids are derived from settings, so a registry that is set up anew may have the same one; the identifier
+// of its history differs.
 type Mark string
 
-// Act is what the core wants done.
+// Operation is a kind of request that the core makes.
 type Operation int
 
-// The acts. For each List and Watch exactly one of the answers comes, under the try's number.
+// The operations. Each List and Watch is answered under the number of its attempt.
 const (
 	None  Operation = iota
-	List            // all keys and the mark, in one linearizable transaction
-	Watch           // from a revision on, after the mark was read and found the same
+	List            // read all keys and the history identifier in one linearizable transaction
+	Watch           // watch from a revision on, once the history identifier has been read and matches
 )
 
-// Want is one act.
+// Want is one request of the core.
 type Want struct {
 	Act        Operation
-	NextMember bool  // by another member than the last time
-	Try        int   // its number; what comes under another number is of the past
-	From       int64 // of Watch: the first revision wanted
-	Mark       Mark  // of Watch: the history that it must be
+	NextMember bool  // ask another member than the last time
+	Try        int   // number of the attempt; results under any other number are outdated
+	From       int64 // of Watch: the first revision to deliver
+	Mark       Mark  // of Watch: the history that the registry must have
 }
 
-// News is what the view has become: whole after a list, changes otherwise.
+// News is an update of the view: the complete view after a list, single changes otherwise.
 type News struct {
-	Whole    bool
-	Changes  []Change // of a whole one: all keys, in the order of their names
+	Whole    bool     // Changes is the complete view
+	Changes  []Change // of a complete view: all keys, sorted by name
 	Revision int64
-	Kept     bool // the view of an earlier process
-	Guarded  bool // a whole list that lost much was held for confirmation before
+	Kept     bool // loaded from the view that an earlier process stored
+	Guarded  bool // a list that lacked many keys was held back for confirmation first
 }
 
-// Failure is why a try has ended.
+// Failure is the reason why an attempt ended.
 type Failure int
 
-// The failures.
+// The reasons.
 const (
-	Lost           Failure = iota // the connection, a time-out, a server that is away
-	Compacted                     // the revision asked for is gone: only a list helps
-	Foreign                       // the mark read is another than the one asked for
-	WatcherDropped                // the registry dropped a slow watcher; it may be resumed
+	Lost           Failure = iota // connection lost, timeout, or server unavailable
+	Compacted                     // the requested revision has been compacted: a list is required
+	Foreign                       // the history identifier differs from the requested one
+	WatcherDropped                // the registry cancelled a slow watcher; the watch may be resumed
 )
 
-// Bounds are told at the start.
+// Bounds configures a core.
 type Bounds struct {
-	Seed    uint64
-	Grace   Time // of rule 3: news of gone boxes must bind by then
-	Timeout Time // of a try
-	Held    int  // changes of one answer in pieces, at most
+	Seed    uint64 // of the backoff jitter and of the first member to ask
+	Grace   Time   // removed boxes must be out of use within this time
+	Timeout Time   // of one attempt
+	Held    int    // most changes buffered of a fragmented response; 0 for no limit
 }
 
 const (
-	initialBackoffDivisor = 16  // the first wait after a failure is this part of a time-out
-	backoffMultiplier     = 2   // and doubles each time
-	confirmDivisor        = 2   // a list that lost much is confirmed within this part of the grace
-	massRemovalShare      = 0.5 // much is more than this part of the keys
-	watchIdleTimeouts     = 4   // time-outs without any answer until a watch is taken for stuck
-	streamIdleTimeouts    = 3   // time-outs without a word on a stream that is asked for one in each
-	reregisterDivisor     = 4   // a lost registration is taken anew after this part of a time-out
-	olderListTimeouts     = 16  // time-outs in which lists older than the view are not followed
-	memberLagTimeouts     = 2   // time-outs that a watch may lie behind what another member told
+	initialBackoffDivisor = 16  // the first delay after a failure is Timeout divided by this
+	backoffMultiplier     = 2   // growth of the delay with each failure
+	confirmDivisor        = 2   // a list that lacks many keys is confirmed within the grace period divided by this
+	massRemovalShare      = 0.5 // share of the keys above which a removal must be confirmed
+	watchIdleTimeouts     = 4   // timeouts without any response until a watch counts as stuck
+	streamIdleTimeouts    = 3   // timeouts that a stream may be silent; its progress is requested once in each
+	reregisterDivisor     = 4   // a lost registration is renewed after Timeout divided by this
+	olderListTimeouts     = 16  // timeouts during which lists older than the view are rejected
+	memberLagTimeouts     = 2   // timeouts that a watch may lag behind the revision of another member
 )
 
-// Counts tell what was met.
+// Counts holds the event counters of a core.
 type Counts struct {
 	Lists, Watches, Compactions, Histories, Lower, Duplicates, Guarded, Refuted, Failures, Overfull, Stale int64
 }
 
-// Core is the registry's view.
+// Core holds the view of the registry and decides what to request next.
 type Core struct {
 	Bounds
 	Counts     Counts
@@ -113,24 +114,24 @@
 	revision   int64
 	cluster    uint64
 	history    Mark
-	synced     bool // a list was taken
-	verifiedAt Time // when the view was last known to be the registry's
+	synced     bool // a list or a stored view has been installed
+	verifiedAt Time // when the view was last known to match the registry
 
-	op            Operation // under way
+	op            Operation // in progress
 	attempt       int
-	lastActivity  Time // the try's beginning, or the watch's last sign of life
+	lastActivity  Time // start of the attempt, or the last response of the watch
 	needsList     bool
 	retryAt       Time
 	failures      int
-	fragments     []Change    // of an answer that is not whole
-	pendingList   *listResult // a list that lost much
+	fragments     []Change    // of a response that is not complete yet
+	pendingList   *listResult // lacks many keys and awaits confirmation
 	pendingUntil  Time
 	updates       []News
 	jitterDraws   uint32
-	aheadRevision int64 // the revision that another member told of
+	aheadRevision int64 // revision that another member reported
 	aheadSince    Time
 	switchMember  bool
-	olderSince    Time // since when lists have been older than the view, 0 for none
+	olderSince    Time // since when lists have been older than the view, 0 if they are not
 }
 
 type listResult struct {
@@ -139,10 +140,10 @@
 	keys    map[string]Entry
 }
 
-// New makes a core that knows nothing.
+// New returns a core with an empty view.
 func New(b Bounds, now Time) *Core { return &Core{Bounds: b, now: now, view: map[string]Entry{}} }
 
-// Resume gives it a view kept from before: it is served until the registry answers.
+// Restore installs a stored view, which is served until the registry answers.
 func (c *Core) Restore(view map[string]Entry, header Head, history Mark, asOf Time) {
 	c.view, c.revision, c.cluster, c.history = maps.Clone(view), header.Revision, header.Cluster, history
 	c.synced, c.verifiedAt = true, asOf
@@ -151,22 +152,22 @@
 	c.queueUpdate(n)
 }
 
-// At begins a turn.
+// At sets the current time; it is called before each batch of events.
 func (c *Core) At(now Time) { c.now = max(c.now, now) }
 
-// Revision is the one that the view stands for, in the history of the mark; 0 before any.
+// Revision returns the revision of the view and its history; 0 before the first list.
 func (c *Core) Revision() (int64, Mark) { return c.revision, c.history }
 
-// Age is how long ago the view was last known to be the registry's.
+// Age returns the time since the view was last known to match the registry.
 func (c *Core) Age() Time { return c.now - c.verifiedAt }
 
-// View is the state at the revision.
+// View returns the state at the current revision.
 func (c *Core) View() map[string]Entry { return c.view }
 
-// Head is what the view's history tells of itself.
+// Header returns the cluster id and the revision of the view.
 func (c *Core) Header() Head { return Head{c.cluster, c.revision} }
 
-// Listed takes the answer to a List.
+// Listed handles the response to a List.
 func (c *Core) Listed(attempt int, header Head, history Mark, entries map[string]Entry) {
 	if attempt != c.attempt || c.op != List {
 		return
@@ -174,9 +175,9 @@
 	c.op = None
 	list := &listResult{header, history, entries}
 	if c.synced && c.isOlder(list) {
-		// A member that has fallen behind says what the view knew before: it tells nothing that must bind in
-		// time. Others are asked until one is as far; only a registry that goes on being older, as one restored
-		// from a copy does, is followed back.
+		// A member that lags behind returns an earlier state of the view, so nothing in it has to take effect
+		// within the grace period. Other members are asked until one has caught up. Only a registry that stays
+		// older, such as one restored from a backup, replaces the view.
 		if c.olderSince == 0 {
 			c.olderSince = c.now
 		}
@@ -191,15 +192,16 @@
 	}
 	c.failures = 0
 	switch {
-	case c.pendingList != nil: // the confirmation: the later list counts, whichever it is
+	case c.pendingList != nil: // the confirmation: the later list is used, whatever it holds
 		if !c.losesMany(list) {
 			c.Counts.Refuted++
 		}
 		c.pendingList = nil
 		c.install(list, true)
 	case c.synced && c.Grace > 0 && c.losesMany(list):
-		// Something may be wrong with the registry, or the member asked, rather than with the boxes: another
-		// member is asked, if there is one. What was read binds in time for the grace whether or not that answer comes, as the manager has been told.
+		// The fault may lie with the registry or with the member rather than with the boxes, so another member
+		// is asked if there is one. The list takes effect within the grace period even without that response,
+		// as this manager has been notified of the removals.
 		c.Counts.Guarded++
 		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = list, c.now+c.Grace/confirmDivisor, true, true
 	default:
@@ -207,7 +209,7 @@
 	}
 }
 
-// loses tells whether a list lacks more than a part of what is known.
+// losesMany reports whether a list lacks more than massRemovalShare of the keys in the view.
 func (c *Core) losesMany(list *listResult) bool {
 	removed := 0
 	for key := range c.view {
@@ -218,13 +220,13 @@
 	return removed > 0 && float64(removed) > massRemovalShare*float64(len(c.view))
 }
 
-// older tells whether a list is of an earlier state of the same history: of a member that has fallen behind,
-// or of a registry restored from a copy.
+// isOlder reports whether a list shows an earlier state of the same history: it comes from a member that lags
+// behind, or from a registry restored from a backup.
 func (c *Core) isOlder(list *listResult) bool {
 	return list.history == c.history && list.header.Cluster == c.cluster && list.header.Revision < c.revision
 }
 
-// take makes a list the view.
+// install replaces the view by a list.
 func (c *Core) install(list *listResult, deferred bool) {
 	switch {
 	case c.synced && (list.history != c.history || list.header.Cluster != c.cluster):
@@ -249,8 +251,8 @@
 
 func (c *Core) queueUpdate(update News) { c.updates = append(c.updates, update) }
 
-// Watched takes an answer of a watch. With fragment set more pieces of the same answer follow. An answer
-// without changes tells how far the registry has come (a progress notification), or that the watch began.
+// Watched handles a response of a watch. If fragment is set, more fragments of the same response follow. A
+// response without changes is a progress notification, or, with created set, confirms that the watch exists.
 func (c *Core) Watched(attempt int, header Head, changes []Change, fragment, created bool) {
 	if attempt != c.attempt || c.op != Watch {
 		return
@@ -262,7 +264,7 @@
 	}
 	c.failures = 0
 	if created {
-		if header.Revision < c.revision { // it has not even come as far as the view
+		if header.Revision < c.revision { // the member has not reached the revision of the view
 			c.restart(true)
 		}
 		return
@@ -286,16 +288,16 @@
 	c.apply(complete)
 }
 
-// Elsewhere takes how far another member says that the history of a mark has come. It guards against a member
-// that answers all that it is asked and hears of nothing any more: a watch there that has not come as far
-// within some time-outs is left for the next member. It costs one small read of another member in a while.
+// HandleMemberRevision records the revision of a history that another member reports. It guards against a member
+// that answers every request but no longer receives changes: a watch on it that does not reach the reported
+// revision within memberLagTimeouts timeouts is moved to the next member. The cost is one small read per timeout.
 func (c *Core) HandleMemberRevision(header Head, history Mark) {
 	if c.op == Watch && history == c.history && header.Cluster == c.cluster && header.Revision > c.revision && c.aheadRevision <= c.revision {
 		c.aheadRevision, c.aheadSince = header.Revision, c.now
 	}
 }
 
-// apply takes whole transactions on, in order; what is known already is passed over.
+// apply adds complete transactions to the view, in order; changes that it already contains are skipped.
 func (c *Core) apply(changes []Change) {
 	update := News{}
 	lastRevision := c.revision
@@ -304,7 +306,7 @@
 			c.Counts.Duplicates++
 			continue
 		}
-		if change.Mod < lastRevision { // out of order: nothing of it can be trusted
+		if change.Mod < lastRevision { // out of order: the whole response is untrustworthy
 			c.restart(true)
 			return
 		}
@@ -324,7 +326,7 @@
 	}
 }
 
-// Ended takes the end of a try that brought nothing more.
+// Ended handles the end of an attempt.
 func (c *Core) Ended(attempt int, failure Failure) {
 	if attempt != c.attempt || c.op == None {
 		return
@@ -344,14 +346,14 @@
 	}
 }
 
-// again ends what is under way; a list follows, or the watch from where it stood.
+// restart ends the operation in progress; a list follows, or a watch from the current revision.
 func (c *Core) restart(needsList bool) {
 	c.op, c.fragments = None, nil
 	c.needsList = c.needsList || needsList
 }
 
-// backOff waits before the next try: doubling, and spread by chance over the last half, so that managers
-// that lost the registry together do not come back together.
+// scheduleRetry sets the delay before the next attempt: exponential backoff with jitter over the last half, so
+// that managers that lost the registry at the same time do not reconnect at the same time.
 func (c *Core) scheduleRetry() {
 	delay := min(c.Timeout/initialBackoffDivisor<<min(c.failures, 10), c.Timeout)
 	c.failures++
@@ -362,16 +364,16 @@
 	c.retryAt = c.now + delay/2 + Time(float64(delay/2)*jitter)
 }
 
-// Silence is how long a stream that is asked for a word once in each time-out may say nothing.
+// StreamIdleTimeout returns how long a watch stream may be silent; its progress is requested once per timeout.
 func (b *Bounds) StreamIdleTimeout() Time { return streamIdleTimeouts * b.Timeout }
 
-// Anew is how long one waits before a registration that was lost is taken anew.
+// ReregisterDelay returns the delay before a lost registration is renewed.
 func (b *Bounds) ReregisterDelay() Time { return b.Timeout / reregisterDivisor }
 
-// Settle emits what is to be done now, and the news since the last time. It returns when it wants to be
-// called again at the latest.
+// Settle emits the next request, if one is due, and the updates since the last call. It returns the time by which
+// it must be called again.
 func (c *Core) Settle(request func(Want), publish func(News)) Time {
-	if c.pendingList != nil && c.now >= c.pendingUntil { // unconfirmed, yet the manager has been told
+	if c.pendingList != nil && c.now >= c.pendingUntil { // not confirmed in time; this manager has been notified, so the list takes effect
 		list := c.pendingList
 		c.pendingList = nil
 		c.install(list, true)
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -6,29 +6,30 @@
 	"strings"
 )
 
-// Fleet tells how many session managers there are and which number one of them has: the figures by which all
-// together stay under the pace of cold boxes. While views differ the sum of their parts must not grow:
-//   - a manager counts from the moment that it is seen, and for heldFor times a lease's time after its key has
-//     gone, as it may have lost the lease and not its life;
-//   - one that has just come counts itself before the others have seen it, so that for that while the parts
-//     add up to more than one. The module takes no told budget of a cold box in its first fall span, which
-//     covers that; after it the others have heard.
+// Fleet tracks how many session managers there are and the number of this one among them. Managers use both to
+// share the rate at which boxes that have just started may be loaded. While their views differ the sum of the shares
+// must not exceed one:
+//   - a manager counts from the moment that its key is seen, and for holdLeases lease times after the key has
+//     been deleted, as it may have lost its lease and still be running;
+//   - a manager that has just started counts itself before the others have seen it, so the shares add up to more
+//     than one for that time. The module uses no announced budget of a cold box during its first fall span, which
+//     covers that time; afterwards the others have seen the new manager.
 //
-// Numbers are the names' order, the same for all that see the same names.
+// Managers are numbered in the order of their names, so all that see the same names agree on the numbers.
 type Fleet struct {
-	Own      string
-	Lease    Time
-	lastSeen map[string]Time     // last, by name; never for those that are there
-	ready    map[string][]string // addresses of those that are ready, as life.Others takes them
-	Lost     bool                // this one's own key has gone, though it lives
+	Own      string              // name of this manager
+	Lease    Time                // TTL of the leases of the managers
+	lastSeen map[string]Time     // by name; the value present while the key exists
+	ready    map[string][]string // addresses of the ready managers by name, in the form that life.Others accepts
+	Lost     bool                // the key of this manager was deleted while it runs
 }
 
 const (
-	holdLeases = 4
+	holdLeases = 4 // lease times that a manager still counts after its key was deleted
 	present    = Time(1) << 62
 )
 
-// Take follows the managers' keys.
+// Take applies an update of the managers' keys.
 func (f *Fleet) Take(update News, now Time) {
 	if f.lastSeen == nil {
 		f.lastSeen, f.ready = map[string]Time{}, map[string][]string{}
@@ -64,7 +65,7 @@
 	}
 }
 
-// Count is how many managers there are, and this one's number, from 0.
+// Count returns the number of managers, and the number of this one, counted from 0.
 func (f *Fleet) Count(now Time) (managers, number int) {
 	names := []string{f.Own}
 	for name, seen := range f.lastSeen {
@@ -79,7 +80,7 @@
 	return len(names), slices.Index(names, f.Own)
 }
 
-// Others are the addresses of the other managers that are ready, in the order of their names.
+// Others returns the addresses of the other managers that are ready, sorted by name.
 func (f *Fleet) Others() (addresses []string) {
 	for _, name := range slices.Sorted(maps.Keys(f.ready)) {
 		if name != f.Own {
--- a/internal/registry/value.go
+++ b/internal/registry/value.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Version is the one that values are written in. A value of another version is not understood.
+// Version is the format version of the values. Values of any other version are rejected.
 const Version = 1
 
-// Prefixes of the keys. A box's key is its name behind the first, a manager's behind the second.
+// Keys of the registry. The key of a box or a manager is its prefix followed by its name.
 const (
 	BoxesPrefix    = "/pierlink/boxes/"
 	ManagersPrefix = "/pierlink/managers/"
-	MarkKey        = "/pierlink/history"
+	MarkKey        = "/pierlink/history" // identifies the history of the registry
 )
 
-// Box is the value of a box's key.
+// Box is the value stored under the key of a box.
 type Box struct {
 	Version int       `json:"version"`
 	Address string    `json:"address"`
@@ -31,62 +31,62 @@
 	State   string    `json:"state"` // ready or draining
 }
 
-// Value writes a box.
+// Value encodes a box as JSON, with the current version.
 func (b Box) Value() []byte {
 	b.Version = Version
 	encoded, err := json.Marshal(b)
 	if err != nil {
-		return nil // no field of it can fail
+		return nil // unreachable: every field can be encoded
 	}
 	return encoded
 }
 
-// ReadBox reads a box's value. The error says what was expected.
+// ReadBox decodes and validates the value of a box. The error states what was expected.
 func ReadBox(value []byte) (box Box, err error) {
 	decoder := json.NewDecoder(strings.NewReader(string(value)))
 	if err := decoder.Decode(&box); err != nil {
-		return box, fmt.Errorf("not a box: %w", err)
+		return box, fmt.Errorf("invalid value of a box: %w", err)
 	}
 	switch {
 	case box.Version != Version:
-		return box, fmt.Errorf("version %d is not known, %d is expected", box.Version, Version)
+		return box, fmt.Errorf("unknown version %d, expected %d", box.Version, Version)
 	case box.State != "ready" && box.State != "draining":
-		return box, fmt.Errorf("state %q: ready or draining is expected", box.State)
+		return box, fmt.Errorf("state %q: expected ready or draining", box.State)
 	case box.Cell < 0 || box.Weight < 0:
-		return box, fmt.Errorf("cell and weight of 0 or more are expected")
+		return box, fmt.Errorf("cell and weight must not be negative")
 	}
 	if _, _, err := net.SplitHostPort(box.Address); err != nil {
-		return box, fmt.Errorf("address %q: host:port is expected", box.Address)
+		return box, fmt.Errorf("address %q: expected host:port", box.Address)
 	}
 	return box, nil
 }
 
-// Manager is the value of a session manager's key.
+// Manager is the value stored under the key of a session manager.
 type Manager struct {
 	Version int    `json:"version"`
-	Address string `json:"address"`          // where players reach it; empty while it does not listen
-	Secure  string `json:"secure,omitempty"` // its door under TLS, if it has one
+	Address string `json:"address"`          // host:port for players; empty while it does not listen
+	Secure  string `json:"secure,omitempty"` // host:port for players over TLS, if enabled
 	State   string `json:"state"`            // starting, ready, draining
 }
 
-// Value writes a manager.
+// Value encodes a manager as JSON, with the current version.
 func (m Manager) Value() []byte {
 	m.Version = Version
 	encoded, err := json.Marshal(m)
 	if err != nil {
-		return nil // no field of it can fail
+		return nil // unreachable: every field can be encoded
 	}
 	return encoded
 }
 
-// ReadManager reads a manager's value. One that cannot be read counts as a manager all the same, to which no
-// viewer is sent.
+// DecodeManager decodes the value of a manager. A manager whose value is invalid still counts as a manager, but no
+// viewer is redirected to it.
 func DecodeManager(value []byte) (manager Manager, err error) {
 	if err := json.Unmarshal(value, &manager); err != nil {
-		return Manager{}, fmt.Errorf("not a session manager: %w", err)
+		return Manager{}, fmt.Errorf("invalid value of a session manager: %w", err)
 	}
 	if manager.Version != Version {
-		return Manager{}, fmt.Errorf("version %d is not known, %d is expected", manager.Version, Version)
+		return Manager{}, fmt.Errorf("unknown version %d, expected %d", manager.Version, Version)
 	}
 	return manager, nil
 }
