--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a registry: a history of transactions that may be compacted, or begin anew.
+// model is a model of a registry: a history of transactions that may be compacted or replaced by a new history.
 type model struct {
 	cluster      uint64
 	historyID    Mark
@@ -27,7 +27,7 @@
 	return registry
 }
 
-// begin starts another history, perhaps with the same cluster id.
+// startHistory replaces the history, possibly under the same cluster id.
 func (m *model) startHistory(revision int64, newCluster bool) {
 	m.historyCount++
 	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.historyCount)), revision, revision
@@ -38,7 +38,7 @@
 	m.history[m.historyID] = map[int64]map[string]Entry{revision: {}}
 }
 
-// put makes one transaction of some changes.
+// put commits changes in one transaction.
 func (m *model) put(changes []Change) {
 	m.revision++
 	for _, change := range changes {
@@ -57,22 +57,22 @@
 	return maps.EqualFunc(a, b, func(x, y Entry) bool { return x.Mod == y.Mod && string(x.Value) == string(y.Value) })
 }
 
-// reader plays the edge against the model, as badly as the draws have it.
+// reader plays the client between core and model, with faults drawn at random.
 type reader struct {
 	model            *model
 	core             *Core
 	now              Time
 	request          Want
-	open             bool // the watch is under way
-	watchHistory     Mark // the history that it was opened in
+	open             bool // the watch is open
+	watchHistory     Mark // history in which the watch was opened
 	sentRevision     int64
-	view             map[string]Entry // made of the news alone
+	view             map[string]Entry // built from the updates alone
 	revision         int64
 	history          Mark
 	violation        string
 	lists            int
-	revisionShift    int64 // a core broken on purpose resumes so far off
-	skipHistoryCheck bool  // the edge does not look at marks
+	revisionShift    int64 // added to the start revision of a watch, to simulate a faulty core
+	skipHistoryCheck bool  // the client does not compare history identifiers, to simulate a faulty one
 }
 
 func (r *reader) process() {
@@ -83,14 +83,14 @@
 	}, func(update News) {
 		revision, history := r.core.Revision()
 		if !update.Whole && r.history == history && update.Revision < r.revision {
-			r.violation = "revisions went back"
+			r.violation = "the revision decreased within a history"
 		}
 		if update.Whole {
 			r.view = map[string]Entry{}
 		}
 		for _, change := range update.Changes {
 			if old, ok := r.view[change.Key]; ok && !update.Whole && old.Mod >= change.Mod {
-				r.violation = "a change applied twice"
+				r.violation = "a change was delivered twice"
 			}
 			if change.Deleted {
 				delete(r.view, change.Key)
@@ -100,12 +100,12 @@
 		}
 		r.revision, r.history = update.Revision, history
 		if expected, ok := r.model.history[history][update.Revision]; !ok || !same(expected, r.view) {
-			r.violation = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", update.Revision, history, revision)
+			r.violation = fmt.Sprintf("update to a state that the registry never had: revision %d of %s (core at %d)", update.Revision, history, revision)
 		}
 	})
 }
 
-// step answers what is wanted, or fails it.
+// step answers the pending request, or lets it fail.
 func (r *reader) step(t *rapid.T) {
 	m := r.model
 	header := Head{m.cluster, m.revision}
@@ -135,7 +135,7 @@
 	}
 }
 
-// send brings changes: whole revisions, perhaps in pieces, cut in the middle, or told twice.
+// send delivers the changes of whole revisions, possibly in fragments, interrupted, or twice.
 func (r *reader) send(t *rapid.T, header Head) {
 	var pending []Change
 	for _, change := range r.model.log {
@@ -144,7 +144,7 @@
 		}
 	}
 	if len(pending) == 0 {
-		r.core.Watched(r.request.Try, header, nil, false, false) // progress
+		r.core.Watched(r.request.Try, header, nil, false, false) // progress notification
 		return
 	}
 	upTo := pending[rapid.IntRange(0, len(pending)-1).Draw(t, "upto")].Mod
@@ -155,7 +155,7 @@
 		}
 	}
 	head := Head{header.Cluster, upTo}
-	if n := rapid.IntRange(0, len(batch)-1).Draw(t, "piece"); n > 0 {
+	if n := rapid.IntRange(0, len(batch)-1).Draw(t, "fragment"); n > 0 {
 		r.core.Watched(r.request.Try, head, batch[:n], true, false)
 		if rapid.IntRange(0, 3).Draw(t, "cut within") == 0 {
 			r.open = false
@@ -168,7 +168,7 @@
 	r.sentRevision = upTo
 	if rapid.IntRange(0, 4).Draw(t, "twice") == 0 {
 		r.core.Watched(r.request.Try, head, batch, false, false)
-		r.core.Watched(r.request.Try-1, head, batch, false, false) // of a connection that has gone
+		r.core.Watched(r.request.Try-1, head, batch, false, false) // from an outdated attempt
 	}
 }
 
@@ -178,7 +178,7 @@
 		view: map[string]Entry{}}
 	for range rapid.IntRange(1, 80).Draw(t, "steps") {
 		r.now += Time(rapid.IntRange(0, 400_000).Draw(t, "dt"))
-		switch rapid.IntRange(0, 9).Draw(t, "what") {
+		switch rapid.IntRange(0, 9).Draw(t, "action") {
 		case 0:
 			registry.compacted = max(registry.compacted, registry.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
 		case 1:
@@ -207,7 +207,7 @@
 			return r.violation
 		}
 	}
-	for range 60 { // quiet
+	for range 60 { // no more faults or changes
 		r.now += 400_000
 		r.process()
 		r.answerAll()
@@ -217,12 +217,12 @@
 		return r.violation
 	}
 	if !same(r.view, registry.state) || !same(r.core.View(), registry.state) {
-		return fmt.Sprintf("after quiet the view is %v, the registry %v", r.view, registry.state)
+		return fmt.Sprintf("the view did not converge: it is %v, the registry %v", r.view, registry.state)
 	}
 	return ""
 }
 
-// quiet answers all that is wanted, well.
+// answerAll answers the pending request without faults.
 func (r *reader) answerAll() {
 	m := r.model
 	header := Head{m.cluster, m.revision}
@@ -252,8 +252,8 @@
 	}
 }
 
-// Whatever the registry does, each state told is one that it had, no change comes twice, revisions do not go
-// back within a history, and after quiet the view is the registry's.
+// Checks, for random registries and faults, that each update leads to a state that the registry had, no change is
+// delivered twice, revisions never decrease within a history, and the view converges to the registry.
 func TestViewMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if violation := simulate(rt, 0, false); violation != "" {
@@ -262,12 +262,12 @@
 	})
 }
 
-// The same check reports a core that resumes one revision late, and one whose edge mixes histories.
+// Checks that the property test detects a core that resumes one revision late, and a client that mixes histories.
 func TestChecksDetectBrokenCores(t *testing.T) {
 	for name, fault := range map[string]struct {
 		shift  int64
 		unsafe bool
-	}{"one late": {1, false}, "histories mixed": {0, true}} {
+	}{"resumes one revision late": {1, false}, "histories mixed": {0, true}} {
 		caught := false
 		for seed := range 400 {
 			violation := rapid.Custom(func(rt *rapid.T) string { return simulate(rt, fault.shift, fault.unsafe) }).Example(seed)
@@ -276,21 +276,22 @@
 			}
 		}
 		if !caught {
-			t.Error(name, "was not caught")
+			t.Error(name, "was not detected")
 		}
 	}
 }
 
-// A list that lost most of its boxes is confirmed first, yet binds within the grace.
+// Checks that a list that lacks most boxes is confirmed by another list first, and takes effect within the grace
+// period even if no confirmation arrives.
 func TestMassRemovalConfirmed(t *testing.T) {
 	keys := map[string]Entry{}
 	for i := range 10 {
 		keys[fmt.Sprint("k", i)] = Entry{Mod: 5}
 	}
 	for name, test := range map[string]struct {
-		second map[string]Entry // nil: never comes
-		whole  int              // news told
-		left   int
+		second  map[string]Entry // nil: no response
+		updates int              // updates emitted
+		left    int
 	}{"confirmed": {map[string]Entry{}, 2, 0}, "refuted": {keys, 2, 10}, "unanswered": {nil, 2, 0}} {
 		core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
 		var request Want
@@ -305,7 +306,7 @@
 		process()
 		core.Listed(request.Try, Head{1, 9}, "m", map[string]Entry{})
 		if process(); request.Act != List || len(core.View()) != 10 {
-			t.Fatalf("%s: not asked again (%v)", name, request)
+			t.Fatalf("%s: no confirmation requested (%v)", name, request)
 		}
 		if test.second != nil {
 			core.Listed(request.Try, Head{1, 10}, "m", maps.Clone(test.second))
@@ -313,14 +314,14 @@
 			core.At(1 + core.Grace/confirmDivisor)
 		}
 		process()
-		if updates != test.whole || len(core.View()) != test.left {
-			t.Errorf("%s: told %d times, %d left", name, updates, len(core.View()))
+		if updates != test.updates || len(core.View()) != test.left {
+			t.Errorf("%s: %d updates, %d keys left", name, updates, len(core.View()))
 		}
 	}
 }
 
-// A watch at a member that has fallen behind another is left for the next one; a list of an earlier state of
-// the same history is asked for once more before it counts.
+// Checks that a watch on a member that lags behind another moves to the next member, and that a list of an earlier
+// state of the same history is requested again before it is accepted.
 func TestStaleMembers(t *testing.T) {
 	core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
 	var request Want
@@ -330,20 +331,20 @@
 	process()
 	core.HandleMemberRevision(Head{1, 9}, "m")
 	core.At(1 + core.Timeout)
-	core.Watched(request.Try, Head{1, 5}, nil, false, false) // it answers, and has nothing new
+	core.Watched(request.Try, Head{1, 5}, nil, false, false) // the member answers without any change
 	if process(); request.NextMember {
-		t.Fatal("left within the time-outs allowed")
+		t.Fatal("left the member before the allowed timeouts had passed")
 	}
 	core.At(2 + 3*core.Timeout)
 	if process(); !request.NextMember || request.Act != Watch || request.From != 6 {
-		t.Fatalf("not left: %+v", request)
+		t.Fatalf("did not leave the lagging member: %+v", request)
 	}
 	request.NextMember = false
 	core.HandleMemberRevision(Head{1, 7}, "m")
 	core.Watched(request.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
 	core.At(2 + 9*core.Timeout/2)
 	if process(); request.NextMember {
-		t.Fatal("left though it had come as far")
+		t.Fatal("left a member that had caught up")
 	}
 	core.Ended(request.Try, Compacted)
 	core.At(2 + 10*core.Timeout)
@@ -351,26 +352,26 @@
 	core.Listed(request.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
 	core.At(2 + 11*core.Timeout)
 	if process(); request.Act != List || !request.NextMember {
-		t.Fatalf("an older list was taken: %+v", request)
+		t.Fatalf("accepted an older list: %+v", request)
 	}
 	core.Listed(request.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
 	process()
 	if revision, _ := core.Revision(); revision != 8 || core.Counts.Refuted != 1 {
 		t.Error(revision, core.Counts)
 	}
-	core.Ended(request.Try, Compacted) // a registry restored from a copy is older for good
+	core.Ended(request.Try, Compacted) // a registry restored from a backup stays older
 	for at := Time(12); at < 40; at++ {
 		core.At(2 + at*core.Timeout)
 		process()
 		revision, _ := core.Revision()
 		if core.Listed(request.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); revision == 4 {
 			if at < 12+olderListTimeouts {
-				t.Error("followed back after", at-12)
+				t.Error("accepted the older state too early, after timeouts:", at-12)
 			}
 			return
 		}
 	}
-	t.Error("never followed back")
+	t.Error("never accepted the older state of a restored registry")
 }
 
 func TestValues(t *testing.T) {
@@ -381,12 +382,12 @@
 	for _, v := range []string{"", "{}", "[]", `{"version":2}`, `{"version":1,"state":"off","address":"a:1"}`,
 		`{"version":1,"state":"ready","address":"a"}`, `{"version":1,"state":"ready","address":"a:1","cell":-1}`} {
 		if _, err := ReadBox([]byte(v)); err == nil {
-			t.Errorf("%q was taken", v)
+			t.Errorf("accepted the invalid value %q", v)
 		}
 	}
 }
 
-// BenchmarkChange is one change of a view of so many boxes, and what a box of the view holds.
+// BenchmarkWatchChange measures one change in a view of the given number of boxes, and the memory per box.
 func BenchmarkWatchChange(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -11,7 +11,8 @@
 func putManager(name string) Change    { return Change{Key: ManagersPrefix + name} }
 func deleteManager(name string) Change { return Change{Key: ManagersPrefix + name, Deleted: true} }
 
-// One that loses its lease still counts for a while; one that is new counts at once; each has its own number.
+// Checks that a manager that lost its lease still counts for the hold time, a new one counts at once, and each has a
+// number of its own.
 func TestManagerCount(t *testing.T) {
 	managers := &Fleet{Own: "b", Lease: 1000}
 	if n, i := managers.Count(0); n != 1 || i != 0 {
@@ -25,7 +26,7 @@
 	if n, i := managers.Count(11); n != 4 || i != 1 {
 		t.Error(n, i)
 	}
-	managers.Take(News{Whole: true}, 20) // the registry lost all
+	managers.Take(News{Whole: true}, 20) // the registry lost all keys
 	if n, _ := managers.Count(21); n != 4 {
 		t.Error(n)
 	}
@@ -34,23 +35,23 @@
 	}
 }
 
-// Whatever the order in which managers hear of one another: those that live and have heard of all that live
-// for longer than the delay take parts that add up to no more than one, and no two have the same number.
+// Checks, for any order in which managers learn of one another, that the shares of the running managers add up to at
+// most one, and no two have the same number, once all have received the keys of all others.
 func TestManagerSharesSum(t *testing.T) {
 	const delay, lease = 50, 100
 	checked := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		type manager struct {
-			f     *Fleet
+			set   *Fleet
 			since Time
 		}
 		live := map[string]*manager{}
-		type told struct {
+		type message struct {
 			at   Time
-			to   *manager // what was on its way to one that died does not reach the next of its name
+			to   *manager // a message to a manager that died does not reach its successor of the same name
 			news News
 		}
-		var inTransit []told
+		var inTransit []message
 		keys, latest := map[string]bool{}, map[*manager]Time{}
 		for now := Time(1); now < 20000; now += Time(rapid.IntRange(1, 500).Draw(rt, "dt")) {
 			name := string(rune('a' + rapid.IntRange(0, 6).Draw(rt, "name")))
@@ -63,10 +64,10 @@
 				for _, k := range slices.Sorted(maps.Keys(keys)) {
 					managers = append(managers, putManager(k))
 				}
-				live[name].f.Take(News{Whole: true, Changes: managers}, now)
+				live[name].set.Take(News{Whole: true, Changes: managers}, now)
 				keys[name] = true
 				change = putManager(name)
-			case rapid.Bool().Draw(rt, "lease only"): // lost while it lives; it comes back well within the hold
+			case rapid.Bool().Draw(rt, "lease only"): // lease lost by a running manager; it returns well within the hold time
 				keys[name] = !keys[name]
 				if change = putManager(name); !keys[name] {
 					delete(keys, name)
@@ -77,20 +78,20 @@
 				delete(keys, name)
 				change = deleteManager(name)
 			}
-			for _, n := range slices.Sorted(maps.Keys(live)) { // in order, so that a failure can be played again
+			for _, n := range slices.Sorted(maps.Keys(live)) { // sorted, so that a failure can be reproduced
 				if change.Key == "" {
 					break
 				}
 				receiver := live[n]
-				latest[receiver] = max(latest[receiver], now+Time(rapid.IntRange(0, delay).Draw(rt, "delay"))) // each hears in order
-				inTransit = append(inTransit, told{latest[receiver], receiver, News{Changes: []Change{change}}})
+				latest[receiver] = max(latest[receiver], now+Time(rapid.IntRange(0, delay).Draw(rt, "delay"))) // each receives its messages in order
+				inTransit = append(inTransit, message{latest[receiver], receiver, News{Changes: []Change{change}}})
 			}
-			var undelivered []told
+			var undelivered []message
 			for _, msg := range inTransit {
 				if msg.at > now {
 					undelivered = append(undelivered, msg)
 				} else {
-					msg.to.f.Take(msg.news, now)
+					msg.to.set.Take(msg.news, now)
 				}
 			}
 			inTransit = undelivered
@@ -105,20 +106,20 @@
 				continue
 			}
 			for _, n := range names {
-				managers, number := live[n].f.Count(now)
+				managers, number := live[n].set.Count(now)
 				sum += 1 / float64(managers)
 				if numbers[number] && sum > 1.000001 {
-					rt.Fatalf("%s has the number %d of another", n, number)
+					rt.Fatalf("%s has the same number %d as another manager", n, number)
 				}
 				numbers[number] = true
 			}
 			checked++
 			if sum > 1.000001 {
-				rt.Fatalf("parts add up to %.3f of %d managers", sum, len(live))
+				rt.Fatalf("shares add up to %.3f for %d managers", sum, len(live))
 			}
 		}
 	})
 	if checked < 100 {
-		t.Error("only", checked, "moments were judged")
+		t.Error("only", checked, "states were checked")
 	}
 }
