--- a/internal/tenants/ends.go
+++ b/internal/tenants/ends.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	tripFailures          = 3  // failures in a row that open an endpoint's circuit
-	initialOpenTimeouts   = 1  // time-outs that it stays open at first
-	maxOpenTimeouts       = 16 // and at most
-	latencyWindowTimeouts = 16 // time-outs over which an endpoint's answers are timed
-	latencyWindowParts    = 8
-	syncRetryIntervals    = 64 // times Renew, after which an endpoint that had no content synchronisation is asked for it again
+	tripFailures          = 3  // consecutive failures that open the circuit of an endpoint
+	initialOpenTimeouts   = 1  // timeouts that the circuit stays open at first
+	maxOpenTimeouts       = 16 // timeouts that it stays open at most
+	latencyWindowTimeouts = 16 // timeouts in the window over which latencies are measured
+	latencyWindowParts    = 8  // parts of that window
+	syncRetryIntervals    = 64 // sync intervals after which an endpoint without content synchronisation is asked for it again
 )
 
-// ends are the endpoints of one directory: which is asked next, and how much is out at each.
+// endpointSet balances requests over the endpoints of one directory, with a circuit breaker for each.
 //
-// An endpoint that fails three times in a row is left alone for a span that doubles; then one question is let
-// through. It guards against waiting for a directory that is down or hangs, and against all asking at once when it is
-// back. Among those that answer the one with the least work and the shortest answers is asked, which holds against
-// one that answers just under the time-out; one that has not been asked of late counts as quick, so that it is tried
-// again. With one endpoint alone the unknown wait for a trial.
+// After three consecutive failures the circuit of an endpoint opens for a time that doubles with each further failure;
+// then a single probe is let through. This guards against waiting for a directory that is down or hangs, and against
+// a burst of requests when it is back. Among endpoints with a closed circuit the one with the lowest product of
+// latency and requests in flight is used, which takes load off an endpoint that answers just under the timeout. An
+// endpoint without recent requests counts as fast, so that it is tried again. If there is a single endpoint, unknown
+// accounts have to wait for a probe.
 type endpointSet struct {
 	config      *Terms
 	all         []endpoint
@@ -32,23 +33,23 @@
 
 type endpoint struct {
 	failures            int
-	openUntil, openSpan Time // the circuit is, until then
-	probing             bool // one is out
+	openUntil, openSpan Time // until when the circuit is open, and for how long; 0 if it is closed
+	probing             bool // a probe is in flight
 	inFlight            int
-	latencies, answers  meter.Count
-	noSync              bool // it has no content synchronisation
+	latencies, samples  meter.Count
+	noSync              bool // content synchronisation is not supported
 	noSyncUntil         Time
 }
 
 func newEndpointSet(config *Terms, count int) endpointSet {
 	set := endpointSet{config: config, all: make([]endpoint, max(count, 1))}
 	for i := range set.all {
-		set.all[i].latencies, set.all[i].answers = meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts), meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts)
+		set.all[i].latencies, set.all[i].samples = meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts), meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts)
 	}
 	return set
 }
 
-// chance is a number from 0 to 1 of this core's own.
+// random returns a pseudo-random number in [0, 1) derived from the seed.
 func (e *endpointSet) random() float64 {
 	e.jitterDraws++
 	seed := e.config.Seed
@@ -56,7 +57,7 @@
 	return float64(crc32.ChecksumIEEE(seedBytes[:])) / (1 << 32)
 }
 
-// can tells whether any may be asked now.
+// available reports whether any endpoint may be asked now.
 func (e *endpointSet) available(now Time) bool {
 	for i := range e.all {
 		if candidate := &e.all[i]; candidate.openUntil == 0 || now >= candidate.openUntil && !candidate.probing {
@@ -66,7 +67,7 @@
 	return false
 }
 
-// due is when one may be asked again, if none may now.
+// nextProbe returns when the first endpoint may be asked again, if none may now.
 func (e *endpointSet) nextProbe() Time {
 	earliest := Time(1) << 62
 	for i := range e.all {
@@ -77,22 +78,23 @@
 	return earliest
 }
 
-// pick is the endpoint that is asked next; less than 0 if all that may be asked have as much out as they may. The
-// preferred one is taken while it answers, whatever it has out; -1 for none. trial is set for a single one let through.
+// pick returns the endpoint to ask next, or -1 if all that may be asked have reached their limit of lookups in flight.
+// The preferred endpoint (-1 for none) is picked if its circuit is closed, regardless of that limit. probe is set if
+// the request is the single one that an open circuit lets through.
 func (e *endpointSet) pick(now Time, preferred int) (index int, probe bool) {
 	if preferred >= 0 && preferred < len(e.all) && e.all[preferred].openUntil == 0 {
 		return preferred, false
 	}
 	index = -1
 	bestCost := 0.0
-	first := int(e.config.Seed % uint64(len(e.all))) // managers begin at different ones
+	first := int(e.config.Seed % uint64(len(e.all))) // spreads managers over the endpoints
 	for offset := range e.all {
 		i := (first + offset) % len(e.all)
 		candidate := &e.all[i]
 		if candidate.openUntil > 0 || candidate.inFlight >= max(e.config.Lookups, 1) {
 			continue
 		}
-		latency := candidate.latencies.Most(now) / max(candidate.answers.Most(now), 1)
+		latency := candidate.latencies.Most(now) / max(candidate.samples.Most(now), 1)
 		if cost := (latency + 1) * float64(candidate.inFlight+1); index < 0 || cost < bestCost {
 			index, bestCost = i, cost
 		}
@@ -112,21 +114,21 @@
 	return index, probe
 }
 
-// answered takes an answer that came after so long; of a stream that lives on, none.
+// succeeded records an answer and its latency; 0 for none, as with streams.
 func (e *endpointSet) succeeded(i int, now, latency Time) {
 	target := &e.all[i]
 	target.failures, target.openUntil, target.openSpan, target.probing = 0, 0, 0, false
 	if latency > 0 {
 		target.latencies.Add(now, float64(latency))
-		target.answers.Add(now, 1)
+		target.samples.Add(now, 1)
 	}
 }
 
-// failed takes a question that got none.
+// failed records a request without an answer, and opens the circuit when there have been too many.
 func (e *endpointSet) failed(i int, now Time) {
 	target := &e.all[i]
 	target.latencies.Add(now, float64(e.config.Timeout))
-	target.answers.Add(now, 1)
+	target.samples.Add(now, 1)
 	if target.failures++; target.failures < tripFailures && !target.probing {
 		return
 	}
@@ -136,8 +138,8 @@
 	e.opened++
 }
 
-// noSync notes that an endpoint has no content synchronisation; it is asked again after a long while, as it may be
-// given one.
+// markNoSync records that an endpoint does not support content synchronisation. It is asked again after
+// syncRetryIntervals sync intervals, as support may be enabled later.
 func (e *endpointSet) markNoSync(i int, now Time) {
 	e.all[i].noSync, e.all[i].noSyncUntil = true, now+syncRetryIntervals*e.config.Renew
 }
--- a/internal/tenants/guess.go
+++ b/internal/tenants/guess.go
@@ -3,22 +3,22 @@
 import "hash/crc32"
 
 const (
-	tableSlots         = 1 << 12 // of each table; what meets there shares a count
-	maxAccountFailures = 8       // failed attempts on an account, and
-	maxAddressFailures = 32      // from an address, within the span
+	tableSlots         = 1 << 12 // per table; keys that hash to the same slot share a count
+	maxAccountFailures = 8       // failed attempts on an account within the half-life
+	maxAddressFailures = 32      // failed attempts from an address within the half-life
 )
 
-// Guesses bounds failed attempts by account and by address in fixed memory: two tables of counts that fade by
-// half each span. What shares a count with a guesser may be held back with it: at most for a span after the
-// last failure, and only where it has failed too, as a good attempt is not counted. It guards against an account
-// that is guessed at from many addresses, and an address that guesses at many accounts.
+// Guesses limits failed login attempts by account and by address in fixed memory: two tables of counts that halve
+// once per half-life. It guards against password guessing on one account from many addresses, and on many accounts
+// from one address. An account or address that shares a count with a guesser may be rejected with it, for at most a
+// half-life after the last failure; successful attempts are not counted.
 type Guesses struct {
-	Span      Time
-	Seed      uint32
+	Span      Time   // half-life of the counts
+	Seed      uint32 // of the hash
 	byAccount [tableSlots]uint8
 	byAddress [tableSlots]uint8
 	decayedAt Time
-	Held      int64
+	Held      int64 // attempts rejected
 }
 
 func (g *Guesses) slot(key string) uint32 {
@@ -38,7 +38,7 @@
 	}
 }
 
-// May tells whether an attempt may be looked at.
+// May reports whether an attempt may be processed, and counts it as rejected if not.
 func (g *Guesses) May(account, address string, now Time) bool {
 	g.decay(now)
 	if g.byAccount[g.slot(account)] < maxAccountFailures && g.byAddress[g.slot(address)] < maxAddressFailures {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// Failed counts one that was wrong.
+// Failed counts an attempt with wrong credentials.
 func (g *Guesses) Failed(account, address string) {
 	for _, count := range []*uint8{&g.byAccount[g.slot(account)], &g.byAddress[g.slot(address)]} {
 		if *count < 255 {
--- a/internal/tenants/looks.go
+++ b/internal/tenants/looks.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// look is one look-up: first of an account, then of its tenant if that is not known.
+// lookup is a search for one account, followed by a search for its tenant if that is unknown.
 type lookup struct {
 	account   string
-	tenant    string // being looked up
+	tenant    string // name of the tenant being looked up; empty while it is the account
 	attempt   int
-	endpoint  int // the endpoint asked
+	endpoint  int // that was asked
 	sentAt    Time
-	preferred int // an endpoint that another one named, -1 for none
-	failures  int // endpoints that gave no answer
-	referrals int
+	preferred int // endpoint named by a referral, -1 for none
+	failures  int // requests without an answer
+	referrals int // referrals followed
 	queries   []Question
 }
 
-// release gives back the place that a look-up has at its endpoint.
+// release ends the request in flight of a lookup.
 func (c *Core) release(pending *lookup) {
 	if c.lookups[pending.attempt] == pending {
 		delete(c.lookups, pending.attempt)
@@ -23,8 +23,8 @@
 	}
 }
 
-// Looked takes the answer to a look-up of an account or a tenant: the entry, or none. Failed look-ups come by
-// Unlooked.
+// Looked handles the answer to a lookup of an account or a tenant: the entry, or nil if there is none. A lookup that
+// failed is reported by HandleLookupFailure instead.
 func (c *Core) Looked(attempt int, found *Record) {
 	pending := c.lookups[attempt]
 	if pending == nil {
@@ -58,16 +58,16 @@
 	}
 }
 
-// lookedUp notes a look-up of its own; an entry for which there was no room has none.
+// markLookedUp records when an entry was looked up; e is nil if the view had no room for it.
 func (e *entry) markLookedUp(at Time) {
 	if e != nil {
 		e.lookedUpAt = at
 	}
 }
 
-// absent notes that an account is not there.
+// markAbsent records in the negative cache that an account does not exist.
 func (c *Core) markAbsent(pending *lookup) {
-	if e := c.accounts[pending.account]; e != nil && e.verifiedAt < pending.sentAt { // not under this name any more; a synchronisation tells what became of it
+	if e := c.accounts[pending.account]; e != nil && e.verifiedAt < pending.sentAt { // renamed or deleted; a synchronisation will show which
 		c.removeName(e)
 	}
 	if limit := negativeCacheFactor * max(c.Waiting, 1); len(c.absentUntil) >= limit {
@@ -87,8 +87,8 @@
 	c.Counts.Negatives++
 }
 
-// Unlooked takes the failure of a look-up. Another endpoint is asked while there is time for it; otherwise those who
-// wait come again.
+// HandleLookupFailure handles a lookup that failed. Another endpoint is asked if there is time left; otherwise the
+// waiting queries are answered with Busy.
 func (c *Core) HandleLookupFailure(attempt int) {
 	pending := c.lookups[attempt]
 	if pending == nil {
@@ -107,6 +107,7 @@
 	c.abandon(pending, Busy)
 }
 
+// abandon ends a lookup and answers its queries with a verdict.
 func (c *Core) abandon(pending *lookup, verdict Verdict) {
 	delete(c.lookupsByAccount, pending.account)
 	c.lookupQueue = slices.DeleteFunc(c.lookupQueue, func(x *lookup) bool { return x == pending })
@@ -117,14 +118,14 @@
 	pending.queries = nil
 }
 
-// Ask answers a playback's question: at once where something is known, or by Settle after a look-up. Many that
-// ask for one account wait for one look-up. Whoever doubts waits for one too, so that an account that is there and
-// one that is not take as long.
+// Ask answers the query of a playback: at once if the view suffices, otherwise after a lookup. Queries for the same
+// account share one lookup. A query that forces a lookup waits for it whether or not the account is known, so that the
+// response time does not reveal which accounts exist.
 func (c *Core) Ask(query Question) Answer {
 	available := c.endpoints.available(c.now)
 	key := Fold(query.Account)
 	if answer, ok := c.decide(&query); ok && !query.Doubt {
-		if answer.Verdict != Stale || !available { // too old, and nobody can be asked
+		if answer.Verdict != Stale || !available { // a stale answer is final if no endpoint is available
 			return answer
 		}
 	} else if e := c.accounts[key]; ok && e != nil && e.lookedUpAt > 0 && c.now-e.lookedUpAt <= c.Negative {
@@ -156,7 +157,7 @@
 	return Answer{ID: query.ID, Verdict: Wait}
 }
 
-// settleLooks emits look-ups, and answers for whom there is no time left.
+// processLookups emits due lookups and answers queries whose time has run out.
 func (c *Core) processLookups(request func(Want)) Time {
 	for len(c.lookupQueue) > 0 {
 		pending := c.lookupQueue[0]
@@ -166,7 +167,7 @@
 		}
 		endpoint, probe := c.endpoints.pick(c.now, pending.preferred)
 		if endpoint < 0 {
-			break // all have as much out as they may
+			break // all have reached their limit of lookups in flight
 		}
 		c.lookupQueue = c.lookupQueue[1:]
 		c.attempt++
@@ -184,12 +185,12 @@
 	for _, pending := range c.lookups {
 		if c.now-pending.sentAt > c.Timeout {
 			c.HandleLookupFailure(pending.attempt)
-			next = c.now // another endpoint may be asked
+			next = c.now // another endpoint may be asked at once
 			continue
 		}
 		next = min(next, pending.sentAt+c.Timeout+1)
 	}
-	for _, pending := range c.lookupsByAccount { // none waits past its time
+	for _, pending := range c.lookupsByAccount { // no query waits past its deadline
 		var remaining []Question
 		for _, query := range pending.queries {
 			if query.Until-c.Timeout/answerMarginDivisor <= c.now {
--- a/internal/tenants/rows.go
+++ b/internal/tenants/rows.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Rows give tenants that have a quota a place in the module's table, which is of fixed size from the start. A row
-// belongs to the tenant's entry, whatever its name; one that was given up rests before another tenant has it, as what
-// was counted there is of the one before. Where there are more tenants with a quota than rows, the first by their
-// entries have them; the others are held to none, which Without tells.
+// Rows assigns tenants that have a quota to rows of the module's table, whose size is fixed at the start. A row
+// belongs to the entry of a tenant, whatever its name. A row that was freed is not reused at once, as its counters
+// are still those of the previous tenant. If there are more tenants with a quota than rows, rows go to the first by
+// entry id; no quota is enforced on the others, and their number is available as a figure.
 type Rows struct {
-	First int  // rows before it are of tenants that the settings name
-	Size  int  // of the table, those included
-	Rest  Time // that a row given up is left alone
+	First int  // rows before it belong to tenants named in the settings
+	Size  int  // of the table, including the rows before First
+	Rest  Time // time before a freed row is assigned again
 
-	quotas  map[string]float64 // quotas, by the tenant's entry
+	quotas  map[string]float64 // by entry id of the tenant
 	rows    []row
 	byID    map[string]int
-	written bool // what stands in the table is not known
+	written bool // the contents of the table are known
 }
 
 type row struct {
@@ -26,7 +26,7 @@
 	freedAt Time
 }
 
-// Want notes a tenant's quota, 0 for none.
+// Want sets the quota of a tenant, 0 for none.
 func (r *Rows) Want(id string, quota float64) {
 	if r.quotas == nil {
 		r.quotas, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
@@ -36,10 +36,10 @@
 	}
 }
 
-// Again has all quotas told anew: the table was written by another hand.
+// Again causes all quotas to be written again, after something else has written the table.
 func (r *Rows) Again() { r.written = false }
 
-// Row is a tenant's row, or the table's size for none.
+// Row returns the row of a tenant, or the size of the table if it has none.
 func (r *Rows) Row(id string) int {
 	if i, ok := r.byID[id]; ok {
 		return r.First + i
@@ -47,10 +47,10 @@
 	return r.Size
 }
 
-// Without is how many tenants have a quota and no row.
+// Without returns the number of tenants that have a quota but no row.
 func (r *Rows) Without() int { return len(r.quotas) - len(r.byID) }
 
-// Settle tells what changes in the table, and when it wants to be called again: never is 0.
+// Settle emits the changes of the table. It returns when it must be called again, 0 for never.
 func (r *Rows) Settle(now Time, set func(row int, quota float64)) (next Time) {
 	for i := range r.rows {
 		slot := &r.rows[i]
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -1,32 +1,32 @@
 package tenants
 
-// sync is the synchronisation under way.
+// syncState is the synchronisation in progress.
 type syncState struct {
 	op                   Operation
 	attempt, endpoint    int
 	active, streaming    bool
 	startedAt, lastHeard Time
-	nextOp               Operation // the step that follows, 0 for none
-	removesUnlisted      bool      // what it does not name is gone
-	completeBefore       Time      // all that was modified before it was over by the beginning
-	firstPageStamp       Time      // the latest stamp of its first page, 0 until that is read
-	latestStamp          Time      // the latest that it brought
+	nextOp               Operation // the next step, 0 for none
+	removesUnlisted      bool      // entries that it does not name are deleted
+	completeBefore       Time      // modifications before this stamp had ended when it started
+	firstPageStamp       Time      // latest stamp of its first page, 0 until that is read
+	latestStamp          Time      // latest stamp received
 	toReread             []string
-	preferred            int // an endpoint that another one named, -1 for none
+	preferred            int // endpoint named by a referral, -1 for none
 	referrals            int
 }
 
 const (
-	listAgeDivisor  = 2         // a list is due when the view would be older than this part of Longest by the next time
-	rereadBatch     = 100       // entries that are read by name in one search
-	stampResolution = 1_000_000 // of stamps (RFC 4517 section 3.3.13)
+	listAgeDivisor  = 2         // a list is due if the view would otherwise be older than the maximum age divided by this at the next sync
+	rereadBatch     = 100       // entries that are read by id in one search
+	stampResolution = 1_000_000 // microseconds; stamps have whole seconds (RFC 4517 section 3.3.13)
 )
 
-// mine tells whether news belongs to the synchronisation under way.
+// isCurrent reports whether a result belongs to the synchronisation in progress.
 func (c *Core) isCurrent(attempt int) bool { return attempt == c.sync.attempt && c.sync.active }
 
-// Entry takes an entry of a synchronisation. It is fresh as of the synchronisation's beginning while that
-// refreshes, and as of now on a stream that lives.
+// Entry handles an entry of a synchronisation. It is verified as of the start of the synchronisation during the
+// refresh stage, and as of now once the stream delivers changes.
 func (c *Core) Entry(attempt int, record Record) {
 	if !c.isCurrent(attempt) {
 		return
@@ -41,7 +41,7 @@
 	c.upsert(&record, verifiedAt)
 }
 
-// Present tells that entries are still as they were (RFC 4533 section 3.3).
+// HandlePresent marks entries as unchanged (RFC 4533 section 3.3).
 func (c *Core) HandlePresent(attempt int, ids []string) {
 	if !c.isCurrent(attempt) {
 		return
@@ -55,8 +55,8 @@
 	}
 }
 
-// Unread tells of an entry that is there and cannot be read: it stays as it was, and is not read anew until it is
-// modified again.
+// HandleUnreadable handles an entry that exists but cannot be decoded: it keeps its previous state and is not read
+// again until it is modified.
 func (c *Core) HandleUnreadable(attempt int, listed ListedEntry) {
 	if !c.isCurrent(attempt) {
 		return
@@ -73,8 +73,9 @@
 	c.unreadable[listed.ID] = listed.Stamp
 }
 
-// Seen takes a part of a list. What has another stamp than the view has it with, or none, is read by its name after
-// it: polls may have missed it, as a replica may bring changes late, under the stamps of another's clock.
+// HandleListed handles a part of a list. Entries whose stamp is missing or differs from the one in the view are read
+// afterwards by id: polls may have missed them, as a replica may receive changes late, stamped by another server's
+// clock.
 func (c *Core) HandleListed(attempt int, listed []ListedEntry) {
 	if !c.isCurrent(attempt) {
 		return
@@ -87,27 +88,27 @@
 			e.syncRound = c.syncRound
 			c.restoreName(e)
 		case e == nil && unreadable && stamp == x.Stamp:
-		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // no room: it would be read again at each list
+		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // the view is full; reading it would be repeated with each list
 			c.Counts.Overfull++
 		default:
 			if e != nil {
-				e.syncRound = c.syncRound // it is there, whatever it is like
+				e.syncRound = c.syncRound // it exists, whatever its state
 			}
 			c.sync.toReread = append(c.sync.toReread, x.ID)
 		}
 	}
 }
 
-// Paged tells that a page has been read. What is modified after the first page was read has its latest stamp or a
-// later one, whatever page it is on: the next poll begins there. A later page's stamps tell nothing of that, as what
-// had been read by then may have been modified before them.
+// HandlePageEnd records the end of a page. Entries modified after the first page was read have the latest stamp of
+// that page or a later one, whatever page they are on, so the next poll starts there. The stamps of later pages do
+// not qualify: entries already read may have been modified before them.
 func (c *Core) HandlePageEnd(attempt int) {
 	if s := &c.sync; c.isCurrent(attempt) && s.firstPageStamp == 0 {
 		s.firstPageStamp = s.latestStamp
 	}
 }
 
-// Gone tells that entries are deleted, which the directory says by name: it counts at once.
+// Gone handles entries that the directory reports as deleted: they are removed at once.
 func (c *Core) Gone(attempt int, ids []string) {
 	if !c.isCurrent(attempt) {
 		return
@@ -118,8 +119,9 @@
 	}
 }
 
-// Refreshed tells that a synchronisation has brought all that there is. Where it listed what is there (rather
-// than what is deleted), what it did not list is gone. With live set the stream goes on with changes.
+// Refreshed handles the end of the refresh stage of a synchronisation. With removesUnlisted set it has listed the
+// existing entries (rather than the deleted ones), and all others are removed. With streaming set the stream
+// continues with changes.
 func (c *Core) Refreshed(attempt int, cookie []byte, removesUnlisted, streaming bool) {
 	if !c.isCurrent(attempt) {
 		return
@@ -135,7 +137,7 @@
 	}
 }
 
-// complete makes the view the directory's, as of the synchronisation's beginning.
+// completeSync marks the view as matching the directory as of the start of the synchronisation.
 func (c *Core) completeSync() {
 	s := &c.sync
 	if s.removesUnlisted {
@@ -150,8 +152,8 @@
 	c.endpoints.succeeded(s.endpoint, c.now, 0)
 }
 
-// Done tells that a search has come to its end. What a list found changed is read next; only then is the view the
-// directory's.
+// HandleSearchEnd handles the end of a search. Entries that a list found changed are read next; only then does the
+// view match the directory.
 func (c *Core) HandleSearchEnd(attempt int) {
 	if !c.isCurrent(attempt) {
 		return
@@ -169,7 +171,7 @@
 	}
 	s.active = false
 	switch {
-	case s.op == Poll && s.removesUnlisted: // what is modified under a stamp that a list has seen too, the next poll brings
+	case s.op == Poll && s.removesUnlisted: // the next poll fetches what is modified later under a stamp that this list has already seen
 		s.nextOp = List
 		return
 	case s.op != Poll && len(s.toReread) > 0:
@@ -184,14 +186,14 @@
 	c.nextSyncAt = s.startedAt + c.Renew
 }
 
-// Cookie takes a stream's word on how far it has come.
+// HandleCookie records the cookie up to which a stream has delivered changes.
 func (c *Core) HandleCookie(attempt int, cookie []byte) {
 	if c.isCurrent(attempt) && c.sync.streaming && len(cookie) > 0 {
 		c.checkpoint.Cookie, c.sync.lastHeard = cookie, c.now
 	}
 }
 
-// Ended takes the end of a synchronisation that did not come to its own. Nothing is deleted for it.
+// HandleSyncFailure handles a synchronisation that ended early. No entries are removed because of it.
 func (c *Core) HandleSyncFailure(attempt int, reason SyncFailure) {
 	if !c.isCurrent(attempt) {
 		return
@@ -200,7 +202,7 @@
 	s.active, s.nextOp = false, 0
 	c.Counts.Broken++
 	switch {
-	case reason == CookieExpired && len(c.checkpoint.Cookie) > 0: // an answer too: all is asked for next
+	case reason == CookieExpired && len(c.checkpoint.Cookie) > 0: // counts as an answer; a full synchronisation follows
 		c.checkpoint = Mark{End: s.endpoint}
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
 		c.nextSyncAt = c.now
@@ -217,8 +219,9 @@
 	}
 }
 
-// Referred takes an endpoint's word that another is to be asked (RFC 4511 section 4.1.10): one that the settings
-// name, by its number, or less than 0. Elsewhere nobody is asked, as what binds there would be given to strangers.
+// HandleReferral handles a referral (RFC 4511 section 4.1.10) to a configured endpoint, given by its index, or to
+// an unknown server, given as less than 0. Unknown servers are never contacted, as they would receive the bind
+// credentials.
 func (c *Core) HandleReferral(attempt, target int) {
 	if pending := c.lookups[attempt]; pending != nil {
 		if target < 0 || target >= len(c.endpoints.all) || pending.referrals >= len(c.endpoints.all) {
@@ -248,13 +251,13 @@
 	c.nextSyncAt = c.now
 }
 
-// settleSync emits the next step of synchronising.
+// processSync emits the next step of the synchronisation.
 func (c *Core) processSync(request func(Want)) Time {
 	s := &c.sync
 	switch {
 	case s.active && !s.streaming && c.now-s.lastHeard > c.Timeout:
 		c.HandleSyncFailure(s.attempt, Interrupted)
-	case s.active && s.streaming && c.now-s.startedAt >= c.Renew: // it may have gone silent: it is opened anew, from its cookie
+	case s.active && s.streaming && c.now-s.startedAt >= c.Renew: // the stream may have stalled: it is reopened from its cookie
 		s.active = false
 		c.nextSyncAt = c.now
 	}
@@ -291,7 +294,7 @@
 	return max(c.nextSyncAt, c.now+1)
 }
 
-// begin asks an endpoint for what it can tell best.
+// startSync starts a synchronisation at an endpoint in the best way that it supports.
 func (c *Core) startSync(endpoint int, probe bool, request func(Want)) {
 	s := &c.sync
 	c.attempt++
@@ -302,7 +305,7 @@
 	known := c.checkpoint.End == endpoint
 	if s.completeBefore = c.latestStamp; !known {
 		s.completeBefore = 0
-	} else if c.latestStamp > 0 && c.now-c.latestStampAt > stampResolution { // nothing more comes under that second
+	} else if c.latestStamp > 0 && c.now-c.latestStampAt > stampResolution { // no more entries can get a stamp of that second
 		s.completeBefore += stampResolution
 	}
 	c.Counts.Syncs++
@@ -319,7 +322,7 @@
 		c.Counts.Full++
 	default:
 		want.Act, want.Since = Poll, c.checkpoint.Stamp
-		s.removesUnlisted = c.now+c.Renew-c.verifiedAt >= c.Longest/listAgeDivisor // by the next time it would be due
+		s.removesUnlisted = c.now+c.Renew-c.verifiedAt >= c.Longest/listAgeDivisor // it would be overdue by the next synchronisation
 		c.Counts.Polls++
 	}
 	s.op = want.Act
