--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks an LDAP directory what the core of tenants wants to know, by go-ldap: content
-// synchronisation (RFC 4533) where an endpoint has it, paged searches (RFC 2696) where not, and look-ups.
+// Package client executes the requests of the tenants core against an LDAP directory with go-ldap: content
+// synchronisation (RFC 4533) where an endpoint supports it, paged searches (RFC 2696) otherwise, and lookups.
 package client
 
 import (
@@ -20,19 +20,19 @@
 	"pierlink/internal/tenants"
 )
 
-// Place is where the directory is and what is read there.
+// Place configures a client.
 type Place struct {
-	Endpoints []string // host:port; the core's Terms count them
-	TLS       *tls.Config
-	Bind      string // DN; anonymous if empty
+	Endpoints []string    // host:port; the core is configured with their number
+	TLS       *tls.Config // nil for plain TCP
+	Bind      string      // DN to bind as; empty for anonymous access
 	Password  Secret
-	Base      string
-	PageSize  uint32
-	Paged     bool // content synchronisation is not tried
+	Base      string // DN of the subtree that is read
+	PageSize  uint32 // entries per page
+	Paged     bool   // never try content synchronisation
 	Terms     tenants.Terms
 }
 
-// Secret is a password: however it is printed, logged or encoded it does not show.
+// Secret is a password that is redacted when it is printed, logged or encoded.
 type Secret string
 
 const redacted = "(secret)"
@@ -41,27 +41,27 @@
 func (Secret) GoString() string             { return redacted }
 func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// Client carries out a core's wants. Do is called in the turns of the core's owner; what comes of it reaches the
-// core by post.
+// Client executes the requests of a core. Results are passed to post, which must run them in the goroutine that owns
+// the core; Do is called from that goroutine.
 type Client struct {
 	config     Place
 	post       func(func(*tenants.Core))
 	log        *zap.Logger
 	mu         sync.Mutex
-	idle       [][]*ldap.Conn     // by endpoint
-	cancel     context.CancelFunc // of the synchronisation under way
+	idle       [][]*ldap.Conn     // connections, by endpoint
+	cancel     context.CancelFunc // cancels the synchronisation in progress
 	closed     bool
 	pending    sync.WaitGroup
-	Searches   atomic.Int64 // searches
-	Unreadable atomic.Int64 // entries that could not be read
+	Searches   atomic.Int64 // searches sent
+	Unreadable atomic.Int64 // entries that could not be decoded
 }
 
 const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
-// New makes a client; nothing is asked before Do.
+// New returns a client. It sends nothing before the first call of Do.
 func New(config Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
 	if len(config.Endpoints) == 0 || config.Base == "" {
-		return nil, errors.New("an endpoint and a base of the directory are expected")
+		return nil, errors.New("directory configuration: expected an endpoint and a base DN")
 	}
 	if _, err := ldap.ParseDN(config.Base); err != nil {
 		return nil, fmt.Errorf("base %q: %w", config.Base, err)
@@ -69,7 +69,7 @@
 	return &Client{config: config, post: post, log: log, idle: make([][]*ldap.Conn, len(config.Endpoints))}, nil
 }
 
-// Close ends what is under way.
+// Close cancels requests in progress and closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -90,7 +90,7 @@
 	return time.Duration(c.config.Terms.Timeout) * time.Microsecond
 }
 
-// dial connects to an endpoint and binds there.
+// dial connects to an endpoint and binds if credentials are configured.
 func (c *Client) dial(endpoint int) (*ldap.Conn, error) {
 	dialer := &net.Dialer{Timeout: c.timeout()}
 	var raw net.Conn
@@ -115,7 +115,7 @@
 	return conn, nil
 }
 
-// Do carries out one act, without waiting for it.
+// Do executes a request without waiting for it. A new synchronisation cancels the previous one.
 func (c *Client) Do(request tenants.Want) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,11 +145,11 @@
 
 func (c *Client) reportUnreadable(entry *ldap.Entry, err error) {
 	c.Unreadable.Add(1)
-	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", entry.DN), zap.Error(err))
+	c.log.Warn("cannot decode a directory entry; keeping its previous state", zap.String("dn", entry.DN), zap.Error(err))
 }
 
-// referred tells whether an answer names another place to ask (RFC 4511 section 4.1.10), and which endpoint that is:
-// less than 0 for one that the settings do not name.
+// referral reports whether a result is a referral (RFC 4511 section 4.1.10), and the index of the endpoint that it
+// names, less than 0 if that is not configured.
 func (c *Client) referral(err error) (endpoint int, ok bool) {
 	var ldapErr *ldap.Error
 	if !errors.As(err, &ldapErr) || ldapErr.ResultCode != ldap.LDAPResultReferral {
@@ -169,10 +169,10 @@
 	return -1, true
 }
 
-// look asks for one account or tenant, on a connection that stays for the next.
+// lookUp searches for one account or tenant, on a pooled connection that is returned to the pool afterwards.
 func (c *Client) lookUp(request tenants.Want) {
 	fail := func(err error) {
-		c.log.Info("the directory did not answer", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
 		if target, ok := c.referral(err); ok {
 			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
 			return
@@ -199,7 +199,7 @@
 	c.Searches.Add(1)
 	result, err := conn.Search(c.searchRequest(filter, 2))
 	if err == nil && len(result.Entries) == 0 && len(result.Referrals) > 0 {
-		err = fmt.Errorf("a part of %s is said to be at %s", c.config.Base, result.Referrals[0])
+		err = fmt.Errorf("a part of %s is held by another server: referral to %s", c.config.Base, result.Referrals[0])
 	}
 	if err != nil {
 		_ = conn.Close()
--- a/internal/tenants/client/read.go
+++ b/internal/tenants/client/read.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	maxNameBytes = 64
+	maxNameBytes = 64 // of any single value
 	maxPlans     = 64
 	maxNumber    = 1e9
 )
 
-// Read makes a record of an entry. Attributes (docs/tenants.md): of pierlinkTenant cn, pierlinkPlan,
-// pierlinkWeight, pierlinkQuota, pierlinkSeats; of pierlinkMember uid, pierlinkTenant, pierlinkPlan,
-// pierlinkDigest; of both entryUUID, and modifyTimestamp where it is told. The error says what was expected.
+// Read decodes an entry into a record. It reads these attributes (docs/tenants.md): cn, pierlinkPlan, pierlinkWeight,
+// pierlinkQuota and pierlinkSeats of a pierlinkTenant; uid, pierlinkTenant, pierlinkPlan and pierlinkDigest of a
+// pierlinkMember; entryUUID of both, and modifyTimestamp if present. The error states what was expected.
 func Read(entry *ldap.Entry) (record tenants.Record, err error) {
 	single := func(name string, maxBytes int, required bool) string {
 		values := entry.GetEqualFoldAttributeValues(name)
 		switch {
 		case err != nil:
 		case len(values) == 0 && required:
-			err = fmt.Errorf("%s: a value is expected", name)
+			err = fmt.Errorf("%s: missing, expected a value", name)
 		case len(values) > 1:
-			err = fmt.Errorf("%s: one value is expected, there are %d", name, len(values))
+			err = fmt.Errorf("%s: expected one value, found %d", name, len(values))
 		case len(values) == 1 && (len(values[0]) > maxBytes || !utf8.ValidString(values[0]) || strings.ContainsAny(values[0], "\x00\r\n")):
-			err = fmt.Errorf("%s: at most %d bytes of text in UTF-8 are expected", name, maxBytes)
+			err = fmt.Errorf("%s: expected at most %d bytes of UTF-8 text in one line", name, maxBytes)
 		case len(values) == 1:
 			return strings.TrimSpace(values[0])
 		}
@@ -46,7 +46,7 @@
 		}
 		parsed, parseErr := strconv.ParseFloat(text, 64)
 		if parseErr != nil || !(parsed >= 0 && parsed <= maxNumber) {
-			err = fmt.Errorf("%s: a number from 0 on is expected", name)
+			err = fmt.Errorf("%s: expected a number of 0 or more", name)
 		}
 		return parsed
 	}
@@ -63,30 +63,31 @@
 		record.Kind, record.Name, record.Tenant = tenants.Member, single("uid", maxNameBytes, true), single("pierlinkTenant", maxNameBytes, true)
 		record.Digest = single("pierlinkDigest", maxNameBytes, false)
 	default:
-		err = errors.New("objectClass: pierlinkTenant or pierlinkMember is expected")
+		err = errors.New("objectClass: expected pierlinkTenant or pierlinkMember")
 	}
 	if err == nil && record.Name == "" {
-		err = errors.New("a name that is not empty is expected")
+		err = errors.New("the name is empty")
 	}
 	for _, plan := range entry.GetEqualFoldAttributeValues("pierlinkPlan") {
 		if plan = strings.TrimSpace(plan); len(plan) > maxNameBytes || !utf8.ValidString(plan) {
-			err = errors.Join(err, errors.New("pierlinkPlan: names of plans are expected"))
+			err = errors.Join(err, errors.New("pierlinkPlan: expected a plan name of valid length in UTF-8"))
 		} else if plan != "" && !slices.Contains(record.Plans, plan) {
 			record.Plans = append(record.Plans, plan)
 		}
 	}
 	if len(record.Plans) > maxPlans {
-		err = errors.Join(err, fmt.Errorf("pierlinkPlan: at most %d values are expected", maxPlans))
+		err = errors.Join(err, fmt.Errorf("pierlinkPlan: expected at most %d values", maxPlans))
 	}
 	return record, err
 }
 
+// entryUUID returns the id of an entry in lower case.
 func entryUUID(entry *ldap.Entry) string {
 	return strings.ToLower(entry.GetEqualFoldAttributeValue("entryUUID"))
 }
 
-// stamp is an entry's modifyTimestamp, 0 where there is none that can be read: generalized time (RFC 4517 section
-// 3.3.13) in UTC, with or without parts of a second.
+// modifyStamp returns the modifyTimestamp of an entry, 0 if it is missing or invalid: generalized time (RFC 4517
+// section 3.3.13) in UTC, with or without fractional seconds.
 func modifyStamp(entry *ldap.Entry) tenants.Time {
 	t, err := time.Parse("20060102150405Z", entry.GetEqualFoldAttributeValue("modifyTimestamp"))
 	if err != nil || t.Year() < 1970 {
@@ -95,5 +96,5 @@
 	return t.UnixMicro()
 }
 
-// generalized writes a time for a filter, in whole seconds.
+// generalizedTime formats a time for a filter, in whole seconds.
 func generalizedTime(t tenants.Time) string { return time.UnixMicro(t).UTC().Format("20060102150405Z") }
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -13,15 +13,16 @@
 	"pierlink/internal/tenants"
 )
 
-const batchSize = 256 // entries that are brought in one go
+const batchSize = 256 // entries passed to the core at once
 
-// sync synchronises: from the cookie on, and then what changes, until it ends.
+// synchronise runs a synchronisation: a content synchronisation, which continues with changes until it is cancelled,
+// or a paged search.
 func (c *Client) synchronise(ctx context.Context, request tenants.Want) {
 	fail := func(reason tenants.SyncFailure, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Info("the directory did not answer", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
 		if target, ok := c.referral(err); ok {
 			c.post(func(k *tenants.Core) { k.HandleReferral(request.Try, target) })
 			return
@@ -29,7 +30,7 @@
 		c.post(func(k *tenants.Core) { k.HandleSyncFailure(request.Try, reason) })
 	}
 	if request.Act == tenants.Sync && c.config.Paged {
-		fail(tenants.SyncUnsupported, errors.New("content synchronisation is not to be tried"))
+		fail(tenants.SyncUnsupported, errors.New("content synchronisation is disabled by the configuration"))
 		return
 	}
 	conn, err := c.dial(request.Endpoint)
@@ -47,7 +48,7 @@
 		return
 	}
 	c.Searches.Add(1)
-	conn.SetTimeout(0) // a stream may be quiet; the core times it
+	conn.SetTimeout(0) // a stream may be idle; the core enforces its own timeouts
 	results := conn.Syncrepl(ctx, c.searchRequest(entryFilter, 0), batchSize, ldap.SyncRequestModeRefreshAndPersist, request.Cookie, false)
 	var batch []tenants.Record
 	var present, deleted []string
@@ -67,8 +68,8 @@
 	}
 	refreshed := false
 	for results.Next() {
-		if results.Referral() != "" { // a part lies elsewhere: this is not the whole
-			fail(tenants.Interrupted, fmt.Errorf("a part of %s is said to be at %s", c.config.Base, results.Referral()))
+		if results.Referral() != "" { // a part is held by another server, so the result would be incomplete
+			fail(tenants.Interrupted, fmt.Errorf("a part of %s is held by another server: referral to %s", c.config.Base, results.Referral()))
 			return
 		}
 		state := int64(-1)
@@ -119,7 +120,7 @@
 					batch = append(batch, record)
 				} else {
 					c.reportUnreadable(entry, err)
-					present = append(present, id) // it stays as it was
+					present = append(present, id) // it keeps its previous state
 				}
 			}
 		}
@@ -139,13 +140,13 @@
 	case ldap.IsErrorWithCode(err, ldap.LDAPResultSyncRefreshRequired):
 		fail(tenants.CookieExpired, err)
 	case err == nil:
-		fail(tenants.Interrupted, errors.New("the stream ended"))
+		fail(tenants.Interrupted, errors.New("the server ended the synchronisation stream"))
 	default:
 		fail(tenants.Interrupted, err)
 	}
 }
 
-// filter is what an act searches for.
+// requestFilter returns the search filter of a request.
 func requestFilter(request tenants.Want) string {
 	switch request.Act {
 	case tenants.Poll:
@@ -161,7 +162,7 @@
 	return entryFilter
 }
 
-// pages searches by pages. An answer that breaks off says nothing of what it did not bring.
+// searchPages runs a paged search. If it fails, no conclusion is drawn from entries that are missing.
 func (c *Client) searchPages(ctx context.Context, conn *ldap.Conn, request tenants.Want) error {
 	paging := ldap.NewControlPaging(max(c.config.PageSize, 1))
 	for ctx.Err() == nil {
@@ -174,15 +175,15 @@
 		switch {
 		case err != nil:
 			return err
-		case len(result.Referrals) > 0: // a part lies elsewhere: this is not the whole
-			return fmt.Errorf("a part of %s is said to be at %s", c.config.Base, result.Referrals[0])
+		case len(result.Referrals) > 0: // a part is held by another server, so the result would be incomplete
+			return fmt.Errorf("a part of %s is held by another server: referral to %s", c.config.Base, result.Referrals[0])
 		}
 		next, ok := ldap.FindControl(result.Controls, ldap.ControlTypePaging).(*ldap.ControlPaging)
 		if !ok {
-			return errors.New("a page without its cookie: it cannot be told whether it was the last")
+			return errors.New("search result without a paging control: expected one with a cookie")
 		}
 		c.deliverPage(request, result.Entries)
-		if len(next.Cookie) == 0 { // its estimate of the total means nothing
+		if len(next.Cookie) == 0 { // the last page; the control's size estimate is unreliable
 			c.post(func(core *tenants.Core) { core.HandleSearchEnd(request.Try) })
 			return nil
 		}
@@ -191,7 +192,7 @@
 	return ctx.Err()
 }
 
-// page brings the entries of one page.
+// deliverPage passes the entries of one page to the core.
 func (c *Client) deliverPage(request tenants.Want, entries []*ldap.Entry) {
 	var batch []tenants.Record
 	var listed, unreadable []tenants.ListedEntry
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -1,9 +1,9 @@
-// Package tenants knows who may play what: tenants and their members as a directory has them (LDAP, RFC 4511).
-// The core is free of I/O: it owns the view, knows how fresh each entry is, and says what to ask next; an edge
-// asks and brings back what came of it. docs/tenants.md tells the options weighed.
+// Package tenants authorises playbacks: it keeps a view of the tenants and members of an LDAP directory (RFC 4511).
+// The core performs no I/O: it owns the view, tracks the age of each entry and decides what to request next. A client
+// executes the requests and passes the results back. docs/tenants.md compares the design options.
 //
-// What a synchronisation brings is taken entry by entry, as each is whole in itself; what it does not bring is
-// taken for deleted only once it has come to its end. So half an answer never loses a tenant.
+// Entries of a synchronisation are applied one by one, as each is complete in itself. Entries that it does not contain
+// are removed only once it has completed, so a partial answer never removes a tenant.
 package tenants
 
 import (
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// Time is a clock value or span in microseconds.
+// Time is a clock value or a duration, in microseconds.
 type Time = int64
 
-// Kind tells tenants from members.
+// Kind is the kind of an entry.
 type Kind uint8
 
 // The kinds.
@@ -23,168 +23,168 @@
 	Member
 )
 
-// Record is an entry as it was read.
+// Record is an entry of the directory.
 type Record struct {
-	ID     string // entryUUID (RFC 4530): it stays over a rename or a move
+	ID     string // entryUUID (RFC 4530), unchanged by a rename or a move
 	DN     string // normalised
 	Kind   Kind
-	Name   string   // of a tenant: its name; of a member: its account
+	Name   string   // of a tenant: its name; of a member: its account name
 	Tenant string   // of a member: the name of its tenant
-	Plans  []string // that it may play; a member with none may play its tenant's
-	Weight float64  // of a tenant: at the door
-	Quota  float64  // of a tenant: new playbacks a second within its share
-	Seats  int      // of a tenant: playbacks at once, 0 for no cap
+	Plans  []string // allowed plans; a member without any has those of its tenant
+	Weight float64  // of a tenant: its weight in admission control
+	Quota  float64  // of a tenant: new playbacks per second within its share
+	Seats  int      // of a tenant: concurrent playbacks, 0 for no limit
 	Digest string   // of a member: HA1 of RFC 7616, empty for none
 	Stamp  Time     // modifyTimestamp (RFC 4512 section 3.4.2) by the directory's clock, 0 for none
 }
 
-// Terms are told at the start.
+// Terms configures a core.
 type Terms struct {
-	Seed     uint64
-	Longest  Time // an entry older than this is stale
-	Renew    Time // a synchronisation is begun anew after so long, silent or not
-	Timeout  Time // of one question to the directory
-	Negative Time // what is not there is not asked for again within this
-	Waiting  int  // questions that wait for a look-up, at most
-	Lookups  int  // look-ups out at once at one endpoint, at most
-	Ends     int  // endpoints that the directory has
-	Entries  int  // that are held, at most
-	Admit    bool // stale entries are admitted; otherwise refused
+	Seed     uint64 // of the backoff jitter and of the first endpoint to ask
+	Longest  Time   // an entry older than this is stale
+	Renew    Time   // interval after which a new synchronisation starts, even if a stream is open
+	Timeout  Time   // of one request to the directory
+	Negative Time   // how long the absence of an account is cached
+	Waiting  int    // limit of queries waiting for a lookup
+	Lookups  int    // limit of lookups in flight per endpoint
+	Ends     int    // number of endpoints of the directory
+	Entries  int    // limit of entries in the view, 0 for none
+	Admit    bool   // admit playbacks of stale entries instead of refusing them
 }
 
-// Act is what the core wants done.
+// Operation is a kind of request that the core makes.
 type Operation int
 
-// The acts.
+// The operations.
 const (
-	Sync         Operation = iota + 1 // content synchronisation from a cookie on
+	Sync         Operation = iota + 1 // content synchronisation (RFC 4533) from a cookie on
 	FullSearch                        // a paged search of all entries
-	Poll                              // a paged search of those that were modified at Since or later
-	List                              // a paged search of all, for their names and stamps alone
-	Reread                            // the entries of some names
-	Look                              // one account
-	LookUpTenant                      // one tenant
+	Poll                              // a paged search of entries modified at Since or later
+	List                              // a paged search of all entries for their ids and stamps only
+	Reread                            // a search of entries by their ids
+	Look                              // a search of one account
+	LookUpTenant                      // a search of one tenant
 )
 
 func (a Operation) String() string {
 	return [...]string{"nothing", "synchronisation", "whole search", "poll", "list", "entries by name", "look-up", "look-up of a tenant"}[a]
 }
 
-// Want is one act under a number.
+// Want is one request of the core.
 type Want struct {
 	Act      Operation
-	Try      int
-	Endpoint int      // the endpoint to ask
-	Cookie   []byte   // of Sync: empty for all
-	Since    Time     // of Poll
-	IDs      []string // of Again
-	Account  string   // of Look and Tenure
-	Probe    bool     // the single one that an open circuit lets through
+	Try      int      // number of the attempt
+	Endpoint int      // index of the endpoint to ask
+	Cookie   []byte   // of Sync: where to resume; empty for a full synchronisation
+	Since    Time     // of Poll: the first stamp wanted
+	IDs      []string // of Reread
+	Account  string   // of lookups: the account or the tenant
+	Probe    bool     // the single request that an open circuit lets through
 }
 
-// Mark is how far a synchronisation has come: it means something to the endpoint alone that told it.
+// Mark is the position of a synchronisation. It is valid only for the endpoint that issued it.
 type Mark struct {
-	End    int
+	End    int    // index of the endpoint, less than 0 for none
 	Cookie []byte // of content synchronisation
-	Stamp  Time   // of polling: all that was modified before it has been read
+	Stamp  Time   // of polling: all earlier modifications have been read
 }
 
-// Seen is what a list tells of an entry.
+// ListedEntry is the id and the stamp of an entry in a list.
 type ListedEntry struct {
 	ID    string
 	Stamp Time
 }
 
-// Why tells how a synchronisation ended that did not come to its own end.
+// SyncFailure is the reason why a synchronisation ended early.
 type SyncFailure int
 
 // The reasons.
 const (
 	Interrupted     SyncFailure = iota
-	CookieExpired               // RFC 4533 e-syncRefreshRequired
-	SyncUnsupported             // the endpoint has no content synchronisation
+	CookieExpired               // e-syncRefreshRequired (RFC 4533): the cookie is no longer valid
+	SyncUnsupported             // the endpoint does not support content synchronisation
 )
 
-// Verdict is what becomes of a playback's question.
+// Verdict is the result of a query.
 type Verdict int
 
 // The verdicts.
 const (
-	Wait    Verdict = iota // a look-up is out; the answer comes by Settle
-	Allowed                // with the age of what it rests on
+	Wait    Verdict = iota // a lookup is in progress; the answer follows later
+	Allowed                // with the age of the entries that it is based on
 	Unknown
-	NotPlan // the plan is not its
-	Stale   // what is known is too old, and the terms refuse then
-	NoSeat
-	Busy // too many wait, or the directory cannot be asked: come again
+	NotPlan // the plan is not among those of the account
+	Stale   // the entries are too old, and the configuration refuses then
+	NoSeat  // the tenant has reached its limit of concurrent playbacks
+	Busy    // too many queries wait, or no endpoint is available: retry later
 )
 
 func (v Verdict) String() string {
 	return [...]string{"wait", "allowed", "unknown", "not its plan", "stale", "no seat", "busy"}[v]
 }
 
-// Question is a playback's.
+// Question asks whether an account may play a plan.
 type Question struct {
 	ID      int
 	Account string
 	Plan    string
-	Until   Time // it must be answered by then
-	Doubt   bool // what is known of the account did not bear it out: it is looked up, unless it was just now
+	Until   Time // when the answer is due
+	Doubt   bool // look the account up, unless that was done recently: the credentials do not match the known ones
 }
 
-// Answer is a question's.
+// Answer is the answer to a query.
 type Answer struct {
 	ID      int
 	Verdict Verdict
 	Tenant  string
-	Age     Time // of what it rests on
+	Age     Time // of the entries that it is based on
 }
 
-// Counts tell what was met.
+// Counts holds the event counters of a core.
 type Counts struct {
 	Syncs, Whole, Broken, Full          int64
 	Polls, Lists, Reread                int64
 	Looks, Joined, Negatives, Doubts    int64
-	Retried, Referred                   int64 // look-ups that another endpoint was asked
-	Opened, Trials                      int64 // of circuits
+	Retried, Referred                   int64 // requests sent to another endpoint after a failure or a referral
+	Opened, Trials                      int64 // circuits opened, probes sent
 	Changes, Deleted, Overfull, Refused int64
 	Stales, Fallbacks                   int64
 }
 
 const (
-	negativeCacheFactor = 4 // times as many names as may wait are remembered as not there
-	answerMarginDivisor = 8 // a question is answered this part of a time-out before it must be
+	negativeCacheFactor = 4 // size of the negative cache in multiples of the limit of waiting queries
+	answerMarginDivisor = 8 // a query is answered Timeout divided by this before it is due
 )
 
 type entry struct {
 	Record
 	verifiedAt Time
-	lookedUpAt Time   // by a look-up of its own
-	syncRound  uint64 // of the synchronisation that brought it last
-	position   int    // among all
+	lookedUpAt Time   // when it was last looked up by name
+	syncRound  uint64 // number of the synchronisation that confirmed it last
+	position   int    // index in Core.entries
 }
 
-// Core is the view. One goroutine owns it.
+// Core holds the view of the directory and decides what to request next. It is not safe for concurrent use.
 type Core struct {
 	Terms
 	Counts        Counts
 	now           Time
 	byID          map[string]*entry
-	entries       []*entry // in no order
+	entries       []*entry // unordered
 	accounts      map[string]*entry
 	tenants       map[string]*entry
-	absentUntil   map[string]Time // until when it is known not to be there
-	seatsTaken    map[string]int  // by the tenant's id: seats go with it over a rename
-	verifiedAt    Time            // the view was the directory's then
-	synced        bool            // it was, once
+	absentUntil   map[string]Time // negative cache: until when an account is known to be absent
+	seatsTaken    map[string]int  // by entry id of the tenant, so that a rename keeps its seats
+	verifiedAt    Time            // when the view was last known to match the directory
+	synced        bool            // the view has matched the directory before
 	checkpoint    Mark
-	latestStamp   Time // stamp that the mark's endpoint has told
-	latestStampAt Time // when it was first told
+	latestStamp   Time // latest stamp received from the endpoint of the checkpoint
+	latestStampAt Time // when that stamp was first received
 	endpoints     endpointSet
 
 	attempt          int
 	sync             syncState
-	unreadable       map[string]Time // entries that could not be read, by their stamps
+	unreadable       map[string]Time // stamps of entries that could not be decoded, by id
 	syncRound        uint64
 	nextSyncAt       Time
 	lookups          map[int]*lookup
@@ -192,10 +192,10 @@
 	lookupQueue      []*lookup
 	waiting          int
 	answers          []Answer
-	changedTenants   []Record // tenants that have changed: shares for the module and the door
+	changedTenants   []Record // tenants whose shares in the module and in admission control have changed
 }
 
-// New makes a core that knows nothing.
+// New returns a core with an empty view.
 func New(config Terms, now Time) *Core {
 	c := &Core{Terms: config, now: now, checkpoint: Mark{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
 		absentUntil: map[string]Time{}, seatsTaken: map[string]int{}, lookups: map[int]*lookup{}, lookupsByAccount: map[string]*lookup{}}
@@ -204,15 +204,15 @@
 	return c
 }
 
-// At begins a turn.
+// At sets the current time; it is called before each batch of events.
 func (c *Core) At(now Time) { c.now = max(c.now, now) }
 
-// Fold is an account or a name as it is compared: names in a directory do not differ by case or blanks around
-// them (RFC 4518).
+// Fold returns the form in which names are compared: names in a directory do not differ by case or by surrounding
+// space (RFC 4518).
 func Fold(s string) string { return strings.ToLower(strings.TrimSpace(s)) }
 
-// Resume gives it a view kept by an earlier process, as old as it is. A mark of an endpoint that is not there any
-// more has less than 0 for it.
+// Resume installs a view stored by an earlier process, verified as of asOf. The endpoint of the checkpoint is less
+// than 0 if it is no longer configured.
 func (c *Core) Resume(records []Record, checkpoint Mark, asOf Time) {
 	for i := range records {
 		c.upsert(&records[i], asOf)
@@ -220,7 +220,7 @@
 	c.checkpoint, c.verifiedAt, c.synced, c.latestStamp = checkpoint, asOf, true, checkpoint.Stamp
 }
 
-// Records is the view in no order, for keeping and for checks; the mark and the moment that it stands for.
+// Records returns the view, unordered, with its checkpoint and the time at which it was last verified.
 func (c *Core) Records() (records []Record, checkpoint Mark, asOf Time) {
 	records = make([]Record, 0, len(c.byID))
 	for _, e := range c.byID {
@@ -229,9 +229,10 @@
 	return records, c.checkpoint, c.verifiedAt
 }
 
-// Part is so many records, from a place down, and the place for the next part; less than 0 after the last. What
-// stands there throughout is brought by the parts together, though the view changes in between: an entry that goes
-// leaves its place to one that was brought already. Begin with Size, and with the mark as it was before.
+// Part returns up to limit records below position from, and the position for the next call, less than 0 after the
+// last. Start at Size, with the checkpoint taken beforehand. An entry that stays in the view throughout is returned by
+// one of the calls even if the view changes between them: the position of a removed entry is taken over by an entry
+// that has been returned already.
 func (c *Core) Part(from, limit int) (records []Record, next int) {
 	from = min(from, len(c.entries))
 	next = max(from-limit, 0)
@@ -244,15 +245,15 @@
 	return records, next
 }
 
-// Mark is how far the view has come, and the moment that it stands for.
+// Mark returns the checkpoint of the view and the time at which the view was last verified.
 func (c *Core) Mark() (Mark, Time) { return c.checkpoint, c.verifiedAt }
 
-// Stands tells whether the view was ever whole, how many entries it has, and the moment that it stands for.
+// Status reports whether the view was ever complete, its number of entries, and when it was last verified.
 func (c *Core) Status() (whole bool, entries int, asOf Time) {
 	return c.synced, len(c.byID), c.verifiedAt
 }
 
-// Name is an entry's name, empty for none.
+// Name returns the name of an entry, empty if there is none.
 func (c *Core) Name(id string) string {
 	if e := c.byID[id]; e != nil {
 		return e.Name
@@ -260,20 +261,20 @@
 	return ""
 }
 
-// TellAll has all tenants' shares told anew.
+// TellAll causes the shares of all tenants to be emitted again.
 func (c *Core) TellAll() {
 	for _, e := range c.tenants {
 		c.changedTenants = append(c.changedTenants, e.Record)
 	}
 }
 
-// Size is how many entries are held.
+// Size returns the number of entries in the view.
 func (c *Core) Size() int { return len(c.byID) }
 
-// age is how old what an entry says may be.
+// age returns the time since an entry was last verified, by itself or with the whole view.
 func (c *Core) age(e *entry) Time { return c.now - max(e.verifiedAt, c.lastVerified()) }
 
-// fresh is when the whole view was last known to be the directory's: while a stream lives, its word counts.
+// lastVerified returns when the view was last known to match the directory, 0 if it never was.
 func (c *Core) lastVerified() Time {
 	if !c.synced {
 		return 0
@@ -281,10 +282,10 @@
 	return c.verifiedAt
 }
 
-// Age is how old the view is.
+// Age returns the time since the view was last known to match the directory.
 func (c *Core) Age() Time { return c.now - c.lastVerified() }
 
-// put takes an entry in.
+// upsert adds or updates an entry.
 func (c *Core) upsert(record *Record, asOf Time) {
 	e := c.byID[record.ID]
 	if e == nil {
@@ -310,7 +311,7 @@
 	c.Counts.Changes++
 }
 
-// index is where an entry's name belongs.
+// index returns the name index for an entry.
 func (c *Core) index(e *entry) map[string]*entry {
 	if e.Kind == Tenant {
 		return c.tenants
@@ -318,21 +319,22 @@
 	return c.accounts
 }
 
-// found puts an entry's name back on its index, if no other has it: a look-up at a replica that was behind may have
-// missed it.
+// restoreName adds the name of an entry to its index again if the name is free: a lookup at a lagging replica may have
+// missed the entry.
 func (c *Core) restoreName(e *entry) {
 	if key := Fold(e.Name); c.index(e)[key] == nil {
 		c.index(e)[key] = e
 	}
 }
 
-// unname takes an entry's name off the indexes, if it is still its own.
+// removeName removes the name of an entry from its index unless another entry has taken it over.
 func (c *Core) removeName(e *entry) {
 	if key := Fold(e.Name); c.index(e)[key] == e {
 		delete(c.index(e), key)
 	}
 }
 
+// remove deletes an entry from the view.
 func (c *Core) remove(id string) {
 	if e := c.byID[id]; e != nil {
 		c.removeName(e)
@@ -350,7 +352,7 @@
 	}
 }
 
-// judge answers a question from what is known; false where nothing is.
+// decide answers a query from the view; false if the view does not suffice.
 func (c *Core) decide(query *Question) (Answer, bool) {
 	answer := Answer{ID: query.ID, Verdict: Unknown}
 	e := c.accounts[Fold(query.Account)]
@@ -359,7 +361,7 @@
 	}
 	tenant := c.tenants[Fold(e.Tenant)]
 	if tenant == nil {
-		return answer, c.synced // its tenant is not there
+		return answer, c.synced // the tenant does not exist
 	}
 	answer.Tenant = tenant.Name
 	answer.Age = max(c.age(e), c.age(tenant))
@@ -384,7 +386,7 @@
 	return answer, true
 }
 
-// Cancel takes a question out whose player has left.
+// Cancel removes a query whose player has left.
 func (c *Core) Cancel(id int) {
 	for _, pending := range c.lookupsByAccount {
 		n := len(pending.queries)
@@ -393,9 +395,9 @@
 	}
 }
 
-// Plays takes a seat for a playback that was allowed, and Over gives it back by the id returned. Several that were
-// allowed by one look-up may meet at the last seat: false for those that come too late. Seats belong to the
-// tenant's entry, whatever its name.
+// Plays takes a seat for an allowed playback; the returned id serves to release it. It returns false if all seats are
+// taken: several playbacks allowed by one lookup may compete for the last seat. Seats belong to the entry of the
+// tenant, whatever its name.
 func (c *Core) Plays(name string) (id string, ok bool) {
 	record := c.tenants[Fold(name)]
 	if record == nil {
@@ -408,7 +410,7 @@
 	return record.ID, true
 }
 
-// Over gives a seat back.
+// Over releases a seat.
 func (c *Core) Over(id string) {
 	if id == "" {
 		return
@@ -418,7 +420,7 @@
 	}
 }
 
-// Digest is the HA1 of an account, and whether it is known.
+// Digest returns the HA1 (RFC 7616) of an account, and whether it is known.
 func (c *Core) Digest(account string) (string, bool) {
 	if e := c.accounts[Fold(account)]; e != nil {
 		return e.Digest, e.Digest != ""
@@ -426,8 +428,8 @@
 	return "", false
 }
 
-// Settle emits what is to be asked now, the answers that are ready, and tenants whose shares have changed. It
-// returns when it wants to be called again.
+// Settle emits the requests that are due, the answers that are ready, and the tenants whose shares have changed. It
+// returns the time by which it must be called again.
 func (c *Core) Settle(request func(Want), answer func(Answer), share func(Record)) Time {
 	next := min(c.processSync(request), c.processLookups(request))
 	c.Counts.Opened, c.Counts.Trials = c.endpoints.opened, c.endpoints.probes
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -8,7 +8,7 @@
 	startedAt, lastHeard Time
 	nextOp               Operation // the next step, 0 for none
 	removesUnlisted      bool      // entries that it does not name are deleted
-	completeBefore       Time      // modifications before this stamp had ended when it started
+	completeBefore       Time      // all modifications with an earlier stamp were complete when it started
 	firstPageStamp       Time      // latest stamp of its first page, 0 until that is read
 	latestStamp          Time      // latest stamp received
 	toReread             []string
