--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -47,7 +47,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%s: %v", what, v.keys)
+	t.Fatalf("timed out waiting for %s: %v", what, v.keys)
 }
 
 func has(key, value string) func(map[string]string) bool {
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -36,17 +36,17 @@
 			delete(invalid, "PIERLINKPLAN")
 		}
 		if record, err := Read(entry(invalid)); err == nil {
-			t.Errorf("%s %q was taken: %+v", name, value, record)
+			t.Errorf("accepted %s %q: %+v", name, value, record)
 		}
 	}
 	for _, n := range []string{"-1", "1e99", "NaN", "many"} {
 		if _, err := Read(entry(map[string][]string{"entryUUID": {"u"}, "objectClass": {"pierlinkTenant"}, "cn": {"x"}, "pierlinkWeight": {n}})); err == nil {
-			t.Errorf("a weight of %s was taken", n)
+			t.Errorf("accepted the weight %s", n)
 		}
 	}
 }
 
-// Whatever a directory sends, a record that is taken is within its bounds.
+// FuzzRead checks that every accepted record is within its limits, whatever the directory sends.
 func FuzzRead(f *testing.F) {
 	f.Add("u", "pierlinkMember", "ann", "school", "live", "1", "d")
 	f.Add("u", "pierlinkTenant", "a\x00b", "", "\xff\xfe", "1e400", "")
@@ -63,7 +63,7 @@
 	})
 }
 
-// owner runs a core as a front would.
+// owner runs a core and its client as a front does.
 type owner struct {
 	mu     sync.Mutex
 	core   *tenants.Core
@@ -139,8 +139,8 @@
 	t.Fatal(what)
 }
 
-// A view follows a directory with and without content synchronisation; an account whose name would change a query
-// is looked up by its name; half a page is not the whole.
+// Checks that a view follows a directory with and without content synchronisation, that an account name with filter
+// characters is escaped in lookups, and that a truncated answer removes nothing.
 func TestFollowsDirectory(t *testing.T) {
 	store := directory.NewStore()
 	put := func(cn string) {
@@ -162,18 +162,18 @@
 		terms := tenants.Terms{Longest: 3e6, Renew: 300_000, Timeout: 200_000, Negative: 1e6, Waiting: 10, Lookups: 2}
 		o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
 		has := func(n int) func(*tenants.Core) bool {
-			return func(c *tenants.Core) bool { whole, entries, _ := c.Status(); return whole && entries == n }
+			return func(c *tenants.Core) bool { complete, entries, _ := c.Status(); return complete && entries == n }
 		}
-		o.until(t, "the first view", has(6))
+		o.until(t, "timed out waiting for the first view", has(6))
 		server.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
 		server.Cut()
 		time.Sleep(700 * time.Millisecond)
-		o.until(t, "half an answer was taken for a whole one", has(6))
+		o.until(t, "a truncated answer was treated as complete", has(6))
 		server.Upset(directory.Trouble{NoSync: paged})
 		store.Delete("cn=e,dc=pier")
-		o.until(t, "a deletion", has(5))
+		o.until(t, "timed out waiting for a deletion", has(5))
 		put("e")
-		o.until(t, "an addition", has(6))
+		o.until(t, "timed out waiting for an addition", has(6))
 		var answer tenants.Answer
 		o.do(func(c *tenants.Core) {
 			answer = c.Ask(tenants.Question{ID: 1, Account: oddName, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
@@ -184,16 +184,16 @@
 		o.do(func(c *tenants.Core) {
 			answer = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
 		})
-		o.until(t, "no answer to a look-up", func(*tenants.Core) bool { return len(o.out) > 0 })
+		o.until(t, "no answer to a lookup", func(*tenants.Core) bool { return len(o.out) > 0 })
 		if o.out[0].Verdict != tenants.Unknown {
-			t.Errorf("an account named * is %v", o.out[0])
+			t.Errorf("answer for an account named *: %v", o.out[0])
 		}
 		o.close()
 	}
 }
 
-// What is changed over LDAP arrives at one that polls: a modified, an added, a renamed and a deleted entry, one of a
-// replica that is behind, under stamps of long ago, and none of it by reading all anew.
+// Checks that polling detects changes made over LDAP: a modified, an added, a renamed and a deleted entry, and one that
+// a lagging replica received with an old stamp; all of it without another full search.
 func TestPolledChanges(t *testing.T) {
 	store := directory.NewStore()
 	store.Skew = -3 * time.Hour
@@ -222,7 +222,7 @@
 			return got == len(want) && len(all) == n
 		}
 	}
-	o.until(t, "the first view", weights(map[string]float64{"t1": 1}, 50))
+	o.until(t, "timed out waiting for the first view", weights(map[string]float64{"t1": 1}, 50))
 	conn, err := ldap.DialURL("ldap://" + server.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -242,19 +242,19 @@
 	addition.Attribute("cn", []string{"new"})
 	addition.Attribute("pierlinkWeight", []string{"3"})
 	must(conn.Add(addition))
-	o.until(t, "a change and an addition", weights(map[string]float64{"t1": 7, "new": 3}, 51))
+	o.until(t, "timed out waiting for a change and an addition", weights(map[string]float64{"t1": 7, "new": 3}, 51))
 	must(conn.ModifyDN(ldap.NewModifyDNRequest("cn=t2,dc=pier", "cn=moved", true, "ou=else,dc=pier")))
 	modify = ldap.NewModifyRequest("cn=moved,ou=else,dc=pier", nil)
 	modify.Replace("cn", []string{"moved"})
 	must(conn.Modify(modify))
 	must(conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)))
-	o.until(t, "a move and a deletion", weights(map[string]float64{"moved": 1}, 50))
+	o.until(t, "timed out waiting for a move and a deletion", weights(map[string]float64{"moved": 1}, 50))
 	if err := conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
-		t.Error("deleted twice:", err)
+		t.Error("second deletion of an entry:", err)
 	}
 	store.Skew = -5 * time.Hour
 	store.Put("cn=late,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"late"}, "pierlinkWeight": {"9"}})
-	o.until(t, "one that came late", weights(map[string]float64{"late": 9}, 51))
+	o.until(t, "timed out waiting for an entry that arrived late with an old stamp", weights(map[string]float64{"late": 9}, 51))
 	store.Put("cn=t5,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"t5", "two"}, "pierlinkWeight": {"8"}})
 	var counts, laterCounts tenants.Counts
 	for range 200 {
@@ -263,18 +263,18 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	o.until(t, "one that cannot be read stays", weights(map[string]float64{"t5": 1}, 51))
-	time.Sleep(1500 * time.Millisecond) // some lists
+	o.until(t, "an entry that cannot be decoded lost its previous state", weights(map[string]float64{"t5": 1}, 51))
+	time.Sleep(1500 * time.Millisecond) // several lists
 	if o.do(func(core *tenants.Core) { laterCounts = core.Counts }); laterCounts.Lists < counts.Lists+1 || laterCounts.Reread > counts.Reread+2 {
-		t.Errorf("what cannot be read is read again and again: %+v, then %+v", counts, laterCounts)
+		t.Errorf("an entry that cannot be decoded is read repeatedly: %+v, then %+v", counts, laterCounts)
 	}
 	if laterCounts.Full != 2 || laterCounts.Polls < 10 { // content synchronisation is tried once
-		t.Errorf("read whole %d times, polled %d times", laterCounts.Full, laterCounts.Polls)
+		t.Errorf("%d full searches, %d polls", laterCounts.Full, laterCounts.Polls)
 	}
 }
 
-// A directory that sends its questions elsewhere is followed to endpoints of the settings only, and a part that lies
-// elsewhere leaves the view not whole, with nothing deleted.
+// Checks that referrals are followed to configured endpoints only, and that a referral for a part of the directory makes
+// the answer incomplete, so that nothing is removed.
 func TestReferrals(t *testing.T) {
 	for _, paged := range []bool{false, true} {
 		t.Run(fmt.Sprint("paged ", paged), func(t *testing.T) { t.Parallel(); testReferrals(t, paged) })
@@ -295,40 +295,41 @@
 		defer s.Stop()
 		servers[i] = s
 	}
-	stranger := servers[2]
+	unknown := servers[2]
 	servers[0].Upset(directory.Trouble{Refer: "ldap://" + servers[1].Addr() + "/dc=pier"})
 	terms := tenants.Terms{Longest: 400_000, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
 	o := newOwner(t, Place{Endpoints: []string{servers[0].Addr(), servers[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
 	defer o.close()
-	whole := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
-	o.until(t, "sent on", whole)
+	complete := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
+	o.until(t, "timed out waiting for a view after a referral", complete)
 	var sentOn, broken int64
 	o.do(func(c *tenants.Core) { sentOn = c.Counts.Referred })
-	servers[0].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
-	servers[1].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
+	servers[0].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
+	servers[1].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
 	servers[1].Cut()
-	o.until(t, "no failure", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
+	o.until(t, "timed out waiting for failures after referrals to an unknown server", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
 	if o.do(func(c *tenants.Core) { broken = c.Counts.Referred }); broken != sentOn {
-		t.Error("a referral to a stranger was followed to one of the endpoints")
+		t.Error("a referral to an unknown server led to a configured endpoint")
 	}
-	if n := stranger.Searches.Load(); n != 0 {
-		t.Errorf("a stranger was asked %d times", n)
+	if n := unknown.Searches.Load(); n != 0 {
+		t.Errorf("an unknown server received %d searches", n)
 	}
 	for _, s := range servers[:2] {
-		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + stranger.Addr() + "/ou=x,dc=pier"})
+		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + unknown.Addr() + "/ou=x,dc=pier"})
 	}
 	store.Delete("uid=ann,dc=pier")
 	asked := func() int64 { return servers[0].Searches.Load() + servers[1].Searches.Load() }
-	for before := asked(); asked() < before+4; { // circuits that were opened let single trials through
+	for before := asked(); asked() < before+4; { // open circuits let single probes through
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(200 * time.Millisecond)
 	if o.do(func(c *tenants.Core) { _, n, _ := c.Status(); broken = int64(n) }); broken != 2 {
-		t.Error("a part was taken for the whole")
+		t.Error("a partial answer was treated as complete")
 	}
 }
 
-// However a directory refuses, what is logged, printed or encoded shows neither the password nor an account's proof.
+// Checks that logs, formatted values and JSON contain neither the bind password nor the digest of an account, also when
+// the directory refuses requests.
 func TestSecretsNotLogged(t *testing.T) {
 	const password, ha1 = "hunter2-of-the-directory", "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 	store := directory.NewStore()
@@ -344,9 +345,12 @@
 	terms := tenants.Terms{Longest: 3e6, Renew: 100_000, Timeout: 200_000, Waiting: 10, Lookups: 1}
 	config := Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
 	o := newOwnerLogged(t, config, zap.New(logged))
-	o.until(t, "no refusal", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
+	o.until(t, "timed out waiting for refused binds", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
 	server.Password = password
-	o.until(t, "no view", func(c *tenants.Core) bool { whole, _, _ := c.Status(); return whole && o.client.Unreadable.Load() > 0 })
+	o.until(t, "timed out waiting for a view", func(c *tenants.Core) bool {
+		complete, _, _ := c.Status()
+		return complete && o.client.Unreadable.Load() > 0
+	})
 	o.close()
 	output := fmt.Sprintf("%v %+v %#v", config, config, config)
 	b, err := json.Marshal(config)
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -9,46 +9,47 @@
 	"pgregory.net/rapid"
 )
 
-// directory is a model of one.
+// directory is a model of an LDAP directory: its entries by id.
 type directory map[string]Record
 
-// Whatever breaks off, comes twice or comes late, at an endpoint that synchronises or at one that is polled: after a
-// whole synchronisation the view is the directory's; before it no entry that is there and was known is lost; questions
-// get one answer each, and none is allowed on an entry that was deleted longer ago than the terms have it.
+// Checks, with random interruptions, duplicates and delays, at an endpoint that supports content synchronisation and at
+// one that is polled: after a complete synchronisation the view equals the directory; before that no existing entry
+// that was known is lost; each query gets exactly one answer; and no playback is allowed on an entry that was deleted
+// longer ago than the maximum age.
 func TestViewMatchesDirectory(t *testing.T) {
-	const unit = 100_000 // so that stamps, which are whole seconds, matter
+	const unit = 100_000 // makes the resolution of stamps, whole seconds, relevant
 	rapid.Check(t, func(rt *rapid.T) {
 		now := Time(1_000 * unit)
 		terms := Terms{Longest: 500 * unit, Renew: 100 * unit, Timeout: 40 * unit, Negative: 60 * unit, Waiting: 8, Lookups: 2, Ends: 2}
 		core := New(terms, now)
 		dir := directory{}
-		deleted := map[string]Time{} // by account
-		known := map[string]bool{}   // came in whole, and has not been deleted since
+		deleted := map[string]Time{} // by account name
+		known := map[string]bool{}   // delivered by a complete synchronisation and not deleted since
 		var request Want
-		lookupMeanwhile := false // a look-up brought something meanwhile: it stays, deleted or not, until the next
-		looks := map[int]Want{}
+		lookupMeanwhile := false // a lookup found an entry during the synchronisation: it stays until the next one, even if deleted
+		lookups := map[int]Want{}
 		open := map[int]string{}
 		lastID := 0
 		check := func(a Answer) {
 			account, ok := open[a.ID]
 			if !ok {
-				rt.Fatal("an answer to nothing, or a second one: ", a)
+				rt.Fatal("answer to an unknown or already answered query: ", a)
 			}
 			delete(open, a.ID)
 			if a.Verdict == Allowed && a.Age > terms.Longest {
-				rt.Fatal("allowed on what is too old: ", a)
+				rt.Fatal("allowed on a stale entry: ", a)
 			}
 			if at, gone := deleted[account]; gone && a.Verdict == Allowed && now-at > terms.Longest {
-				rt.Fatal(account, " allowed ", now-at, " after it was deleted")
+				rt.Fatal(account, " allowed ", now-at, " after its deletion")
 			}
 		}
 		process := func() {
 			core.At(now)
-			core.Settle(func(w Want) {
-				if w.Act == Look || w.Act == LookUpTenant {
-					looks[w.Try] = w
+			core.Settle(func(lookup Want) {
+				if lookup.Act == Look || lookup.Act == LookUpTenant {
+					lookups[lookup.Try] = lookup
 				} else {
-					request, lookupMeanwhile = w, false
+					request, lookupMeanwhile = lookup, false
 				}
 			}, check, func(Record) {})
 		}
@@ -71,16 +72,16 @@
 			for _, id := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
 				switch e, r := core.byID[id], dir[id]; {
 				case e == nil && r.ID != "":
-					all = append(all, id+" is missing")
+					all = append(all, id+" is missing from the view")
 				case e != nil && (e.Name != r.Name || e.Weight != r.Weight):
-					all = append(all, fmt.Sprintf("%s is %+v, not %+v", id, *e, r))
+					all = append(all, fmt.Sprintf("%s is %+v, want %+v", id, *e, r))
 				}
 			}
-			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", core.sync, core.checkpoint, core.verifiedAt, now, core.latestStampAt, core.latestStamp))
+			return append(all, fmt.Sprintf("sync %+v, checkpoint %+v, verified at %d, now %d, latest stamp since %d: %d", core.sync, core.checkpoint, core.verifiedAt, now, core.latestStampAt, core.latestStamp))
 		}
-		// whole answers what is asked, and tells whether the view must be the directory's then.
-		whole := func(live bool) bool {
-			must := core.isCurrent(request.Try) && !core.sync.streaming && !lookupMeanwhile
+		// complete completes the pending request, and reports whether the view must equal the directory afterwards.
+		complete := func(streaming bool) bool {
+			mustMatch := core.isCurrent(request.Try) && !core.sync.streaming && !lookupMeanwhile
 			switch request.Act {
 			case Sync:
 				if request.Endpoint == 1 {
@@ -91,8 +92,8 @@
 					r := dir[id]
 					core.Entry(request.Try, r)
 				}
-				core.Refreshed(request.Try, []byte("x"), true, live)
-				return must
+				core.Refreshed(request.Try, []byte("x"), true, streaming)
+				return mustMatch
 			case List:
 				for _, id := range slices.Sorted(maps.Keys(dir)) {
 					r := dir[id]
@@ -111,7 +112,7 @@
 				}
 			}
 			core.HandleSearchEnd(request.Try)
-			return must && request.Act == FullSearch
+			return mustMatch && request.Act == FullSearch
 		}
 		process()
 		for range 80 {
@@ -131,29 +132,29 @@
 				}
 				delete(dir, id)
 				delete(known, id)
-			case 3, 4: // a synchronisation brings some, and breaks off
+			case 3, 4: // a synchronisation delivers some entries and is interrupted
 				for _, k := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
 					if r, ok := dir[k]; ok && request.Act != List && rapid.Bool().Draw(rt, "brought") {
 						core.Entry(request.Try, r)
 					}
 				}
 				core.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
-			case 5, 6: // one comes to its end
-				if whole(rapid.Bool().Draw(rt, "live")) {
+			case 5, 6: // a synchronisation completes
+				if complete(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
-						rt.Fatalf("after a whole one: %v", differences())
+						rt.Fatalf("after a complete synchronisation: %v", differences())
 					}
 					for k := range dir {
 						known[k] = true
 					}
 				}
-			case 7: // look-ups are answered, are sent elsewhere, or fail
-				for _, try := range slices.Sorted(maps.Keys(looks)) {
-					w := looks[try]
+			case 7: // lookups are answered, referred or fail
+				for _, try := range slices.Sorted(maps.Keys(lookups)) {
+					lookup := lookups[try]
 					var found *Record
 					for _, id := range slices.Sorted(maps.Keys(dir)) {
 						r := dir[id]
-						if Fold(r.Name) == w.Account && (r.Kind == Member) == (w.Act == Look) {
+						if Fold(r.Name) == lookup.Account && (r.Kind == Member) == (lookup.Act == Look) {
 							found = &r
 						}
 					}
@@ -166,7 +167,7 @@
 						core.Looked(try, found)
 						lookupMeanwhile = lookupMeanwhile || found != nil
 					}
-					delete(looks, try)
+					delete(lookups, try)
 				}
 			default:
 				lastID++
@@ -179,34 +180,35 @@
 			}
 			for k := range known {
 				if _, there := dir[k]; there && core.byID[k] == nil {
-					rt.Fatal(k, " is lost though it is there")
+					rt.Fatal(k, " was lost although it exists")
 				}
 			}
 			process()
 		}
-		for range 60 { // quiet: what is asked is answered
+		for range 60 { // no more faults: all requests are answered
 			now += 10 * unit
 			core.At(now)
-			whole(false)
+			complete(false)
 			process()
 		}
 		if !same() {
-			rt.Fatalf("after quiet: %v", differences())
+			rt.Fatalf("the view did not converge: %v", differences())
 		}
 		if len(open) > 0 {
-			rt.Fatal("left without an answer: ", open)
+			rt.Fatal("queries without an answer: ", open)
 		}
 		out := 0
 		for i := range core.endpoints.all {
 			out += core.endpoints.all[i].inFlight
 		}
 		if core.waiting != 0 || out != len(core.lookups) {
-			rt.Fatal("counted as waiting: ", core.waiting, ", out ", out, " of ", len(core.lookups))
+			rt.Fatal("queries counted as waiting: ", core.waiting, ", out ", out, " of ", len(core.lookups))
 		}
 	})
 }
 
-// A tenant that moves or is renamed keeps its seats, once; its old name is free.
+// Checks that a tenant that is moved or renamed keeps its taken seats, counted once, and that its old name is free for
+// another tenant.
 func TestSeatsFollowRename(t *testing.T) {
 	core := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
 	attempt := 0
@@ -218,16 +220,16 @@
 	first, _ := core.Plays("school")
 	second, _ := core.Plays("school")
 	if _, ok := core.Plays("school"); ok || core.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
-		t.Fatal("more than its seats")
+		t.Fatal("more playbacks allowed than the tenant has seats")
 	}
 	core.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
 	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
 	if core.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
-		t.Error("its seats did not go along")
+		t.Error("taken seats were lost by the rename")
 	}
 	core.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
 	if _, ok := core.Plays("school"); !ok {
-		t.Error("the old name's new tenant has its seats taken")
+		t.Error("a new tenant under the old name has seats taken")
 	}
 	core.Over(first)
 	if x := core.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
@@ -236,7 +238,7 @@
 	core.Over(second)
 	core.Over(second)
 	if core.seatsTaken["1"] != 0 {
-		t.Error("seats given back twice")
+		t.Error("a seat was released twice")
 	}
 }
 
@@ -244,26 +246,27 @@
 	limiter := Guesses{Span: 1000, Seed: 7}
 	for i := range maxAccountFailures {
 		if !limiter.May("ann", fmt.Sprint("place-", i), 10) {
-			t.Fatal("held after", i)
+			t.Fatal("rejected too early, after failures:", i)
 		}
 		limiter.Failed("ann", fmt.Sprint("place-", i))
 	}
 	if limiter.May("ann", "another", 20) || !limiter.May("bob", "another", 20) {
-		t.Error("an account guessed at from many places")
+		t.Error("guesses at one account from many addresses are not limited, or affect another account")
 	}
 	if !limiter.May("ann", "another", 1500) {
-		t.Error("held for ever")
+		t.Error("still rejected after the half-life")
 	}
 	for i := range maxAddressFailures {
 		limiter.Failed(fmt.Sprint("user-", i), "one place")
 	}
 	if limiter.May("zoe", "one place", 1501) {
-		t.Error("a place that guesses at many accounts")
+		t.Error("guesses at many accounts from one address are not limited")
 	}
 }
 
-// Of two endpoints the one that hangs is left after a few, then tried by single questions; the slow one gets less than
-// the quick one; a look-up that one of them failed is asked of the other while there is time.
+// Checks that a slow endpoint gets fewer requests than a fast one, that the circuit of an endpoint that hangs opens and
+// then lets single probes through, and that a lookup that failed at one endpoint is repeated at the other while there
+// is time.
 func TestEndpoints(t *testing.T) {
 	config := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
 	set := newEndpointSet(&config, 2)
@@ -277,31 +280,31 @@
 		_ = i
 	}
 	if asked[0] == 0 || asked[0]*4 > asked[1] {
-		t.Error("a slow and a quick one:", asked)
+		t.Error("requests to the slow and the fast endpoint:", asked)
 	}
 	for range tripFailures {
 		set.failed(0, now)
 	}
 	if at, probe := set.pick(now, 0); at != 1 || probe {
-		t.Error("one whose circuit is open was asked:", at, probe)
+		t.Error("an endpoint with an open circuit was picked:", at, probe)
 	}
 	for range tripFailures {
 		set.failed(1, now)
 	}
 	if set.available(now) {
-		t.Error("both are open")
+		t.Error("an endpoint is available although both circuits are open")
 	}
 	now = set.nextProbe()
 	probed, probe := set.pick(now, -1)
 	if probed < 0 || !probe {
-		t.Fatal("no trial", probed, probe)
+		t.Fatal("no probe was let through:", probed, probe)
 	}
 	if at, _ := set.pick(now, -1); at == probed {
-		t.Error("a second trial")
+		t.Error("a second probe was let through")
 	}
 	set.succeeded(probed, now, 10)
 	if at, probe := set.pick(now, -1); at != probed || probe {
-		t.Error("not closed after its trial", at, probe)
+		t.Error("circuit not closed after a successful probe:", at, probe)
 	}
 
 	core := New(config, 1)
@@ -322,12 +325,12 @@
 	core.HandleLookupFailure(request.Try)
 	process()
 	if looks != 2 || request.Endpoint == first.Endpoint || len(answers) != 0 {
-		t.Fatal("the other was not asked:", looks, request, first, answers)
+		t.Fatal("the other endpoint was not asked:", looks, request, first, answers)
 	}
 	core.HandleLookupFailure(request.Try)
 	process()
 	if looks != 2 || len(answers) != 1 || answers[0].Verdict != Busy {
-		t.Error("after both:", looks, answers)
+		t.Error("after failures at both endpoints:", looks, answers)
 	}
 	core.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
 	process()
@@ -335,16 +338,17 @@
 	previous := request.Endpoint
 	process()
 	if request.Endpoint == previous || core.Counts.Referred != 1 {
-		t.Error("not sent on:", request)
+		t.Error("the referral was not followed:", request)
 	}
-	core.HandleReferral(request.Try, -1) // to a stranger
+	core.HandleReferral(request.Try, -1) // to an unknown server
 	process()
 	if core.Counts.Referred != 1 {
-		t.Error("sent to a stranger")
+		t.Error("a referral to an unknown server was followed")
 	}
 }
 
-// Whoever doubts an account waits for one look-up, whether it is there or not, and not again at once.
+// Checks that a query that forces a lookup waits for exactly one, whether or not the account exists, and that a second
+// such query soon after does not cause another.
 func TestForcedLookup(t *testing.T) {
 	core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
 	core.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
@@ -375,15 +379,15 @@
 			t.Error(name, answers)
 		}
 		if a := core.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
-			t.Error(name, "is looked up again at once")
+			t.Error(name, "is looked up again too soon")
 		}
 	}
 	if d, _ := core.Digest("ann"); d != "new" {
-		t.Error("what the look-up brought was not taken")
+		t.Error("the result of the lookup was not stored")
 	}
 }
 
-// What stands throughout is in the parts together, whatever comes and goes between them.
+// Checks that the chunks together contain every entry that stays in the view throughout, whatever changes in between.
 func TestChunksCoverView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
@@ -416,7 +420,7 @@
 		}
 		for id := range stays {
 			if !delivered[id] {
-				rt.Fatal(id, " stood there throughout and was not brought")
+				rt.Fatal(id, " stayed in the view but is in no chunk")
 			}
 		}
 		if len(core.entries) != len(core.byID) {
@@ -424,14 +428,14 @@
 		}
 		for i, e := range core.entries {
 			if e.position != i || core.byID[e.ID] != e {
-				rt.Fatal("out of place: ", i)
+				rt.Fatal("wrong position of the entry at ", i)
 			}
 		}
 	})
 }
 
-// What is modified between two pages is polled for, whatever stamps a later page has; and entries for which there is no
-// room are not read by name.
+// Checks that an entry modified between two pages is found by the next poll, whatever the stamps of later pages, and
+// that entries that do not fit into the view are not read by id.
 func TestModifiedBetweenPages(t *testing.T) {
 	const second = stampResolution
 	core := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
@@ -448,13 +452,13 @@
 	}
 	core.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
 	core.HandlePageEnd(request.Try)
-	core.At(103 * second) // here a is modified, under 102, and b after it
+	core.At(103 * second) // meanwhile a is modified with stamp 102, and b later
 	core.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
 	core.HandlePageEnd(request.Try)
 	core.HandleSearchEnd(request.Try)
 	process(104 * second)
 	if request.Act != Poll || request.Since > 102*second {
-		t.Errorf("%v since %d: what was modified under 102 is missed", request.Act, request.Since/second)
+		t.Errorf("%v since %d misses the modification with stamp 102", request.Act, request.Since/second)
 	}
 	core.HandleSearchEnd(request.Try)
 	process(104*second + 1)
