--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -23,13 +23,13 @@
 
 // Take returns the boxes that an update concerns (all boxes if it is a complete view) and an error for each
 // invalid value, reported once per revision.
-func (tracker *Boxes) Take(update News) (boxes []Named, problems []error) {
-	if tracker.lastValid == nil {
-		tracker.lastValid, tracker.reported = map[string]Box{}, map[string]int64{}
+func (b *Boxes) Take(update News) (boxes []Named, problems []error) {
+	if b.lastValid == nil {
+		b.lastValid, b.reported = map[string]Box{}, map[string]int64{}
 	}
-	previous := tracker.lastValid
+	previous := b.lastValid
 	if update.Whole {
-		tracker.lastValid = map[string]Box{}
+		b.lastValid = map[string]Box{}
 	}
 	for _, change := range update.Changes {
 		name, ok := strings.CutPrefix(change.Key, BoxesPrefix)
@@ -37,29 +37,29 @@
 			continue
 		}
 		if change.Deleted {
-			delete(tracker.lastValid, name)
-			delete(tracker.reported, name)
+			delete(b.lastValid, name)
+			delete(b.reported, name)
 			boxes = append(boxes, Named{Name: name, Gone: true})
 			continue
 		}
 		box, err := ReadBox(change.Value)
 		if err != nil {
-			if tracker.reported[name] != change.Mod {
-				tracker.reported[name] = change.Mod
-				tracker.Malformed++
+			if b.reported[name] != change.Mod {
+				b.reported[name] = change.Mod
+				b.Malformed++
 				problems = append(problems, fmt.Errorf("box %s at revision %d: %w; keeping its previous value", name, change.Mod, err))
 			}
 			if box, ok = previous[name]; !ok {
 				continue
 			}
 		}
-		tracker.lastValid[name] = box
+		b.lastValid[name] = box
 		boxes = append(boxes, Named{Name: name, Box: box})
 	}
 	if update.Whole {
-		for name := range tracker.reported {
+		for name := range b.reported {
 			if !slices.ContainsFunc(update.Changes, func(change Change) bool { return change.Key == BoxesPrefix+name }) {
-				delete(tracker.reported, name)
+				delete(b.reported, name)
 			}
 		}
 	}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -21,7 +21,7 @@
 	"pierlink/internal/registry"
 )
 
-const prefix = "/pierlink/"
+const prefix = "/pierlink/" // of all keys in the view
 
 // Place configures a client.
 type Place struct {
@@ -99,7 +99,7 @@
 
 // Age returns the time since the view was last known to match the registry; the time since 1970 if it never was.
 func (c *Client) Age() (age time.Duration) {
-	c.Do(func(k *registry.Core) { age = time.Duration(k.Age()) * time.Microsecond })
+	c.Do(func(core *registry.Core) { age = time.Duration(core.Age()) * time.Microsecond })
 	return age
 }
 
@@ -107,8 +107,8 @@
 func (c *Client) Done() <-chan struct{} { return c.done }
 
 func (c *Client) closeEndpoints() {
-	for _, e := range c.etcd {
-		_ = e.Close()
+	for _, etcd := range c.etcd {
+		_ = etcd.Close()
 	}
 }
 
--- a/internal/registry/client/stored.go
+++ b/internal/registry/client/stored.go
@@ -19,7 +19,7 @@
 const viewFormat = "registry view 1"
 
 // Save writes the view to a file, replacing it.
-func (view *StoredView) Save(path string) error { return kept.Save(path, viewFormat, view) }
+func (v *StoredView) Save(path string) error { return kept.Save(path, viewFormat, v) }
 
 // Load reads a stored view. Its errors are those of package kept.
 func Load(path string) (*StoredView, error) {
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -26,14 +26,14 @@
 type Change struct {
 	Key     string
 	Value   []byte
-	Mod     int64
+	Mod     int64 // revision of the change (mod_revision)
 	Deleted bool
 }
 
 // Head holds the fields of the API's ResponseHeader that every response carries.
 type Head struct {
-	Cluster  uint64
-	Revision int64
+	Cluster  uint64 // cluster_id
+	Revision int64  // revision of the store
 }
 
 // Mark identifies a history of the registry: the value of a key that is written once in the registry's lifetime.
@@ -100,7 +100,9 @@
 	memberLagTimeouts     = 2   // timeouts that a watch may lag behind the revision of another member
 )
 
-// Counts holds the event counters of a core.
+// Counts holds the event counters of a core. Histories counts changes of the history; Lower, lists that lowered the
+// revision; Guarded, lists held back for confirmation or rejected as older; Refuted, those that a later list
+// contradicted; Overfull, fragmented responses above the limit; Stale, watches moved away from a lagging member.
 type Counts struct {
 	Lists, Watches, Compactions, Histories, Lower, Duplicates, Guarded, Refuted, Failures, Overfull, Stale int64
 }
@@ -141,15 +143,17 @@
 }
 
 // New returns a core with an empty view.
-func New(b Bounds, now Time) *Core { return &Core{Bounds: b, now: now, view: map[string]Entry{}} }
+func New(config Bounds, now Time) *Core {
+	return &Core{Bounds: config, now: now, view: map[string]Entry{}}
+}
 
 // Restore installs a stored view, which is served until the registry answers.
 func (c *Core) Restore(view map[string]Entry, header Head, history Mark, asOf Time) {
 	c.view, c.revision, c.cluster, c.history = maps.Clone(view), header.Revision, header.Cluster, history
 	c.synced, c.verifiedAt = true, asOf
-	n := c.snapshot()
-	n.Kept = true
-	c.queueUpdate(n)
+	update := c.snapshot()
+	update.Kept = true
+	c.queueUpdate(update)
 }
 
 // At sets the current time; it is called before each batch of events.
--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -37,8 +37,13 @@
 
 const redacted = "(secret)"
 
-func (Secret) String() string               { return redacted }
-func (Secret) GoString() string             { return redacted }
+// String returns a placeholder.
+func (Secret) String() string { return redacted }
+
+// GoString returns a placeholder.
+func (Secret) GoString() string { return redacted }
+
+// MarshalText returns a placeholder.
 func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
 // Client executes the requests of a core. Results are passed to post, which must run them in the goroutine that owns
@@ -56,6 +61,7 @@
 	Unreadable atomic.Int64 // entries that could not be decoded
 }
 
+// entryFilter matches all entries of tenants and members.
 const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
 // New returns a client. It sends nothing before the first call of Do.
--- a/internal/tenants/client/read.go
+++ b/internal/tenants/client/read.go
@@ -56,17 +56,17 @@
 		return record, err
 	}
 	switch classes := entry.GetEqualFoldAttributeValues("objectClass"); {
-	case slices.ContainsFunc(classes, func(text string) bool { return strings.EqualFold(text, "pierlinkTenant") }):
+	case slices.ContainsFunc(classes, func(class string) bool { return strings.EqualFold(class, "pierlinkTenant") }):
 		record.Kind, record.Name = tenants.Tenant, single("cn", maxNameBytes, true)
 		record.Weight, record.Quota, record.Seats = number("pierlinkWeight"), number("pierlinkQuota"), int(number("pierlinkSeats"))
-	case slices.ContainsFunc(classes, func(text string) bool { return strings.EqualFold(text, "pierlinkMember") }):
+	case slices.ContainsFunc(classes, func(class string) bool { return strings.EqualFold(class, "pierlinkMember") }):
 		record.Kind, record.Name, record.Tenant = tenants.Member, single("uid", maxNameBytes, true), single("pierlinkTenant", maxNameBytes, true)
 		record.Digest = single("pierlinkDigest", maxNameBytes, false)
 	default:
 		err = errors.New("objectClass: expected pierlinkTenant or pierlinkMember")
 	}
 	if err == nil && record.Name == "" {
-		err = errors.New("the name is empty")
+		err = errors.New("name: expected a value that is not empty")
 	}
 	for _, plan := range entry.GetEqualFoldAttributeValues("pierlinkPlan") {
 		if plan = strings.TrimSpace(plan); len(plan) > maxNameBytes || !utf8.ValidString(plan) {
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -24,10 +24,10 @@
 		}
 		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
 		if target, ok := c.referral(err); ok {
-			c.post(func(k *tenants.Core) { k.HandleReferral(request.Try, target) })
+			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.HandleSyncFailure(request.Try, reason) })
+		c.post(func(core *tenants.Core) { core.HandleSyncFailure(request.Try, reason) })
 	}
 	if request.Act == tenants.Sync && c.config.Paged {
 		fail(tenants.SyncUnsupported, errors.New("content synchronisation is disabled by the configuration"))
@@ -56,14 +56,14 @@
 		if len(batch)+len(present)+len(deleted) == 0 {
 			return
 		}
-		b, p, g := batch, present, deleted
+		records, presentIDs, deletedIDs := batch, present, deleted
 		batch, present, deleted = nil, nil, nil
-		c.post(func(k *tenants.Core) {
-			for i := range b {
-				k.Entry(request.Try, b[i])
+		c.post(func(core *tenants.Core) {
+			for i := range records {
+				core.Entry(request.Try, records[i])
 			}
-			k.HandlePresent(request.Try, p)
-			k.Gone(request.Try, g)
+			core.HandlePresent(request.Try, presentIDs)
+			core.Gone(request.Try, deletedIDs)
 		})
 	}
 	refreshed := false
@@ -75,26 +75,26 @@
 		state := int64(-1)
 		id := ""
 		var cookie []byte
-		for _, k := range results.Controls() {
-			switch k := k.(type) {
+		for _, control := range results.Controls() {
+			switch control := control.(type) {
 			case *ldap.ControlSyncState:
-				state, id = int64(k.State), k.EntryUUID.String()
-				cookie = k.Cookie
+				state, id = int64(control.State), control.EntryUUID.String()
+				cookie = control.Cookie
 			case *ldap.ControlSyncDone:
-				cookie = k.Cookie
+				cookie = control.Cookie
 			case *ldap.ControlSyncInfo:
 				var refreshCookie []byte
 				listed, refreshDone := false, false
 				switch {
-				case k.RefreshPresent != nil:
-					refreshCookie, listed, refreshDone = k.RefreshPresent.Cookie, true, k.RefreshPresent.RefreshDone
-				case k.RefreshDelete != nil:
-					refreshCookie, refreshDone = k.RefreshDelete.Cookie, k.RefreshDelete.RefreshDone
-				case k.NewCookie != nil:
-					cookie = k.NewCookie.Cookie
-				case k.SyncIdSet != nil:
-					for _, uuid := range k.SyncIdSet.SyncUUIDs {
-						if k.SyncIdSet.RefreshDeletes {
+				case control.RefreshPresent != nil:
+					refreshCookie, listed, refreshDone = control.RefreshPresent.Cookie, true, control.RefreshPresent.RefreshDone
+				case control.RefreshDelete != nil:
+					refreshCookie, refreshDone = control.RefreshDelete.Cookie, control.RefreshDelete.RefreshDone
+				case control.NewCookie != nil:
+					cookie = control.NewCookie.Cookie
+				case control.SyncIdSet != nil:
+					for _, uuid := range control.SyncIdSet.SyncUUIDs {
+						if control.SyncIdSet.RefreshDeletes {
 							deleted = append(deleted, uuid.String())
 						} else {
 							present = append(present, uuid.String())
@@ -105,7 +105,7 @@
 					flush()
 					refreshed = true
 					copied := slices.Clone(refreshCookie)
-					c.post(func(k *tenants.Core) { k.Refreshed(request.Try, copied, listed, true) })
+					c.post(func(core *tenants.Core) { core.Refreshed(request.Try, copied, listed, true) })
 				}
 			}
 		}
@@ -128,7 +128,7 @@
 			flush()
 			if len(cookie) > 0 {
 				copied := slices.Clone(cookie)
-				c.post(func(k *tenants.Core) { k.HandleCookie(request.Try, copied) })
+				c.post(func(core *tenants.Core) { core.HandleCookie(request.Try, copied) })
 			}
 		}
 	}
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -26,7 +26,7 @@
 // Record is an entry of the directory.
 type Record struct {
 	ID     string // entryUUID (RFC 4530), unchanged by a rename or a move
-	DN     string // normalised
+	DN     string // in lower case
 	Kind   Kind
 	Name   string   // of a tenant: its name; of a member: its account name
 	Tenant string   // of a member: the name of its tenant
@@ -66,6 +66,7 @@
 	LookUpTenant                      // a search of one tenant
 )
 
+// String returns the name of an operation as it appears in logs.
 func (a Operation) String() string {
 	return [...]string{"nothing", "synchronisation", "whole search", "poll", "list", "entries by name", "look-up", "look-up of a tenant"}[a]
 }
@@ -100,9 +101,9 @@
 
 // The reasons.
 const (
-	Interrupted     SyncFailure = iota
-	CookieExpired               // e-syncRefreshRequired (RFC 4533): the cookie is no longer valid
-	SyncUnsupported             // the endpoint does not support content synchronisation
+	Interrupted     SyncFailure = iota // connection lost, timeout or error result
+	CookieExpired                      // e-syncRefreshRequired (RFC 4533): the cookie is no longer valid
+	SyncUnsupported                    // the endpoint does not support content synchronisation
 )
 
 // Verdict is the result of a query.
@@ -112,13 +113,14 @@
 const (
 	Wait    Verdict = iota // a lookup is in progress; the answer follows later
 	Allowed                // with the age of the entries that it is based on
-	Unknown
-	NotPlan // the plan is not among those of the account
-	Stale   // the entries are too old, and the configuration refuses then
-	NoSeat  // the tenant has reached its limit of concurrent playbacks
-	Busy    // too many queries wait, or no endpoint is available: retry later
+	Unknown                // the account or its tenant does not exist
+	NotPlan                // the plan is not among those of the account
+	Stale                  // the entries are too old, and the configuration refuses then
+	NoSeat                 // the tenant has reached its limit of concurrent playbacks
+	Busy                   // too many queries wait, or no endpoint is available: retry later
 )
 
+// String returns the name of a verdict as it appears in metrics.
 func (v Verdict) String() string {
 	return [...]string{"wait", "allowed", "unknown", "not its plan", "stale", "no seat", "busy"}[v]
 }
@@ -140,7 +142,10 @@
 	Age     Time // of the entries that it is based on
 }
 
-// Counts holds the event counters of a core.
+// Counts holds the event counters of a core. Whole counts completed synchronisations, Broken interrupted ones, and Full
+// those that read all entries; Joined, queries that share a lookup; Negatives, results and hits of the negative cache;
+// Doubts, forced lookups; Overfull, entries without room in the view; Refused, queries refused as busy; Stales, queries
+// refused on stale entries; and Fallbacks, those admitted on stale entries.
 type Counts struct {
 	Syncs, Whole, Broken, Full          int64
 	Polls, Lists, Reread                int64
@@ -389,9 +394,9 @@
 // Cancel removes a query whose player has left.
 func (c *Core) Cancel(id int) {
 	for _, pending := range c.lookupsByAccount {
-		n := len(pending.queries)
+		before := len(pending.queries)
 		pending.queries = slices.DeleteFunc(pending.queries, func(q Question) bool { return q.ID == id })
-		c.waiting -= n - len(pending.queries)
+		c.waiting -= before - len(pending.queries)
 	}
 }
 
@@ -433,12 +438,12 @@
 func (c *Core) Settle(request func(Want), answer func(Answer), share func(Record)) Time {
 	next := min(c.processSync(request), c.processLookups(request))
 	c.Counts.Opened, c.Counts.Trials = c.endpoints.opened, c.endpoints.probes
-	for _, a := range c.answers {
-		answer(a)
+	for _, ready := range c.answers {
+		answer(ready)
 	}
 	c.answers = nil
-	for _, r := range c.changedTenants {
-		share(r)
+	for _, tenant := range c.changedTenants {
+		share(tenant)
 	}
 	c.changedTenants = nil
 	return max(next, c.now+1)
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -426,8 +426,8 @@
 		if len(core.entries) != len(core.byID) {
 			rt.Fatal(len(core.entries), " of ", len(core.byID))
 		}
-		for i, e := range core.entries {
-			if e.position != i || core.byID[e.ID] != e {
+		for i, stored := range core.entries {
+			if stored.position != i || core.byID[stored.ID] != stored {
 				rt.Fatal("wrong position of the entry at ", i)
 			}
 		}
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -81,20 +81,20 @@
 		return
 	}
 	c.sync.lastHeard = c.now
-	for _, x := range listed {
-		e := c.byID[x.ID]
-		switch stamp, unreadable := c.unreadable[x.ID]; {
-		case e != nil && x.Stamp != 0 && x.Stamp == e.Stamp:
+	for _, item := range listed {
+		e := c.byID[item.ID]
+		switch stamp, unreadable := c.unreadable[item.ID]; {
+		case e != nil && item.Stamp != 0 && item.Stamp == e.Stamp:
 			e.syncRound = c.syncRound
 			c.restoreName(e)
-		case e == nil && unreadable && stamp == x.Stamp:
+		case e == nil && unreadable && stamp == item.Stamp:
 		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // the view is full; reading it would be repeated with each list
 			c.Counts.Overfull++
 		default:
 			if e != nil {
 				e.syncRound = c.syncRound // it exists, whatever its state
 			}
-			c.sync.toReread = append(c.sync.toReread, x.ID)
+			c.sync.toReread = append(c.sync.toReread, item.ID)
 		}
 	}
 }
@@ -137,7 +137,8 @@
 	}
 }
 
-// completeSync marks the view as matching the directory as of the start of the synchronisation.
+// completeSync removes entries that a list did not contain, and marks the view as matching the directory as of the start
+// of the synchronisation.
 func (c *Core) completeSync() {
 	s := &c.sync
 	if s.removesUnlisted {
@@ -294,7 +295,8 @@
 	return max(c.nextSyncAt, c.now+1)
 }
 
-// startSync starts a synchronisation at an endpoint in the best way that it supports.
+// startSync starts a synchronisation at an endpoint: content synchronisation if it is supported, otherwise a poll, or a
+// full search if there is no checkpoint for the endpoint.
 func (c *Core) startSync(endpoint int, probe bool, request func(Want)) {
 	s := &c.sync
 	c.attempt++
