--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -120,7 +120,7 @@
 	Busy                   // too many queries wait, or no endpoint is available: retry later
 )
 
-// String returns the name of a verdict as it appears in metrics.
+// String returns the name of a verdict.
 func (v Verdict) String() string {
 	return [...]string{"wait", "allowed", "unknown", "not its plan", "stale", "no seat", "busy"}[v]
 }
