--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -390,7 +390,7 @@
 			os.WriteFile(filepath.Join(at, "1-0.dialogues"), rows[:rng.IntN(len(rows))], 0o600)); err != nil {
 			return err
 		}
-		c, err := launch("kept view is not used", exe, "serve", "-c", filepath.Join(at, "pierlink.toml"))
+		c, err := launch("cannot use the stored registry view", exe, "serve", "-c", filepath.Join(at, "pierlink.toml"))
 		if err != nil {
 			crashed++
 			p.Note("%v", err)
--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -6,62 +6,62 @@
 	"strings"
 )
 
-// Boxes turns news of keys into news of boxes. It keeps what each box last was: a value that cannot be read,
-// or is of an unknown version, leaves the box as it was.
+// Boxes derives changes of boxes from changes of keys. It remembers the last valid value of each box: a value that
+// cannot be decoded, or has an unknown version, leaves the box unchanged.
 type Boxes struct {
-	good      map[string]Box
-	told      map[string]int64 // the revision of the bad value last told of
-	Malformed int64
+	lastValid map[string]Box
+	reported  map[string]int64 // revision of the invalid value last reported, by box
+	Malformed int64            // invalid values seen
 }
 
-// Named is a box with its name.
+// Named is a box with its name, or the name of a box that was removed.
 type Named struct {
 	Name string
 	Box
 	Gone bool
 }
 
-// Take returns the boxes that news is of (all, if whole), and what was wrong with values, each told once for
-// a revision.
-func (b *Boxes) Take(n News) (boxes []Named, bad []error) {
-	if b.good == nil {
-		b.good, b.told = map[string]Box{}, map[string]int64{}
+// Take returns the boxes that an update concerns (all boxes if it is a complete view) and an error for each
+// invalid value, reported once per revision.
+func (b *Boxes) Take(update News) (boxes []Named, problems []error) {
+	if b.lastValid == nil {
+		b.lastValid, b.reported = map[string]Box{}, map[string]int64{}
 	}
-	before := b.good
-	if n.Whole {
-		b.good = map[string]Box{}
+	previous := b.lastValid
+	if update.Whole {
+		b.lastValid = map[string]Box{}
 	}
-	for _, c := range n.Changes {
-		name, ok := strings.CutPrefix(c.Key, BoxesPrefix)
+	for _, change := range update.Changes {
+		name, ok := strings.CutPrefix(change.Key, BoxesPrefix)
 		if !ok {
 			continue
 		}
-		if c.Deleted {
-			delete(b.good, name)
-			delete(b.told, name)
+		if change.Deleted {
+			delete(b.lastValid, name)
+			delete(b.reported, name)
 			boxes = append(boxes, Named{Name: name, Gone: true})
 			continue
 		}
-		x, err := ReadBox(c.Value)
+		box, err := ReadBox(change.Value)
 		if err != nil {
-			if b.told[name] != c.Mod {
-				b.told[name] = c.Mod
+			if b.reported[name] != change.Mod {
+				b.reported[name] = change.Mod
 				b.Malformed++
-				bad = append(bad, fmt.Errorf("box %s at revision %d: %w; it stays as it was", name, c.Mod, err))
+				problems = append(problems, fmt.Errorf("box %s at revision %d: %w; keeping its previous value", name, change.Mod, err))
 			}
-			if x, ok = before[name]; !ok {
+			if box, ok = previous[name]; !ok {
 				continue
 			}
 		}
-		b.good[name] = x
-		boxes = append(boxes, Named{Name: name, Box: x})
+		b.lastValid[name] = box
+		boxes = append(boxes, Named{Name: name, Box: box})
 	}
-	if n.Whole {
-		for name := range b.told {
-			if !slices.ContainsFunc(n.Changes, func(c Change) bool { return c.Key == BoxesPrefix+name }) {
-				delete(b.told, name)
+	if update.Whole {
+		for name := range b.reported {
+			if !slices.ContainsFunc(update.Changes, func(change Change) bool { return change.Key == BoxesPrefix+name }) {
+				delete(b.reported, name)
 			}
 		}
 	}
-	return boxes, bad
+	return boxes, problems
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,5 +1,5 @@
-// Package client carries out what the registry's core wants, by etcd's Go client: lists, watches, and a view
-// kept on disk.
+// Package client executes the requests of the registry core with etcd's Go client: lists and watches. It also
+// stores the view on disk, so that a new process can serve it before the registry answers.
 package client
 
 import (
@@ -21,113 +21,113 @@
 	"pierlink/internal/registry"
 )
 
-const prefix = "/pierlink/"
+const prefix = "/pierlink/" // of all keys in the view
 
-// Place is where the registry is and how it is followed.
+// Place configures a client.
 type Place struct {
-	Endpoints []string
-	TLS       *tls.Config // nil for none; GetClientCertificate may read keys anew
+	Endpoints []string    // host:port of the members
+	TLS       *tls.Config // nil for plain TCP; GetClientCertificate may reload the key pair
 	Bounds    registry.Bounds
-	Kept      string // file of the last good view; none if empty
+	Kept      string // file that stores the last view; empty to store none
 }
 
-// Client follows a registry. Its goroutine owns the core.
+// Client keeps a core in step with a registry. Its goroutine owns the core.
 type Client struct {
-	core   *registry.Core
-	etcd   []*clientv3.Client // one for each endpoint: a try stays with one of them
-	at     atomic.Int64       // the endpoint that is asked; the next one after a failure
-	place  Place
-	log    *zap.Logger
-	post   chan func()
-	stop   chan struct{}
-	done   chan struct{}
-	news   func(registry.News, registry.Mark)
-	cancel context.CancelFunc // of the try under way
-	saveAt time.Time
-	dirty  bool
+	core          *registry.Core
+	etcd          []*clientv3.Client // one client per endpoint, as an attempt uses a single endpoint
+	endpointIndex atomic.Int64       // endpoint in use; advanced after a failure
+	config        Place
+	log           *zap.Logger
+	calls         chan func()
+	stop          chan struct{}
+	done          chan struct{}
+	onUpdate      func(registry.News, registry.Mark)
+	cancel        context.CancelFunc // cancels the attempt in progress
+	nextSave      time.Time
+	dirty         bool
 }
 
-// redial has a connection that was lost tried again within a time-out: when to try is the core's to say, and
-// the library's own waits come on top of it.
-func redial(timeout time.Duration) []grpc.DialOption {
-	b := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
-	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: b, MinConnectTimeout: timeout})}
+// dialOptions limits gRPC's own reconnection backoff to less than a timeout, as it adds to the backoff of the core,
+// which decides when to retry.
+func dialOptions(timeout time.Duration) []grpc.DialOption {
+	backoffConfig := backoff.Config{BaseDelay: timeout / 16, Multiplier: 2, Jitter: 0.2, MaxDelay: timeout / 2}
+	return []grpc.DialOption{grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoffConfig, MinConnectTimeout: timeout})}
 }
 
 func now() registry.Time { return time.Now().UnixMicro() }
 
-// New begins to follow. news is called for each change of the view, by one goroutine, in order; it is called
-// with the view kept on disk first, if there is one.
-func New(p Place, log *zap.Logger, news func(registry.News, registry.Mark)) (*Client, error) {
-	if len(p.Endpoints) == 0 {
-		return nil, errors.New("no endpoint of the registry is given")
+// New starts a client. onUpdate is called for each update of the view, in order and from one goroutine; the first
+// call carries the view stored on disk, if there is one.
+func New(config Place, log *zap.Logger, onUpdate func(registry.News, registry.Mark)) (*Client, error) {
+	if len(config.Endpoints) == 0 {
+		return nil, errors.New("no registry endpoint configured")
 	}
-	c := &Client{core: registry.New(p.Bounds, now()), place: p, log: log, post: make(chan func(), 64),
-		stop: make(chan struct{}), done: make(chan struct{}), news: news}
-	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
-	for _, e := range p.Endpoints {
-		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{e}, TLS: p.TLS, Logger: zap.NewNop(), DialTimeout: timeout,
-			DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: redial(timeout)})
+	client := &Client{core: registry.New(config.Bounds, now()), config: config, log: log, calls: make(chan func(), 64),
+		stop: make(chan struct{}), done: make(chan struct{}), onUpdate: onUpdate}
+	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
+	for _, endpoint := range config.Endpoints {
+		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{endpoint}, TLS: config.TLS, Logger: zap.NewNop(), DialTimeout: timeout,
+			DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err != nil {
-			c.shut()
+			client.closeEndpoints()
 			return nil, err
 		}
-		c.etcd = append(c.etcd, etcd)
+		client.etcd = append(client.etcd, etcd)
 	}
-	c.at.Store(int64(p.Bounds.Seed % uint64(len(p.Endpoints))))
-	if p.Kept != "" {
-		k, err := Load(p.Kept)
+	client.endpointIndex.Store(int64(config.Bounds.Seed % uint64(len(config.Endpoints))))
+	if config.Kept != "" {
+		stored, err := Load(config.Kept)
 		switch {
 		case err == nil:
-			c.core.Resume(k.View, k.Head, k.Mark, k.AsOf)
-			log.Info("serving the view kept on disk until the registry answers",
-				zap.Duration("age", time.Since(time.UnixMicro(k.AsOf))), zap.Int("keys", len(k.View)))
-		case !errors.Is(err, ErrNone):
-			log.Warn("the kept view is not used", zap.Error(err))
+			client.core.Restore(stored.View, stored.Head, stored.Mark, stored.AsOf)
+			log.Info("serving the stored registry view until the registry answers",
+				zap.Duration("age", time.Since(time.UnixMicro(stored.AsOf))), zap.Int("keys", len(stored.View)))
+		case !errors.Is(err, ErrNoView):
+			log.Warn("cannot use the stored registry view", zap.Error(err))
 		}
 	}
-	go c.run()
-	return c, nil
+	go client.run()
+	return client, nil
 }
 
-// Close ends it; the view is kept.
+// Close stores the view and stops the client.
 func (c *Client) Close() {
 	close(c.stop)
 	<-c.done
-	c.shut()
+	c.closeEndpoints()
 }
 
-// Age is how long ago the view was last known to be the registry's; the time since 1970 where nothing ever was.
+// Age returns the time since the view was last known to match the registry; the time since 1970 if it never was.
 func (c *Client) Age() (age time.Duration) {
-	c.Do(func(k *registry.Core) { age = time.Duration(k.Age()) * time.Microsecond })
+	c.Do(func(core *registry.Core) { age = time.Duration(core.Age()) * time.Microsecond })
 	return age
 }
 
-// Done is closed once the client has ended.
+// Done returns a channel that is closed once the client has stopped.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-func (c *Client) shut() {
-	for _, e := range c.etcd {
-		_ = e.Close()
+func (c *Client) closeEndpoints() {
+	for _, etcd := range c.etcd {
+		_ = etcd.Close()
 	}
 }
 
-// member is the endpoint whose turn it is.
-func (c *Client) member() *clientv3.Client { return c.etcd[int(c.at.Load())%len(c.etcd)] }
+// endpoint returns the etcd client of the endpoint in use.
+func (c *Client) endpoint() *clientv3.Client { return c.etcd[int(c.endpointIndex.Load())%len(c.etcd)] }
 
-// fail ends a try; the next one goes to the next endpoint unless this one has answered.
-func (c *Client) fail(w registry.Want, why registry.Failure) {
-	if why == registry.Lost {
-		c.at.Add(1)
+// reportFailure ends an attempt. If the endpoint did not answer, the next attempt uses the next endpoint.
+func (c *Client) reportFailure(request registry.Want, failure registry.Failure) {
+	if failure == registry.Lost {
+		c.endpointIndex.Add(1)
 	}
-	c.say(func() { c.core.Ended(w.Try, why) })
+	c.enqueue(func() { c.core.Ended(request.Try, failure) })
 }
 
-// Do runs a function with the core, in its goroutine.
+// Do runs a function in the goroutine that owns the core, and waits for it.
 func (c *Client) Do(call func(*registry.Core)) {
 	ran := make(chan struct{})
 	select {
-	case c.post <- func() { call(c.core); close(ran) }:
+	case c.calls <- func() { call(c.core); close(ran) }:
 		<-ran
 	case <-c.done:
 	}
@@ -142,184 +142,185 @@
 			if c.cancel != nil {
 				c.cancel()
 			}
-			c.keep(true)
+			c.saveView(true)
 			return
-		case call := <-c.post:
+		case call := <-c.calls:
 			c.core.At(now())
 			call()
 		case <-timer.C:
 			c.core.At(now())
 		}
-		next := c.core.Settle(c.do, func(n registry.News) {
-			_, mark := c.core.Revision()
+		next := c.core.Settle(c.perform, func(update registry.News) {
+			_, history := c.core.Revision()
 			c.dirty = true
-			c.news(n, mark)
+			c.onUpdate(update, history)
 		})
-		c.keep(false)
+		c.saveView(false)
 		timer.Reset(time.Duration(max(next-now(), 0)) * time.Microsecond)
 	}
 }
 
-// keep writes the view to disk, once in a time-out at most.
-func (c *Client) keep(last bool) {
-	if c.place.Kept == "" || !c.dirty || !last && time.Now().Before(c.saveAt) {
+// saveView writes the view to disk if it has changed: at most once per timeout, unless force is set.
+func (c *Client) saveView(force bool) {
+	if c.config.Kept == "" || !c.dirty || !force && time.Now().Before(c.nextSave) {
 		return
 	}
 	c.dirty = false
-	c.saveAt = time.Now().Add(time.Duration(c.place.Bounds.Timeout) * time.Microsecond)
-	_, mark := c.core.Revision()
-	k := Kept{View: c.core.View(), Head: c.core.Head(), Mark: mark, AsOf: now() - c.core.Age()}
-	if err := k.Save(c.place.Kept); err != nil {
-		c.log.Error("the view cannot be kept on disk", zap.String("file", c.place.Kept), zap.Error(err))
+	c.nextSave = time.Now().Add(time.Duration(c.config.Bounds.Timeout) * time.Microsecond)
+	_, history := c.core.Revision()
+	view := StoredView{View: c.core.View(), Head: c.core.Header(), Mark: history, AsOf: now() - c.core.Age()}
+	if err := view.Save(c.config.Kept); err != nil {
+		c.log.Error("cannot store the registry view on disk", zap.String("file", c.config.Kept), zap.Error(err))
 	}
 }
 
-// say brings something to the core's goroutine, unless the client has ended.
-func (c *Client) say(call func()) {
+// enqueue hands a call to the goroutine of the core, unless the client has stopped.
+func (c *Client) enqueue(call func()) {
 	select {
-	case c.post <- call:
+	case c.calls <- call:
 	case <-c.done:
 	}
 }
 
-// do carries one act out, in a goroutine of its own that ends with the act. What is still under way from the
-// one before ends.
-func (c *Client) do(w registry.Want) {
+// perform executes a request in a goroutine of its own, which ends with the request. The previous request is
+// cancelled.
+func (c *Client) perform(request registry.Want) {
 	if c.cancel != nil {
 		c.cancel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	if w.Move {
-		c.at.Add(1)
-		c.log.Warn("a member of the registry has fallen behind the others, the next one is asked")
+	if request.NextMember {
+		c.endpointIndex.Add(1)
+		c.log.Warn("registry member lags behind the others; switching to the next one")
 	}
-	if w.Act == registry.List {
-		go c.list(ctx, w)
+	if request.Act == registry.List {
+		go c.list(ctx, request)
 	} else {
-		go c.watch(ctx, w)
+		go c.watch(ctx, request)
 	}
 }
 
-func (c *Client) limit(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, time.Duration(c.place.Bounds.Timeout)*time.Microsecond)
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, time.Duration(c.config.Bounds.Timeout)*time.Microsecond)
 }
 
-// list reads all keys and the mark in one transaction; a registry without a mark is given one.
-func (c *Client) list(ctx context.Context, w registry.Want) {
-	ctx, cancel := c.limit(ctx)
+// list reads all keys and the history identifier in one transaction, after writing an identifier if the registry
+// has none.
+func (c *Client) list(ctx context.Context, request registry.Want) {
+	ctx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	name := make([]byte, 16)
-	_, _ = rand.Read(name)
-	etcd := c.member()
+	historyID := make([]byte, 16)
+	_, _ = rand.Read(historyID)
+	etcd := c.endpoint()
 	_, err := etcd.Txn(ctx).If(clientv3.Compare(clientv3.Version(registry.MarkKey), "=", 0)).
-		Then(clientv3.OpPut(registry.MarkKey, hex.EncodeToString(name))).Commit()
-	var r *clientv3.TxnResponse
+		Then(clientv3.OpPut(registry.MarkKey, hex.EncodeToString(historyID))).Commit()
+	var response *clientv3.TxnResponse
 	if err == nil {
-		r, err = etcd.Txn(ctx).Then(clientv3.OpGet(prefix, clientv3.WithPrefix())).Commit()
+		response, err = etcd.Txn(ctx).Then(clientv3.OpGet(prefix, clientv3.WithPrefix())).Commit()
 	}
 	if err != nil {
 		c.log.Info("registry list failed", zap.Error(err))
-		c.fail(w, registry.Lost)
+		c.reportFailure(request, registry.Lost)
 		return
 	}
-	keys, mark := map[string]registry.Entry{}, registry.Mark("")
-	for _, kv := range r.Responses[0].GetResponseRange().Kvs {
+	keys, history := map[string]registry.Entry{}, registry.Mark("")
+	for _, kv := range response.Responses[0].GetResponseRange().Kvs {
 		keys[string(kv.Key)] = registry.Entry{Value: kv.Value, Mod: kv.ModRevision}
 		if string(kv.Key) == registry.MarkKey {
-			mark = registry.Mark(kv.Value)
+			history = registry.Mark(kv.Value)
 		}
 	}
-	h := registry.Head{Cluster: r.Header.ClusterId, Revision: r.Header.Revision}
-	c.say(func() { c.core.Listed(w.Try, h, mark, keys) })
+	header := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}
+	c.enqueue(func() { c.core.Listed(request.Try, header, history, keys) })
 }
 
-// elsewhere asks one of the other members how far it has come.
-func (c *Client) elsewhere(ctx context.Context, n int) {
+// queryOtherMember reads the revision of one of the other members.
+func (c *Client) queryOtherMember(ctx context.Context, attempt int) {
 	others := len(c.etcd) - 1
-	etcd := c.etcd[(int(c.at.Load())+1+n%others)%len(c.etcd)]
-	lim, cancel := c.limit(ctx)
+	etcd := c.etcd[(int(c.endpointIndex.Load())+1+attempt%others)%len(c.etcd)]
+	getCtx, cancel := c.withTimeout(ctx)
 	defer cancel()
-	if g, err := etcd.Get(lim, registry.MarkKey); err == nil && len(g.Kvs) == 1 {
-		h, mark := registry.Head{Cluster: g.Header.ClusterId, Revision: g.Header.Revision}, registry.Mark(g.Kvs[0].Value)
-		c.say(func() { c.core.Elsewhere(h, mark) })
+	if response, err := etcd.Get(getCtx, registry.MarkKey); err == nil && len(response.Kvs) == 1 {
+		header, history := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}, registry.Mark(response.Kvs[0].Value)
+		c.enqueue(func() { c.core.HandleMemberRevision(header, history) })
 	}
 }
 
-// watch opens a stream of its own, so that nothing resumes behind the core's back. The history is made sure
-// of before, and again once the stream is open: a registry that began anew in between shows then.
-func (c *Client) watch(ctx context.Context, w registry.Want) {
-	etcd := c.member()
-	end := func(why registry.Failure) { c.fail(w, why) }
-	timeout := time.Duration(c.place.Bounds.Timeout) * time.Microsecond
-	over, cancel := context.WithCancel(ctx)
+// watch opens a watch stream directly, as etcd's client would resume a watch without the core noticing. It checks
+// the history identifier once the stream is open, which detects a registry that was set up anew since the list.
+func (c *Client) watch(ctx context.Context, request registry.Want) {
+	etcd := c.endpoint()
+	fail := func(failure registry.Failure) { c.reportFailure(request, failure) }
+	timeout := time.Duration(c.config.Bounds.Timeout) * time.Microsecond
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(timeout, cancel) // a member that takes the stream and answers nothing
-	defer silent.Stop()
-	stream, err := pb.NewWatchClient(etcd.ActiveConnection()).Watch(over)
+	idle := time.AfterFunc(timeout, cancel) // guards against a member that accepts the stream and never responds
+	defer idle.Stop()
+	stream, err := pb.NewWatchClient(etcd.ActiveConnection()).Watch(watchCtx)
 	if err == nil {
 		err = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_CreateRequest{CreateRequest: &pb.WatchCreateRequest{
-			Key: []byte(prefix), RangeEnd: []byte(clientv3.GetPrefixRangeEnd(prefix)), StartRevision: w.From, ProgressNotify: true, Fragment: true}}})
+			Key: []byte(prefix), RangeEnd: []byte(clientv3.GetPrefixRangeEnd(prefix)), StartRevision: request.From, ProgressNotify: true, Fragment: true}}})
 	}
 	if err != nil {
-		end(registry.Lost)
+		fail(registry.Lost)
 		return
 	}
-	go func() { // it is asked how far it has come, or a quiet registry could not be told from one that hangs
+	go func() { // progress requests tell an idle registry from one that hangs
 		tick := time.NewTicker(timeout)
 		defer tick.Stop()
-		for n := 0; ; {
+		for ticks := 0; ; {
 			select {
-			case <-over.Done():
+			case <-watchCtx.Done():
 				return
 			case <-tick.C:
 				if stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_ProgressRequest{ProgressRequest: &pb.WatchProgressRequest{}}}) != nil {
 					return
 				}
-				if n++; len(c.etcd) > 1 {
-					c.elsewhere(over, n)
+				if ticks++; len(c.etcd) > 1 {
+					c.queryOtherMember(watchCtx, ticks)
 				}
 			}
 		}
 	}()
 	first := true
 	for {
-		r, err := stream.Recv()
+		response, err := stream.Recv()
 		if err != nil {
 			if ctx.Err() == nil {
-				end(registry.Lost)
+				fail(registry.Lost)
 			}
 			return
 		}
-		silent.Reset(time.Duration(c.place.Bounds.Silence()) * time.Microsecond)
+		idle.Reset(time.Duration(c.config.Bounds.StreamIdleTimeout()) * time.Microsecond)
 		if first {
 			first = false
-			lim, cancel := c.limit(ctx)
-			g, err := etcd.Get(lim, registry.MarkKey)
+			getCtx, cancel := c.withTimeout(ctx)
+			stored, err := etcd.Get(getCtx, registry.MarkKey)
 			cancel()
 			if err != nil {
-				end(registry.Lost)
+				fail(registry.Lost)
 				return
 			}
-			if len(g.Kvs) == 0 || registry.Mark(g.Kvs[0].Value) != w.Mark {
-				end(registry.Foreign)
+			if len(stored.Kvs) == 0 || registry.Mark(stored.Kvs[0].Value) != request.Mark {
+				fail(registry.Foreign)
 				return
 			}
 		}
-		h := registry.Head{Cluster: r.Header.ClusterId, Revision: r.Header.Revision}
-		if r.Canceled {
-			if r.CompactRevision > 0 {
-				end(registry.Compacted)
+		header := registry.Head{Cluster: response.Header.ClusterId, Revision: response.Header.Revision}
+		if response.Canceled {
+			if response.CompactRevision > 0 {
+				fail(registry.Compacted)
 			} else {
-				end(registry.Dropped)
+				fail(registry.WatcherDropped)
 			}
 			return
 		}
-		changes := make([]registry.Change, len(r.Events))
-		for i, e := range r.Events {
-			changes[i] = registry.Change{Key: string(e.Kv.Key), Value: e.Kv.Value, Mod: e.Kv.ModRevision, Deleted: e.Type == mvccpb.Event_DELETE}
+		changes := make([]registry.Change, len(response.Events))
+		for i, event := range response.Events {
+			changes[i] = registry.Change{Key: string(event.Kv.Key), Value: event.Kv.Value, Mod: event.Kv.ModRevision, Deleted: event.Type == mvccpb.Event_DELETE}
 		}
-		fragment, created := r.Fragment, r.Created
-		c.say(func() { c.core.Watched(w.Try, h, changes, fragment, created) })
+		fragment, created := response.Fragment, response.Created
+		c.enqueue(func() { c.core.Watched(request.Try, header, changes, fragment, created) })
 	}
 }
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -8,51 +8,51 @@
 	"go.uber.org/zap"
 )
 
-// Register writes a key under a lease of so many seconds and keeps it alive until the context ends; the key
-// then goes at once, and without a word when the process dies. A lease that is lost while the process lives
-// is taken anew. value is asked each time the key is written: at first, and when something comes on again (nil
-// for never).
-func Register(ctx context.Context, p Place, key string, value func() []byte, again <-chan struct{}, seconds int64, log *zap.Logger) {
-	timeout := time.Duration(p.Bounds.Timeout) * time.Microsecond
-	for at := 0; ctx.Err() == nil; at++ {
-		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{p.Endpoints[at%len(p.Endpoints)]}, TLS: p.TLS, Logger: zap.NewNop(),
-			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: redial(timeout)})
+// Register writes a key under a lease with a TTL of ttlSeconds and keeps the lease alive until the context ends. The
+// lease is then revoked, which deletes the key at once; if the process dies, the key expires with the lease. A lease
+// that is lost while the process runs is replaced. value is called each time the key is written: at first, and for
+// each receive from rewrite (nil for never).
+func Register(ctx context.Context, config Place, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, log *zap.Logger) {
+	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{config.Endpoints[attempt%len(config.Endpoints)]}, TLS: config.TLS, Logger: zap.NewNop(),
+			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
 		if err == nil {
-			err = hold(ctx, etcd, key, value, again, seconds, timeout)
+			err = holdLease(ctx, etcd, key, value, rewrite, ttlSeconds, timeout)
 			_ = etcd.Close()
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		log.Warn("registration lost, it is taken anew", zap.String("key", key), zap.Error(err))
+		log.Warn("registration lost; registering again", zap.String("key", key), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(p.Bounds.Anew()) * time.Microsecond):
+		case <-time.After(time.Duration(config.Bounds.ReregisterDelay()) * time.Microsecond):
 		}
 	}
 }
 
-// hold writes the key and returns when its lease is lost.
-func hold(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, again <-chan struct{}, seconds int64, timeout time.Duration) error {
-	lim, cancel := context.WithTimeout(ctx, timeout)
+// holdLease writes the key under a new lease and returns when the lease is lost or the context ends.
+func holdLease(ctx context.Context, etcd *clientv3.Client, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, timeout time.Duration) error {
+	writeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	l, err := etcd.Grant(lim, seconds)
+	lease, err := etcd.Grant(writeCtx, ttlSeconds)
 	if err != nil {
 		return err
 	}
-	if _, err := etcd.Put(lim, key, string(value()), clientv3.WithLease(l.ID)); err != nil {
+	if _, err := etcd.Put(writeCtx, key, string(value()), clientv3.WithLease(lease.ID)); err != nil {
 		return err
 	}
-	alive, err := etcd.KeepAlive(ctx, l.ID)
+	alive, err := etcd.KeepAlive(ctx, lease.ID)
 	if err != nil {
 		return err
 	}
-	for open := true; open; { // ends when the lease does, or the context
+	for open := true; open; { // alive is closed when the lease or the context ends
 		select {
 		case _, open = <-alive:
-		case <-again:
-			lim, cancel := context.WithTimeout(ctx, timeout)
-			_, err := etcd.Put(lim, key, string(value()), clientv3.WithLease(l.ID))
+		case <-rewrite:
+			writeCtx, cancel := context.WithTimeout(ctx, timeout)
+			_, err := etcd.Put(writeCtx, key, string(value()), clientv3.WithLease(lease.ID))
 			cancel()
 			if err != nil && ctx.Err() == nil {
 				return err
@@ -60,9 +60,9 @@
 		}
 	}
 	if ctx.Err() != nil {
-		bye, cancel := context.WithTimeout(context.Background(), timeout)
+		revokeCtx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		_, err = etcd.Revoke(bye, l.ID)
+		_, err = etcd.Revoke(revokeCtx, lease.ID)
 	}
 	return err
 }
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -9,408 +9,409 @@
 	"pgregory.net/rapid"
 )
 
-// model is a registry: a history of transactions that may be compacted, or begin anew.
+// model is a model of a registry: a history of transactions that may be compacted or replaced by a new history.
 type model struct {
-	cluster   uint64
-	mark      Mark
-	revision  int64
-	compacted int64
-	state     map[string]Entry
-	history   map[Mark]map[int64]map[string]Entry
-	log       []Change
-	marks     int
+	cluster      uint64
+	historyID    Mark
+	revision     int64
+	compacted    int64
+	state        map[string]Entry
+	history      map[Mark]map[int64]map[string]Entry
+	log          []Change
+	historyCount int
 }
 
 func newModel() *model {
-	m := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
-	m.begin(1, false)
-	return m
+	registry := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
+	registry.startHistory(1, false)
+	return registry
 }
 
-// begin starts another history, perhaps with the same cluster id.
-func (m *model) begin(revision int64, other bool) {
-	m.marks++
-	m.mark, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.marks)), revision, revision
-	if other {
+// startHistory replaces the history, possibly under the same cluster id.
+func (m *model) startHistory(revision int64, newCluster bool) {
+	m.historyCount++
+	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.historyCount)), revision, revision
+	if newCluster {
 		m.cluster++
 	}
 	m.state, m.log = map[string]Entry{}, nil
-	m.history[m.mark] = map[int64]map[string]Entry{revision: {}}
+	m.history[m.historyID] = map[int64]map[string]Entry{revision: {}}
 }
 
-// put makes one transaction of some changes.
+// put commits changes in one transaction.
 func (m *model) put(changes []Change) {
 	m.revision++
-	for _, c := range changes {
-		c.Mod = m.revision
-		if c.Deleted {
-			delete(m.state, c.Key)
+	for _, change := range changes {
+		change.Mod = m.revision
+		if change.Deleted {
+			delete(m.state, change.Key)
 		} else {
-			m.state[c.Key] = Entry{c.Value, c.Mod}
+			m.state[change.Key] = Entry{change.Value, change.Mod}
 		}
-		m.log = append(m.log, c)
+		m.log = append(m.log, change)
 	}
-	m.history[m.mark][m.revision] = maps.Clone(m.state)
+	m.history[m.historyID][m.revision] = maps.Clone(m.state)
 }
 
 func same(a, b map[string]Entry) bool {
 	return maps.EqualFunc(a, b, func(x, y Entry) bool { return x.Mod == y.Mod && string(x.Value) == string(y.Value) })
 }
 
-// reader plays the edge against the model, as badly as the draws have it.
+// reader plays the client between core and model, with faults drawn at random.
 type reader struct {
-	m      *model
-	c      *Core
-	now    Time
-	want   Want
-	open   bool // the watch is under way
-	mark   Mark // the history that it was opened in
-	sent   int64
-	view   map[string]Entry // made of the news alone
-	rev    int64
-	at     Mark
-	bad    string
-	lists  int
-	shift  int64 // a core broken on purpose resumes so far off
-	unsafe bool  // the edge does not look at marks
+	model            *model
+	core             *Core
+	now              Time
+	request          Want
+	open             bool // the watch is open
+	watchHistory     Mark // history in which the watch was opened
+	sentRevision     int64
+	view             map[string]Entry // built from the updates alone
+	revision         int64
+	history          Mark
+	violation        string
+	lists            int
+	revisionShift    int64 // added to the start revision of a watch, to simulate a faulty core
+	skipHistoryCheck bool  // the client does not compare history identifiers, to simulate a faulty one
 }
 
-func (r *reader) settle() {
-	r.c.At(r.now)
-	r.c.Settle(func(w Want) {
-		r.want, r.open = w, false
-		r.want.From += r.shift
-	}, func(n News) {
-		rev, mark := r.c.Revision()
-		if !n.Whole && r.at == mark && n.Revision < r.rev {
-			r.bad = "revisions went back"
+func (r *reader) process() {
+	r.core.At(r.now)
+	r.core.Settle(func(request Want) {
+		r.request, r.open = request, false
+		r.request.From += r.revisionShift
+	}, func(update News) {
+		revision, history := r.core.Revision()
+		if !update.Whole && r.history == history && update.Revision < r.revision {
+			r.violation = "the revision decreased within a history"
 		}
-		if n.Whole {
+		if update.Whole {
 			r.view = map[string]Entry{}
 		}
-		for _, x := range n.Changes {
-			if old, ok := r.view[x.Key]; ok && !n.Whole && old.Mod >= x.Mod {
-				r.bad = "a change applied twice"
+		for _, change := range update.Changes {
+			if old, ok := r.view[change.Key]; ok && !update.Whole && old.Mod >= change.Mod {
+				r.violation = "a change was delivered twice"
 			}
-			if x.Deleted {
-				delete(r.view, x.Key)
+			if change.Deleted {
+				delete(r.view, change.Key)
 			} else {
-				r.view[x.Key] = Entry{x.Value, x.Mod}
+				r.view[change.Key] = Entry{change.Value, change.Mod}
 			}
 		}
-		r.rev, r.at = n.Revision, mark
-		if want, ok := r.m.history[mark][n.Revision]; !ok || !same(want, r.view) {
-			r.bad = fmt.Sprintf("a state that the registry never had at %d of %s (core at %d)", n.Revision, mark, rev)
+		r.revision, r.history = update.Revision, history
+		if expected, ok := r.model.history[history][update.Revision]; !ok || !same(expected, r.view) {
+			r.violation = fmt.Sprintf("update to a state that the registry never had: revision %d of %s (core at %d)", update.Revision, history, revision)
 		}
 	})
 }
 
-// step answers what is wanted, or fails it.
+// step answers the pending request, or lets it fail.
 func (r *reader) step(t *rapid.T) {
-	m := r.m
-	h := Head{m.cluster, m.revision}
-	switch r.want.Act {
+	m := r.model
+	header := Head{m.cluster, m.revision}
+	switch r.request.Act {
 	case List:
 		if rapid.IntRange(0, 3).Draw(t, "list") == 0 {
-			r.c.Ended(r.want.Try, Lost)
+			r.core.Ended(r.request.Try, Lost)
 			break
 		}
 		r.lists++
-		r.c.Listed(r.want.Try, h, m.mark, maps.Clone(m.state))
+		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
 	case Watch:
 		switch {
-		case !r.open && r.want.Mark != m.mark && !r.unsafe:
-			r.c.Ended(r.want.Try, Foreign)
-		case !r.open && r.want.From <= m.compacted:
-			r.c.Ended(r.want.Try, Compacted)
+		case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
+			r.core.Ended(r.request.Try, Foreign)
+		case !r.open && r.request.From <= m.compacted:
+			r.core.Ended(r.request.Try, Compacted)
 		case !r.open:
-			r.open, r.mark, r.sent = true, m.mark, r.want.From-1
-			r.c.Watched(r.want.Try, h, nil, false, true)
-		case r.mark != m.mark || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
+			r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
+			r.core.Watched(r.request.Try, header, nil, false, true)
+		case r.watchHistory != m.historyID || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
 			r.open = false
-			r.c.Ended(r.want.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(Dropped)}).Draw(t, "why")))
+			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(WatcherDropped)}).Draw(t, "why")))
 		default:
-			r.send(t, h)
+			r.send(t, header)
 		}
 	}
 }
 
-// send brings changes: whole revisions, perhaps in pieces, cut in the middle, or told twice.
-func (r *reader) send(t *rapid.T, h Head) {
-	var all []Change
-	for _, x := range r.m.log {
-		if x.Mod > r.sent {
-			all = append(all, x)
+// send delivers the changes of whole revisions, possibly in fragments, interrupted, or twice.
+func (r *reader) send(t *rapid.T, header Head) {
+	var pending []Change
+	for _, change := range r.model.log {
+		if change.Mod > r.sentRevision {
+			pending = append(pending, change)
 		}
 	}
-	if len(all) == 0 {
-		r.c.Watched(r.want.Try, h, nil, false, false) // progress
+	if len(pending) == 0 {
+		r.core.Watched(r.request.Try, header, nil, false, false) // progress notification
 		return
 	}
-	upTo := all[rapid.IntRange(0, len(all)-1).Draw(t, "upto")].Mod
-	var now []Change
-	for _, x := range all {
-		if x.Mod <= upTo {
-			now = append(now, x)
+	upTo := pending[rapid.IntRange(0, len(pending)-1).Draw(t, "upto")].Mod
+	var batch []Change
+	for _, change := range pending {
+		if change.Mod <= upTo {
+			batch = append(batch, change)
 		}
 	}
-	head := Head{h.Cluster, upTo}
-	if n := rapid.IntRange(0, len(now)-1).Draw(t, "piece"); n > 0 {
-		r.c.Watched(r.want.Try, head, now[:n], true, false)
+	head := Head{header.Cluster, upTo}
+	if n := rapid.IntRange(0, len(batch)-1).Draw(t, "fragment"); n > 0 {
+		r.core.Watched(r.request.Try, head, batch[:n], true, false)
 		if rapid.IntRange(0, 3).Draw(t, "cut within") == 0 {
 			r.open = false
-			r.c.Ended(r.want.Try, Lost)
+			r.core.Ended(r.request.Try, Lost)
 			return
 		}
-		now = now[n:]
+		batch = batch[n:]
 	}
-	r.c.Watched(r.want.Try, head, now, false, false)
-	r.sent = upTo
+	r.core.Watched(r.request.Try, head, batch, false, false)
+	r.sentRevision = upTo
 	if rapid.IntRange(0, 4).Draw(t, "twice") == 0 {
-		r.c.Watched(r.want.Try, head, now, false, false)
-		r.c.Watched(r.want.Try-1, head, now, false, false) // of a connection that has gone
+		r.core.Watched(r.request.Try, head, batch, false, false)
+		r.core.Watched(r.request.Try-1, head, batch, false, false) // from an outdated attempt
 	}
 }
 
-func play(t *rapid.T, shift int64, unsafe bool) string {
-	m := newModel()
-	r := &reader{m: m, c: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, shift: shift, unsafe: unsafe,
+func simulate(t *rapid.T, revisionShift int64, skipHistoryCheck bool) string {
+	registry := newModel()
+	r := &reader{model: registry, core: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, revisionShift: revisionShift, skipHistoryCheck: skipHistoryCheck,
 		view: map[string]Entry{}}
 	for range rapid.IntRange(1, 80).Draw(t, "steps") {
 		r.now += Time(rapid.IntRange(0, 400_000).Draw(t, "dt"))
-		switch rapid.IntRange(0, 9).Draw(t, "what") {
+		switch rapid.IntRange(0, 9).Draw(t, "action") {
 		case 0:
-			m.compacted = max(m.compacted, m.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
+			registry.compacted = max(registry.compacted, registry.revision-int64(rapid.IntRange(0, 3).Draw(t, "keep")))
 		case 1:
 			if rapid.IntRange(0, 3).Draw(t, "anew") == 0 {
-				m.begin(max(1, m.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
+				registry.startHistory(max(1, registry.revision+int64(rapid.IntRange(-20, 20).Draw(t, "revision"))), rapid.Bool().Draw(t, "cluster"))
 			}
 		case 2, 3, 4:
 			var txn []Change
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
 				key := fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 				dup := false
-				for _, x := range txn {
-					dup = dup || x.Key == key
+				for _, change := range txn {
+					dup = dup || change.Key == key
 				}
 				if !dup {
-					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(m.mark, m.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
+					txn = append(txn, Change{Key: key, Value: []byte(fmt.Sprint(registry.historyID, registry.revision)), Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0})
 				}
 			}
-			m.put(txn)
+			registry.put(txn)
 		default:
-			r.settle()
+			r.process()
 			r.step(t)
 		}
-		r.settle()
-		if r.bad != "" {
-			return r.bad
+		r.process()
+		if r.violation != "" {
+			return r.violation
 		}
 	}
-	for range 60 { // quiet
+	for range 60 { // no more faults or changes
 		r.now += 400_000
-		r.settle()
-		r.quiet()
-		r.settle()
+		r.process()
+		r.answerAll()
+		r.process()
 	}
-	if r.bad != "" {
-		return r.bad
+	if r.violation != "" {
+		return r.violation
 	}
-	if !same(r.view, m.state) || !same(r.c.View(), m.state) {
-		return fmt.Sprintf("after quiet the view is %v, the registry %v", r.view, m.state)
+	if !same(r.view, registry.state) || !same(r.core.View(), registry.state) {
+		return fmt.Sprintf("the view did not converge: it is %v, the registry %v", r.view, registry.state)
 	}
 	return ""
 }
 
-// quiet answers all that is wanted, well.
-func (r *reader) quiet() {
-	m := r.m
-	h := Head{m.cluster, m.revision}
+// answerAll answers the pending request without faults.
+func (r *reader) answerAll() {
+	m := r.model
+	header := Head{m.cluster, m.revision}
 	switch {
-	case r.want.Act == List:
-		r.c.Listed(r.want.Try, h, m.mark, maps.Clone(m.state))
-	case r.want.Act != Watch:
-	case !r.open && r.want.Mark != m.mark && !r.unsafe:
-		r.c.Ended(r.want.Try, Foreign)
-	case !r.open && r.want.From <= m.compacted:
-		r.c.Ended(r.want.Try, Compacted)
+	case r.request.Act == List:
+		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
+	case r.request.Act != Watch:
+	case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
+		r.core.Ended(r.request.Try, Foreign)
+	case !r.open && r.request.From <= m.compacted:
+		r.core.Ended(r.request.Try, Compacted)
 	case !r.open:
-		r.open, r.mark, r.sent = true, m.mark, r.want.From-1
-		r.c.Watched(r.want.Try, h, nil, false, true)
-	case r.mark != m.mark:
+		r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
+		r.core.Watched(r.request.Try, header, nil, false, true)
+	case r.watchHistory != m.historyID:
 		r.open = false
-		r.c.Ended(r.want.Try, Lost)
+		r.core.Ended(r.request.Try, Lost)
 	default:
-		var all []Change
-		for _, x := range m.log {
-			if x.Mod > r.sent {
-				all = append(all, x)
+		var pending []Change
+		for _, change := range m.log {
+			if change.Mod > r.sentRevision {
+				pending = append(pending, change)
 			}
 		}
-		r.c.Watched(r.want.Try, h, all, false, false)
-		r.sent = m.revision
+		r.core.Watched(r.request.Try, header, pending, false, false)
+		r.sentRevision = m.revision
 	}
 }
 
-// Whatever the registry does, each state told is one that it had, no change comes twice, revisions do not go
-// back within a history, and after quiet the view is the registry's.
-func TestAnyRegistry(t *testing.T) {
+// Checks, for random registries and faults, that each update leads to a state that the registry had, no change is
+// delivered twice, revisions never decrease within a history, and the view converges to the registry.
+func TestViewMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if bad := play(rt, 0, false); bad != "" {
-			rt.Fatal(bad)
+		if violation := simulate(rt, 0, false); violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// The same check reports a core that resumes one revision late, and one whose edge mixes histories.
-func TestBrokenOnesAreCaught(t *testing.T) {
-	for name, c := range map[string]struct {
+// Checks that the property test detects a core that resumes one revision late, and a client that mixes histories.
+func TestChecksDetectBrokenCores(t *testing.T) {
+	for name, fault := range map[string]struct {
 		shift  int64
 		unsafe bool
-	}{"one late": {1, false}, "histories mixed": {0, true}} {
+	}{"resumes one revision late": {1, false}, "histories mixed": {0, true}} {
 		caught := false
 		for seed := range 400 {
-			bad := rapid.Custom(func(rt *rapid.T) string { return play(rt, c.shift, c.unsafe) }).Example(seed)
-			if caught = caught || bad != ""; caught {
+			violation := rapid.Custom(func(rt *rapid.T) string { return simulate(rt, fault.shift, fault.unsafe) }).Example(seed)
+			if caught = caught || violation != ""; caught {
 				break
 			}
 		}
 		if !caught {
-			t.Error(name, "was not caught")
+			t.Error(name, "was not detected")
 		}
 	}
 }
 
-// A list that lost most of its boxes is confirmed first, yet binds within the grace.
-func TestGuard(t *testing.T) {
+// Checks that a list that lacks most boxes is confirmed by another list first, and takes effect within the grace
+// period even if no confirmation arrives.
+func TestMassRemovalConfirmed(t *testing.T) {
 	keys := map[string]Entry{}
 	for i := range 10 {
 		keys[fmt.Sprint("k", i)] = Entry{Mod: 5}
 	}
-	for name, c := range map[string]struct {
-		second map[string]Entry // nil: never comes
-		whole  int              // news told
-		left   int
+	for name, test := range map[string]struct {
+		second  map[string]Entry // nil: no response
+		updates int              // updates emitted
+		left    int
 	}{"confirmed": {map[string]Entry{}, 2, 0}, "refuted": {keys, 2, 10}, "unanswered": {nil, 2, 0}} {
-		k := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-		var want Want
-		whole := 0
-		settle := func() Time {
-			return k.Settle(func(w Want) { want = w }, func(n News) { whole++ })
+		core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
+		var request Want
+		updates := 0
+		process := func() Time {
+			return core.Settle(func(w Want) { request = w }, func(n News) { updates++ })
 		}
-		settle()
-		k.Listed(want.Try, Head{1, 5}, "m", maps.Clone(keys))
-		settle()
-		k.Ended(want.Try, Compacted)
-		settle()
-		k.Listed(want.Try, Head{1, 9}, "m", map[string]Entry{})
-		if settle(); want.Act != List || len(k.View()) != 10 {
-			t.Fatalf("%s: not asked again (%v)", name, want)
+		process()
+		core.Listed(request.Try, Head{1, 5}, "m", maps.Clone(keys))
+		process()
+		core.Ended(request.Try, Compacted)
+		process()
+		core.Listed(request.Try, Head{1, 9}, "m", map[string]Entry{})
+		if process(); request.Act != List || len(core.View()) != 10 {
+			t.Fatalf("%s: no confirmation requested (%v)", name, request)
 		}
-		if c.second != nil {
-			k.Listed(want.Try, Head{1, 10}, "m", maps.Clone(c.second))
+		if test.second != nil {
+			core.Listed(request.Try, Head{1, 10}, "m", maps.Clone(test.second))
 		} else {
-			k.At(1 + k.Grace/guardPart)
+			core.At(1 + core.Grace/confirmDivisor)
 		}
-		settle()
-		if whole != c.whole || len(k.View()) != c.left {
-			t.Errorf("%s: told %d times, %d left", name, whole, len(k.View()))
+		process()
+		if updates != test.updates || len(core.View()) != test.left {
+			t.Errorf("%s: %d updates, %d keys left", name, updates, len(core.View()))
 		}
 	}
 }
 
-// A watch at a member that has fallen behind another is left for the next one; a list of an earlier state of
-// the same history is asked for once more before it counts.
+// Checks that a watch on a member that lags behind another moves to the next member, and that a list of an earlier
+// state of the same history is requested again before it is accepted.
 func TestStaleMembers(t *testing.T) {
-	k := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-	var want Want
-	settle := func() { k.Settle(func(w Want) { want = w }, func(News) {}) }
-	settle()
-	k.Listed(want.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
-	settle()
-	k.Elsewhere(Head{1, 9}, "m")
-	k.At(1 + k.Timeout)
-	k.Watched(want.Try, Head{1, 5}, nil, false, false) // it answers, and has nothing new
-	if settle(); want.Move {
-		t.Fatal("left within the time-outs allowed")
+	core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
+	var request Want
+	process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+	process()
+	core.Listed(request.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
+	process()
+	core.HandleMemberRevision(Head{1, 9}, "m")
+	core.At(1 + core.Timeout)
+	core.Watched(request.Try, Head{1, 5}, nil, false, false) // the member answers without any change
+	if process(); request.NextMember {
+		t.Fatal("left the member before the allowed timeouts had passed")
 	}
-	k.At(2 + 3*k.Timeout)
-	if settle(); !want.Move || want.Act != Watch || want.From != 6 {
-		t.Fatalf("not left: %+v", want)
+	core.At(2 + 3*core.Timeout)
+	if process(); !request.NextMember || request.Act != Watch || request.From != 6 {
+		t.Fatalf("did not leave the lagging member: %+v", request)
 	}
-	want.Move = false
-	k.Elsewhere(Head{1, 7}, "m")
-	k.Watched(want.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
-	k.At(2 + 9*k.Timeout/2)
-	if settle(); want.Move {
-		t.Fatal("left though it had come as far")
+	request.NextMember = false
+	core.HandleMemberRevision(Head{1, 7}, "m")
+	core.Watched(request.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
+	core.At(2 + 9*core.Timeout/2)
+	if process(); request.NextMember {
+		t.Fatal("left a member that had caught up")
 	}
-	k.Ended(want.Try, Compacted)
-	k.At(2 + 10*k.Timeout)
-	settle()
-	k.Listed(want.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
-	k.At(2 + 11*k.Timeout)
-	if settle(); want.Act != List || !want.Move {
-		t.Fatalf("an older list was taken: %+v", want)
+	core.Ended(request.Try, Compacted)
+	core.At(2 + 10*core.Timeout)
+	process()
+	core.Listed(request.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
+	core.At(2 + 11*core.Timeout)
+	if process(); request.Act != List || !request.NextMember {
+		t.Fatalf("accepted an older list: %+v", request)
 	}
-	k.Listed(want.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
-	settle()
-	if rev, _ := k.Revision(); rev != 8 || k.Counts.Refuted != 1 {
-		t.Error(rev, k.Counts)
+	core.Listed(request.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
+	process()
+	if revision, _ := core.Revision(); revision != 8 || core.Counts.Refuted != 1 {
+		t.Error(revision, core.Counts)
 	}
-	k.Ended(want.Try, Compacted) // a registry restored from a copy is older for good
+	core.Ended(request.Try, Compacted) // a registry restored from a backup stays older
 	for at := Time(12); at < 40; at++ {
-		k.At(2 + at*k.Timeout)
-		settle()
-		rev, _ := k.Revision()
-		if k.Listed(want.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); rev == 4 {
-			if at < 12+olderFor {
-				t.Error("followed back after", at-12)
+		core.At(2 + at*core.Timeout)
+		process()
+		revision, _ := core.Revision()
+		if core.Listed(request.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); revision == 4 {
+			if at < 12+olderListTimeouts {
+				t.Error("accepted the older state too early, after timeouts:", at-12)
 			}
 			return
 		}
 	}
-	t.Error("never followed back")
+	t.Error("never accepted the older state of a restored registry")
 }
 
 func TestValues(t *testing.T) {
-	good := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
-	if b, err := ReadBox(good.Value()); err != nil || b.Address != good.Address {
-		t.Error(b, err)
+	valid := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
+	if box, err := ReadBox(valid.Value()); err != nil || box.Address != valid.Address {
+		t.Error(box, err)
 	}
 	for _, v := range []string{"", "{}", "[]", `{"version":2}`, `{"version":1,"state":"off","address":"a:1"}`,
 		`{"version":1,"state":"ready","address":"a"}`, `{"version":1,"state":"ready","address":"a:1","cell":-1}`} {
 		if _, err := ReadBox([]byte(v)); err == nil {
-			t.Errorf("%q was taken", v)
+			t.Errorf("accepted the invalid value %q", v)
 		}
 	}
 }
 
-// BenchmarkChange is one change of a view of so many boxes, and what a box of the view holds.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkWatchChange measures one change in a view of the given number of boxes, and the memory per box.
+func BenchmarkWatchChange(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := New(Bounds{Grace: 1, Timeout: 1_000_000, Held: 1 << 20}, 1)
-			var want Want
-			settle := func() { c.Settle(func(w Want) { want = w }, func(News) {}) }
-			settle()
+			core := New(Bounds{Grace: 1, Timeout: 1_000_000, Held: 1 << 20}, 1)
+			var request Want
+			process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+			process()
 			keys := map[string]Entry{}
 			for i := range n {
 				keys[fmt.Sprint(BoxesPrefix, "box-", i)] = Entry{Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value(), 1}
 			}
-			c.Listed(want.Try, Head{1, 1}, "m", keys)
-			settle()
+			core.Listed(request.Try, Head{1, 1}, "m", keys)
+			process()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			value := Box{Address: "127.0.0.1:2", Zone: "z", Kind: "std", State: "draining"}.Value()
-			rev := int64(1)
+			revision := int64(1)
 			for b.Loop() {
-				rev++
-				c.Watched(want.Try, Head{1, rev}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", rev%int64(n)), Value: value, Mod: rev}}, false, false)
-				settle()
+				revision++
+				core.Watched(request.Try, Head{1, revision}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", revision%int64(n)), Value: value, Mod: revision}}, false, false)
+				process()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/box")
 		})
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -6,71 +6,72 @@
 	"strings"
 )
 
-// Fleet tells how many session managers there are and which number one of them has: the figures by which all
-// together stay under the pace of cold boxes. While views differ the sum of their parts must not grow:
-//   - a manager counts from the moment that it is seen, and for heldFor times a lease's time after its key has
-//     gone, as it may have lost the lease and not its life;
-//   - one that has just come counts itself before the others have seen it, so that for that while the parts
-//     add up to more than one. The module takes no told budget of a cold box in its first fall span, which
-//     covers that; after it the others have heard.
+// Fleet tracks how many session managers there are and the number of this one among them. Managers use both to
+// share the rate at which boxes that have just started may be loaded. While their views differ the sum of the shares
+// must not exceed one:
+//   - a manager counts from the moment that its key is seen, and for holdLeases lease times after the key has
+//     been deleted, as it may have lost its lease and still be running;
+//   - a manager that has just started counts itself before the others have seen it, so the shares add up to more
+//     than one for that time. The module uses no announced budget of a cold box during its first fall span, which
+//     covers that time; afterwards the others have seen the new manager.
 //
-// Numbers are the names' order, the same for all that see the same names.
+// Managers are numbered in the order of their names, so all that see the same names agree on the numbers.
 type Fleet struct {
-	Own   string
-	Lease Time
-	seen  map[string]Time     // last, by name; never for those that are there
-	ready map[string][]string // addresses of those that are ready, as life.Others takes them
-	Lost  bool                // this one's own key has gone, though it lives
+	Own      string              // name of this manager
+	Lease    Time                // TTL of the leases of the managers
+	lastSeen map[string]Time     // by name; the value present while the key exists
+	ready    map[string][]string // addresses of the ready managers by name, in the form that life.Others accepts
+	Lost     bool                // the key of this manager was deleted while it runs
 }
 
 const (
-	heldFor = 4
-	there   = Time(1) << 62
+	holdLeases = 4 // lease times that a manager still counts after its key was deleted
+	present    = Time(1) << 62
 )
 
-// Take follows the managers' keys.
-func (f *Fleet) Take(n News, now Time) {
-	if f.seen == nil {
-		f.seen, f.ready = map[string]Time{}, map[string][]string{}
+// Take applies an update of the managers' keys.
+func (f *Fleet) Take(update News, now Time) {
+	if f.lastSeen == nil {
+		f.lastSeen, f.ready = map[string]Time{}, map[string][]string{}
 	}
-	gone := func(name string) {
+	markGone := func(name string) {
 		delete(f.ready, name)
-		if f.seen[name] == there {
-			f.seen[name] = now
+		if f.lastSeen[name] == present {
+			f.lastSeen[name] = now
 		}
 	}
-	if n.Whole {
-		for name := range f.seen {
-			gone(name)
+	if update.Whole {
+		for name := range f.lastSeen {
+			markGone(name)
 		}
 	}
-	for _, c := range n.Changes {
-		name, ok := strings.CutPrefix(c.Key, ManagersPrefix)
+	for _, change := range update.Changes {
+		name, ok := strings.CutPrefix(change.Key, ManagersPrefix)
 		switch {
 		case !ok:
-		case c.Deleted:
-			gone(name)
+		case change.Deleted:
+			markGone(name)
 			f.Lost = f.Lost || name == f.Own
 		default:
-			f.seen[name] = there
+			f.lastSeen[name] = present
 			delete(f.ready, name)
-			if m, err := ReadManager(c.Value); err == nil && m.State == "ready" && m.Address != "" {
-				f.ready[name] = []string{m.Address}
-				if m.Secure != "" {
-					f.ready[name] = append(f.ready[name], "rtsps://"+m.Secure)
+			if manager, err := DecodeManager(change.Value); err == nil && manager.State == "ready" && manager.Address != "" {
+				f.ready[name] = []string{manager.Address}
+				if manager.Secure != "" {
+					f.ready[name] = append(f.ready[name], "rtsps://"+manager.Secure)
 				}
 			}
 		}
 	}
 }
 
-// Count is how many managers there are, and this one's number, from 0.
-func (f *Fleet) Count(now Time) (fronts, front int) {
+// Count returns the number of managers, and the number of this one, counted from 0.
+func (f *Fleet) Count(now Time) (managers, number int) {
 	names := []string{f.Own}
-	for name, last := range f.seen {
+	for name, seen := range f.lastSeen {
 		switch {
-		case last != there && now-last > heldFor*f.Lease:
-			delete(f.seen, name)
+		case seen != present && now-seen > holdLeases*f.Lease:
+			delete(f.lastSeen, name)
 		case name != f.Own:
 			names = append(names, name)
 		}
@@ -79,12 +80,12 @@
 	return len(names), slices.Index(names, f.Own)
 }
 
-// Others are the addresses of the other managers that are ready, in the order of their names.
-func (f *Fleet) Others() (all []string) {
+// Others returns the addresses of the other managers that are ready, sorted by name.
+func (f *Fleet) Others() (addresses []string) {
 	for _, name := range slices.Sorted(maps.Keys(f.ready)) {
 		if name != f.Own {
-			all = append(all, f.ready[name]...)
+			addresses = append(addresses, f.ready[name]...)
 		}
 	}
-	return all
+	return addresses
 }
--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks an LDAP directory what the core of tenants wants to know, by go-ldap: content
-// synchronisation (RFC 4533) where an endpoint has it, paged searches (RFC 2696) where not, and look-ups.
+// Package client executes the requests of the tenants core against an LDAP directory with go-ldap: content
+// synchronisation (RFC 4533) where an endpoint supports it, paged searches (RFC 2696) otherwise, and lookups.
 package client
 
 import (
@@ -20,111 +20,117 @@
 	"pierlink/internal/tenants"
 )
 
-// Place is where the directory is and what is read there.
+// Place configures a client.
 type Place struct {
-	Endpoints []string // host:port; the core's Terms count them
-	TLS       *tls.Config
-	Bind      string // DN; anonymous if empty
+	Endpoints []string    // host:port; the core is configured with their number
+	TLS       *tls.Config // nil for plain TCP
+	Bind      string      // DN to bind as; empty for anonymous access
 	Password  Secret
-	Base      string
-	PageSize  uint32
-	Paged     bool // content synchronisation is not tried
+	Base      string // DN of the subtree that is read
+	PageSize  uint32 // entries per page
+	Paged     bool   // never try content synchronisation
 	Terms     tenants.Terms
 }
 
-// Secret is a password: however it is printed, logged or encoded it does not show.
+// Secret is a password that is redacted when it is printed, logged or encoded.
 type Secret string
 
-const hidden = "(secret)"
+const redacted = "(secret)"
 
-func (Secret) String() string               { return hidden }
-func (Secret) GoString() string             { return hidden }
-func (Secret) MarshalText() ([]byte, error) { return []byte(hidden), nil }
+// String returns a placeholder.
+func (Secret) String() string { return redacted }
 
-// Client carries out a core's wants. Do is called in the turns of the core's owner; what comes of it reaches the
-// core by post.
+// GoString returns a placeholder.
+func (Secret) GoString() string { return redacted }
+
+// MarshalText returns a placeholder.
+func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
+
+// Client executes the requests of a core. Results are passed to post, which must run them in the goroutine that owns
+// the core; Do is called from that goroutine.
 type Client struct {
-	place  Place
-	post   func(func(*tenants.Core))
-	log    *zap.Logger
-	mu     sync.Mutex
-	idle   [][]*ldap.Conn     // by endpoint
-	cancel context.CancelFunc // of the synchronisation under way
-	closed bool
-	wait   sync.WaitGroup
-	Asked  atomic.Int64 // searches
-	Bad    atomic.Int64 // entries that could not be read
+	config     Place
+	post       func(func(*tenants.Core))
+	log        *zap.Logger
+	mu         sync.Mutex
+	idle       [][]*ldap.Conn     // connections, by endpoint
+	cancel     context.CancelFunc // cancels the synchronisation in progress
+	closed     bool
+	pending    sync.WaitGroup
+	Searches   atomic.Int64 // searches sent
+	Unreadable atomic.Int64 // entries that could not be decoded
 }
 
-const filter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
+// entryFilter matches all entries of tenants and members.
+const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
-// New makes a client; nothing is asked before Do.
-func New(p Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
-	if len(p.Endpoints) == 0 || p.Base == "" {
-		return nil, errors.New("an endpoint and a base of the directory are expected")
+// New returns a client. It sends nothing before the first call of Do.
+func New(config Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
+	if len(config.Endpoints) == 0 || config.Base == "" {
+		return nil, errors.New("directory configuration: expected an endpoint and a base DN")
 	}
-	if _, err := ldap.ParseDN(p.Base); err != nil {
-		return nil, fmt.Errorf("base %q: %w", p.Base, err)
+	if _, err := ldap.ParseDN(config.Base); err != nil {
+		return nil, fmt.Errorf("base %q: %w", config.Base, err)
 	}
-	return &Client{place: p, post: post, log: log, idle: make([][]*ldap.Conn, len(p.Endpoints))}, nil
+	return &Client{config: config, post: post, log: log, idle: make([][]*ldap.Conn, len(config.Endpoints))}, nil
 }
 
-// Close ends what is under way.
+// Close cancels requests in progress and closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	if c.cancel != nil {
 		c.cancel()
 	}
-	for _, all := range c.idle {
-		for _, x := range all {
-			_ = x.Close()
+	for _, conns := range c.idle {
+		for _, conn := range conns {
+			_ = conn.Close()
 		}
 	}
 	clear(c.idle)
 	c.mu.Unlock()
-	c.wait.Wait()
+	c.pending.Wait()
 }
 
 func (c *Client) timeout() time.Duration {
-	return time.Duration(c.place.Terms.Timeout) * time.Microsecond
+	return time.Duration(c.config.Terms.Timeout) * time.Microsecond
 }
 
-// dial connects to an endpoint and binds there.
-func (c *Client) dial(end int) (*ldap.Conn, error) {
-	d := &net.Dialer{Timeout: c.timeout()}
+// dial connects to an endpoint and binds if credentials are configured.
+func (c *Client) dial(endpoint int) (*ldap.Conn, error) {
+	dialer := &net.Dialer{Timeout: c.timeout()}
 	var raw net.Conn
 	var err error
-	if c.place.TLS != nil {
-		raw, err = tls.DialWithDialer(d, "tcp", c.place.Endpoints[end], c.place.TLS)
+	if c.config.TLS != nil {
+		raw, err = tls.DialWithDialer(dialer, "tcp", c.config.Endpoints[endpoint], c.config.TLS)
 	} else {
-		raw, err = d.Dial("tcp", c.place.Endpoints[end])
+		raw, err = dialer.Dial("tcp", c.config.Endpoints[endpoint])
 	}
 	if err != nil {
 		return nil, err
 	}
-	x := ldap.NewConn(raw, c.place.TLS != nil)
-	x.Start()
-	x.SetTimeout(c.timeout())
-	if c.place.Bind != "" {
-		if err := x.Bind(c.place.Bind, string(c.place.Password)); err != nil {
-			_ = x.Close()
+	conn := ldap.NewConn(raw, c.config.TLS != nil)
+	conn.Start()
+	conn.SetTimeout(c.timeout())
+	if c.config.Bind != "" {
+		if err := conn.Bind(c.config.Bind, string(c.config.Password)); err != nil {
+			_ = conn.Close()
 			return nil, fmt.Errorf("bind: %w", err)
 		}
 	}
-	return x, nil
+	return conn, nil
 }
 
-// Do carries out one act, without waiting for it.
-func (c *Client) Do(w tenants.Want) {
+// Do executes a request without waiting for it. A new synchronisation cancels the previous one.
+func (c *Client) Do(request tenants.Want) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	c.wait.Add(1)
-	if w.Act == tenants.Look || w.Act == tenants.Tenure {
-		go func() { defer c.wait.Done(); c.look(w) }()
+	c.pending.Add(1)
+	if request.Act == tenants.Look || request.Act == tenants.LookUpTenant {
+		go func() { defer c.pending.Done(); c.lookUp(request) }()
 		return
 	}
 	if c.cancel != nil {
@@ -133,35 +139,35 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	go func() {
-		defer c.wait.Done()
+		defer c.pending.Done()
 		defer cancel()
-		c.sync(ctx, w)
+		c.synchronise(ctx, request)
 	}()
 }
 
-func (c *Client) search(f string, size int) *ldap.SearchRequest {
-	return ldap.NewSearchRequest(c.place.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, size, 0, false, f, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
+func (c *Client) searchRequest(filter string, sizeLimit int) *ldap.SearchRequest {
+	return ldap.NewSearchRequest(c.config.Base, ldap.ScopeWholeSubtree, ldap.NeverDerefAliases, sizeLimit, 0, false, filter, []string{"*", "entryUUID", "modifyTimestamp"}, nil)
 }
 
-func (c *Client) bad(e *ldap.Entry, err error) {
-	c.Bad.Add(1)
-	c.log.Warn("an entry of the directory cannot be read, it stays as it was", zap.String("dn", e.DN), zap.Error(err))
+func (c *Client) reportUnreadable(entry *ldap.Entry, err error) {
+	c.Unreadable.Add(1)
+	c.log.Warn("cannot decode a directory entry; keeping its previous state", zap.String("dn", entry.DN), zap.Error(err))
 }
 
-// referred tells whether an answer names another place to ask (RFC 4511 section 4.1.10), and which endpoint that is:
-// less than 0 for one that the settings do not name.
-func (c *Client) referred(err error) (end int, ok bool) {
-	var e *ldap.Error
-	if !errors.As(err, &e) || e.ResultCode != ldap.LDAPResultReferral {
+// referral reports whether a result is a referral (RFC 4511 section 4.1.10), and the index of the endpoint that it
+// names, less than 0 if that is not configured.
+func (c *Client) referral(err error) (endpoint int, ok bool) {
+	var ldapErr *ldap.Error
+	if !errors.As(err, &ldapErr) || ldapErr.ResultCode != ldap.LDAPResultReferral {
 		return 0, false
 	}
-	if e.Packet != nil && len(e.Packet.Children) > 1 && len(e.Packet.Children[1].Children) > 3 {
-		for _, p := range e.Packet.Children[1].Children[3].Children {
-			u, err := url.Parse(p.Data.String())
+	if ldapErr.Packet != nil && len(ldapErr.Packet.Children) > 1 && len(ldapErr.Packet.Children[1].Children) > 3 {
+		for _, uri := range ldapErr.Packet.Children[1].Children[3].Children {
+			target, err := url.Parse(uri.Data.String())
 			if err != nil {
 				continue
 			}
-			if i := slices.Index(c.place.Endpoints, u.Host); i >= 0 {
+			if i := slices.Index(c.config.Endpoints, target.Host); i >= 0 {
 				return i, true
 			}
 		}
@@ -169,60 +175,60 @@
 	return -1, true
 }
 
-// look asks for one account or tenant, on a connection that stays for the next.
-func (c *Client) look(w tenants.Want) {
+// lookUp searches for one account or tenant, on a pooled connection that is returned to the pool afterwards.
+func (c *Client) lookUp(request tenants.Want) {
 	fail := func(err error) {
-		c.log.Info("the directory did not answer", zap.Stringer("what", w.Act), zap.String("endpoint", c.place.Endpoints[w.End]), zap.Error(err))
-		if to, ok := c.referred(err); ok {
-			c.post(func(k *tenants.Core) { k.Referred(w.Try, to) })
+		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		if target, ok := c.referral(err); ok {
+			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
 			return
 		}
-		c.post(func(k *tenants.Core) { k.Unlooked(w.Try) })
+		c.post(func(core *tenants.Core) { core.HandleLookupFailure(request.Try) })
 	}
 	c.mu.Lock()
-	var x *ldap.Conn
-	if n := len(c.idle[w.End]); n > 0 {
-		x, c.idle[w.End] = c.idle[w.End][n-1], c.idle[w.End][:n-1]
+	var conn *ldap.Conn
+	if n := len(c.idle[request.Endpoint]); n > 0 {
+		conn, c.idle[request.Endpoint] = c.idle[request.Endpoint][n-1], c.idle[request.Endpoint][:n-1]
 	}
 	c.mu.Unlock()
-	if x == nil || x.IsClosing() {
+	if conn == nil || conn.IsClosing() {
 		var err error
-		if x, err = c.dial(w.End); err != nil {
+		if conn, err = c.dial(request.Endpoint); err != nil {
 			fail(err)
 			return
 		}
 	}
-	f := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(w.Account) + "))"
-	if w.Act == tenants.Tenure {
-		f = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(w.Account) + "))"
+	filter := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(request.Account) + "))"
+	if request.Act == tenants.LookUpTenant {
+		filter = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(request.Account) + "))"
 	}
-	c.Asked.Add(1)
-	got, err := x.Search(c.search(f, 2))
-	if err == nil && len(got.Entries) == 0 && len(got.Referrals) > 0 {
-		err = fmt.Errorf("a part of %s is said to be at %s", c.place.Base, got.Referrals[0])
+	c.Searches.Add(1)
+	result, err := conn.Search(c.searchRequest(filter, 2))
+	if err == nil && len(result.Entries) == 0 && len(result.Referrals) > 0 {
+		err = fmt.Errorf("a part of %s is held by another server: referral to %s", c.config.Base, result.Referrals[0])
 	}
 	if err != nil {
-		_ = x.Close()
+		_ = conn.Close()
 		fail(err)
 		return
 	}
 	var found *tenants.Record
-	for _, e := range got.Entries {
-		r, err := Read(e)
+	for _, entry := range result.Entries {
+		record, err := Read(entry)
 		if err != nil {
-			c.bad(e, err)
-		} else if tenants.Fold(r.Name) == w.Account {
-			found = &r
+			c.reportUnreadable(entry, err)
+		} else if tenants.Fold(record.Name) == request.Account {
+			found = &record
 		}
 	}
 	c.mu.Lock()
-	if !c.closed && len(c.idle[w.End]) < max(c.place.Terms.Lookups, 1) {
-		c.idle[w.End] = append(c.idle[w.End], x)
-		x = nil
+	if !c.closed && len(c.idle[request.Endpoint]) < max(c.config.Terms.Lookups, 1) {
+		c.idle[request.Endpoint] = append(c.idle[request.Endpoint], conn)
+		conn = nil
 	}
 	c.mu.Unlock()
-	if x != nil {
-		_ = x.Close()
+	if conn != nil {
+		_ = conn.Close()
 	}
-	c.post(func(k *tenants.Core) { k.Looked(w.Try, found) })
+	c.post(func(core *tenants.Core) { core.Looked(request.Try, found) })
 }
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -20,50 +20,50 @@
 func entry(attrs map[string][]string) *ldap.Entry { return ldap.NewEntry("uid=a,dc=pier", attrs) }
 
 func TestRead(t *testing.T) {
-	good := map[string][]string{"entryUUID": {"U-1"}, "objectClass": {"top", "PierlinkMember"}, "uid": {" Ann "}, "pierlinkTenant": {"school"},
+	valid := map[string][]string{"entryUUID": {"U-1"}, "objectClass": {"top", "PierlinkMember"}, "uid": {" Ann "}, "pierlinkTenant": {"school"},
 		"PIERLINKPLAN": {"live", "live", "recorded"}}
-	r, err := Read(entry(good))
-	if err != nil || r.ID != "u-1" || r.Name != "Ann" || len(r.Plans) != 2 || r.Kind != tenants.Member {
-		t.Errorf("%+v %v", r, err)
+	record, err := Read(entry(valid))
+	if err != nil || record.ID != "u-1" || record.Name != "Ann" || len(record.Plans) != 2 || record.Kind != tenants.Member {
+		t.Errorf("%+v %v", record, err)
 	}
 	for name, value := range map[string][]string{"uid": {"a", "b"}, "entryUUID": {}, "pierlinkTenant": {strings.Repeat("x", 65)}, "objectClass": {"person"},
 		"pierlinkPlan": {"\xff"}, "pierlinkDigest": {"a", "b"}} {
-		bad := map[string][]string{}
-		for k, v := range good {
-			bad[k] = v
+		invalid := map[string][]string{}
+		for k, v := range valid {
+			invalid[k] = v
 		}
-		if bad[name] = value; name == "pierlinkPlan" {
-			delete(bad, "PIERLINKPLAN")
+		if invalid[name] = value; name == "pierlinkPlan" {
+			delete(invalid, "PIERLINKPLAN")
 		}
-		if r, err := Read(entry(bad)); err == nil {
-			t.Errorf("%s %q was taken: %+v", name, value, r)
+		if record, err := Read(entry(invalid)); err == nil {
+			t.Errorf("accepted %s %q: %+v", name, value, record)
 		}
 	}
 	for _, n := range []string{"-1", "1e99", "NaN", "many"} {
 		if _, err := Read(entry(map[string][]string{"entryUUID": {"u"}, "objectClass": {"pierlinkTenant"}, "cn": {"x"}, "pierlinkWeight": {n}})); err == nil {
-			t.Errorf("a weight of %s was taken", n)
+			t.Errorf("accepted the weight %s", n)
 		}
 	}
 }
 
-// Whatever a directory sends, a record that is taken is within its bounds.
+// FuzzRead checks that every accepted record is within its limits, whatever the directory sends.
 func FuzzRead(f *testing.F) {
 	f.Add("u", "pierlinkMember", "ann", "school", "live", "1", "d")
 	f.Add("u", "pierlinkTenant", "a\x00b", "", "\xff\xfe", "1e400", "")
 	f.Fuzz(func(t *testing.T, id, class, name, tenant, plan, number, digest string) {
-		r, err := Read(entry(map[string][]string{"entryUUID": {id}, "objectClass": {class}, "uid": {name}, "cn": {name}, "pierlinkTenant": {tenant},
+		record, err := Read(entry(map[string][]string{"entryUUID": {id}, "objectClass": {class}, "uid": {name}, "cn": {name}, "pierlinkTenant": {tenant},
 			"pierlinkPlan": {plan, plan}, "pierlinkWeight": {number}, "pierlinkSeats": {number}, "pierlinkQuota": {number}, "pierlinkDigest": {digest}}))
 		if err != nil {
 			return
 		}
-		if r.ID == "" && id != "" && strings.TrimSpace(id) != "" || r.Name == "" || len(r.Name) > nameMost || !utf8.ValidString(r.Name) || len(r.Plans) > 1 ||
-			!(r.Weight >= 0 && r.Weight <= numberMax) || r.Seats < 0 {
-			t.Errorf("%+v", r)
+		if record.ID == "" && id != "" && strings.TrimSpace(id) != "" || record.Name == "" || len(record.Name) > maxNameBytes || !utf8.ValidString(record.Name) || len(record.Plans) > 1 ||
+			!(record.Weight >= 0 && record.Weight <= maxNumber) || record.Seats < 0 {
+			t.Errorf("%+v", record)
 		}
 	})
 }
 
-// owner runs a core as a front would.
+// owner runs a core and its client as a front does.
 type owner struct {
 	mu     sync.Mutex
 	core   *tenants.Core
@@ -74,17 +74,17 @@
 	out    []tenants.Answer
 }
 
-func newOwner(t *testing.T, p Place) *owner {
+func newOwner(t *testing.T, config Place) *owner {
 	t.Helper()
-	return newOwnerLogged(t, p, zap.NewNop())
+	return newOwnerLogged(t, config, zap.NewNop())
 }
 
-func newOwnerLogged(t *testing.T, p Place, log *zap.Logger) *owner {
+func newOwnerLogged(t *testing.T, config Place, log *zap.Logger) *owner {
 	t.Helper()
-	p.Terms.Ends = len(p.Endpoints)
-	o := &owner{core: tenants.New(p.Terms, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
+	config.Terms.Ends = len(config.Endpoints)
+	o := &owner{core: tenants.New(config.Terms, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
 	var err error
-	o.client, err = New(p, func(f func(*tenants.Core)) {
+	o.client, err = New(config, func(f func(*tenants.Core)) {
 		select {
 		case o.calls <- f:
 		case <-o.done:
@@ -129,9 +129,9 @@
 func (o *owner) until(t *testing.T, what string, ok func(*tenants.Core) bool) {
 	t.Helper()
 	for range 1000 {
-		good := false
-		o.do(func(c *tenants.Core) { good = ok(c) })
-		if good {
+		met := false
+		o.do(func(c *tenants.Core) { met = ok(c) })
+		if met {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -139,9 +139,9 @@
 	t.Fatal(what)
 }
 
-// A view follows a directory with and without content synchronisation; an account whose name would change a query
-// is looked up by its name; half a page is not the whole.
-func TestFollows(t *testing.T) {
+// Checks that a view follows a directory with and without content synchronisation, that an account name with filter
+// characters is escaped in lookups, and that a truncated answer removes nothing.
+func TestFollowsDirectory(t *testing.T) {
 	store := directory.NewStore()
 	put := func(cn string) {
 		store.Put("cn="+cn+",dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {cn}, "pierlinkPlan": {"p"}})
@@ -149,70 +149,70 @@
 	for _, n := range []string{"a", "b", "c", "d", "e"} {
 		put(n)
 	}
-	odd := "x*)(uid=*"
-	store.Put("uid=odd,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {odd}, "pierlinkTenant": {"a"}})
-	s, err := directory.Serve("127.0.0.1:0", store)
+	oddName := "x*)(uid=*"
+	store.Put("uid=odd,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {oddName}, "pierlinkTenant": {"a"}})
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Password = "pass"
+	defer server.Stop()
+	server.Password = "pass"
 	for _, paged := range []bool{false, true} {
-		s.Upset(directory.Trouble{NoSync: paged})
+		server.Upset(directory.Trouble{NoSync: paged})
 		terms := tenants.Terms{Longest: 3e6, Renew: 300_000, Timeout: 200_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-		o := newOwner(t, Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
+		o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
 		has := func(n int) func(*tenants.Core) bool {
-			return func(c *tenants.Core) bool { whole, m, _ := c.Stands(); return whole && m == n }
+			return func(c *tenants.Core) bool { complete, entries, _ := c.Status(); return complete && entries == n }
 		}
-		o.until(t, "the first view", has(6))
-		s.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
-		s.Cut()
+		o.until(t, "timed out waiting for the first view", has(6))
+		server.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
+		server.Cut()
 		time.Sleep(700 * time.Millisecond)
-		o.until(t, "half an answer was taken for a whole one", has(6))
-		s.Upset(directory.Trouble{NoSync: paged})
+		o.until(t, "a truncated answer was treated as complete", has(6))
+		server.Upset(directory.Trouble{NoSync: paged})
 		store.Delete("cn=e,dc=pier")
-		o.until(t, "a deletion", has(5))
+		o.until(t, "timed out waiting for a deletion", has(5))
 		put("e")
-		o.until(t, "an addition", has(6))
-		var a tenants.Answer
+		o.until(t, "timed out waiting for an addition", has(6))
+		var answer tenants.Answer
 		o.do(func(c *tenants.Core) {
-			a = c.Ask(tenants.Question{ID: 1, Account: odd, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Question{ID: 1, Account: oddName, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
 		})
-		if a.Verdict != tenants.Allowed {
-			t.Error(a)
+		if answer.Verdict != tenants.Allowed {
+			t.Error(answer)
 		}
 		o.do(func(c *tenants.Core) {
-			a = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
 		})
-		o.until(t, "no answer to a look-up", func(*tenants.Core) bool { return len(o.out) > 0 })
+		o.until(t, "no answer to a lookup", func(*tenants.Core) bool { return len(o.out) > 0 })
 		if o.out[0].Verdict != tenants.Unknown {
-			t.Errorf("an account named * is %v", o.out[0])
+			t.Errorf("answer for an account named *: %v", o.out[0])
 		}
 		o.close()
 	}
 }
 
-// What is changed over LDAP arrives at one that polls: a modified, an added, a renamed and a deleted entry, one of a
-// replica that is behind, under stamps of long ago, and none of it by reading all anew.
-func TestPolls(t *testing.T) {
+// Checks that polling detects changes made over LDAP: a modified, an added, a renamed and a deleted entry, and one that
+// a lagging replica received with an old stamp; all of it without another full search.
+func TestPolledChanges(t *testing.T) {
 	store := directory.NewStore()
 	store.Skew = -3 * time.Hour
 	for i := range 50 {
 		n := fmt.Sprint("t", i)
 		store.Put("cn="+n+",dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {n}, "pierlinkWeight": {"1"}})
 	}
-	s, err := directory.Serve("127.0.0.1:0", store)
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Upset(directory.Trouble{NoSync: true})
+	defer server.Stop()
+	server.Upset(directory.Trouble{NoSync: true})
 	terms := tenants.Terms{Longest: 2e6, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", PageSize: 20, Terms: terms})
+	o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", PageSize: 20, Terms: terms})
 	defer o.close()
 	weights := func(want map[string]float64, n int) func(*tenants.Core) bool {
-		return func(c *tenants.Core) bool {
-			all, _, _ := c.Records()
+		return func(counts *tenants.Core) bool {
+			all, _, _ := counts.Records()
 			got := 0
 			for _, r := range all {
 				if w, ok := want[r.Name]; ok && w == r.Weight {
@@ -222,142 +222,146 @@
 			return got == len(want) && len(all) == n
 		}
 	}
-	o.until(t, "the first view", weights(map[string]float64{"t1": 1}, 50))
-	x, err := ldap.DialURL("ldap://" + s.Addr())
+	o.until(t, "timed out waiting for the first view", weights(map[string]float64{"t1": 1}, 50))
+	conn, err := ldap.DialURL("ldap://" + server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer x.Close()
+	defer conn.Close()
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	m := ldap.NewModifyRequest("cn=t1,dc=pier", nil)
-	m.Replace("pierlinkWeight", []string{"7"})
-	must(x.Modify(m))
-	a := ldap.NewAddRequest("cn=new,dc=pier", nil)
-	a.Attribute("objectClass", []string{"pierlinkTenant"})
-	a.Attribute("cn", []string{"new"})
-	a.Attribute("pierlinkWeight", []string{"3"})
-	must(x.Add(a))
-	o.until(t, "a change and an addition", weights(map[string]float64{"t1": 7, "new": 3}, 51))
-	must(x.ModifyDN(ldap.NewModifyDNRequest("cn=t2,dc=pier", "cn=moved", true, "ou=else,dc=pier")))
-	m = ldap.NewModifyRequest("cn=moved,ou=else,dc=pier", nil)
-	m.Replace("cn", []string{"moved"})
-	must(x.Modify(m))
-	must(x.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)))
-	o.until(t, "a move and a deletion", weights(map[string]float64{"moved": 1}, 50))
-	if err := x.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
-		t.Error("deleted twice:", err)
+	modify := ldap.NewModifyRequest("cn=t1,dc=pier", nil)
+	modify.Replace("pierlinkWeight", []string{"7"})
+	must(conn.Modify(modify))
+	addition := ldap.NewAddRequest("cn=new,dc=pier", nil)
+	addition.Attribute("objectClass", []string{"pierlinkTenant"})
+	addition.Attribute("cn", []string{"new"})
+	addition.Attribute("pierlinkWeight", []string{"3"})
+	must(conn.Add(addition))
+	o.until(t, "timed out waiting for a change and an addition", weights(map[string]float64{"t1": 7, "new": 3}, 51))
+	must(conn.ModifyDN(ldap.NewModifyDNRequest("cn=t2,dc=pier", "cn=moved", true, "ou=else,dc=pier")))
+	modify = ldap.NewModifyRequest("cn=moved,ou=else,dc=pier", nil)
+	modify.Replace("cn", []string{"moved"})
+	must(conn.Modify(modify))
+	must(conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)))
+	o.until(t, "timed out waiting for a move and a deletion", weights(map[string]float64{"moved": 1}, 50))
+	if err := conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
+		t.Error("second deletion of an entry:", err)
 	}
 	store.Skew = -5 * time.Hour
 	store.Put("cn=late,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"late"}, "pierlinkWeight": {"9"}})
-	o.until(t, "one that came late", weights(map[string]float64{"late": 9}, 51))
+	o.until(t, "timed out waiting for an entry that arrived late with an old stamp", weights(map[string]float64{"late": 9}, 51))
 	store.Put("cn=t5,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"t5", "two"}, "pierlinkWeight": {"8"}})
-	var c, later tenants.Counts
+	var counts, laterCounts tenants.Counts
 	for range 200 {
-		if o.do(func(k *tenants.Core) { c = k.Counts }); c.Reread > 0 && o.client.Bad.Load() > 0 {
+		if o.do(func(core *tenants.Core) { counts = core.Counts }); counts.Reread > 0 && o.client.Unreadable.Load() > 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	o.until(t, "one that cannot be read stays", weights(map[string]float64{"t5": 1}, 51))
-	time.Sleep(1500 * time.Millisecond) // some lists
-	if o.do(func(k *tenants.Core) { later = k.Counts }); later.Lists < c.Lists+1 || later.Reread > c.Reread+2 {
-		t.Errorf("what cannot be read is read again and again: %+v, then %+v", c, later)
+	o.until(t, "an entry that cannot be decoded lost its previous state", weights(map[string]float64{"t5": 1}, 51))
+	time.Sleep(1500 * time.Millisecond) // several lists
+	if o.do(func(core *tenants.Core) { laterCounts = core.Counts }); laterCounts.Lists < counts.Lists+1 || laterCounts.Reread > counts.Reread+2 {
+		t.Errorf("an entry that cannot be decoded is read repeatedly: %+v, then %+v", counts, laterCounts)
 	}
-	if later.Full != 2 || later.Polls < 10 { // content synchronisation is tried once
-		t.Errorf("read whole %d times, polled %d times", later.Full, later.Polls)
+	if laterCounts.Full != 2 || laterCounts.Polls < 10 { // content synchronisation is tried once
+		t.Errorf("%d full searches, %d polls", laterCounts.Full, laterCounts.Polls)
 	}
 }
 
-// A directory that sends its questions elsewhere is followed to endpoints of the settings only, and a part that lies
-// elsewhere leaves the view not whole, with nothing deleted.
+// Checks that referrals are followed to configured endpoints only, and that a referral for a part of the directory makes
+// the answer incomplete, so that nothing is removed.
 func TestReferrals(t *testing.T) {
 	for _, paged := range []bool{false, true} {
-		t.Run(fmt.Sprint("paged ", paged), func(t *testing.T) { t.Parallel(); referrals(t, paged) })
+		t.Run(fmt.Sprint("paged ", paged), func(t *testing.T) { t.Parallel(); testReferrals(t, paged) })
 	}
 }
 
-func referrals(t *testing.T, paged bool) {
+func testReferrals(t *testing.T, paged bool) {
 	t.Helper()
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}, "pierlinkPlan": {"p"}})
 	store.Put("uid=ann,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {"ann"}, "pierlinkTenant": {"a"}})
-	var all [3]*directory.Server
-	for i := range all {
+	var servers [3]*directory.Server
+	for i := range servers {
 		s, err := directory.Serve("127.0.0.1:0", store)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Stop()
-		all[i] = s
+		servers[i] = s
 	}
-	stranger := all[2]
-	all[0].Upset(directory.Trouble{Refer: "ldap://" + all[1].Addr() + "/dc=pier"})
+	unknown := servers[2]
+	servers[0].Upset(directory.Trouble{Refer: "ldap://" + servers[1].Addr() + "/dc=pier"})
 	terms := tenants.Terms{Longest: 400_000, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{all[0].Addr(), all[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
+	o := newOwner(t, Place{Endpoints: []string{servers[0].Addr(), servers[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
 	defer o.close()
-	whole := func(c *tenants.Core) bool { w, n, _ := c.Stands(); return w && n == 2 }
-	o.until(t, "sent on", whole)
+	complete := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
+	o.until(t, "timed out waiting for a view after a referral", complete)
 	var sentOn, broken int64
 	o.do(func(c *tenants.Core) { sentOn = c.Counts.Referred })
-	all[0].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
-	all[1].Upset(directory.Trouble{Refer: "ldap://" + stranger.Addr() + "/dc=pier"})
-	all[1].Cut()
-	o.until(t, "no failure", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
+	servers[0].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
+	servers[1].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
+	servers[1].Cut()
+	o.until(t, "timed out waiting for failures after referrals to an unknown server", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
 	if o.do(func(c *tenants.Core) { broken = c.Counts.Referred }); broken != sentOn {
-		t.Error("a referral to a stranger was followed to one of the endpoints")
+		t.Error("a referral to an unknown server led to a configured endpoint")
 	}
-	if n := stranger.Searches.Load(); n != 0 {
-		t.Errorf("a stranger was asked %d times", n)
+	if n := unknown.Searches.Load(); n != 0 {
+		t.Errorf("an unknown server received %d searches", n)
 	}
-	for _, s := range all[:2] {
-		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + stranger.Addr() + "/ou=x,dc=pier"})
+	for _, s := range servers[:2] {
+		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + unknown.Addr() + "/ou=x,dc=pier"})
 	}
 	store.Delete("uid=ann,dc=pier")
-	asked := func() int64 { return all[0].Searches.Load() + all[1].Searches.Load() }
-	for before := asked(); asked() < before+4; { // circuits that were opened let single trials through
+	asked := func() int64 { return servers[0].Searches.Load() + servers[1].Searches.Load() }
+	for before := asked(); asked() < before+4; { // open circuits let single probes through
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if o.do(func(c *tenants.Core) { _, n, _ := c.Stands(); broken = int64(n) }); broken != 2 {
-		t.Error("a part was taken for the whole")
+	if o.do(func(c *tenants.Core) { _, n, _ := c.Status(); broken = int64(n) }); broken != 2 {
+		t.Error("a partial answer was treated as complete")
 	}
 }
 
-// However a directory refuses, what is logged, printed or encoded shows neither the password nor an account's proof.
-func TestSecretsStayOut(t *testing.T) {
+// Checks that logs, formatted values and JSON contain neither the bind password nor the digest of an account, also when
+// the directory refuses requests.
+func TestSecretsNotLogged(t *testing.T) {
 	const password, ha1 = "hunter2-of-the-directory", "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 	store := directory.NewStore()
 	store.Put("cn=a,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"a"}})
 	store.Put("uid=ann,dc=pier", map[string][]string{"objectClass": {"pierlinkMember"}, "uid": {"ann", "two"}, "pierlinkTenant": {"a"}, "pierlinkDigest": {ha1}})
-	s, err := directory.Serve("127.0.0.1:0", store)
+	server, err := directory.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	s.Password = "another"
+	defer server.Stop()
+	server.Password = "another"
 	logged, logs := observer.New(zap.DebugLevel)
 	terms := tenants.Terms{Longest: 3e6, Renew: 100_000, Timeout: 200_000, Waiting: 10, Lookups: 1}
-	place := Place{Endpoints: []string{s.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
-	o := newOwnerLogged(t, place, zap.New(logged))
-	o.until(t, "no refusal", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
-	s.Password = password
-	o.until(t, "no view", func(c *tenants.Core) bool { whole, _, _ := c.Stands(); return whole && o.client.Bad.Load() > 0 })
+	config := Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
+	o := newOwnerLogged(t, config, zap.New(logged))
+	o.until(t, "timed out waiting for refused binds", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
+	server.Password = password
+	o.until(t, "timed out waiting for a view", func(c *tenants.Core) bool {
+		complete, _, _ := c.Status()
+		return complete && o.client.Unreadable.Load() > 0
+	})
 	o.close()
-	all := fmt.Sprintf("%v %+v %#v", place, place, place)
-	b, err := json.Marshal(place)
+	output := fmt.Sprintf("%v %+v %#v", config, config, config)
+	b, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all += string(b)
+	output += string(b)
 	for _, e := range logs.All() {
-		all += fmt.Sprint(e.Message, e.ContextMap())
+		output += fmt.Sprint(e.Message, e.ContextMap())
 	}
-	if logs.Len() < 2 || strings.Contains(all, password) || strings.Contains(all, ha1) {
-		t.Errorf("%d lines: %s", logs.Len(), all)
+	if logs.Len() < 2 || strings.Contains(output, password) || strings.Contains(output, ha1) {
+		t.Errorf("%d lines: %s", logs.Len(), output)
 	}
 }
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -9,387 +9,391 @@
 	"pgregory.net/rapid"
 )
 
-// directory is a model of one.
+// directory is a model of an LDAP directory: its entries by id.
 type directory map[string]Record
 
-// Whatever breaks off, comes twice or comes late, at an endpoint that synchronises or at one that is polled: after a
-// whole synchronisation the view is the directory's; before it no entry that is there and was known is lost; questions
-// get one answer each, and none is allowed on an entry that was deleted longer ago than the terms have it.
-func TestAnyDirectory(t *testing.T) {
-	const unit = 100_000 // so that stamps, which are whole seconds, matter
+// Checks, with random interruptions, duplicates and delays, at an endpoint that supports content synchronisation and at
+// one that is polled: after a complete synchronisation the view equals the directory; before that no existing entry
+// that was known is lost; each query gets exactly one answer; and no playback is allowed on an entry that was deleted
+// longer ago than the maximum age.
+func TestViewMatchesDirectory(t *testing.T) {
+	const unit = 100_000 // makes the resolution of stamps, whole seconds, relevant
 	rapid.Check(t, func(rt *rapid.T) {
 		now := Time(1_000 * unit)
 		terms := Terms{Longest: 500 * unit, Renew: 100 * unit, Timeout: 40 * unit, Negative: 60 * unit, Waiting: 8, Lookups: 2, Ends: 2}
-		c := New(terms, now)
-		d := directory{}
-		deleted := map[string]Time{} // by account
-		known := map[string]bool{}   // came in whole, and has not been deleted since
-		var sync Want
-		beside := false // a look-up brought something meanwhile: it stays, deleted or not, until the next
-		looks := map[int]Want{}
+		core := New(terms, now)
+		dir := directory{}
+		deleted := map[string]Time{} // by account name
+		known := map[string]bool{}   // delivered by a complete synchronisation and not deleted since
+		var request Want
+		lookupMeanwhile := false // a lookup found an entry during the synchronisation: it stays until the next one, even if deleted
+		lookups := map[int]Want{}
 		open := map[int]string{}
-		n := 0
+		lastID := 0
 		check := func(a Answer) {
 			account, ok := open[a.ID]
 			if !ok {
-				rt.Fatal("an answer to nothing, or a second one: ", a)
+				rt.Fatal("answer to an unknown or already answered query: ", a)
 			}
 			delete(open, a.ID)
 			if a.Verdict == Allowed && a.Age > terms.Longest {
-				rt.Fatal("allowed on what is too old: ", a)
+				rt.Fatal("allowed on a stale entry: ", a)
 			}
 			if at, gone := deleted[account]; gone && a.Verdict == Allowed && now-at > terms.Longest {
-				rt.Fatal(account, " allowed ", now-at, " after it was deleted")
+				rt.Fatal(account, " allowed ", now-at, " after its deletion")
 			}
 		}
-		settle := func() {
-			c.At(now)
-			c.Settle(func(w Want) {
-				if w.Act == Look || w.Act == Tenure {
-					looks[w.Try] = w
+		process := func() {
+			core.At(now)
+			core.Settle(func(lookup Want) {
+				if lookup.Act == Look || lookup.Act == LookUpTenant {
+					lookups[lookup.Try] = lookup
 				} else {
-					sync, beside = w, false
+					request, lookupMeanwhile = lookup, false
 				}
 			}, check, func(Record) {})
 		}
 		put := func(id string, r Record) {
-			r.ID, r.Stamp = id, now/granule*granule
-			if old, ok := d[id]; ok && old.Name != r.Name {
+			r.ID, r.Stamp = id, now/stampResolution*stampResolution
+			if old, ok := dir[id]; ok && old.Name != r.Name {
 				deleted[old.Name] = now
 			}
-			d[id] = r
+			dir[id] = r
 			delete(deleted, r.Name)
 		}
 		same := func() bool {
 			got := directory{}
-			for k, e := range c.byID {
+			for k, e := range core.byID {
 				got[k] = e.Record
 			}
-			return maps.EqualFunc(got, d, func(a, b Record) bool { return a.Name == b.Name && a.Weight == b.Weight })
+			return maps.EqualFunc(got, dir, func(a, b Record) bool { return a.Name == b.Name && a.Weight == b.Weight })
 		}
-		differs := func() (all []string) {
+		differences := func() (all []string) {
 			for _, id := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-				switch e, r := c.byID[id], d[id]; {
+				switch e, r := core.byID[id], dir[id]; {
 				case e == nil && r.ID != "":
-					all = append(all, id+" is missing")
+					all = append(all, id+" is missing from the view")
 				case e != nil && (e.Name != r.Name || e.Weight != r.Weight):
-					all = append(all, fmt.Sprintf("%s is %+v, not %+v", id, *e, r))
+					all = append(all, fmt.Sprintf("%s is %+v, want %+v", id, *e, r))
 				}
 			}
-			return append(all, fmt.Sprintf("%+v %+v, as of %d, at %d, %d %d", c.sync, c.mark, c.asOf, now, c.newestAt, c.newest))
+			return append(all, fmt.Sprintf("sync %+v, checkpoint %+v, verified at %d, now %d, latest stamp since %d: %d", core.sync, core.checkpoint, core.verifiedAt, now, core.latestStampAt, core.latestStamp))
 		}
-		// whole answers what is asked, and tells whether the view must be the directory's then.
-		whole := func(live bool) bool {
-			must := c.mine(sync.Try) && !c.sync.live && !beside
-			switch sync.Act {
+		// complete completes the pending request, and reports whether the view must equal the directory afterwards.
+		complete := func(streaming bool) bool {
+			mustMatch := core.isCurrent(request.Try) && !core.sync.streaming && !lookupMeanwhile
+			switch request.Act {
 			case Sync:
-				if sync.End == 1 {
-					c.Ended(sync.Try, NoSync)
+				if request.Endpoint == 1 {
+					core.HandleSyncFailure(request.Try, SyncUnsupported)
 					return false
 				}
-				for _, id := range slices.Sorted(maps.Keys(d)) {
-					r := d[id]
-					c.Entry(sync.Try, r)
+				for _, id := range slices.Sorted(maps.Keys(dir)) {
+					r := dir[id]
+					core.Entry(request.Try, r)
 				}
-				c.Refreshed(sync.Try, []byte("x"), true, live)
-				return must
+				core.Refreshed(request.Try, []byte("x"), true, streaming)
+				return mustMatch
 			case List:
-				for _, id := range slices.Sorted(maps.Keys(d)) {
-					r := d[id]
-					c.Seen(sync.Try, []Seen{{id, r.Stamp}})
+				for _, id := range slices.Sorted(maps.Keys(dir)) {
+					r := dir[id]
+					core.HandleListed(request.Try, []ListedEntry{{id, r.Stamp}})
 				}
-				c.Done(sync.Try)
+				core.HandleSearchEnd(request.Try)
 				return false
 			}
-			for _, id := range slices.Sorted(maps.Keys(d)) {
-				r := d[id]
-				if sync.Act == All || sync.Act == Poll && r.Stamp >= sync.Since || sync.Act == Again && slices.Contains(sync.IDs, id) {
-					c.Entry(sync.Try, r)
+			for _, id := range slices.Sorted(maps.Keys(dir)) {
+				r := dir[id]
+				if request.Act == FullSearch || request.Act == Poll && r.Stamp >= request.Since || request.Act == Reread && slices.Contains(request.IDs, id) {
+					core.Entry(request.Try, r)
 					if rapid.Bool().Draw(rt, "page") {
-						c.Paged(sync.Try)
+						core.HandlePageEnd(request.Try)
 					}
 				}
 			}
-			c.Done(sync.Try)
-			return must && sync.Act == All
+			core.HandleSearchEnd(request.Try)
+			return mustMatch && request.Act == FullSearch
 		}
-		settle()
+		process()
 		for range 80 {
 			now += unit * Time(rapid.IntRange(0, 30).Draw(rt, "pass"))
-			c.At(now)
+			core.At(now)
 			i := rapid.IntRange(0, 5).Draw(rt, "who")
 			id := fmt.Sprint("m", i)
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0, 1:
 				put(id, Record{Kind: Member, Name: fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name")), Tenant: "t", Weight: float64(now)})
-				if _, ok := d["t"]; !ok {
+				if _, ok := dir["t"]; !ok {
 					put("t", Record{Kind: Tenant, Name: "t", Plans: []string{"p"}})
 				}
 			case 2:
-				if r, ok := d[id]; ok {
+				if r, ok := dir[id]; ok {
 					deleted[r.Name] = now
 				}
-				delete(d, id)
+				delete(dir, id)
 				delete(known, id)
-			case 3, 4: // a synchronisation brings some, and breaks off
+			case 3, 4: // a synchronisation delivers some entries and is interrupted
 				for _, k := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-					if r, ok := d[k]; ok && sync.Act != List && rapid.Bool().Draw(rt, "brought") {
-						c.Entry(sync.Try, r)
+					if r, ok := dir[k]; ok && request.Act != List && rapid.Bool().Draw(rt, "brought") {
+						core.Entry(request.Try, r)
 					}
 				}
-				c.Ended(sync.Try, Why(rapid.IntRange(0, 1).Draw(rt, "why")))
-			case 5, 6: // one comes to its end
-				if whole(rapid.Bool().Draw(rt, "live")) {
+				core.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
+			case 5, 6: // a synchronisation completes
+				if complete(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
-						rt.Fatalf("after a whole one: %v", differs())
+						rt.Fatalf("after a complete synchronisation: %v", differences())
 					}
-					for k := range d {
+					for k := range dir {
 						known[k] = true
 					}
 				}
-			case 7: // look-ups are answered, are sent elsewhere, or fail
-				for _, try := range slices.Sorted(maps.Keys(looks)) {
-					w := looks[try]
+			case 7: // lookups are answered, referred or fail
+				for _, try := range slices.Sorted(maps.Keys(lookups)) {
+					lookup := lookups[try]
 					var found *Record
-					for _, id := range slices.Sorted(maps.Keys(d)) {
-						r := d[id]
-						if Fold(r.Name) == w.Account && (r.Kind == Member) == (w.Act == Look) {
+					for _, id := range slices.Sorted(maps.Keys(dir)) {
+						r := dir[id]
+						if Fold(r.Name) == lookup.Account && (r.Kind == Member) == (lookup.Act == Look) {
 							found = &r
 						}
 					}
 					switch rapid.IntRange(0, 3).Draw(rt, "how") {
 					case 0:
-						c.Unlooked(try)
+						core.HandleLookupFailure(try)
 					case 1:
-						c.Referred(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
+						core.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
 					default:
-						c.Looked(try, found)
-						beside = beside || found != nil
+						core.Looked(try, found)
+						lookupMeanwhile = lookupMeanwhile || found != nil
 					}
-					delete(looks, try)
+					delete(lookups, try)
 				}
 			default:
-				n++
+				lastID++
 				account := fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name"))
-				open[n] = account
-				a := c.Ask(Question{ID: n, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
+				open[lastID] = account
+				a := core.Ask(Question{ID: lastID, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
 				if a.Verdict != Wait {
 					check(a)
 				}
 			}
 			for k := range known {
-				if _, there := d[k]; there && c.byID[k] == nil {
-					rt.Fatal(k, " is lost though it is there")
+				if _, there := dir[k]; there && core.byID[k] == nil {
+					rt.Fatal(k, " was lost although it exists")
 				}
 			}
-			settle()
+			process()
 		}
-		for range 60 { // quiet: what is asked is answered
+		for range 60 { // no more faults: all requests are answered
 			now += 10 * unit
-			c.At(now)
-			whole(false)
-			settle()
+			core.At(now)
+			complete(false)
+			process()
 		}
 		if !same() {
-			rt.Fatalf("after quiet: %v", differs())
+			rt.Fatalf("the view did not converge: %v", differences())
 		}
 		if len(open) > 0 {
-			rt.Fatal("left without an answer: ", open)
+			rt.Fatal("queries without an answer: ", open)
 		}
 		out := 0
-		for i := range c.ends.all {
-			out += c.ends.all[i].out
+		for i := range core.endpoints.all {
+			out += core.endpoints.all[i].inFlight
 		}
-		if c.waiting != 0 || out != len(c.looks) {
-			rt.Fatal("counted as waiting: ", c.waiting, ", out ", out, " of ", len(c.looks))
+		if core.waiting != 0 || out != len(core.lookups) {
+			rt.Fatal("queries counted as waiting: ", core.waiting, ", out ", out, " of ", len(core.lookups))
 		}
 	})
 }
 
-// A tenant that moves or is renamed keeps its seats, once; its old name is free.
-func TestSeatsGoAlong(t *testing.T) {
-	c := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
-	try := 0
-	settle := func() { c.Settle(func(w Want) { try = w.Try }, func(Answer) {}, func(Record) {}) }
-	settle()
-	c.Entry(try, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	c.Entry(try, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
-	c.Refreshed(try, nil, true, true)
-	a, _ := c.Plays("school")
-	b, _ := c.Plays("school")
-	if _, ok := c.Plays("school"); ok || c.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
-		t.Fatal("more than its seats")
+// Checks that a tenant that is moved or renamed keeps its taken seats, counted once, and that its old name is free for
+// another tenant.
+func TestSeatsFollowRename(t *testing.T) {
+	core := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
+	attempt := 0
+	process := func() { core.Settle(func(w Want) { attempt = w.Try }, func(Answer) {}, func(Record) {}) }
+	process()
+	core.Entry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
+	core.Refreshed(attempt, nil, true, true)
+	first, _ := core.Plays("school")
+	second, _ := core.Plays("school")
+	if _, ok := core.Plays("school"); ok || core.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
+		t.Fatal("more playbacks allowed than the tenant has seats")
 	}
-	c.Entry(try, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
-	c.Entry(try, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
-	if c.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
-		t.Error("its seats did not go along")
+	core.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
+	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
+	if core.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
+		t.Error("taken seats were lost by the rename")
 	}
-	c.Entry(try, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	if _, ok := c.Plays("school"); !ok {
-		t.Error("the old name's new tenant has its seats taken")
+	core.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	if _, ok := core.Plays("school"); !ok {
+		t.Error("a new tenant under the old name has seats taken")
 	}
-	c.Over(a)
-	if x := c.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
+	core.Over(first)
+	if x := core.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
 		t.Error(x)
 	}
-	c.Over(b)
-	c.Over(b)
-	if c.playing["1"] != 0 {
-		t.Error("seats given back twice")
+	core.Over(second)
+	core.Over(second)
+	if core.seatsTaken["1"] != 0 {
+		t.Error("a seat was released twice")
 	}
 }
 
-func TestGuesses(t *testing.T) {
-	g := Guesses{Span: 1000, Seed: 7}
-	for i := range guesses {
-		if !g.May("ann", fmt.Sprint("place-", i), 10) {
-			t.Fatal("held after", i)
+func TestFailureLimits(t *testing.T) {
+	limiter := Guesses{Span: 1000, Seed: 7}
+	for i := range maxAccountFailures {
+		if !limiter.May("ann", fmt.Sprint("place-", i), 10) {
+			t.Fatal("rejected too early, after failures:", i)
 		}
-		g.Failed("ann", fmt.Sprint("place-", i))
+		limiter.Failed("ann", fmt.Sprint("place-", i))
 	}
-	if g.May("ann", "another", 20) || !g.May("bob", "another", 20) {
-		t.Error("an account guessed at from many places")
+	if limiter.May("ann", "another", 20) || !limiter.May("bob", "another", 20) {
+		t.Error("guesses at one account from many addresses are not limited, or affect another account")
 	}
-	if !g.May("ann", "another", 1500) {
-		t.Error("held for ever")
+	if !limiter.May("ann", "another", 1500) {
+		t.Error("still rejected after the half-life")
 	}
-	for i := range perPlace {
-		g.Failed(fmt.Sprint("user-", i), "one place")
+	for i := range maxAddressFailures {
+		limiter.Failed(fmt.Sprint("user-", i), "one place")
 	}
-	if g.May("zoe", "one place", 1501) {
-		t.Error("a place that guesses at many accounts")
+	if limiter.May("zoe", "one place", 1501) {
+		t.Error("guesses at many accounts from one address are not limited")
 	}
 }
 
-// Of two endpoints the one that hangs is left after a few, then tried by single questions; the slow one gets less than
-// the quick one; a look-up that one of them failed is asked of the other while there is time.
+// Checks that a slow endpoint gets fewer requests than a fast one, that the circuit of an endpoint that hangs opens and
+// then lets single probes through, and that a lookup that failed at one endpoint is repeated at the other while there
+// is time.
 func TestEndpoints(t *testing.T) {
-	terms := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
-	e := newEnds(&terms, 2)
+	config := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
+	set := newEndpointSet(&config, 2)
 	now := Time(1)
 	asked := [2]int{}
 	for i := range 400 {
 		now += 10_000
-		at, _ := e.pick(now, -1)
+		at, _ := set.pick(now, -1)
 		asked[at]++
-		e.answered(at, now, []Time{90_000, 1_000}[at])
+		set.succeeded(at, now, []Time{90_000, 1_000}[at])
 		_ = i
 	}
 	if asked[0] == 0 || asked[0]*4 > asked[1] {
-		t.Error("a slow and a quick one:", asked)
+		t.Error("requests to the slow and the fast endpoint:", asked)
 	}
-	for range trips {
-		e.failed(0, now)
+	for range tripFailures {
+		set.failed(0, now)
 	}
-	if at, trial := e.pick(now, 0); at != 1 || trial {
-		t.Error("one whose circuit is open was asked:", at, trial)
+	if at, probe := set.pick(now, 0); at != 1 || probe {
+		t.Error("an endpoint with an open circuit was picked:", at, probe)
 	}
-	for range trips {
-		e.failed(1, now)
+	for range tripFailures {
+		set.failed(1, now)
 	}
-	if e.can(now) {
-		t.Error("both are open")
+	if set.available(now) {
+		t.Error("an endpoint is available although both circuits are open")
 	}
-	now = e.due()
-	one, trial := e.pick(now, -1)
-	if one < 0 || !trial {
-		t.Fatal("no trial", one, trial)
+	now = set.nextProbe()
+	probed, probe := set.pick(now, -1)
+	if probed < 0 || !probe {
+		t.Fatal("no probe was let through:", probed, probe)
 	}
-	if at, _ := e.pick(now, -1); at == one {
-		t.Error("a second trial")
+	if at, _ := set.pick(now, -1); at == probed {
+		t.Error("a second probe was let through")
 	}
-	e.answered(one, now, 10)
-	if at, trial := e.pick(now, -1); at != one || trial {
-		t.Error("not closed after its trial", at, trial)
+	set.succeeded(probed, now, 10)
+	if at, probe := set.pick(now, -1); at != probed || probe {
+		t.Error("circuit not closed after a successful probe:", at, probe)
 	}
 
-	c := New(terms, 1)
-	var w Want
+	core := New(config, 1)
+	var request Want
 	looks := 0
-	var got []Answer
-	settle := func() {
-		c.Settle(func(x Want) {
+	var answers []Answer
+	process := func() {
+		core.Settle(func(x Want) {
 			if x.Act == Look {
-				w = x
+				request = x
 				looks++
 			}
-		}, func(a Answer) { got = append(got, a) }, func(Record) {})
+		}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 	}
-	c.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
-	settle()
-	first := w
-	c.Unlooked(w.Try)
-	settle()
-	if looks != 2 || w.End == first.End || len(got) != 0 {
-		t.Fatal("the other was not asked:", looks, w, first, got)
+	core.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
+	process()
+	first := request
+	core.HandleLookupFailure(request.Try)
+	process()
+	if looks != 2 || request.Endpoint == first.Endpoint || len(answers) != 0 {
+		t.Fatal("the other endpoint was not asked:", looks, request, first, answers)
 	}
-	c.Unlooked(w.Try)
-	settle()
-	if looks != 2 || len(got) != 1 || got[0].Verdict != Busy {
-		t.Error("after both:", looks, got)
+	core.HandleLookupFailure(request.Try)
+	process()
+	if looks != 2 || len(answers) != 1 || answers[0].Verdict != Busy {
+		t.Error("after failures at both endpoints:", looks, answers)
 	}
-	c.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
-	settle()
-	c.Referred(w.Try, 1-w.End)
-	was := w.End
-	settle()
-	if w.End == was || c.Counts.Referred != 1 {
-		t.Error("not sent on:", w)
+	core.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
+	process()
+	core.HandleReferral(request.Try, 1-request.Endpoint)
+	previous := request.Endpoint
+	process()
+	if request.Endpoint == previous || core.Counts.Referred != 1 {
+		t.Error("the referral was not followed:", request)
 	}
-	c.Referred(w.Try, -1) // to a stranger
-	settle()
-	if c.Counts.Referred != 1 {
-		t.Error("sent to a stranger")
+	core.HandleReferral(request.Try, -1) // to an unknown server
+	process()
+	if core.Counts.Referred != 1 {
+		t.Error("a referral to an unknown server was followed")
 	}
 }
 
-// Whoever doubts an account waits for one look-up, whether it is there or not, and not again at once.
-func TestDoubt(t *testing.T) {
-	c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
-	c.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
+// Checks that a query that forces a lookup waits for exactly one, whether or not the account exists, and that a second
+// such query soon after does not cause another.
+func TestForcedLookup(t *testing.T) {
+	core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
+	core.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
 	for _, name := range []string{"ann", "bob"} {
 		var looks []Want
-		var got []Answer
-		settle := func() {
-			c.Settle(func(x Want) {
+		var answers []Answer
+		process := func() {
+			core.Settle(func(x Want) {
 				if x.Act == Look {
 					looks = append(looks, x)
 				}
-			}, func(a Answer) { got = append(got, a) }, func(Record) {})
+			}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 		}
-		if a := c.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
+		if a := core.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
 			t.Fatal(name, a)
 		}
-		settle()
+		process()
 		if len(looks) != 1 || looks[0].Account != name {
 			t.Fatal(name, looks)
 		}
 		if name == "ann" {
-			c.Looked(looks[0].Try, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
+			core.Looked(looks[0].Try, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
 		} else {
-			c.Looked(looks[0].Try, nil)
+			core.Looked(looks[0].Try, nil)
 		}
-		settle()
-		if len(got) != 1 || (got[0].Verdict == Allowed) != (name == "ann") {
-			t.Error(name, got)
+		process()
+		if len(answers) != 1 || (answers[0].Verdict == Allowed) != (name == "ann") {
+			t.Error(name, answers)
 		}
-		if a := c.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
-			t.Error(name, "is looked up again at once")
+		if a := core.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
+			t.Error(name, "is looked up again too soon")
 		}
 	}
-	if d, _ := c.Digest("ann"); d != "new" {
-		t.Error("what the look-up brought was not taken")
+	if d, _ := core.Digest("ann"); d != "new" {
+		t.Error("the result of the lookup was not stored")
 	}
 }
 
-// What stands throughout is in the parts together, whatever comes and goes between them.
-func TestParts(t *testing.T) {
+// Checks that the chunks together contain every entry that stays in the view throughout, whatever changes in between.
+func TestChunksCoverView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
+		core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
 		put := func(i int) {
 			id := fmt.Sprint(i)
-			c.put(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
+			core.upsert(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
 		}
 		stays := map[string]bool{}
 		n := rapid.IntRange(0, 40).Draw(rt, "entries")
@@ -397,17 +401,17 @@
 			put(i)
 			stays[fmt.Sprint(i)] = true
 		}
-		got := map[string]bool{}
+		delivered := map[string]bool{}
 		for next := 1 << 40; next >= 0; {
-			var some []Record
-			some, next = c.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
-			for _, r := range some {
-				got[r.ID] = true
+			var chunk []Record
+			chunk, next = core.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
+			for _, r := range chunk {
+				delivered[r.ID] = true
 			}
 			for range rapid.IntRange(0, 5).Draw(rt, "changes") {
 				i := rapid.IntRange(0, 60).Draw(rt, "which")
 				if rapid.Bool().Draw(rt, "goes") {
-					c.drop(fmt.Sprint(i))
+					core.remove(fmt.Sprint(i))
 					delete(stays, fmt.Sprint(i))
 				} else {
 					put(i)
@@ -415,56 +419,56 @@
 			}
 		}
 		for id := range stays {
-			if !got[id] {
-				rt.Fatal(id, " stood there throughout and was not brought")
+			if !delivered[id] {
+				rt.Fatal(id, " stayed in the view but is in no chunk")
 			}
 		}
-		if len(c.all) != len(c.byID) {
-			rt.Fatal(len(c.all), " of ", len(c.byID))
+		if len(core.entries) != len(core.byID) {
+			rt.Fatal(len(core.entries), " of ", len(core.byID))
 		}
-		for i, e := range c.all {
-			if e.place != i || c.byID[e.ID] != e {
-				rt.Fatal("out of place: ", i)
+		for i, stored := range core.entries {
+			if stored.position != i || core.byID[stored.ID] != stored {
+				rt.Fatal("wrong position of the entry at ", i)
 			}
 		}
 	})
 }
 
-// What is modified between two pages is polled for, whatever stamps a later page has; and entries for which there is no
-// room are not read by name.
-func TestBetweenPages(t *testing.T) {
-	const s = granule
-	c := New(Terms{Longest: 8 * s, Renew: s, Timeout: 5 * s, Waiting: 10, Lookups: 1, Entries: 2}, 100*s)
-	var w Want
-	settle := func(now Time) {
-		c.At(now)
-		c.Settle(func(x Want) { w = x }, func(Answer) {}, func(Record) {})
+// Checks that an entry modified between two pages is found by the next poll, whatever the stamps of later pages, and
+// that entries that do not fit into the view are not read by id.
+func TestModifiedBetweenPages(t *testing.T) {
+	const second = stampResolution
+	core := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
+	var request Want
+	process := func(now Time) {
+		core.At(now)
+		core.Settle(func(x Want) { request = x }, func(Answer) {}, func(Record) {})
 	}
-	settle(100 * s)
-	c.Ended(w.Try, NoSync)
-	settle(100*s + 1)
-	if w.Act != All {
-		t.Fatal(w)
+	process(100 * second)
+	core.HandleSyncFailure(request.Try, SyncUnsupported)
+	process(100*second + 1)
+	if request.Act != FullSearch {
+		t.Fatal(request)
 	}
-	c.Entry(w.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * s})
-	c.Paged(w.Try)
-	c.At(103 * s) // here a is modified, under 102, and b after it
-	c.Entry(w.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * s})
-	c.Paged(w.Try)
-	c.Done(w.Try)
-	settle(104 * s)
-	if w.Act != Poll || w.Since > 102*s {
-		t.Errorf("%v since %d: what was modified under 102 is missed", w.Act, w.Since/s)
+	core.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
+	core.HandlePageEnd(request.Try)
+	core.At(103 * second) // meanwhile a is modified with stamp 102, and b later
+	core.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
+	core.HandlePageEnd(request.Try)
+	core.HandleSearchEnd(request.Try)
+	process(104 * second)
+	if request.Act != Poll || request.Since > 102*second {
+		t.Errorf("%v since %d misses the modification with stamp 102", request.Act, request.Since/second)
 	}
-	c.Done(w.Try)
-	settle(104*s + 1)
-	if w.Act != List {
-		t.Fatal(w.Act)
+	core.HandleSearchEnd(request.Try)
+	process(104*second + 1)
+	if request.Act != List {
+		t.Fatal(request.Act)
 	}
-	c.Seen(w.Try, []Seen{{"a", 90 * s}, {"b", 103 * s}, {"c", 1}, {"d", 2}})
-	c.Done(w.Try)
-	settle(104*s + 2)
-	if w.Act == Again || c.Counts.Overfull != 2 || c.Size() != 2 {
-		t.Error(w.Act, c.Counts.Overfull, c.Size())
+	core.HandleListed(request.Try, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
+	core.HandleSearchEnd(request.Try)
+	process(104*second + 2)
+	if request.Act == Reread || core.Counts.Overfull != 2 || core.Size() != 2 {
+		t.Error(request.Act, core.Counts.Overfull, core.Size())
 	}
 }
--- a/internal/tenants/rows.go
+++ b/internal/tenants/rows.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// Rows give tenants that have a quota a place in the module's table, which is of fixed size from the start. A row
-// belongs to the tenant's entry, whatever its name; one that was given up rests before another tenant has it, as what
-// was counted there is of the one before. Where there are more tenants with a quota than rows, the first by their
-// entries have them; the others are held to none, which Without tells.
+// Rows assigns tenants that have a quota to rows of the module's table, whose size is fixed at the start. A row
+// belongs to the entry of a tenant, whatever its name. A row that was freed is not reused at once, as its counters
+// are still those of the previous tenant. If there are more tenants with a quota than rows, rows go to the first by
+// entry id; no quota is enforced on the others, and their number is available as a figure.
 type Rows struct {
-	First int  // rows before it are of tenants that the settings name
-	Size  int  // of the table, those included
-	Rest  Time // that a row given up is left alone
+	First int  // rows before it belong to tenants named in the settings
+	Size  int  // of the table, including the rows before First
+	Rest  Time // time before a freed row is assigned again
 
-	want map[string]float64 // quotas, by the tenant's entry
-	rows []row
-	byID map[string]int
-	told bool // what stands in the table is not known
+	quotas  map[string]float64 // by entry id of the tenant
+	rows    []row
+	byID    map[string]int
+	written bool // the contents of the table are known
 }
 
 type row struct {
-	id    string
-	quota float64
-	freed Time
+	id      string
+	quota   float64
+	freedAt Time
 }
 
-// Want notes a tenant's quota, 0 for none.
+// Want sets the quota of a tenant, 0 for none.
 func (r *Rows) Want(id string, quota float64) {
-	if r.want == nil {
-		r.want, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
+	if r.quotas == nil {
+		r.quotas, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
 	}
-	if r.want[id] = quota; quota <= 0 {
-		delete(r.want, id)
+	if r.quotas[id] = quota; quota <= 0 {
+		delete(r.quotas, id)
 	}
 }
 
-// Again has all quotas told anew: the table was written by another hand.
-func (r *Rows) Again() { r.told = false }
+// Again causes all quotas to be written again, after something else has written the table.
+func (r *Rows) Again() { r.written = false }
 
-// Row is a tenant's row, or the table's size for none.
+// Row returns the row of a tenant, or the size of the table if it has none.
 func (r *Rows) Row(id string) int {
 	if i, ok := r.byID[id]; ok {
 		return r.First + i
@@ -47,49 +47,49 @@
 	return r.Size
 }
 
-// Without is how many tenants have a quota and no row.
-func (r *Rows) Without() int { return len(r.want) - len(r.byID) }
+// Without returns the number of tenants that have a quota but no row.
+func (r *Rows) Without() int { return len(r.quotas) - len(r.byID) }
 
-// Settle tells what changes in the table, and when it wants to be called again: never is 0.
+// Settle emits the changes of the table. It returns when it must be called again, 0 for never.
 func (r *Rows) Settle(now Time, set func(row int, quota float64)) (next Time) {
 	for i := range r.rows {
-		x := &r.rows[i]
-		quota := r.want[x.id]
-		if x.id != "" && quota == 0 {
-			delete(r.byID, x.id)
-			x.id, x.freed = "", now
+		slot := &r.rows[i]
+		quota := r.quotas[slot.id]
+		if slot.id != "" && quota == 0 {
+			delete(r.byID, slot.id)
+			slot.id, slot.freedAt = "", now
 		}
-		if quota != x.quota || !r.told {
-			x.quota = quota
+		if quota != slot.quota || !r.written {
+			slot.quota = quota
 			set(r.First+i, quota)
 		}
 	}
-	r.told = true
+	r.written = true
 	if r.Without() == 0 || len(r.byID) == len(r.rows) {
 		return 0
 	}
-	ids := slices.Sorted(maps.Keys(r.want))
-	k := 0
+	ids := slices.Sorted(maps.Keys(r.quotas))
+	nextID := 0
 	for i := range r.rows {
-		x := &r.rows[i]
-		if x.id != "" {
+		slot := &r.rows[i]
+		if slot.id != "" {
 			continue
 		}
-		if x.freed > 0 && now-x.freed < r.Rest {
-			if next == 0 || x.freed+r.Rest < next {
-				next = x.freed + r.Rest
+		if slot.freedAt > 0 && now-slot.freedAt < r.Rest {
+			if next == 0 || slot.freedAt+r.Rest < next {
+				next = slot.freedAt + r.Rest
 			}
 			continue
 		}
-		for k < len(ids) && r.has(ids[k]) {
-			k++
+		for nextID < len(ids) && r.hasRow(ids[nextID]) {
+			nextID++
 		}
-		if k == len(ids) {
+		if nextID == len(ids) {
 			return 0
 		}
-		x.id, x.quota = ids[k], r.want[ids[k]]
-		r.byID[x.id] = i
-		set(r.First+i, x.quota)
+		slot.id, slot.quota = ids[nextID], r.quotas[ids[nextID]]
+		r.byID[slot.id] = i
+		set(r.First+i, slot.quota)
 	}
 	if r.Without() == 0 {
 		return 0
@@ -97,7 +97,7 @@
 	return next
 }
 
-func (r *Rows) has(id string) bool {
+func (r *Rows) hasRow(id string) bool {
 	_, ok := r.byID[id]
 	return ok
 }
--- a/internal/tenants/rows_test.go
+++ b/internal/tenants/rows_test.go
@@ -7,60 +7,60 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever quotas come and go: the table has each tenant's quota at its row and none elsewhere, a row that was given
-// up rests, no two share one, and none is without while there is a row to be had.
-func TestRows(t *testing.T) {
+// Checks, for random changes of quotas, that the table holds the quota of each tenant at its row and none elsewhere, a
+// freed row is not reused too soon, no two tenants share a row, and no tenant lacks one while a row is available.
+func TestQuotaRows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := Rows{First: 2, Size: 2 + rapid.IntRange(0, 4).Draw(rt, "rows"), Rest: 10}
-		want, table := map[string]float64{}, map[int]float64{}
+		table := Rows{First: 2, Size: 2 + rapid.IntRange(0, 4).Draw(rt, "rows"), Rest: 10}
+		quotas, written := map[string]float64{}, map[int]float64{}
 		last := map[int]struct {
 			id string
 			at Time
 		}{}
 		for now := Time(1); now < 80; now += Time(rapid.IntRange(1, 5).Draw(rt, "pass")) {
 			id, quota := fmt.Sprint("t", rapid.IntRange(0, 6).Draw(rt, "who")), float64(rapid.IntRange(0, 3).Draw(rt, "quota"))
-			r.Want(id, quota)
-			if want[id] = quota; quota == 0 {
-				delete(want, id)
+			table.Want(id, quota)
+			if quotas[id] = quota; quota == 0 {
+				delete(quotas, id)
 			}
 			if rapid.IntRange(0, 9).Draw(rt, "reload") == 0 {
-				clear(table)
-				r.Again()
+				clear(written)
+				table.Again()
 			}
-			next := r.Settle(now, func(i int, q float64) {
-				if i < r.First || i >= r.Size {
-					rt.Fatal("row ", i)
+			next := table.Settle(now, func(i int, quota float64) {
+				if i < table.First || i >= table.Size {
+					rt.Fatal("row out of range: ", i)
 				}
-				table[i] = q
+				written[i] = quota
 			})
 			seen := map[int]bool{}
-			for id, q := range want {
-				i := r.Row(id)
-				if i == r.Size {
+			for id, quota := range quotas {
+				i := table.Row(id)
+				if i == table.Size {
 					continue
 				}
-				if seen[i] || table[i] != q {
-					rt.Fatalf("%s: row %d has %v, not %v, shared %v", id, i, table[i], q, seen[i])
+				if seen[i] || written[i] != quota {
+					rt.Fatalf("%s: row %d has %v, want %v, shared %v", id, i, written[i], quota, seen[i])
 				}
 				seen[i] = true
-				if x := last[i]; x.id != id && x.id != "" && now-x.at < r.Rest {
-					rt.Fatalf("row %d went from %s to %s within %d", i, x.id, id, now-x.at)
+				if previous := last[i]; previous.id != id && previous.id != "" && now-previous.at < table.Rest {
+					rt.Fatalf("row %d was reassigned from %s to %s after only %d", i, previous.id, id, now-previous.at)
 				}
 				last[i] = struct {
 					id string
 					at Time
 				}{id, now}
 			}
-			for i := r.First; i < r.Size; i++ {
-				if !seen[i] && table[i] != 0 {
-					rt.Fatal("a quota of nobody at ", i)
+			for i := table.First; i < table.Size; i++ {
+				if !seen[i] && written[i] != 0 {
+					rt.Fatal("quota without a tenant at row ", i)
 				}
 			}
-			if r.Without() != len(want)-len(seen) {
-				rt.Fatal(r.Without(), " without")
+			if table.Without() != len(quotas)-len(seen) {
+				rt.Fatal(table.Without(), " tenants without a row")
 			}
-			if r.Without() > 0 && len(seen) < r.Size-r.First && next <= now {
-				rt.Fatal("a row rests and is not waited for")
+			if table.Without() > 0 && len(seen) < table.Size-table.First && next <= now {
+				rt.Fatal("a freed row will become available and no call is scheduled for it")
 			}
 		}
 	})
