--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -18,37 +18,37 @@
 
 // Authority signs.
 type Authority struct {
-	Cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	n    int64
+	Cert   *x509.Certificate
+	key    *ecdsa.PrivateKey
+	serial int64
 }
 
 // New makes one.
 func New() (*Authority, error) {
 	a := &Authority{}
 	var err error
-	a.Cert, a.key, err = a.make(true)
+	a.Cert, a.key, err = a.issue(true)
 	return a, err
 }
 
-func (a *Authority) make(ca bool) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func (a *Authority) issue(isCA bool) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	a.n++
-	c := &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IsCA: ca, BasicConstraintsValid: ca, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+	a.serial++
+	template := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: "test"}, NotBefore: time.Now().Add(-time.Hour),
+		NotAfter: time.Now().Add(time.Hour), IsCA: isCA, BasicConstraintsValid: isCA, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	parent, signer := a.Cert, a.key
-	if ca {
-		parent, signer = c, key
+	if isCA {
+		parent, signer = template, key
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, c, parent, &key.PublicKey, signer)
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
 		return nil, nil, err
 	}
-	cert, err := x509.ParseCertificate(raw)
+	cert, err := x509.ParseCertificate(der)
 	return cert, key, err
 }
 
@@ -61,7 +61,7 @@
 
 // Pair signs a new certificate.
 func (a *Authority) Pair() (tls.Certificate, error) {
-	cert, key, err := a.make(false)
+	cert, key, err := a.issue(false)
 	if err != nil {
 		return tls.Certificate{}, err
 	}
@@ -69,13 +69,13 @@
 }
 
 // Write writes a pair to files, as PEM.
-func Write(c tls.Certificate, cert, key string) error {
-	der, err := x509.MarshalPKCS8PrivateKey(c.PrivateKey)
+func Write(certificate tls.Certificate, certFile, keyFile string) error {
+	der, err := x509.MarshalPKCS8PrivateKey(certificate.PrivateKey)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Certificate[0]}), 0o600); err != nil {
+	if err := os.WriteFile(certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate.Certificate[0]}), 0o600); err != nil {
 		return err
 	}
-	return os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), 0o600)
+	return os.WriteFile(keyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), 0o600)
 }
--- a/internal/standin/directory/change.go
+++ b/internal/standin/directory/change.go
@@ -8,108 +8,108 @@
 )
 
 // change carries out a modify, add, delete or rename (RFC 4511 sections 4.6 to 4.9), and tells its result code.
-func (d *dialogue) change(op *ber.Packet) int {
+func (conn *connection) update(op *ber.Packet) int {
 	switch op.Tag {
 	case tagDelete:
-		if !d.s.store.Delete(op.Data.String()) {
-			return codeNoObject
+		if !conn.server.store.Delete(op.Data.String()) {
+			return codeNoSuchObject
 		}
-		return codeOK
+		return codeSuccess
 	case tagAdd:
 		if len(op.Children) < 2 {
-			return codeProtocol
+			return codeProtocolError
 		}
 		dn := op.Children[0].Data.String()
-		if d.s.store.Get(dn) != nil {
-			return codeExists
+		if conn.server.store.Get(dn) != nil {
+			return codeEntryAlreadyExists
 		}
 		attrs := map[string][]string{}
-		for _, a := range op.Children[1].Children {
-			name, values, ok := attribute(a)
+		for _, attr := range op.Children[1].Children {
+			name, values, ok := parseAttribute(attr)
 			if !ok {
-				return codeProtocol
+				return codeProtocolError
 			}
 			attrs[name] = values
 		}
-		d.s.store.Put(dn, attrs)
-		return codeOK
-	case tagRename:
-		return d.rename(op)
+		conn.server.store.Put(dn, attrs)
+		return codeSuccess
+	case tagModifyDN:
+		return conn.rename(op)
 	}
-	return d.modify(op)
+	return conn.modify(op)
 }
 
-func attribute(a *ber.Packet) (name string, values []string, ok bool) {
-	if len(a.Children) < 2 {
+func parseAttribute(attr *ber.Packet) (name string, values []string, ok bool) {
+	if len(attr.Children) < 2 {
 		return "", nil, false
 	}
-	for _, v := range a.Children[1].Children {
+	for _, v := range attr.Children[1].Children {
 		values = append(values, v.Data.String())
 	}
-	return strings.ToLower(a.Children[0].Data.String()), values, true
+	return strings.ToLower(attr.Children[0].Data.String()), values, true
 }
 
 // modify takes its changes together or not at all.
-func (d *dialogue) modify(op *ber.Packet) int {
+func (conn *connection) modify(op *ber.Packet) int {
 	if len(op.Children) < 2 {
-		return codeProtocol
+		return codeProtocolError
 	}
 	dn := op.Children[0].Data.String()
-	e := d.s.store.Get(dn)
-	if e == nil {
-		return codeNoObject
+	entry := conn.server.store.Get(dn)
+	if entry == nil {
+		return codeNoSuchObject
 	}
 	attrs := map[string][]string{}
-	for k, v := range e.Attrs {
+	for k, v := range entry.Attrs {
 		attrs[k] = slices.Clone(v)
 	}
 	const add, del, replace = 0, 1, 2
-	for _, c := range op.Children[1].Children {
-		if len(c.Children) < 2 {
-			return codeProtocol
+	for _, change := range op.Children[1].Children {
+		if len(change.Children) < 2 {
+			return codeProtocolError
 		}
-		how, _ := c.Children[0].Value.(int64)
-		name, values, ok := attribute(c.Children[1])
+		operation, _ := change.Children[0].Value.(int64)
+		name, values, ok := parseAttribute(change.Children[1])
 		if !ok {
-			return codeProtocol
+			return codeProtocolError
 		}
-		switch how {
+		switch operation {
 		case add:
 			attrs[name] = append(attrs[name], values...)
 		case replace:
 			attrs[name] = values
 		case del:
 			if len(attrs[name]) == 0 {
-				return codeNoAttribute
+				return codeNoSuchAttribute
 			}
-			left := slices.DeleteFunc(attrs[name], func(v string) bool { return len(values) == 0 || slices.Contains(values, v) })
-			attrs[name] = left
+			remaining := slices.DeleteFunc(attrs[name], func(v string) bool { return len(values) == 0 || slices.Contains(values, v) })
+			attrs[name] = remaining
 		default:
-			return codeProtocol
+			return codeProtocolError
 		}
 		if len(attrs[name]) == 0 {
 			delete(attrs, name)
 		}
 	}
-	d.s.store.Put(dn, attrs)
-	return codeOK
+	conn.server.store.Put(dn, attrs)
+	return codeSuccess
 }
 
 // rename gives an entry another name, and another place where one is told.
-func (d *dialogue) rename(op *ber.Packet) int {
+func (conn *connection) rename(op *ber.Packet) int {
 	if len(op.Children) < 3 {
-		return codeProtocol
+		return codeProtocolError
 	}
-	dn, to := op.Children[0].Data.String(), op.Children[1].Data.String()
-	_, above, _ := strings.Cut(dn, ",")
+	dn, newRDN := op.Children[0].Data.String(), op.Children[1].Data.String()
+	_, parent, _ := strings.Cut(dn, ",")
 	if len(op.Children) > 3 {
-		above = op.Children[3].Data.String()
+		parent = op.Children[3].Data.String()
 	}
 	switch {
-	case d.s.store.Get(dn) == nil:
-		return codeNoObject
-	case !d.s.store.Rename(dn, to+","+above):
-		return codeExists
+	case conn.server.store.Get(dn) == nil:
+		return codeNoSuchObject
+	case !conn.server.store.Rename(dn, newRDN+","+parent):
+		return codeEntryAlreadyExists
 	}
-	return codeOK
+	return codeSuccess
 }
--- a/internal/standin/directory/store.go
+++ b/internal/standin/directory/store.go
@@ -34,31 +34,31 @@
 
 // Store is the directory's content and its past.
 type Store struct {
-	mu      sync.Mutex
-	byDN    map[string]*Entry
-	seq     uint64
-	deleted []removal
-	kept    uint64 // removals from here on are known
-	made    uint64
-	watch   map[chan struct{}]struct{}
-	born    map[[16]byte]time.Time // when an entry was deleted
-	Skew    time.Duration          // of its clock; set before it serves
-}
-
-type removal struct {
+	mu             sync.Mutex
+	byDN           map[string]*Entry
+	seq            uint64
+	deleted        []deletion
+	deletionsSince uint64 // removals from here on are known
+	created        uint64
+	listeners      map[chan struct{}]struct{}
+	deletedAt      map[[16]byte]time.Time // when an entry was deleted
+	Skew           time.Duration          // of its clock; set before it serves
+}
+
+type deletion struct {
 	seq  uint64
 	uuid [16]byte
 }
 
 // NewStore makes an empty one.
 func NewStore() *Store {
-	return &Store{byDN: map[string]*Entry{}, watch: map[chan struct{}]struct{}{}, born: map[[16]byte]time.Time{}}
+	return &Store{byDN: map[string]*Entry{}, listeners: map[chan struct{}]struct{}{}, deletedAt: map[[16]byte]time.Time{}}
 }
 
-func fold(dn string) string { return strings.ToLower(strings.ReplaceAll(dn, ", ", ",")) }
+func normalizeDN(dn string) string { return strings.ToLower(strings.ReplaceAll(dn, ", ", ",")) }
 
-func (s *Store) changed() {
-	for c := range s.watch {
+func (s *Store) notifyListeners() {
+	for c := range s.listeners {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -71,61 +71,61 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	e := s.byDN[fold(dn)]
-	if e == nil {
-		s.made++
-		sum := sha256.Sum256([]byte(dn + "\x00" + strconv.FormatUint(s.made, 10)))
-		e = &Entry{DN: dn}
-		copy(e.UUID[:], sum[:16])
-		s.byDN[fold(dn)] = e
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil {
+		s.created++
+		sum := sha256.Sum256([]byte(dn + "\x00" + strconv.FormatUint(s.created, 10)))
+		entry = &Entry{DN: dn}
+		copy(entry.UUID[:], sum[:16])
+		s.byDN[normalizeDN(dn)] = entry
 	}
-	x := *e // answers under way keep the old one
-	x.Attrs, x.Seq, x.At = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
+	updated := *entry // answers under way keep the old one
+	updated.Attrs, updated.Seq, updated.At = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
 	for k, v := range attrs {
-		x.Attrs[strings.ToLower(k)] = slices.Clone(v)
+		updated.Attrs[strings.ToLower(k)] = slices.Clone(v)
 	}
-	s.byDN[fold(dn)] = &x
-	s.changed()
+	s.byDN[normalizeDN(dn)] = &updated
+	s.notifyListeners()
 }
 
 // Get is an entry, nil for none.
 func (s *Store) Get(dn string) *Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.byDN[fold(dn)]
+	return s.byDN[normalizeDN(dn)]
 }
 
 // Delete takes an entry out; false if it is not there.
 func (s *Store) Delete(dn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.byDN[fold(dn)]
-	if e == nil {
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil {
 		return false
 	}
 	s.seq++
-	delete(s.byDN, fold(dn))
-	s.deleted = append(s.deleted, removal{s.seq, e.UUID})
-	s.born[e.UUID] = time.Now()
-	s.changed()
+	delete(s.byDN, normalizeDN(dn))
+	s.deleted = append(s.deleted, deletion{s.seq, entry.UUID})
+	s.deletedAt[entry.UUID] = time.Now()
+	s.notifyListeners()
 	return true
 }
 
 // Rename gives an entry another name, or another place; its UUID stays. False if it is not there, or the other
 // is.
-func (s *Store) Rename(dn, to string) bool {
+func (s *Store) Rename(dn, newDN string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.byDN[fold(dn)]
-	if e == nil || s.byDN[fold(to)] != nil {
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil || s.byDN[normalizeDN(newDN)] != nil {
 		return false
 	}
 	s.seq++
-	x := *e
-	x.DN, x.Seq, x.At = to, s.seq, time.Now().Add(s.Skew)
-	delete(s.byDN, fold(dn))
-	s.byDN[fold(to)] = &x
-	s.changed()
+	renamed := *entry
+	renamed.DN, renamed.Seq, renamed.At = newDN, s.seq, time.Now().Add(s.Skew)
+	delete(s.byDN, normalizeDN(dn))
+	s.byDN[normalizeDN(newDN)] = &renamed
+	s.notifyListeners()
 	return true
 }
 
@@ -133,17 +133,17 @@
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deleted, s.kept = nil, s.seq
+	s.deleted, s.deletionsSince = nil, s.seq
 }
 
 // All is every entry, in the order of the names.
 func (s *Store) All() (all []*Entry, seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sorted(), s.seq
+	return s.sortedEntries(), s.seq
 }
 
-func (s *Store) sorted() (all []*Entry) {
+func (s *Store) sortedEntries() (all []*Entry) {
 	for _, e := range s.byDN {
 		all = append(all, e)
 	}
@@ -155,14 +155,14 @@
 func (s *Store) DeletedAt(uuid [16]byte) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born[uuid]
+	return s.deletedAt[uuid]
 }
 
 // since is what has changed after a moment; false where deletions from then on are not known any more.
-func (s *Store) since(seq uint64) (changed []*Entry, gone [][16]byte, now uint64, ok bool) {
+func (s *Store) changesSince(seq uint64) (changed []*Entry, deleted [][16]byte, now uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if seq < s.kept || seq > s.seq {
+	if seq < s.deletionsSince || seq > s.seq {
 		return nil, nil, s.seq, false
 	}
 	for _, e := range s.byDN {
@@ -173,20 +173,20 @@
 	slices.SortFunc(changed, func(a, b *Entry) int { return int(a.Seq) - int(b.Seq) })
 	for _, r := range s.deleted {
 		if r.seq > seq {
-			gone = append(gone, r.uuid)
+			deleted = append(deleted, r.uuid)
 		}
 	}
-	return changed, gone, s.seq, true
+	return changed, deleted, s.seq, true
 }
 
-func (s *Store) listen() (chan struct{}, func()) {
+func (s *Store) subscribe() (chan struct{}, func()) {
 	c := make(chan struct{}, 1)
 	s.mu.Lock()
-	s.watch[c] = struct{}{}
+	s.listeners[c] = struct{}{}
 	s.mu.Unlock()
 	return c, func() {
 		s.mu.Lock()
-		delete(s.watch, c)
+		delete(s.listeners, c)
 		s.mu.Unlock()
 	}
 }
--- a/internal/standin/mediabox/mediabox.go
+++ b/internal/standin/mediabox/mediabox.go
@@ -31,14 +31,14 @@
 
 // Rack is an uplink that several boxes share.
 type Rack struct {
-	UplinkKB float64
-	mu       sync.Mutex
-	asked    float64
+	UplinkKB    float64
+	mu          sync.Mutex
+	requestedKB float64
 }
 
-func (r *Rack) add(kb float64) {
+func (r *Rack) addDemand(deltaKB float64) {
 	r.mu.Lock()
-	r.asked += kb
+	r.requestedKB += deltaKB
 	r.mu.Unlock()
 }
 
@@ -46,7 +46,7 @@
 func (r *Rack) Fill() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(r.asked, 0) / r.UplinkKB
+	return max(r.requestedKB, 0) / r.UplinkKB
 }
 
 // Frame is what the box is.
@@ -105,21 +105,21 @@
 // Box is one media server. It is a core.Core.
 type Box struct {
 	Frame
-	Trouble  Trouble
-	net      core.Net
-	now      Time
-	timers   core.Timers
-	rng      *rand.Rand
-	conns    []*conn
-	sessions map[string]*sess
-	asked    float64 // of the link, kB a second
-	streams  map[streamKey]int
-	starts   []Time // of set-ups while cold
-	fallen   bool
-	count    int
-	short    bool
-	lastLoad string
-	Counts   Counts
+	Trouble     Trouble
+	net         core.Net
+	now         Time
+	timers      core.Timers
+	rng         *rand.Rand
+	conns       []*connection
+	sessions    map[string]*session
+	requestedKB float64 // of the link, kB a second
+	streams     map[streamKey]int
+	coldSetups  []Time // of set-ups while cold
+	crashed     bool
+	lastID      int
+	throttled   bool
+	lastLoad    string
+	Counts      Counts
 }
 
 // Counts are what a box did.
@@ -133,42 +133,42 @@
 	rung  int
 }
 
-type conn struct {
-	c      *core.Conn
-	parser rtsp.Parser
-	busy   Time
-	piped  map[string]*sess // by Pipelined-Requests
-	gone   bool
-	front  string
-	w      []byte
-	sess   []*sess
-}
-
-type sess struct {
-	id       string
-	conn     *conn
-	key      streamKey
-	channels map[int]byte // by track
-	playing  bool
-	asks     float64
-	seq      []uint16
-	credit   float64
-	sent     Time
-	began    Time
-	timer    *core.Timer
-	heard    Time
-	over     bool
-	begun    bool // a packet of each track has gone out
-	ssrc     uint32
-	dialogue string // the front's name for it
+type connection struct {
+	netConn   *core.Conn
+	parser    rtsp.Parser
+	busyUntil Time
+	pipelined map[string]*session // by Pipelined-Requests
+	closed    bool
+	front     string
+	out       []byte
+	sessions  []*session
+}
+
+type session struct {
+	id          string
+	conn        *connection
+	key         streamKey
+	channels    map[int]byte // by track
+	playing     bool
+	requestedKB float64
+	nextSeq     []uint16
+	credit      float64
+	lastSent    Time
+	playStart   Time
+	timer       *core.Timer
+	lastActive  Time
+	ended       bool
+	firstSent   bool // a packet of each track has gone out
+	ssrc        uint32
+	dialogue    string // the front's name for it
 }
 
 // New makes a box.
 func New(f Frame, net core.Net, now Time) *Box {
-	b := &Box{Frame: f, net: net, now: now, sessions: map[string]*sess{}, streams: map[streamKey]int{},
+	b := &Box{Frame: f, net: net, now: now, sessions: map[string]*session{}, streams: map[streamKey]int{},
 		rng: rand.New(rand.NewPCG(f.Seed, 0xb0c5))}
 	if f.NoteAll > 0 {
-		b.timers.Set(nil, now+f.NoteAll, b.tellAll)
+		b.timers.Set(nil, now+f.NoteAll, b.sendNotes)
 	}
 	return b
 }
@@ -181,28 +181,28 @@
 
 // Settle ends a turn.
 func (b *Box) Settle() Time {
-	for _, c := range b.conns {
-		b.flush(c)
+	for _, conn := range b.conns {
+		b.flush(conn)
 	}
 	return b.timers.Next()
 }
 
-func (b *Box) flush(c *conn) {
-	if len(c.w) > 0 && !c.gone {
-		b.net.Send(c.c, c.w)
-		c.w = c.w[:0]
+func (b *Box) flush(conn *connection) {
+	if len(conn.out) > 0 && !conn.closed {
+		b.net.Send(conn.netConn, conn.out)
+		conn.out = conn.out[:0]
 	}
 }
 
 // Accepted takes a front's connection.
-func (b *Box) Accepted(c *core.Conn, _ string) {
-	if b.fallen {
-		b.net.Close(c)
+func (b *Box) Accepted(netConn *core.Conn, _ string) {
+	if b.crashed {
+		b.net.Close(netConn)
 		return
 	}
-	x := &conn{c: c, parser: rtsp.Parser{Bounds: rtsp.Usual}, piped: map[string]*sess{}}
-	c.Owner = x
-	b.conns = append(b.conns, x)
+	conn := &connection{netConn: netConn, parser: rtsp.Parser{Bounds: rtsp.Usual}, pipelined: map[string]*session{}}
+	netConn.Owner = conn
+	b.conns = append(b.conns, conn)
 }
 
 // Dialed is for cores that connect; a box does not.
@@ -212,296 +212,298 @@
 func (b *Box) Drained(*core.Conn) {}
 
 // Received takes bytes of a front.
-func (b *Box) Received(c *core.Conn, data []byte) {
-	x, ok := c.Owner.(*conn)
-	if !ok || x.gone || b.Trouble.Deaf || b.fallen {
+func (b *Box) Received(netConn *core.Conn, data []byte) {
+	conn, ok := netConn.Owner.(*connection)
+	if !ok || conn.closed || b.Trouble.Deaf || b.crashed {
 		return
 	}
-	if err := x.parser.Feed(data, &sink{b, x}); err != nil && !x.gone {
-		b.end(x)
+	if err := conn.parser.Feed(data, &parserHandler{b, conn}); err != nil && !conn.closed {
+		b.closeConnection(conn)
 	}
 }
 
 // Closed ends what a connection carried.
-func (b *Box) Closed(c *core.Conn, _ error) {
-	if x, ok := c.Owner.(*conn); ok && !x.gone {
-		b.gone(x)
+func (b *Box) Closed(netConn *core.Conn, _ error) {
+	if conn, ok := netConn.Owner.(*connection); ok && !conn.closed {
+		b.connectionClosed(conn)
 	}
 }
 
-func (b *Box) end(x *conn) {
-	if !x.gone {
-		b.flush(x)
-		b.net.Close(x.c)
-		b.gone(x)
+func (b *Box) closeConnection(conn *connection) {
+	if !conn.closed {
+		b.flush(conn)
+		b.net.Close(conn.netConn)
+		b.connectionClosed(conn)
 	}
 }
 
-func (b *Box) gone(x *conn) {
-	x.gone = true
-	x.parser.Stop()
-	for _, s := range slices.Clone(x.sess) {
+func (b *Box) connectionClosed(conn *connection) {
+	conn.closed = true
+	conn.parser.Stop()
+	for _, sess := range slices.Clone(conn.sessions) {
 		if b.KeepsAfterConnClose && b.SessionTimeout > 0 {
-			s.playing = false
+			sess.playing = false
 			b.timers.Set(nil, b.now+b.SessionTimeout, func() {
 				b.Counts.Timeouts++
-				b.over(s)
+				b.endSession(sess)
 			})
 		} else {
-			b.over(s)
+			b.endSession(sess)
 		}
 	}
-	b.conns = slices.DeleteFunc(b.conns, func(y *conn) bool { return y == x })
+	b.conns = slices.DeleteFunc(b.conns, func(other *connection) bool { return other == conn })
 }
 
-type sink struct {
-	b *Box
-	x *conn
+type parserHandler struct {
+	box  *Box
+	conn *connection
 }
 
-func (s *sink) Bad(e *rtsp.Malformed) {
+func (handler *parserHandler) Bad(e *rtsp.Malformed) {
 	if e.Request {
-		s.b.send(s.x, rtsp.Answer(e.Status, e.CSeq))
+		handler.box.send(handler.conn, rtsp.Answer(e.Status, e.CSeq))
 	}
 }
-func (s *sink) Frame(byte, []byte) { // RTCP of the player keeps its session alive
-	for _, x := range s.x.sess {
-		x.heard = s.b.now
+func (handler *parserHandler) Frame(byte, []byte) { // RTCP of the player keeps its session alive
+	for _, sess := range handler.conn.sessions {
+		sess.lastActive = handler.box.now
 	}
 }
 
 // Message takes a request; those of one connection are served one after the other.
-func (s *sink) Message(m *rtsp.Message) {
-	b, x := s.b, s.x
-	if !m.IsRequest() {
+func (handler *parserHandler) Message(message *rtsp.Message) {
+	b, conn := handler.box, handler.conn
+	if !message.IsRequest() {
 		return
 	}
-	if a := m.Get("User-Agent"); a != "" {
-		x.front = a
+	if userAgent := message.Get("User-Agent"); userAgent != "" {
+		conn.front = userAgent
 	}
-	takes := Time(0)
-	if m.Method == rtsp.Setup {
-		lo, hi := b.SetupTime[0], b.SetupTime[1]
-		takes = lo + Time(b.rng.Float64()*float64(hi-lo))
+	setupTime := Time(0)
+	if message.Method == rtsp.Setup {
+		shortest, longest := b.SetupTime[0], b.SetupTime[1]
+		setupTime = shortest + Time(b.rng.Float64()*float64(longest-shortest))
 		if b.Trouble.Slow > 0 {
-			takes = Time(float64(takes) * b.Trouble.Slow)
+			setupTime = Time(float64(setupTime) * b.Trouble.Slow)
 		}
 	}
-	x.busy = max(x.busy, b.now) + takes
-	body := slices.Clone(m.Body)
-	m.Body = body
-	if x.busy == b.now {
-		b.serve(x, m)
+	conn.busyUntil = max(conn.busyUntil, b.now) + setupTime
+	body := slices.Clone(message.Body)
+	message.Body = body
+	if conn.busyUntil == b.now {
+		b.serve(conn, message)
 		return
 	}
-	b.timers.Set(nil, x.busy, func() { b.serve(x, m) })
+	b.timers.Set(nil, conn.busyUntil, func() { b.serve(conn, message) })
 }
 
-func (b *Box) serve(x *conn, m *rtsp.Message) {
-	if x.gone || b.Trouble.Deaf || b.fallen {
+func (b *Box) serve(conn *connection, request *rtsp.Message) {
+	if conn.closed || b.Trouble.Deaf || b.crashed {
 		return
 	}
-	fault := b.Trouble.Faults[m.Method]
+	fault := b.Trouble.Faults[request.Method]
 	if fault != None && b.Trouble.Part < 1 && b.rng.Float64() >= b.Trouble.Part {
 		fault = None
 	}
 	switch fault {
 	case Error:
-		b.send(x, rtsp.Answer(rtsp.StatusInternal, m.CSeq))
+		b.send(conn, rtsp.Answer(rtsp.StatusInternal, request.CSeq))
 		return
 	case Stuck:
 		return
 	}
-	a := b.answer(x, m)
-	if a == nil || fault == LostAnswer || b.fallen {
+	response := b.handle(conn, request)
+	if response == nil || fault == LostAnswer || b.crashed {
 		return
 	}
-	a.CSeq = m.CSeq
-	if b.LoadInAnswers || m.Method == rtsp.Options {
-		a.With("Load", b.load())
+	response.CSeq = request.CSeq
+	if b.LoadInAnswers || request.Method == rtsp.Options {
+		response.With("Load", b.loadHeader())
 	}
 	switch fault {
 	case LateAnswer:
-		b.timers.Set(nil, b.now+b.Trouble.Late, func() { b.send(x, a) })
+		b.timers.Set(nil, b.now+b.Trouble.Late, func() { b.send(conn, response) })
 	case Cut:
-		text := a.Append(nil)
-		x.w = append(x.w, text[:len(text)/2]...)
-		b.end(x)
+		text := response.Append(nil)
+		conn.out = append(conn.out, text[:len(text)/2]...)
+		b.closeConnection(conn)
 	default:
-		b.send(x, a)
+		b.send(conn, response)
 	}
 }
 
-func (b *Box) send(x *conn, m *rtsp.Message) {
-	if !x.gone {
-		x.w = m.Append(x.w)
+func (b *Box) send(conn *connection, m *rtsp.Message) {
+	if !conn.closed {
+		conn.out = m.Append(conn.out)
 	}
 }
 
-func (b *Box) load() string {
+func (b *Box) loadHeader() string {
 	if !b.Trouble.KeepLoad || b.lastLoad == "" {
-		if b.lastLoad = "link=" + num(b.fill()); !b.UplinkUntold {
-			b.lastLoad += ";uplink=" + num(b.Rack.Fill())
+		if b.lastLoad = "link=" + formatRatio(b.linkLoad()); !b.UplinkUntold {
+			b.lastLoad += ";uplink=" + formatRatio(b.Rack.Fill())
 		}
 	}
 	return b.lastLoad
 }
 
-func num(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
+func formatRatio(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
 
 // link is what the link gives: less while cold, and what another program takes.
-func (b *Box) link() float64 {
-	return b.LinkKB * (1 - b.Trouble.Neighbour) * b.warmth()
+func (b *Box) linkCapacity() float64 {
+	return b.LinkKB * (1 - b.Trouble.Neighbour) * b.capacityFraction()
 }
 
-func (b *Box) warmth() float64 {
+func (b *Box) capacityFraction() float64 {
 	if b.Started == 0 || b.WarmUp == 0 || b.now >= b.Started+b.WarmUp {
 		return 1
 	}
 	return max(b.ColdFrom+(1-b.ColdFrom)*float64(b.now-b.Started)/float64(b.WarmUp), b.ColdFrom)
 }
 
-func (b *Box) fill() float64 { return max(b.asked, 0) / b.link() }
+func (b *Box) linkLoad() float64 { return max(b.requestedKB, 0) / b.linkCapacity() }
 
 // share is the part of their rates that sessions get.
-func (b *Box) share() float64 { return min(1, 1/max(b.fill(), 1e-9), 1/max(b.Rack.Fill(), 1e-9)) }
+func (b *Box) deliveredShare() float64 {
+	return min(1, 1/max(b.linkLoad(), 1e-9), 1/max(b.Rack.Fill(), 1e-9))
+}
 
 // answer does what is asked; nil where no answer is due.
-func (b *Box) answer(x *conn, m *rtsp.Message) *rtsp.Message {
-	id, _ := rtsp.SessionID(m.Get("Session"))
-	s := b.sessions[id]
-	if pipe := m.Get("Pipelined-Requests"); s == nil && pipe != "" {
-		s = x.piped[pipe]
-	}
-	if name := m.Get("Dialogue"); s == nil && name != "" && m.Method == rtsp.Teardown { // of a front that died
-		for _, x := range b.sessions {
-			if x.dialogue == name {
-				s = x
+func (b *Box) handle(conn *connection, request *rtsp.Message) *rtsp.Message {
+	id, _ := rtsp.SessionID(request.Get("Session"))
+	sess := b.sessions[id]
+	if pipelineID := request.Get("Pipelined-Requests"); sess == nil && pipelineID != "" {
+		sess = conn.pipelined[pipelineID]
+	}
+	if name := request.Get("Dialogue"); sess == nil && name != "" && request.Method == rtsp.Teardown { // of a front that died
+		for _, conn := range b.sessions {
+			if conn.dialogue == name {
+				sess = conn
 			}
 		}
 	}
-	if s != nil {
-		s.heard = b.now
+	if sess != nil {
+		sess.lastActive = b.now
 	}
-	ok := rtsp.Answer(rtsp.StatusOK, m.CSeq)
-	if s != nil {
-		ok.With("Session", s.id+";timeout="+strconv.FormatInt(b.SessionTimeout/core.Second, 10))
+	response := rtsp.Answer(rtsp.StatusOK, request.CSeq)
+	if sess != nil {
+		response.With("Session", sess.id+";timeout="+strconv.FormatInt(b.SessionTimeout/core.Second, 10))
 	}
-	switch m.Method {
+	switch request.Method {
 	case rtsp.Options:
-		return ok.With("Public", rtsp.Supported(rtsp.Options, rtsp.Setup, rtsp.Play, rtsp.Pause, rtsp.Teardown,
+		return response.With("Public", rtsp.Supported(rtsp.Options, rtsp.Setup, rtsp.Play, rtsp.Pause, rtsp.Teardown,
 			rtsp.SetParameter, rtsp.GetParameter))
 	case rtsp.Setup:
-		return b.setup(x, s, m)
+		return b.setup(conn, sess, request)
 	case rtsp.GetParameter:
-		return ok
+		return response
 	}
-	if s == nil || s.over {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, m.CSeq)
+	if sess == nil || sess.ended {
+		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq)
 	}
-	switch m.Method {
+	switch request.Method {
 	case rtsp.Play:
-		if !s.playing {
-			s.playing, s.sent, s.began = true, b.now, b.now
-			b.timers.Set(nil, b.now+1, func() { b.sendFrames(s) })
+		if !sess.playing {
+			sess.playing, sess.lastSent, sess.playStart = true, b.now, b.now
+			b.timers.Set(nil, b.now+1, func() { b.sendFrames(sess) })
 		}
 	case rtsp.Pause:
-		s.playing = false
+		sess.playing = false
 	case rtsp.SetParameter:
-		for _, p := range rtsp.Parameters(m.Body) {
-			r, err := strconv.Atoi(p.Value)
-			if p.Name != "rung" || err != nil || r < 0 || r >= len(b.LadderKB) {
-				return rtsp.Answer(rtsp.StatusParameterUnknown, m.CSeq)
+		for _, parameter := range rtsp.Parameters(request.Body) {
+			rung, err := strconv.Atoi(parameter.Value)
+			if parameter.Name != "rung" || err != nil || rung < 0 || rung >= len(b.LadderKB) {
+				return rtsp.Answer(rtsp.StatusParameterUnknown, request.CSeq)
 			}
-			b.weigh(s, -1)
-			s.key.rung = r
-			b.weigh(s, 1)
+			b.updateDemand(sess, -1)
+			sess.key.rung = rung
+			b.updateDemand(sess, 1)
 		}
 	case rtsp.Teardown:
-		b.over(s)
-		return rtsp.Answer(rtsp.StatusOK, m.CSeq)
+		b.endSession(sess)
+		return rtsp.Answer(rtsp.StatusOK, request.CSeq)
 	default:
-		return rtsp.Answer(rtsp.StatusNotImplemented, m.CSeq)
+		return rtsp.Answer(rtsp.StatusNotImplemented, request.CSeq)
 	}
-	return ok
+	return response
 }
 
 // setup takes one track. The first one of a session takes a place, and counts against the cold pace.
-func (b *Box) setup(x *conn, s *sess, m *rtsp.Message) *rtsp.Message {
-	uri, _, _ := strings.Cut(strings.TrimPrefix(m.URI, "rtsp://"), "?")
+func (b *Box) setup(conn *connection, sess *session, request *rtsp.Message) *rtsp.Message {
+	uri, _, _ := strings.Cut(strings.TrimPrefix(request.URI, "rtsp://"), "?")
 	path := strings.Split(strings.Trim(uri, "/"), "/")
 	plan := -1
 	if len(path) == 4 {
 		plan = slices.IndexFunc(b.Plans, func(p Plan) bool { return p.Name == path[1] })
 	}
 	if plan < 0 {
-		return rtsp.Answer(rtsp.StatusNotFound, m.CSeq)
+		return rtsp.Answer(rtsp.StatusNotFound, request.CSeq)
 	}
 	track, err := strconv.Atoi(strings.TrimPrefix(path[3], "track"))
-	way := rtsp.Transports(m.Get("Transport"))
-	rung, err2 := 0, error(nil)
-	if r := m.Get("Rung"); r != "" { // a player that comes straight to the box tells none
-		rung, err2 = strconv.Atoi(r)
+	transports := rtsp.Transports(request.Get("Transport"))
+	rung, rungErr := 0, error(nil)
+	if r := request.Get("Rung"); r != "" { // a player that comes straight to the box tells none
+		rung, rungErr = strconv.Atoi(r)
 	}
-	if err != nil || track < 0 || track >= len(b.Plans[plan].Tracks) || err2 != nil || rung < 0 || rung >= len(b.LadderKB) {
-		return rtsp.Answer(rtsp.StatusBadRequest, m.CSeq)
+	if err != nil || track < 0 || track >= len(b.Plans[plan].Tracks) || rungErr != nil || rung < 0 || rung >= len(b.LadderKB) {
+		return rtsp.Answer(rtsp.StatusBadRequest, request.CSeq)
 	}
-	if len(way) == 0 || !way[0].TCP() || !way[0].Interleaved {
-		return rtsp.Answer(rtsp.StatusUnsupportedTransport, m.CSeq)
+	if len(transports) == 0 || !transports[0].TCP() || !transports[0].Interleaved {
+		return rtsp.Answer(rtsp.StatusUnsupportedTransport, request.CSeq)
 	}
-	pipe := m.Get("Pipelined-Requests")
-	if old, ok := x.piped[pipe]; ok && pipe != "" && old == nil {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, m.CSeq) // the first of them was refused
+	pipelineID := request.Get("Pipelined-Requests")
+	if earlier, ok := conn.pipelined[pipelineID]; ok && pipelineID != "" && earlier == nil {
+		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq) // the first of them was refused
 	}
-	if s == nil {
+	if sess == nil {
 		b.Counts.Setups++
-		if b.pushed() {
+		if b.countColdSetup() {
 			return nil
 		}
-		if b.Counts.Sessions >= b.Places || b.FullFrom > 0 && b.fill() >= b.FullFrom {
+		if b.Counts.Sessions >= b.Places || b.FullFrom > 0 && b.linkLoad() >= b.FullFrom {
 			b.Counts.Refused++
-			if pipe != "" {
-				x.piped[pipe] = nil
+			if pipelineID != "" {
+				conn.pipelined[pipelineID] = nil
 			}
-			return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, m.CSeq)
+			return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, request.CSeq)
 		}
-		b.count++
-		s = &sess{id: b.Name + "-" + strconv.Itoa(b.count), conn: x, key: streamKey{path[2], plan, rung},
-			dialogue: m.Get("Dialogue"), channels: map[int]byte{}, seq: make([]uint16, len(b.Plans[plan].Tracks)), heard: b.now, ssrc: uint32(b.count) << 8}
-		for i := range s.seq {
-			s.seq[i] = uint16(b.rng.Uint32())
+		b.lastID++
+		sess = &session{id: b.Name + "-" + strconv.Itoa(b.lastID), conn: conn, key: streamKey{path[2], plan, rung},
+			dialogue: request.Get("Dialogue"), channels: map[int]byte{}, nextSeq: make([]uint16, len(b.Plans[plan].Tracks)), lastActive: b.now, ssrc: uint32(b.lastID) << 8}
+		for i := range sess.nextSeq {
+			sess.nextSeq[i] = uint16(b.rng.Uint32())
 		}
-		b.sessions[s.id] = s
-		x.sess = append(x.sess, s)
+		b.sessions[sess.id] = sess
+		conn.sessions = append(conn.sessions, sess)
 		b.Counts.Sessions++
-		b.weigh(s, 1)
-		if pipe != "" {
-			x.piped[pipe] = s
+		b.updateDemand(sess, 1)
+		if pipelineID != "" {
+			conn.pipelined[pipelineID] = sess
 		}
 	}
-	s.channels[track] = way[0].RTP
-	return rtsp.Answer(rtsp.StatusOK, m.CSeq).With("Session", s.id).With("Transport", way[0].String())
+	sess.channels[track] = transports[0].RTP
+	return rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", sess.id).With("Transport", transports[0].String())
 }
 
 // pushed counts a set-up against the cold pace; over the stated multiple the box falls over and stays down.
-func (b *Box) pushed() bool {
+func (b *Box) countColdSetup() bool {
 	if b.Started == 0 || b.now >= b.Started+b.WarmUp || b.FallMultiple == 0 {
 		return false
 	}
-	b.starts = append(b.starts, b.now)
-	for len(b.starts) > 0 && b.starts[0] <= b.now-b.FallSpan {
-		b.starts = b.starts[1:]
+	b.coldSetups = append(b.coldSetups, b.now)
+	for len(b.coldSetups) > 0 && b.coldSetups[0] <= b.now-b.FallSpan {
+		b.coldSetups = b.coldSetups[1:]
 	}
-	if float64(len(b.starts)) > max(Allowed(b.Places, b.WarmUp, b.FallSpan, b.FallMultiple, b.warmth()), 1) {
-		b.fallen = true
+	if float64(len(b.coldSetups)) > max(Allowed(b.Places, b.WarmUp, b.FallSpan, b.FallMultiple, b.capacityFraction()), 1) {
+		b.crashed = true
 		b.Counts.Fell++
 		b.timers.Set(nil, b.now+1, func() {
-			for _, x := range slices.Clone(b.conns) {
-				b.end(x)
+			for _, conn := range slices.Clone(b.conns) {
+				b.closeConnection(conn)
 			}
 		})
 	}
-	return b.fallen
+	return b.crashed
 }
 
 // Allowed is how many set-ups a cold box stands within a span: its places over its warm-up, times the
@@ -511,87 +513,87 @@
 }
 
 // weigh books what a session asks of link and uplink; viewers of one live title share a stream.
-func (b *Box) weigh(s *sess, by int) {
-	p := &b.Plans[s.key.plan]
-	kb := b.LadderKB[s.key.rung] * p.RateFactor
-	if p.Live {
-		if by < 0 {
-			b.streams[s.key]--
+func (b *Box) updateDemand(sess *session, sign int) {
+	plan := &b.Plans[sess.key.plan]
+	kb := b.LadderKB[sess.key.rung] * plan.RateFactor
+	if plan.Live {
+		if sign < 0 {
+			b.streams[sess.key]--
 		}
-		if b.streams[s.key] > 0 {
+		if b.streams[sess.key] > 0 {
 			kb *= b.Join
 		}
-		if by > 0 {
-			b.streams[s.key]++
-		} else if b.streams[s.key] == 0 {
-			delete(b.streams, s.key)
+		if sign > 0 {
+			b.streams[sess.key]++
+		} else if b.streams[sess.key] == 0 {
+			delete(b.streams, sess.key)
 		}
 	}
-	s.asks = kb
-	b.asked += float64(by) * kb
-	b.Rack.add(float64(by) * kb)
+	sess.requestedKB = kb
+	b.requestedKB += float64(sign) * kb
+	b.Rack.addDemand(float64(sign) * kb)
 }
 
-func (b *Box) over(s *sess) {
-	if s.over {
+func (b *Box) endSession(sess *session) {
+	if sess.ended {
 		return
 	}
-	s.over, s.playing = true, false
-	b.weigh(s, -1)
+	sess.ended, sess.playing = true, false
+	b.updateDemand(sess, -1)
 	b.Counts.Sessions--
-	delete(b.sessions, s.id)
-	s.conn.sess = slices.DeleteFunc(s.conn.sess, func(x *sess) bool { return x == s })
-	for k, v := range s.conn.piped {
-		if v == s {
-			delete(s.conn.piped, k)
+	delete(b.sessions, sess.id)
+	sess.conn.sessions = slices.DeleteFunc(sess.conn.sessions, func(other *session) bool { return other == sess })
+	for pipelineID, other := range sess.conn.pipelined {
+		if other == sess {
+			delete(sess.conn.pipelined, pipelineID)
 		}
 	}
 }
 
 // Down takes what the box asks off its rack, as its death does.
-func (b *Box) Down() { b.Rack.add(-b.asked) }
+func (b *Box) Down() { b.Rack.addDemand(-b.requestedKB) }
 
 // Sessions is how many playbacks the box carries.
 func (b *Box) Sessions() int { return b.Counts.Sessions }
 
 // sendFrames sends what a session's rung and the shared link give since the last time.
-func (b *Box) sendFrames(s *sess) {
-	if s.over || !s.playing || s.conn.gone || b.fallen {
+func (b *Box) sendFrames(sess *session) {
+	if sess.ended || !sess.playing || sess.conn.closed || b.crashed {
 		return
 	}
-	b.timers.Set(nil, b.now+b.Tick, func() { b.sendFrames(s) })
+	b.timers.Set(nil, b.now+b.Tick, func() { b.sendFrames(sess) })
 	if b.Trouble.Deaf {
-		s.sent = b.now
+		sess.lastSent = b.now
 		return
 	}
-	p := &b.Plans[s.key.plan]
+	plan := &b.Plans[sess.key.plan]
 	speed := max(b.Trouble.Overspeed, 1)
-	s.credit += b.LadderKB[s.key.rung] * p.RateFactor * 1000 * b.share() * speed * float64(max(b.now-s.sent, b.Tick/8)) / 1e6
-	s.sent = b.now
-	first := !s.begun
-	s.begun = true
-	for i := 0; s.credit >= float64(b.PacketBytes) || first && i < len(p.Tracks); i++ {
-		track := i % len(p.Tracks)
-		s.credit -= float64(b.PacketBytes)
-		c, ok := s.channels[track]
-		if !ok || b.net.Pending(s.conn.c) > 256<<10 {
+	sess.credit += b.LadderKB[sess.key.rung] * plan.RateFactor * 1000 * b.deliveredShare() * speed * float64(max(b.now-sess.lastSent, b.Tick/8)) / 1e6
+	sess.lastSent = b.now
+	first := !sess.firstSent
+	sess.firstSent = true
+	for i := 0; sess.credit >= float64(b.PacketBytes) || first && i < len(plan.Tracks); i++ {
+		track := i % len(plan.Tracks)
+		sess.credit -= float64(b.PacketBytes)
+		channel, ok := sess.channels[track]
+		if !ok || b.net.Pending(sess.conn.netConn) > 256<<10 {
 			continue
 		}
-		pkt := rtp.Packet{Header: rtp.Header{Version: 2, PayloadType: uint8(96 + track), SequenceNumber: s.seq[track],
-			Timestamp: uint32(b.now * 9 / 100), SSRC: s.ssrc + uint32(track)}, Payload: payload[:b.PacketBytes]}
-		s.seq[track]++
-		raw, err := pkt.Marshal()
+		packet := rtp.Packet{Header: rtp.Header{Version: 2, PayloadType: uint8(96 + track), SequenceNumber: sess.nextSeq[track],
+			Timestamp: uint32(b.now * 9 / 100), SSRC: sess.ssrc + uint32(track)}, Payload: payload[:b.PacketBytes]}
+		sess.nextSeq[track]++
+		raw, err := packet.Marshal()
 		if err != nil {
 			continue
 		}
-		s.conn.w = rtsp.AppendFrame(s.conn.w, c, raw)
+		sess.conn.out = rtsp.AppendFrame(sess.conn.out, channel, raw)
 		b.Counts.Packets++
 	}
-	if b.Length > 0 && !p.Live && b.now-s.began >= b.Length {
-		if bye, err := (&rtcp.Goodbye{Sources: []uint32{s.ssrc}}).Marshal(); err == nil {
-			s.conn.w = rtsp.AppendFrame(s.conn.w, s.channels[0]+1, bye)
+	if b.Length > 0 && !plan.Live && b.now-sess.playStart >= b.Length {
+		if bye, err := (&rtcp.Goodbye{Sources: []uint32{sess.ssrc}}).Marshal(); err == nil {
+			sess.conn.out = rtsp.AppendFrame(sess.conn.out, sess.channels[0]+1, bye)
 		}
-		s.playing = false
+		sess.playing = false
 	}
 }
 
@@ -599,39 +601,39 @@
 
 // tellAll sends notes: each front hears on one of its sessions how full link and uplink are, and what share
 // is delivered while it is short, and once more after.
-func (b *Box) tellAll() {
-	b.timers.Set(nil, b.now+b.NoteAll, b.tellAll)
-	share := b.share()
+func (b *Box) sendNotes() {
+	b.timers.Set(nil, b.now+b.NoteAll, b.sendNotes)
+	share := b.deliveredShare()
 	var notes []rtsp.Field
-	if share < 0.98 || b.short {
-		notes = append(notes, rtsp.Field{Name: "delivered", Value: num(share)})
+	if share < 0.98 || b.throttled {
+		notes = append(notes, rtsp.Field{Name: "delivered", Value: formatRatio(share)})
 	}
-	b.short = share < 0.98
+	b.throttled = share < 0.98
 	if b.LoadInAnswers {
-		notes = append(notes, rtsp.Field{Name: "link", Value: num(b.fill())})
+		notes = append(notes, rtsp.Field{Name: "link", Value: formatRatio(b.linkLoad())})
 	}
 	if b.LoadInAnswers && !b.UplinkUntold {
-		notes = append(notes, rtsp.Field{Name: "uplink", Value: num(b.Rack.Fill())})
+		notes = append(notes, rtsp.Field{Name: "uplink", Value: formatRatio(b.Rack.Fill())})
 	}
 	if len(notes) == 0 {
 		return
 	}
 	b.timers.Set(nil, b.now+b.NoteDelay+b.Trouble.ReportLag, func() {
-		if b.Trouble.Deaf || b.fallen {
+		if b.Trouble.Deaf || b.crashed {
 			return
 		}
-		told := map[string]bool{}
-		for _, x := range b.conns {
-			if told[x.front] {
+		notified := map[string]bool{}
+		for _, conn := range b.conns {
+			if notified[conn.front] {
 				continue
 			}
-			for _, s := range x.sess {
-				if s.playing {
-					told[x.front] = true
-					b.count++
-					m := rtsp.Request(rtsp.SetParameter, "*", b.count).With("Session", s.id).With("Content-Type", "text/parameters")
-					m.Body = rtsp.AppendParameters(nil, notes...)
-					b.send(x, m)
+			for _, sess := range conn.sessions {
+				if sess.playing {
+					notified[conn.front] = true
+					b.lastID++
+					request := rtsp.Request(rtsp.SetParameter, "*", b.lastID).With("Session", sess.id).With("Content-Type", "text/parameters")
+					request.Body = rtsp.AppendParameters(nil, notes...)
+					b.send(conn, request)
 					break
 				}
 			}
@@ -641,11 +643,11 @@
 
 // Book is what its link gives and what is asked of it, kB a second; an error if what its sessions ask does not
 // add up to that, or its places to its sessions.
-func (b *Box) Book() (link, asked float64, err error) {
+func (b *Box) Book() (link, requested float64, err error) {
 	sum, n := 0.0, 0
-	for _, s := range b.sessions {
-		if !s.over {
-			sum += s.asks
+	for _, sess := range b.sessions {
+		if !sess.ended {
+			sum += sess.requestedKB
 			n++
 		}
 	}
@@ -653,16 +655,16 @@
 		err = fmt.Errorf("%d sessions, %d places taken", n, b.Counts.Sessions)
 	}
 	// A live stream's first viewer asks for the whole rate, and it may be another one by now.
-	if b.asked < -1e-6 {
-		err = fmt.Errorf("%.3f kB a second are asked, its sessions ask for %.3f", b.asked, sum)
+	if b.requestedKB < -1e-6 {
+		err = fmt.Errorf("%.3f kB a second are asked, its sessions ask for %.3f", b.requestedKB, sum)
 	}
-	return b.link(), b.asked, err
+	return b.linkCapacity(), b.requestedKB, err
 }
 
 // Orphaned is how many places are taken by sessions whose connection has gone.
 func (b *Box) Orphaned() (n int) {
-	for _, s := range b.sessions {
-		if !s.over && s.conn.gone {
+	for _, sess := range b.sessions {
+		if !sess.ended && sess.conn.closed {
 			n++
 		}
 	}
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -60,321 +60,321 @@
 
 // Seen is what one asking got.
 type Seen struct {
-	ID                    string
-	State                 State
-	Began, Answered       Time
-	FirstPacket           Time // span from asking, 0 for none
-	Status                int
-	RetryAfter            Time   // 0 where none is told
-	Token                 string // to bring back
-	Brought               bool   // this asking brought one, at the time told
-	Round                 int
-	Packets, Gaps         int
-	Bytes                 int64
-	Answers, Unasked      int // answers got; those that nothing asked for
-	Requests              int
-	LongestSilence, heard Time
-	Front                 string // the address asked
-	SentOn                bool   // came from another session manager, which sent it on
-	Reached               bool   // the connection came to be
-	Ended                 Time
-	Told                  bool // while it played, to go elsewhere
+	ID                         string
+	State                      State
+	Began, Answered            Time
+	FirstPacket                Time // span from asking, 0 for none
+	Status                     int
+	RetryAfter                 Time   // 0 where none is told
+	Token                      string // to bring back
+	Brought                    bool   // this asking brought one, at the time told
+	Round                      int
+	Packets, Gaps              int
+	Bytes                      int64
+	Answers, Unasked           int // answers got; those that nothing asked for
+	Requests                   int
+	LongestSilence, lastPacket Time
+	Front                      string // the address asked
+	SentOn                     bool   // came from another session manager, which sent it on
+	Reached                    bool   // the connection came to be
+	Ended                      Time
+	Told                       bool // while it played, to go elsewhere
 }
 
 // Crowd is players that share a clock and a network. It is a core.Core.
 type Crowd struct {
-	net    core.Net
-	now    Time
-	timers core.Timers
-	open   int
-	rest   int                // come again later
-	Began  int                // askings
-	Bytes  int64              // of RTP, all together
-	Plays  int                // now: got their first packet
-	Report func(*Want, *Seen) // called once for each asking, when it has ended
+	net     core.Net
+	now     Time
+	timers  core.Timers
+	open    int
+	waiting int                // come again later
+	Began   int                // askings
+	Bytes   int64              // of RTP, all together
+	Plays   int                // now: got their first packet
+	Report  func(*Want, *Seen) // called once for each asking, when it has ended
 }
 
 // New makes a crowd.
 func New(net core.Net, now Time) *Crowd { return &Crowd{net: net, now: now} }
 
-type viewer struct {
-	want      *Want
-	round     int
-	conn      *core.Conn
-	parser    rtsp.Parser
-	seen      Seen
-	cseq      int
-	asked     map[int]string // requests that wait for their answer
-	oks       int
-	ssn       string
-	keep      Time
-	seq       map[byte]uint16
-	gone      bool
-	token     string
-	timer     *core.Timer
-	alive     *core.Timer
-	w         []byte
-	began     Time    // to play
-	at        string  // the session manager's address
-	old       *viewer // plays at the session manager that sent it on, until this one does
-	next      *viewer // the other way round
-	moves     int
-	challenge string // what the door wants to see
-	proofs    int    // shown
+type playAttempt struct {
+	profile        *Want
+	number         int
+	conn           *core.Conn
+	parser         rtsp.Parser
+	result         Seen
+	cseq           int
+	pending        map[int]string // requests that wait for their answer
+	setupsDone     int
+	sessionID      string
+	sessionTimeout Time
+	lastSeq        map[byte]uint16
+	ended          bool
+	token          string
+	timer          *core.Timer
+	keepaliveTimer *core.Timer
+	out            []byte
+	playStart      Time         // to play
+	front          string       // the session manager's address
+	previous       *playAttempt // plays at the session manager that sent it on, until this one does
+	next           *playAttempt // the other way round
+	redirects      int
+	challenge      string // what the door wants to see
+	authAttempts   int    // shown
 }
 
-const mostMoves = 4 // of one viewer, one after the other
+const maxRedirects = 4 // of one viewer, one after the other
 
 // At begins a turn.
-func (p *Crowd) At(now Time) {
-	p.now = now
-	p.timers.Run(now)
+func (g *Crowd) At(now Time) {
+	g.now = now
+	g.timers.Run(now)
 }
 
 // Settle ends a turn.
-func (p *Crowd) Settle() Time { return p.timers.Next() }
+func (g *Crowd) Settle() Time { return g.timers.Next() }
 
 // Accepted is for cores that listen; a player does not.
-func (p *Crowd) Accepted(c *core.Conn, _ string) { p.net.Close(c) }
+func (g *Crowd) Accepted(c *core.Conn, _ string) { g.net.Close(c) }
 
 // Drained has nothing wait here.
-func (p *Crowd) Drained(*core.Conn) {}
+func (g *Crowd) Drained(*core.Conn) {}
 
 // Open is how many askings go on.
-func (p *Crowd) Open() int { return p.open }
+func (g *Crowd) Open() int { return g.open }
 
 // Resting is how many of them wait to come again.
-func (p *Crowd) Resting() int { return p.rest }
+func (g *Crowd) Resting() int { return g.waiting }
 
 // Start has a viewer ask.
-func (p *Crowd) Start(w *Want) { p.ask(w, 0, "") }
+func (g *Crowd) Start(profile *Want) { g.startAttempt(profile, 0, "") }
 
-func (p *Crowd) ask(w *Want, round int, token string) {
-	p.askAt(w, round, token, w.Fronts[round%len(w.Fronts)], 0)
+func (g *Crowd) startAttempt(profile *Want, number int, token string) {
+	g.startAttemptAt(profile, number, token, profile.Fronts[number%len(profile.Fronts)], 0)
 }
 
-func (p *Crowd) askAt(w *Want, round int, token, at string, moves int) *viewer {
-	v := &viewer{want: w, round: round, asked: map[int]string{}, seq: map[byte]uint16{},
-		parser: rtsp.Parser{Bounds: rtsp.Usual}, conn: &core.Conn{Secure: w.Secure}}
-	v.seen = Seen{ID: w.ID, Began: p.now, Round: round, Brought: token != "" && !w.Early}
-	v.token, v.conn.From, v.at, v.moves = token, w.Address, at, moves
-	v.seen.Front, v.seen.SentOn = at, moves > 0
-	if round > 0 {
-		v.seen.ID += "." + strconv.Itoa(round)
-	}
-	if moves > 0 {
-		v.seen.ID += "-" + strconv.Itoa(moves)
-	}
-	v.conn.Owner = v
-	p.open++
-	p.Began++
-	p.net.Dial(v.conn, at)
-	v.timer = p.timers.Set(nil, p.now+w.Abandon, func() { p.end(v, Abandoned) })
-	return v
+func (g *Crowd) startAttemptAt(profile *Want, number int, token, front string, redirects int) *playAttempt {
+	attempt := &playAttempt{profile: profile, number: number, pending: map[int]string{}, lastSeq: map[byte]uint16{},
+		parser: rtsp.Parser{Bounds: rtsp.Usual}, conn: &core.Conn{Secure: profile.Secure}}
+	attempt.result = Seen{ID: profile.ID, Began: g.now, Round: number, Brought: token != "" && !profile.Early}
+	attempt.token, attempt.conn.From, attempt.front, attempt.redirects = token, profile.Address, front, redirects
+	attempt.result.Front, attempt.result.SentOn = front, redirects > 0
+	if number > 0 {
+		attempt.result.ID += "." + strconv.Itoa(number)
+	}
+	if redirects > 0 {
+		attempt.result.ID += "-" + strconv.Itoa(redirects)
+	}
+	attempt.conn.Owner = attempt
+	g.open++
+	g.Began++
+	g.net.Dial(attempt.conn, front)
+	attempt.timer = g.timers.Set(nil, g.now+profile.Abandon, func() { g.end(attempt, Abandoned) })
+	return attempt
 }
 
 // Dialed goes on once the connection is there.
-func (p *Crowd) Dialed(c *core.Conn, err error) {
-	v := c.Owner.(*viewer)
-	if v.gone {
+func (g *Crowd) Dialed(conn *core.Conn, err error) {
+	attempt := conn.Owner.(*playAttempt)
+	if attempt.ended {
 		return
 	}
 	if err != nil {
-		p.end(v, Failed)
+		g.end(attempt, Failed)
 		return
 	}
-	v.seen.Reached = true
-	if v.want.Ask {
-		p.send(v, rtsp.Request(rtsp.Describe, v.uri(-1), 0).With("Accept", "application/sdp"))
-		p.flush(v)
+	attempt.result.Reached = true
+	if attempt.profile.Ask {
+		g.send(attempt, rtsp.Request(rtsp.Describe, attempt.uri(-1), 0).With("Accept", "application/sdp"))
+		g.flush(attempt)
 		return
 	}
-	p.setups(v)
+	g.sendSetups(attempt)
 }
 
-func (v *viewer) scheme() string {
-	if v.want.Secure {
+func (a *playAttempt) scheme() string {
+	if a.profile.Secure {
 		return "rtsps://"
 	}
 	return "rtsp://"
 }
 
-func (v *viewer) uri(track int) string {
-	u := v.scheme() + v.at + "/" + v.want.Plan + "/" + v.want.Title
+func (a *playAttempt) uri(track int) string {
+	uri := a.scheme() + a.front + "/" + a.profile.Plan + "/" + a.profile.Title
 	if track >= 0 {
-		u += "/track" + strconv.Itoa(track)
+		uri += "/track" + strconv.Itoa(track)
 	}
-	u += "?top=" + strconv.Itoa(v.want.Top)
-	if v.want.Tenant != "" {
-		u += "&tenant=" + v.want.Tenant
+	uri += "?top=" + strconv.Itoa(a.profile.Top)
+	if a.profile.Tenant != "" {
+		uri += "&tenant=" + a.profile.Tenant
 	}
-	return u
+	return uri
 }
 
 // setups sends a SETUP for each track in one go.
-func (p *Crowd) setups(v *viewer) {
-	v.seen.State, v.seen.Began = Asked, p.now
-	p.timers.Set(v.timer, p.now+v.want.Abandon, func() { p.end(v, Abandoned) })
-	for i := range v.want.Tracks {
-		t := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: byte(2 * i), RTCP: byte(2*i + 1)}
-		m := rtsp.Request(rtsp.Setup, v.uri(i), 0).With("Transport", t.String()).With("Request-Id", v.seen.ID).With("Come-Again", v.token).
-			With("Authorization", v.proof(rtsp.Setup, v.uri(i)))
-		p.send(v, m)
-	}
-	if v.want.Repeat {
-		v.w = append(v.w, v.w...) // the same bytes, the same CSeqs
-	}
-	p.flush(v)
-	if v.want.Leaves > 0 {
-		p.timers.Set(nil, p.now+v.want.Leaves, func() {
-			if v.seen.State == Asked {
-				p.end(v, Abandoned)
+func (g *Crowd) sendSetups(attempt *playAttempt) {
+	attempt.result.State, attempt.result.Began = Asked, g.now
+	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Abandoned) })
+	for i := range attempt.profile.Tracks {
+		transport := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: byte(2 * i), RTCP: byte(2*i + 1)}
+		request := rtsp.Request(rtsp.Setup, attempt.uri(i), 0).With("Transport", transport.String()).With("Request-Id", attempt.result.ID).With("Come-Again", attempt.token).
+			With("Authorization", attempt.authorization(rtsp.Setup, attempt.uri(i)))
+		g.send(attempt, request)
+	}
+	if attempt.profile.Repeat {
+		attempt.out = append(attempt.out, attempt.out...) // the same bytes, the same CSeqs
+	}
+	g.flush(attempt)
+	if attempt.profile.Leaves > 0 {
+		g.timers.Set(nil, g.now+attempt.profile.Leaves, func() {
+			if attempt.result.State == Asked {
+				g.end(attempt, Abandoned)
 			}
 		})
 	}
 }
 
-func (p *Crowd) send(v *viewer, m *rtsp.Message) {
-	v.cseq++
-	m.CSeq = v.cseq
-	v.asked[m.CSeq] = m.Method
-	v.seen.Requests++
-	v.w = m.With("User-Agent", "standin-player").Append(v.w)
+func (g *Crowd) send(attempt *playAttempt, request *rtsp.Message) {
+	attempt.cseq++
+	request.CSeq = attempt.cseq
+	attempt.pending[request.CSeq] = request.Method
+	attempt.result.Requests++
+	attempt.out = request.With("User-Agent", "standin-player").Append(attempt.out)
 }
 
-func (p *Crowd) flush(v *viewer) {
-	if len(v.w) > 0 && !v.gone {
-		p.net.Send(v.conn, v.w)
-		v.w = v.w[:0]
+func (g *Crowd) flush(attempt *playAttempt) {
+	if len(attempt.out) > 0 && !attempt.ended {
+		g.net.Send(attempt.conn, attempt.out)
+		attempt.out = attempt.out[:0]
 	}
 }
 
 // Received takes bytes of the session manager.
-func (p *Crowd) Received(c *core.Conn, b []byte) {
-	v := c.Owner.(*viewer)
-	if v.gone {
+func (g *Crowd) Received(conn *core.Conn, data []byte) {
+	attempt := conn.Owner.(*playAttempt)
+	if attempt.ended {
 		return
 	}
-	if err := v.parser.Feed(b, &sink{p, v}); err != nil && !v.gone {
-		p.end(v, Failed)
+	if err := attempt.parser.Feed(data, &parserHandler{g, attempt}); err != nil && !attempt.ended {
+		g.end(attempt, Failed)
 	}
 }
 
 // Closed takes the end of the connection.
-func (p *Crowd) Closed(c *core.Conn, _ error) {
-	v := c.Owner.(*viewer)
-	if v.gone {
+func (g *Crowd) Closed(conn *core.Conn, _ error) {
+	attempt := conn.Owner.(*playAttempt)
+	if attempt.ended {
 		return
 	}
-	if v.seen.State == Playing || v.seen.State == Ready {
-		p.end(v, Lost)
+	if attempt.result.State == Playing || attempt.result.State == Ready {
+		g.end(attempt, Lost)
 	} else {
-		p.end(v, Failed)
+		g.end(attempt, Failed)
 	}
 }
 
-type sink struct {
-	p *Crowd
-	v *viewer
+type parserHandler struct {
+	group   *Crowd
+	attempt *playAttempt
 }
 
-func (s *sink) Bad(*rtsp.Malformed) { s.v.seen.Unasked++ }
+func (handler *parserHandler) Bad(*rtsp.Malformed) { handler.attempt.result.Unasked++ }
 
-func (s *sink) Frame(channel byte, payload []byte) {
-	p, v := s.p, s.v
+func (handler *parserHandler) Frame(channel byte, payload []byte) {
+	g, attempt := handler.group, handler.attempt
 	if channel&1 == 1 {
 		if len(payload) > 1 && payload[1] == 203 {
-			p.end(v, Lost)
+			g.end(attempt, Lost)
 		}
 		return
 	}
-	var h rtp.Header
-	if _, err := h.Unmarshal(payload); err != nil {
-		v.seen.Unasked++
+	var header rtp.Header
+	if _, err := header.Unmarshal(payload); err != nil {
+		attempt.result.Unasked++
 		return
 	}
-	if v.seen.FirstPacket == 0 {
-		v.seen.FirstPacket = max(p.now-v.seen.Began, 1)
-		p.Plays++
-		if o := v.old; o != nil { // it plays here now
-			v.old, o.next = nil, nil
-			if !o.gone {
-				p.enough(o)
+	if attempt.result.FirstPacket == 0 {
+		attempt.result.FirstPacket = max(g.now-attempt.result.Began, 1)
+		g.Plays++
+		if previous := attempt.previous; previous != nil { // it plays here now
+			attempt.previous, previous.next = nil, nil
+			if !previous.ended {
+				g.teardown(previous)
 			}
 		}
 	} else {
-		v.seen.LongestSilence = max(v.seen.LongestSilence, p.now-v.seen.heard)
+		attempt.result.LongestSilence = max(attempt.result.LongestSilence, g.now-attempt.result.lastPacket)
 	}
-	v.seen.heard = p.now
-	if last, ok := v.seq[channel]; ok && h.SequenceNumber != last+1 {
-		v.seen.Gaps++
+	attempt.result.lastPacket = g.now
+	if last, ok := attempt.lastSeq[channel]; ok && header.SequenceNumber != last+1 {
+		attempt.result.Gaps++
 	}
-	v.seq[channel] = h.SequenceNumber
-	v.seen.Packets++
-	v.seen.Bytes += int64(len(payload))
-	p.Bytes += int64(len(payload))
+	attempt.lastSeq[channel] = header.SequenceNumber
+	attempt.result.Packets++
+	attempt.result.Bytes += int64(len(payload))
+	g.Bytes += int64(len(payload))
 }
 
-func (s *sink) Message(m *rtsp.Message) {
-	p, v := s.p, s.v
-	if m.IsRequest() {
-		if m.Method == rtsp.Redirect {
-			p.sentOn(v, m)
+func (handler *parserHandler) Message(message *rtsp.Message) {
+	g, attempt := handler.group, handler.attempt
+	if message.IsRequest() {
+		if message.Method == rtsp.Redirect {
+			g.redirect(attempt, message)
 		}
 		return
 	}
-	method, ok := v.asked[m.CSeq]
+	method, ok := attempt.pending[message.CSeq]
 	if !ok {
-		v.seen.Unasked++
+		attempt.result.Unasked++
 		return
 	}
-	delete(v.asked, m.CSeq)
-	v.seen.Answers++
+	delete(attempt.pending, message.CSeq)
+	attempt.result.Answers++
 	switch method {
 	case rtsp.Describe:
-		if m.Status == rtsp.StatusOK {
-			p.setups(v)
+		if message.Status == rtsp.StatusOK {
+			g.sendSetups(attempt)
 			return
 		}
-		p.refused(v, m)
+		g.rejected(attempt, message)
 	case rtsp.Setup:
-		if m.Status != rtsp.StatusOK {
-			p.refused(v, m)
+		if message.Status != rtsp.StatusOK {
+			g.rejected(attempt, message)
 			return
 		}
-		id, timeout := rtsp.SessionID(m.Get("Session"))
-		v.ssn, v.keep = id, Time(timeout)*core.Second
-		if v.oks++; v.oks < v.want.Tracks {
+		id, timeout := rtsp.SessionID(message.Get("Session"))
+		attempt.sessionID, attempt.sessionTimeout = id, Time(timeout)*core.Second
+		if attempt.setupsDone++; attempt.setupsDone < attempt.profile.Tracks {
 			return
 		}
-		v.seen.State, v.seen.Answered = Ready, p.now
-		p.send(v, rtsp.Request(rtsp.Play, v.uri(-1), 0).With("Session", v.ssn).With("Range", "npt=0-"))
-		p.flush(v)
-		v.began = p.now
-		p.timers.Set(v.timer, p.now+v.want.Watch, func() { p.enough(v) })
-		p.keepAlive(v)
+		attempt.result.State, attempt.result.Answered = Ready, g.now
+		g.send(attempt, rtsp.Request(rtsp.Play, attempt.uri(-1), 0).With("Session", attempt.sessionID).With("Range", "npt=0-"))
+		g.flush(attempt)
+		attempt.playStart = g.now
+		g.timers.Set(attempt.timer, g.now+attempt.profile.Watch, func() { g.teardown(attempt) })
+		g.keepAlive(attempt)
 	case rtsp.Play:
-		if m.Status == rtsp.StatusOK {
-			v.seen.State = Playing
+		if message.Status == rtsp.StatusOK {
+			attempt.result.State = Playing
 		}
 	case rtsp.Teardown:
-		p.end(v, Done)
+		g.end(attempt, Done)
 	}
 }
 
 // keepAlive has the session last (RFC 2326 section 10.8).
-func (p *Crowd) keepAlive(v *viewer) {
-	v.alive = p.timers.Set(v.alive, p.now+v.keep/3, func() {
-		p.send(v, rtsp.Request(rtsp.GetParameter, v.uri(-1), 0).With("Session", v.ssn))
-		p.flush(v)
-		p.keepAlive(v)
+func (g *Crowd) keepAlive(attempt *playAttempt) {
+	attempt.keepaliveTimer = g.timers.Set(attempt.keepaliveTimer, g.now+attempt.sessionTimeout/3, func() {
+		g.send(attempt, rtsp.Request(rtsp.GetParameter, attempt.uri(-1), 0).With("Session", attempt.sessionID))
+		g.flush(attempt)
+		g.keepAlive(attempt)
 	})
 }
 
-func (p *Crowd) enough(v *viewer) {
-	p.send(v, rtsp.Request(rtsp.Teardown, v.uri(-1), 0).With("Session", v.ssn))
-	p.flush(v)
-	p.timers.Set(v.timer, p.now+v.want.Abandon, func() { p.end(v, Done) })
+func (g *Crowd) teardown(attempt *playAttempt) {
+	g.send(attempt, rtsp.Request(rtsp.Teardown, attempt.uri(-1), 0).With("Session", attempt.sessionID))
+	g.flush(attempt)
+	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Done) })
 }
 
 // host is the address in an RTSP URL.
@@ -386,97 +386,97 @@
 
 // sentOn has a viewer go on at another session manager (RFC 2326 section 10.10): it sets up there first, and
 // ends the session here once it plays there.
-func (p *Crowd) sentOn(v *viewer, m *rtsp.Message) {
-	v.w = rtsp.Answer(rtsp.StatusOK, m.CSeq).With("Session", v.ssn).Append(v.w)
-	p.flush(v)
-	v.seen.Told = true
-	left := v.want.Watch - (p.now - v.began)
-	to := host(m.Get("Location"))
-	if v.next != nil || left <= 0 || to == "" || v.moves >= mostMoves {
+func (g *Crowd) redirect(attempt *playAttempt, request *rtsp.Message) {
+	attempt.out = rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", attempt.sessionID).Append(attempt.out)
+	g.flush(attempt)
+	attempt.result.Told = true
+	remaining := attempt.profile.Watch - (g.now - attempt.playStart)
+	front := host(request.Get("Location"))
+	if attempt.next != nil || remaining <= 0 || front == "" || attempt.redirects >= maxRedirects {
 		return
 	}
-	w := *v.want
-	w.Watch, w.Repeat, w.Leaves, w.Ask = left, false, 0, false
-	v.next = p.askAt(&w, v.round, "", to, v.moves+1)
-	v.next.old = v
+	profile := *attempt.profile
+	profile.Watch, profile.Repeat, profile.Leaves, profile.Ask = remaining, false, 0, false
+	attempt.next = g.startAttemptAt(&profile, attempt.number, "", front, attempt.redirects+1)
+	attempt.next.previous = attempt
 }
 
-func (p *Crowd) refused(v *viewer, m *rtsp.Message) {
-	if p.challengedBy(v, m) {
+func (g *Crowd) rejected(attempt *playAttempt, response *rtsp.Message) {
+	if g.retryWithAuth(attempt, response) {
 		return
 	}
-	v.seen.Status, v.seen.Answered = m.Status, p.now
-	if n, err := strconv.Atoi(m.Get("Retry-After")); err == nil {
-		v.seen.RetryAfter = Time(n) * core.Second
+	attempt.result.Status, attempt.result.Answered = response.Status, g.now
+	if seconds, err := strconv.Atoi(response.Get("Retry-After")); err == nil {
+		attempt.result.RetryAfter = Time(seconds) * core.Second
 	}
-	v.seen.Token = m.Get("Come-Again")
-	if len(v.asked) > 0 && v.round >= 0 {
-		for _, method := range v.asked {
+	attempt.result.Token = response.Get("Come-Again")
+	if len(attempt.pending) > 0 && attempt.number >= 0 {
+		for _, method := range attempt.pending {
 			if method == rtsp.Setup {
 				return // the other track's answer is on its way
 			}
 		}
 	}
-	if to := host(m.Get("Location")); m.Status == rtsp.StatusMoved && to != "" && v.moves < mostMoves {
-		old := v.old // it still plays where it was sent on from
-		v.old = nil
-		v.next = p.askAt(v.want, v.round, "", to, v.moves+1)
-		if v.next.old = old; old != nil {
-			old.next = v.next
+	if front := host(response.Get("Location")); response.Status == rtsp.StatusMoved && front != "" && attempt.redirects < maxRedirects {
+		previous := attempt.previous // it still plays where it was sent on from
+		attempt.previous = nil
+		attempt.next = g.startAttemptAt(attempt.profile, attempt.number, "", front, attempt.redirects+1)
+		if attempt.next.previous = previous; previous != nil {
+			previous.next = attempt.next
 		}
-		p.end(v, Moved)
+		g.end(attempt, Moved)
 		return
 	}
-	if m.Status == rtsp.StatusNotEnoughBandwidth || m.Status == rtsp.StatusUnavailable {
-		p.end(v, Refused)
+	if response.Status == rtsp.StatusNotEnoughBandwidth || response.Status == rtsp.StatusUnavailable {
+		g.end(attempt, Refused)
 	} else {
-		p.end(v, Failed)
+		g.end(attempt, Failed)
 	}
 }
 
 // end closes an asking, and has its viewer come again where it does.
-func (p *Crowd) end(v *viewer, s State) {
-	if v.gone {
+func (g *Crowd) end(attempt *playAttempt, state State) {
+	if attempt.ended {
 		return
 	}
-	v.gone = true
-	if v.seen.FirstPacket > 0 {
-		p.Plays--
+	attempt.ended = true
+	if attempt.result.FirstPacket > 0 {
+		g.Plays--
 	}
-	v.seen.State = s
-	v.parser.Stop()
-	p.timers.Stop(v.timer)
-	p.timers.Stop(v.alive)
-	p.net.Close(v.conn)
-	v.seen.Ended = p.now
-	again := s != Done && s != Moved && v.round < v.want.Returns
-	if o := v.old; o != nil { // it goes on where it was, for as long as that lasts
-		v.old, o.next = nil, nil
-		again = again && o.gone
+	attempt.result.State = state
+	attempt.parser.Stop()
+	g.timers.Stop(attempt.timer)
+	g.timers.Stop(attempt.keepaliveTimer)
+	g.net.Close(attempt.conn)
+	attempt.result.Ended = g.now
+	retry := state != Done && state != Moved && attempt.number < attempt.profile.Returns
+	if previous := attempt.previous; previous != nil { // it goes on where it was, for as long as that lasts
+		attempt.previous, previous.next = nil, nil
+		retry = retry && previous.ended
 	}
-	if n := v.next; n != nil && s != Moved { // it goes on elsewhere already
-		v.next, n.old = nil, nil
-		again = again && n.gone
+	if next := attempt.next; next != nil && state != Moved { // it goes on elsewhere already
+		attempt.next, next.previous = nil, nil
+		retry = retry && next.ended
 	}
-	if !again {
-		p.open--
+	if !retry {
+		g.open--
 	}
-	if p.Report != nil {
-		p.Report(v.want, &v.seen)
+	if g.Report != nil {
+		g.Report(attempt.profile, &attempt.result)
 	}
-	if !again {
+	if !retry {
 		return
 	}
-	wait := v.want.Break
-	if v.seen.RetryAfter > 0 && v.want.KeepsTo {
-		if wait = v.seen.RetryAfter; v.want.Early {
+	wait := attempt.profile.Break
+	if attempt.result.RetryAfter > 0 && attempt.profile.KeepsTo {
+		if wait = attempt.result.RetryAfter; attempt.profile.Early {
 			wait /= 2
 		}
 	}
-	p.rest++
-	p.timers.Set(nil, p.now+wait, func() {
-		p.rest--
-		p.open--
-		p.ask(v.want, v.round+1, v.seen.Token)
+	g.waiting++
+	g.timers.Set(nil, g.now+wait, func() {
+		g.waiting--
+		g.open--
+		g.startAttempt(attempt.profile, attempt.number+1, attempt.result.Token)
 	})
 }
--- a/internal/standin/registry/server.go
+++ b/internal/standin/registry/server.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	watchBuffer = 256 // transactions that may wait for a watcher before it is dropped
-	pieceSize   = 4   // events in a piece, where pieces are wanted
+	watchBuffer  = 256 // transactions that may wait for a watcher before it is dropped
+	fragmentSize = 4   // events in a piece, where pieces are wanted
 )
 
 // Server is one member that serves a store. Its embedded defaults answer the rest of the API with
@@ -24,13 +24,13 @@
 	pb.UnimplementedKVServer
 	pb.UnimplementedWatchServer
 	pb.UnimplementedLeaseServer
-	store *Store
-	grpc  *grpc.Server
-	ln    net.Listener
-	mu    sync.Mutex
-	hang  chan struct{}     // closed when the member goes on; nil while it answers
-	stale *pb.RangeResponse // what it answers while nothing new reaches it
-	conns map[net.Conn]struct{}
+	store       *Store
+	grpc        *grpc.Server
+	listener    net.Listener
+	mu          sync.Mutex
+	resumed     chan struct{}     // closed when the member goes on; nil while it answers
+	frozenState *pb.RangeResponse // what it answers while nothing new reaches it
+	conns       map[net.Conn]struct{}
 }
 
 // Serve starts a member on an address; options such as credentials are gRPC's.
@@ -39,32 +39,32 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{store: store, ln: ln, grpc: grpc.NewServer(options...), conns: map[net.Conn]struct{}{}}
+	s := &Server{store: store, listener: ln, grpc: grpc.NewServer(options...), conns: map[net.Conn]struct{}{}}
 	pb.RegisterKVServer(s.grpc, s)
 	pb.RegisterWatchServer(s.grpc, s)
 	pb.RegisterLeaseServer(s.grpc, s)
-	go func() { _ = s.grpc.Serve(&listener{ln, s}) }()
+	go func() { _ = s.grpc.Serve(&trackingListener{ln, s}) }()
 	return s, nil
 }
 
 // listener keeps the connections, so that they can be cut.
-type listener struct {
+type trackingListener struct {
 	net.Listener
-	s *Server
+	server *Server
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		l.s.mu.Lock()
-		l.s.conns[c] = struct{}{}
-		l.s.mu.Unlock()
+		l.server.mu.Lock()
+		l.server.conns[c] = struct{}{}
+		l.server.mu.Unlock()
 	}
 	return c, err
 }
 
 // Addr is where it listens.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Stop ends the member.
 func (s *Server) Stop() {
@@ -87,53 +87,53 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case on && s.hang == nil:
-		s.hang = make(chan struct{})
-	case !on && s.hang != nil:
-		close(s.hang)
-		s.hang = nil
+	case on && s.resumed == nil:
+		s.resumed = make(chan struct{})
+	case !on && s.resumed != nil:
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
 // Freeze has the member answer with what it has now and hear of nothing new, as one cut off from the others
 // that does not know it; or has it go on.
 func (s *Server) Freeze(on bool) {
-	h, all := s.store.Keys()
+	header, pairs := s.store.Keys()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale = nil; on {
-		s.stale = &pb.RangeResponse{Header: h, Kvs: all}
+	if s.frozenState = nil; on {
+		s.frozenState = &pb.RangeResponse{Header: header, Kvs: pairs}
 	}
 }
 
 func (s *Server) frozen() *pb.RangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stale
+	return s.frozenState
 }
 
 // in is the part of a frozen answer that lies in a range.
-func in(all *pb.RangeResponse, r *pb.RangeRequest) *pb.RangeResponse {
-	out := &pb.RangeResponse{Header: all.Header}
-	w := watcher{from: string(r.Key), to: string(r.RangeEnd)}
+func filterRange(all *pb.RangeResponse, request *pb.RangeRequest) *pb.RangeResponse {
+	response := &pb.RangeResponse{Header: all.Header}
+	selector := watcher{from: string(request.Key), to: string(request.RangeEnd)}
 	for _, kv := range all.Kvs {
-		if w.wants(&mvccpb.Event{Kv: kv}) {
-			out.Kvs = append(out.Kvs, kv)
+		if selector.matches(&mvccpb.Event{Kv: kv}) {
+			response.Kvs = append(response.Kvs, kv)
 		}
 	}
-	out.Count = int64(len(out.Kvs))
-	return out
+	response.Count = int64(len(response.Kvs))
+	return response
 }
 
-func (s *Server) wait(ctx context.Context) error {
+func (s *Server) waitWhileHung(ctx context.Context) error {
 	s.mu.Lock()
-	h := s.hang
+	resumed := s.resumed
 	s.mu.Unlock()
-	if h == nil {
+	if resumed == nil {
 		return nil
 	}
 	select {
-	case <-h:
+	case <-resumed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -141,107 +141,107 @@
 }
 
 // Range reads the present state; past revisions are not kept for reading.
-func (s *Server) Range(ctx context.Context, r *pb.RangeRequest) (*pb.RangeResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) Range(ctx context.Context, request *pb.RangeRequest) (*pb.RangeResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
-	if old := s.frozen(); old != nil {
-		return in(old, r), nil
+	if frozen := s.frozen(); frozen != nil {
+		return filterRange(frozen, request), nil
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	if r.Revision > 0 && r.Revision < s.store.compacted {
+	if request.Revision > 0 && request.Revision < s.store.compacted {
 		return nil, rpctypes.ErrGRPCCompacted
 	}
-	return s.store.read(r), nil
+	return s.store.readRange(request), nil
 }
 
 // Put writes one key.
-func (s *Server) Put(ctx context.Context, r *pb.PutRequest) (*pb.PutResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) Put(ctx context.Context, request *pb.PutRequest) (*pb.PutResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	if r.Lease != 0 && s.store.leases[r.Lease] == nil {
+	if request.Lease != 0 && s.store.leases[request.Lease] == nil {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	s.store.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: r}}}, nil)
-	return &pb.PutResponse{Header: s.store.head()}, nil
+	s.store.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: request}}}, nil)
+	return &pb.PutResponse{Header: s.store.header()}, nil
 }
 
 // DeleteRange deletes keys.
-func (s *Server) DeleteRange(ctx context.Context, r *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) DeleteRange(ctx context.Context, request *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	a := s.store.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestDeleteRange{RequestDeleteRange: r}}}, nil)
-	return &pb.DeleteRangeResponse{Header: s.store.head(), Deleted: a[0].GetResponseDeleteRange().Deleted}, nil
+	responses := s.store.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestDeleteRange{RequestDeleteRange: request}}}, nil)
+	return &pb.DeleteRangeResponse{Header: s.store.header(), Deleted: responses[0].GetResponseDeleteRange().Deleted}, nil
 }
 
 // Txn compares and then does one branch in one revision.
-func (s *Server) Txn(ctx context.Context, r *pb.TxnRequest) (*pb.TxnResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) Txn(ctx context.Context, request *pb.TxnRequest) (*pb.TxnResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
-	if old := s.frozen(); old != nil { // it reads; what would write does nothing
-		a := &pb.TxnResponse{Header: old.Header}
-		for _, op := range r.Success {
-			if x := op.GetRequestRange(); x != nil {
-				a.Responses = append(a.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: in(old, x)}})
+	if frozen := s.frozen(); frozen != nil { // it reads; what would write does nothing
+		response := &pb.TxnResponse{Header: frozen.Header}
+		for _, op := range request.Success {
+			if read := op.GetRequestRange(); read != nil {
+				response.Responses = append(response.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: filterRange(frozen, read)}})
 			}
 		}
-		return a, nil
+		return response, nil
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	ok := true
-	for _, c := range r.Compare {
-		ok = ok && s.store.holds(c)
+	succeeded := true
+	for _, compare := range request.Compare {
+		succeeded = succeeded && s.store.evaluateCompare(compare)
 	}
-	ops := r.Failure
-	if ok {
-		ops = r.Success
+	ops := request.Failure
+	if succeeded {
+		ops = request.Success
 	}
-	answers := s.store.apply(ops, nil)
-	return &pb.TxnResponse{Header: s.store.head(), Succeeded: ok, Responses: answers}, nil
+	responses := s.store.apply(ops, nil)
+	return &pb.TxnResponse{Header: s.store.header(), Succeeded: succeeded, Responses: responses}, nil
 }
 
 // holds judges one comparison: of a version, a revision or a value.
-func (s *Store) holds(c *pb.Compare) bool {
-	kv := s.keys[string(c.Key)]
+func (s *Store) evaluateCompare(compare *pb.Compare) bool {
+	kv := s.keys[string(compare.Key)]
 	if kv == nil {
 		kv = &mvccpb.KeyValue{}
 	}
-	var d int64
-	switch c.Target {
+	var difference int64
+	switch compare.Target {
 	case pb.Compare_VERSION:
-		d = kv.Version - c.GetVersion()
+		difference = kv.Version - compare.GetVersion()
 	case pb.Compare_CREATE:
-		d = kv.CreateRevision - c.GetCreateRevision()
+		difference = kv.CreateRevision - compare.GetCreateRevision()
 	case pb.Compare_MOD:
-		d = kv.ModRevision - c.GetModRevision()
+		difference = kv.ModRevision - compare.GetModRevision()
 	case pb.Compare_VALUE:
-		d = int64(bytes.Compare(kv.Value, c.GetValue()))
+		difference = int64(bytes.Compare(kv.Value, compare.GetValue()))
 	default:
 		return false
 	}
-	switch c.Result {
+	switch compare.Result {
 	case pb.Compare_EQUAL:
-		return d == 0
+		return difference == 0
 	case pb.Compare_GREATER:
-		return d > 0
+		return difference > 0
 	case pb.Compare_LESS:
-		return d < 0
+		return difference < 0
 	}
-	return d != 0
+	return difference != 0
 }
 
 // Compact forgets old changes.
-func (s *Server) Compact(ctx context.Context, r *pb.CompactionRequest) (*pb.CompactionResponse, error) {
-	s.store.Compact(r.Revision)
+func (s *Server) Compact(ctx context.Context, request *pb.CompactionRequest) (*pb.CompactionResponse, error) {
+	s.store.Compact(request.Revision)
 	return &pb.CompactionResponse{}, ctx.Err()
 }
 
@@ -251,34 +251,34 @@
 	if err != nil {
 		return err
 	}
-	c := req.GetCreateRequest()
-	if c == nil {
+	create := req.GetCreateRequest()
+	if create == nil {
 		return rpctypes.ErrGRPCEmptyKey
 	}
-	if err := s.wait(stream.Context()); err != nil {
+	if err := s.waitWhileHung(stream.Context()); err != nil {
 		return err
 	}
-	st := s.store
-	st.mu.Lock()
-	w := &watcher{from: string(c.Key), to: string(c.RangeEnd), news: make(chan []*mvccpb.Event, watchBuffer)}
-	var old []*mvccpb.Event
-	head := st.head()
+	store := s.store
+	store.mu.Lock()
+	watch := &watcher{from: string(create.Key), to: string(create.RangeEnd), events: make(chan []*mvccpb.Event, watchBuffer)}
+	var missed []*mvccpb.Event
+	head := store.header()
 	compacted := int64(0)
-	if c.StartRevision > 0 && c.StartRevision <= st.compacted {
-		compacted = st.compacted
+	if create.StartRevision > 0 && create.StartRevision <= store.compacted {
+		compacted = store.compacted
 	} else {
-		for _, e := range st.log {
-			if c.StartRevision > 0 && e.Kv.ModRevision >= c.StartRevision && w.wants(e) {
-				old = append(old, e)
+		for _, e := range store.log {
+			if create.StartRevision > 0 && e.Kv.ModRevision >= create.StartRevision && watch.matches(e) {
+				missed = append(missed, e)
 			}
 		}
-		st.watchers[w] = struct{}{}
+		store.watchers[watch] = struct{}{}
 	}
-	st.mu.Unlock()
+	store.mu.Unlock()
 	defer func() {
-		st.mu.Lock()
-		delete(st.watchers, w)
-		st.mu.Unlock()
+		store.mu.Lock()
+		delete(store.watchers, watch)
+		store.mu.Unlock()
 	}()
 	if err := stream.Send(&pb.WatchResponse{Header: head, Created: true}); err != nil {
 		return err
@@ -286,20 +286,20 @@
 	if compacted > 0 {
 		return stream.Send(&pb.WatchResponse{Header: head, Canceled: true, CompactRevision: compacted, CancelReason: "compacted"})
 	}
-	if len(old) > 0 {
-		if err := s.send(stream, head, old, c.Fragment); err != nil {
+	if len(missed) > 0 {
+		if err := s.sendEvents(stream, head, missed, create.Fragment); err != nil {
 			return err
 		}
 	}
 	frozen, last := false, head
-	asks := make(chan struct{}, 1)
+	progressRequests := make(chan struct{}, 1)
 	go func() { // requests for progress; any other is not expected on this stream
 		for {
 			if _, err := stream.Recv(); err != nil {
 				return
 			}
 			select {
-			case asks <- struct{}{}:
+			case progressRequests <- struct{}{}:
 			default:
 			}
 		}
@@ -308,42 +308,42 @@
 		select {
 		case <-stream.Context().Done():
 			return stream.Context().Err()
-		case events, ok := <-w.news:
+		case events, ok := <-watch.events:
 			if !ok {
 				return stream.Send(&pb.WatchResponse{Header: head, Canceled: true, CancelReason: "dropped"})
 			}
-			if err := s.wait(stream.Context()); err != nil {
+			if err := s.waitWhileHung(stream.Context()); err != nil {
 				return err
 			}
-			if old := s.frozen(); !frozen && old != nil && events[0].Kv.ModRevision > old.Header.Revision {
-				frozen, last = true, old.Header // from here on it knows nothing, whatever is thawed or frozen anew
+			if missed := s.frozen(); !frozen && missed != nil && events[0].Kv.ModRevision > missed.Header.Revision {
+				frozen, last = true, missed.Header // from here on it knows nothing, whatever is thawed or frozen anew
 			}
 			if frozen {
 				continue
 			}
-			if err := s.send(stream, &pb.ResponseHeader{ClusterId: head.ClusterId, Revision: events[0].Kv.ModRevision}, events, c.Fragment); err != nil {
+			if err := s.sendEvents(stream, &pb.ResponseHeader{ClusterId: head.ClusterId, Revision: events[0].Kv.ModRevision}, events, create.Fragment); err != nil {
 				return err
 			}
-		case <-asks:
-			if s.wait(stream.Context()) != nil {
+		case <-progressRequests:
+			if s.waitWhileHung(stream.Context()) != nil {
 				continue
 			}
-			if old := s.frozen(); old != nil || frozen {
+			if missed := s.frozen(); missed != nil || frozen {
 				if !frozen {
-					last = old.Header
+					last = missed.Header
 				}
 				if err := stream.Send(&pb.WatchResponse{Header: last}); err != nil {
 					return err
 				}
 				continue
 			}
-			st.mu.Lock()
-			h := st.head()
-			_, live := st.watchers[w]
-			quiet := live && len(w.news) == 0
-			st.mu.Unlock()
-			if quiet {
-				if err := stream.Send(&pb.WatchResponse{Header: h}); err != nil {
+			store.mu.Lock()
+			header := store.header()
+			_, registered := store.watchers[watch]
+			caughtUp := registered && len(watch.events) == 0
+			store.mu.Unlock()
+			if caughtUp {
+				if err := stream.Send(&pb.WatchResponse{Header: header}); err != nil {
 					return err
 				}
 			}
@@ -352,63 +352,63 @@
 }
 
 // send brings events, in pieces if wanted.
-func (s *Server) send(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.WatchResponse], h *pb.ResponseHeader, events []*mvccpb.Event,
-	pieces bool) error {
-	for pieces && len(events) > pieceSize {
-		if err := stream.Send(&pb.WatchResponse{Header: h, Events: events[:pieceSize], Fragment: true}); err != nil {
+func (s *Server) sendEvents(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.WatchResponse], header *pb.ResponseHeader, events []*mvccpb.Event,
+	fragment bool) error {
+	for fragment && len(events) > fragmentSize {
+		if err := stream.Send(&pb.WatchResponse{Header: header, Events: events[:fragmentSize], Fragment: true}); err != nil {
 			return err
 		}
-		events = events[pieceSize:]
+		events = events[fragmentSize:]
 	}
-	return stream.Send(&pb.WatchResponse{Header: h, Events: events})
+	return stream.Send(&pb.WatchResponse{Header: header, Events: events})
 }
 
 // LeaseGrant begins a lease.
-func (s *Server) LeaseGrant(ctx context.Context, r *pb.LeaseGrantRequest) (*pb.LeaseGrantResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) LeaseGrant(ctx context.Context, request *pb.LeaseGrantRequest) (*pb.LeaseGrantResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
 	s.store.nextLease++
 	id := s.store.nextLease
-	ttl := time.Duration(r.TTL) * time.Second
-	s.store.leases[id] = &lease{ttl: ttl, ends: time.Now().Add(ttl), keys: map[string]struct{}{}}
-	return &pb.LeaseGrantResponse{Header: s.store.head(), ID: id, TTL: r.TTL}, nil
+	ttl := time.Duration(request.TTL) * time.Second
+	s.store.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl), keys: map[string]struct{}{}}
+	return &pb.LeaseGrantResponse{Header: s.store.header(), ID: id, TTL: request.TTL}, nil
 }
 
 // LeaseRevoke ends one, with its keys.
-func (s *Server) LeaseRevoke(ctx context.Context, r *pb.LeaseRevokeRequest) (*pb.LeaseRevokeResponse, error) {
-	if err := s.wait(ctx); err != nil {
+func (s *Server) LeaseRevoke(ctx context.Context, request *pb.LeaseRevokeRequest) (*pb.LeaseRevokeResponse, error) {
+	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
-	if s.store.leases[r.ID] == nil {
+	if s.store.leases[request.ID] == nil {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	s.store.revoke(r.ID)
-	return &pb.LeaseRevokeResponse{Header: s.store.head()}, nil
+	s.store.revoke(request.ID)
+	return &pb.LeaseRevokeResponse{Header: s.store.header()}, nil
 }
 
 // LeaseKeepAlive renews leases; one that has ended answers with no time left.
 func (s *Server) LeaseKeepAlive(stream grpc.BidiStreamingServer[pb.LeaseKeepAliveRequest, pb.LeaseKeepAliveResponse]) error {
 	for {
-		r, err := stream.Recv()
+		request, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if err := s.wait(stream.Context()); err != nil {
+		if err := s.waitWhileHung(stream.Context()); err != nil {
 			return err
 		}
 		s.store.mu.Lock()
-		a := &pb.LeaseKeepAliveResponse{Header: s.store.head(), ID: r.ID}
-		if l := s.store.leases[r.ID]; l != nil && time.Now().Before(l.ends) {
-			l.ends = time.Now().Add(l.ttl)
-			a.TTL = int64(l.ttl / time.Second)
+		response := &pb.LeaseKeepAliveResponse{Header: s.store.header(), ID: request.ID}
+		if held := s.store.leases[request.ID]; held != nil && time.Now().Before(held.expires) {
+			held.expires = time.Now().Add(held.ttl)
+			response.TTL = int64(held.ttl / time.Second)
 		}
 		s.store.mu.Unlock()
-		if err := stream.Send(a); err != nil {
+		if err := stream.Send(response); err != nil {
 			return err
 		}
 	}
