--- a/internal/standin/directory/store.go
+++ b/internal/standin/directory/store.go
@@ -14,11 +14,11 @@
 
 // Entry is one entry.
 type Entry struct {
-	UUID  [16]byte
-	DN    string
-	Attrs map[string][]string // names in lower case
-	Seq   uint64              // of its latest change
-	At    time.Time           // of it, by the directory's clock
+	UUID      [16]byte
+	DN        string
+	Attrs     map[string][]string // names in lower case
+	Seq       uint64              // of its latest change
+	ChangedAt time.Time           // of it, by the directory's clock
 }
 
 // values are those of an attribute, operational ones included (RFC 4512 section 3.4, RFC 4530).
@@ -27,7 +27,7 @@
 	case "entryuuid":
 		return []string{UUID(e.UUID)}
 	case "modifytimestamp":
-		return []string{e.At.UTC().Format("20060102150405Z")}
+		return []string{e.ChangedAt.UTC().Format("20060102150405Z")}
 	}
 	return e.Attrs[name]
 }
@@ -80,7 +80,7 @@
 		s.byDN[normalizeDN(dn)] = entry
 	}
 	updated := *entry // answers under way keep the old one
-	updated.Attrs, updated.Seq, updated.At = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
+	updated.Attrs, updated.Seq, updated.ChangedAt = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
 	for k, v := range attrs {
 		updated.Attrs[strings.ToLower(k)] = slices.Clone(v)
 	}
@@ -122,7 +122,7 @@
 	}
 	s.seq++
 	renamed := *entry
-	renamed.DN, renamed.Seq, renamed.At = newDN, s.seq, time.Now().Add(s.Skew)
+	renamed.DN, renamed.Seq, renamed.ChangedAt = newDN, s.seq, time.Now().Add(s.Skew)
 	delete(s.byDN, normalizeDN(dn))
 	s.byDN[normalizeDN(newDN)] = &renamed
 	s.notifyListeners()
--- a/internal/standin/mediabox/mediabox.go
+++ b/internal/standin/mediabox/mediabox.go
@@ -70,7 +70,7 @@
 	ColdFrom            float64 // part of its places that it takes at its start
 	FallMultiple        float64 // falls over at so many times its pace
 	FallSpan            Time
-	Length              Time // of a recorded title; 0 for no end
+	TitleLength         Time // of a recorded title; 0 for no end
 	Seed                uint64
 	SessionTimeout      Time
 	KeepsAfterConnClose bool // a session outlives its connection until its time-out, as boxes may
@@ -124,7 +124,7 @@
 
 // Counts are what a box did.
 type Counts struct {
-	Setups, Refused, Sessions, Packets, Fell, Timeouts int
+	Setups, Rejected, Sessions, Packets, Fell, Timeouts int
 }
 
 type streamKey struct {
@@ -461,7 +461,7 @@
 			return nil
 		}
 		if b.Counts.Sessions >= b.Places || b.FullFrom > 0 && b.linkLoad() >= b.FullFrom {
-			b.Counts.Refused++
+			b.Counts.Rejected++
 			if pipelineID != "" {
 				conn.pipelined[pipelineID] = nil
 			}
@@ -589,7 +589,7 @@
 		sess.conn.out = rtsp.AppendFrame(sess.conn.out, channel, raw)
 		b.Counts.Packets++
 	}
-	if b.Length > 0 && !plan.Live && b.now-sess.playStart >= b.Length {
+	if b.TitleLength > 0 && !plan.Live && b.now-sess.playStart >= b.TitleLength {
 		if bye, err := (&rtcp.Goodbye{Sources: []uint32{sess.ssrc}}).Marshal(); err == nil {
 			sess.conn.out = rtsp.AppendFrame(sess.conn.out, sess.channels[0]+1, bye)
 		}
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -47,7 +47,7 @@
 // The states. The last four are final.
 const (
 	Connecting State = iota
-	Asked
+	Requested
 	Ready
 	Playing
 	Refused   // 453, 503
@@ -68,7 +68,7 @@
 	RetryAfter                 Time   // 0 where none is told
 	Token                      string // to bring back
 	Brought                    bool   // this asking brought one, at the time told
-	Round                      int
+	Attempt                    int
 	Packets, Gaps              int
 	Bytes                      int64
 	Answers, Unasked           int // answers got; those that nothing asked for
@@ -156,7 +156,7 @@
 func (g *Crowd) startAttemptAt(profile *Want, number int, token, front string, redirects int) *playAttempt {
 	attempt := &playAttempt{profile: profile, number: number, pending: map[int]string{}, lastSeq: map[byte]uint16{},
 		parser: rtsp.Parser{Bounds: rtsp.Usual}, conn: &core.Conn{Secure: profile.Secure}}
-	attempt.result = Seen{ID: profile.ID, Began: g.now, Round: number, Brought: token != "" && !profile.Early}
+	attempt.result = Seen{ID: profile.ID, Began: g.now, Attempt: number, Brought: token != "" && !profile.Early}
 	attempt.token, attempt.conn.From, attempt.front, attempt.redirects = token, profile.Address, front, redirects
 	attempt.result.Front, attempt.result.SentOn = front, redirects > 0
 	if number > 0 {
@@ -213,7 +213,7 @@
 
 // setups sends a SETUP for each track in one go.
 func (g *Crowd) sendSetups(attempt *playAttempt) {
-	attempt.result.State, attempt.result.Began = Asked, g.now
+	attempt.result.State, attempt.result.Began = Requested, g.now
 	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Abandoned) })
 	for i := range attempt.profile.Tracks {
 		transport := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: byte(2 * i), RTCP: byte(2*i + 1)}
@@ -227,7 +227,7 @@
 	g.flush(attempt)
 	if attempt.profile.Leaves > 0 {
 		g.timers.Set(nil, g.now+attempt.profile.Leaves, func() {
-			if attempt.result.State == Asked {
+			if attempt.result.State == Requested {
 				g.end(attempt, Abandoned)
 			}
 		})
--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -17,21 +17,21 @@
 
 // Store is the registry's state and past.
 type Store struct {
-	mu          sync.Mutex
-	clusterID   uint64
-	revision    int64
-	compacted   int64
-	epoch       string
-	keys        map[string]*mvccpb.KeyValue
-	log         []*mvccpb.Event
-	leases      map[int64]*lease
-	nextLease   int64
-	watchers    map[*watcher]struct{}
-	checksum    uint64
-	checksums   map[string]map[int64]uint64 // by epoch and revision: the sum of the state
-	committedAt map[string]map[int64]time.Time
-	changes     int64
-	Dropped     int64
+	mu              sync.Mutex
+	clusterID       uint64
+	revision        int64
+	compacted       int64
+	epoch           string
+	keys            map[string]*mvccpb.KeyValue
+	log             []*mvccpb.Event
+	leases          map[int64]*lease
+	nextLease       int64
+	watchers        map[*watcher]struct{}
+	checksum        uint64
+	checksums       map[string]map[int64]uint64 // by epoch and revision: the sum of the state
+	committedAt     map[string]map[int64]time.Time
+	changes         int64
+	DroppedWatchers int64
 }
 
 type lease struct {
@@ -194,7 +194,7 @@
 		select {
 		case w.events <- matching:
 		default: // too slow
-			s.Dropped++
+			s.DroppedWatchers++
 			s.dropWatcher(w)
 		}
 	}
