--- a/internal/standin/mediabox/mediabox.go
+++ b/internal/standin/mediabox/mediabox.go
@@ -1,6 +1,7 @@
-// Package mediabox is a small stand-in for a media server, without its sockets: it takes SETUP and PLAY of
-// docs/wire.md, sends RTP interleaved, shares its link and its rack's uplink among what is asked, starts
-// cold, falls over when pushed, and goes wrong as a script tells it to. It knows nothing of the front.
+// Package mediabox implements a stand-in for an RTSP media server, for tests. It does no socket I/O of its own.
+// It serves the requests of docs/wire.md, sends interleaved RTP, divides the capacity of its link and of its
+// rack's uplink among its sessions, starts with reduced capacity, crashes when overloaded during its warm-up,
+// and injects faults as a test script sets them. It does not depend on the front's code.
 package mediabox
 
 import (
@@ -18,20 +19,20 @@
 	"pierlink/internal/rtsp"
 )
 
-// Time is a clock value or span in microseconds.
+// Time is a point in time or a duration in microseconds.
 type Time = core.Time
 
-// Plan is a kind of title as the box serves it.
+// Plan describes how the box serves the titles of one plan.
 type Plan struct {
 	Name       string
-	RateFactor float64
+	RateFactor float64 // multiplies the rate of each rung
 	Live       bool
-	Tracks     []string // media of each
+	Tracks     []string // media type of each track
 }
 
-// Rack is an uplink that several boxes share.
+// Rack is the uplink that the boxes of one rack share. It is safe for concurrent use.
 type Rack struct {
-	UplinkKB    float64
+	UplinkKB    float64 // capacity, kB per second
 	mu          sync.Mutex
 	requestedKB float64
 }
@@ -42,67 +43,67 @@
 	r.mu.Unlock()
 }
 
-// Fill is what is asked of the uplink over what it gives.
+// Fill returns the requested rate as a share of the uplink's capacity; it exceeds 1 under overload.
 func (r *Rack) Fill() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(r.requestedKB, 0) / r.UplinkKB
 }
 
-// Frame is what the box is.
+// Frame holds the configuration of a box.
 type Frame struct {
 	Name                string
 	Plans               []Plan
-	LadderKB            []float64 // kB a second of each rung
-	Join                float64
-	LinkKB              float64
+	LadderKB            []float64 // kB per second of each rung
+	Join                float64   // share of the rate that a further viewer of a live stream costs
+	LinkKB              float64   // capacity of the link, kB per second
 	Rack                *Rack
-	Places              int
-	FullFrom            float64 // refuses set-ups while its link is asked so much; 0 for never
-	SetupTime           [2]Time // of a SETUP, between these
-	Tick                Time    // between sendings of one session
-	PacketBytes         int
-	NoteDelay, NoteAll  Time // notes come so late; link and uplink every so long, 0 for never
-	LoadInAnswers       bool
-	UplinkUntold        bool    // load is of the link alone
-	Started             Time    // this start, 0 for long ago
-	WarmUp              Time    // cold for so long
-	ColdFrom            float64 // part of its places that it takes at its start
-	FallMultiple        float64 // falls over at so many times its pace
-	FallSpan            Time
-	TitleLength         Time // of a recorded title; 0 for no end
+	Places              int     // maximum number of sessions
+	FullFrom            float64 // link load from which SETUP requests are rejected; 0 disables
+	SetupTime           [2]Time // shortest and longest processing time of a SETUP
+	Tick                Time    // interval at which a session sends packets
+	PacketBytes         int     // payload size of an RTP packet
+	NoteDelay, NoteAll  Time    // delay of a note; interval of load notes, 0 disables them
+	LoadInAnswers       bool    // responses and notes carry the load
+	UplinkUntold        bool    // the reported load omits the uplink
+	Started             Time    // time of the start; 0 if the box is already warm
+	WarmUp              Time    // duration of the warm-up
+	ColdFrom            float64 // share of the link capacity available at the start
+	FallMultiple        float64 // the box crashes above this multiple of its warm-up setup rate; 0 disables
+	FallSpan            Time    // window over which cold setups are counted
+	TitleLength         Time    // duration of a recorded title; 0 for endless
 	Seed                uint64
 	SessionTimeout      Time
-	KeepsAfterConnClose bool // a session outlives its connection until its time-out, as boxes may
+	KeepsAfterConnClose bool // sessions outlive their connection until the session timeout, as RTSP allows
 }
 
-// Fault is one scripted misbehaviour of set-ups.
+// Fault is a kind of misbehaviour in the handling of a request.
 type Fault int
 
-// The faults.
+// The kinds of faults.
 const (
 	None       Fault = iota
-	Error            // answers 500 at once
-	LostAnswer       // does it, and never answers
-	LateAnswer       // does it, and answers late
-	Cut              // sends a part of the answer and closes the connection
-	Stuck            // neither does nor answers
+	Error            // responds with status 500 at once
+	LostAnswer       // carries out the request without a response
+	LateAnswer       // carries out the request and responds late
+	Cut              // sends half of the response and closes the connection
+	Stuck            // neither carries out the request nor responds
 )
 
-// Trouble is what a script makes of the box for now.
+// Trouble holds the faults that are currently injected into a box.
 type Trouble struct {
-	Deaf      bool             // hears, does and sends nothing
-	Faults    map[string]Fault // by method
-	Part      float64          // of the requests that a fault concerns
-	Late      Time             // of late answers
-	Neighbour float64          // part of the link that another program takes
-	ReportLag Time             // added to notes
-	Slow      float64          // set-ups take so many times as long, 0 for 1
-	Overspeed float64          // sends so many times its rung's rate, 0 for 1
-	KeepLoad  bool             // the Load header stands still
-}
-
-// Box is one media server. It is a core.Core.
+	Deaf      bool             // ignores input and sends nothing
+	Faults    map[string]Fault // by request method
+	Part      float64          // probability that a fault applies to a request
+	Late      Time             // delay of late responses
+	Neighbour float64          // share of the link that other traffic occupies
+	ReportLag Time             // additional delay of notes
+	Slow      float64          // factor on the processing time of a SETUP; 0 counts as 1
+	Overspeed float64          // factor on the sending rate; values below 1 count as 1
+	KeepLoad  bool             // the Load header keeps its last value
+}
+
+// Box is one media server. It implements core.Core.
 type Box struct {
 	Frame
 	Trouble     Trouble
@@ -112,17 +113,17 @@
 	rng         *rand.Rand
 	conns       []*connection
 	sessions    map[string]*session
-	requestedKB float64 // of the link, kB a second
-	streams     map[streamKey]int
-	coldSetups  []Time // of set-ups while cold
+	requestedKB float64           // rate requested of the link, kB per second
+	streams     map[streamKey]int // viewers of each live stream
+	coldSetups  []Time            // times of the setups within the crash window
 	crashed     bool
-	lastID      int
-	throttled   bool
+	lastID      int  // of a session or of a note
+	throttled   bool // the previous notes reported a delivered share below 0.98
 	lastLoad    string
 	Counts      Counts
 }
 
-// Counts are what a box did.
+// Counts are the event counters of a box; Sessions is the number of present sessions.
 type Counts struct {
 	Setups, Rejected, Sessions, Packets, Fell, Timeouts int
 }
@@ -136,10 +137,10 @@
 type connection struct {
 	netConn   *core.Conn
 	parser    rtsp.Parser
-	busyUntil Time
-	pipelined map[string]*session // by Pipelined-Requests
+	busyUntil Time                // requests of a connection are served one after another
+	pipelined map[string]*session // by Pipelined-Requests id; nil where the first SETUP was rejected
 	closed    bool
-	front     string
+	front     string // User-Agent of the front
 	out       []byte
 	sessions  []*session
 }
@@ -148,38 +149,38 @@
 	id          string
 	conn        *connection
 	key         streamKey
-	channels    map[int]byte // by track
+	channels    map[int]byte // interleaved RTP channel by track
 	playing     bool
-	requestedKB float64
-	nextSeq     []uint16
-	credit      float64
+	requestedKB float64  // kB per second
+	nextSeq     []uint16 // RTP sequence numbers by track
+	credit      float64  // bytes that may be sent now
 	lastSent    Time
 	playStart   Time
 	timer       *core.Timer
 	lastActive  Time
 	ended       bool
-	firstSent   bool // a packet of each track has gone out
+	firstSent   bool // the first packet of each track was sent
 	ssrc        uint32
-	dialogue    string // the front's name for it
+	dialogue    string // the front's identifier of the session
 }
 
-// New makes a box.
-func New(f Frame, net core.Net, now Time) *Box {
-	b := &Box{Frame: f, net: net, now: now, sessions: map[string]*session{}, streams: map[streamKey]int{},
-		rng: rand.New(rand.NewPCG(f.Seed, 0xb0c5))}
-	if f.NoteAll > 0 {
-		b.timers.Set(nil, now+f.NoteAll, b.sendNotes)
+// New returns a box that sends through net.
+func New(config Frame, net core.Net, now Time) *Box {
+	b := &Box{Frame: config, net: net, now: now, sessions: map[string]*session{}, streams: map[streamKey]int{},
+		rng: rand.New(rand.NewPCG(config.Seed, 0xb0c5))}
+	if config.NoteAll > 0 {
+		b.timers.Set(nil, now+config.NoteAll, b.sendNotes)
 	}
 	return b
 }
 
-// At begins a turn.
+// At starts a turn of the event loop: it sets the clock and runs the timers that are due.
 func (b *Box) At(now Time) {
 	b.now = now
 	b.timers.Run(now)
 }
 
-// Settle ends a turn.
+// Settle ends a turn: it sends buffered output and returns the time of the next timer.
 func (b *Box) Settle() Time {
 	for _, conn := range b.conns {
 		b.flush(conn)
@@ -194,7 +195,7 @@
 	}
 }
 
-// Accepted takes a front's connection.
+// Accepted registers a connection from a front; a crashed box closes it.
 func (b *Box) Accepted(netConn *core.Conn, _ string) {
 	if b.crashed {
 		b.net.Close(netConn)
@@ -205,13 +206,13 @@
 	b.conns = append(b.conns, conn)
 }
 
-// Dialed is for cores that connect; a box does not.
+// Dialed does nothing, as a box opens no connections.
 func (b *Box) Dialed(*core.Conn, error) {}
 
-// Drained has nothing wait here: frames that find the network full are left out.
+// Drained does nothing: frames are dropped, not queued, while the output buffer is full.
 func (b *Box) Drained(*core.Conn) {}
 
-// Received takes bytes of a front.
+// Received parses bytes from a front and serves complete requests.
 func (b *Box) Received(netConn *core.Conn, data []byte) {
 	conn, ok := netConn.Owner.(*connection)
 	if !ok || conn.closed || b.Trouble.Deaf || b.crashed {
@@ -222,7 +223,7 @@
 	}
 }
 
-// Closed ends what a connection carried.
+// Closed ends a closed connection's sessions, or leaves them to their timeout if so configured.
 func (b *Box) Closed(netConn *core.Conn, _ error) {
 	if conn, ok := netConn.Owner.(*connection); ok && !conn.closed {
 		b.connectionClosed(conn)
@@ -264,13 +265,13 @@
 		handler.box.send(handler.conn, rtsp.Answer(e.Status, e.CSeq))
 	}
 }
-func (handler *parserHandler) Frame(byte, []byte) { // RTCP of the player keeps its session alive
+func (handler *parserHandler) Frame(byte, []byte) { // RTCP from the player keeps the sessions alive
 	for _, sess := range handler.conn.sessions {
 		sess.lastActive = handler.box.now
 	}
 }
 
-// Message takes a request; those of one connection are served one after the other.
+// Message schedules a request; the requests of one connection are served in order.
 func (handler *parserHandler) Message(message *rtsp.Message) {
 	b, conn := handler.box, handler.conn
 	if !message.IsRequest() {
@@ -349,11 +350,12 @@
 
 func formatRatio(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
 
-// link is what the link gives: less while cold, and what another program takes.
+// linkCapacity returns the capacity of the link in kB per second, reduced during the warm-up and by competing traffic.
 func (b *Box) linkCapacity() float64 {
 	return b.LinkKB * (1 - b.Trouble.Neighbour) * b.capacityFraction()
 }
 
+// capacityFraction returns the share of its capacity that the box has: it rises linearly during the warm-up.
 func (b *Box) capacityFraction() float64 {
 	if b.Started == 0 || b.WarmUp == 0 || b.now >= b.Started+b.WarmUp {
 		return 1
@@ -363,22 +365,22 @@
 
 func (b *Box) linkLoad() float64 { return max(b.requestedKB, 0) / b.linkCapacity() }
 
-// share is the part of their rates that sessions get.
+// deliveredShare returns the share of their requested rates that sessions receive.
 func (b *Box) deliveredShare() float64 {
 	return min(1, 1/max(b.linkLoad(), 1e-9), 1/max(b.Rack.Fill(), 1e-9))
 }
 
-// answer does what is asked; nil where no answer is due.
+// handle carries out a request and returns its response, or nil if none is due.
 func (b *Box) handle(conn *connection, request *rtsp.Message) *rtsp.Message {
 	id, _ := rtsp.SessionID(request.Get("Session"))
 	sess := b.sessions[id]
 	if pipelineID := request.Get("Pipelined-Requests"); sess == nil && pipelineID != "" {
 		sess = conn.pipelined[pipelineID]
 	}
-	if name := request.Get("Dialogue"); sess == nil && name != "" && request.Method == rtsp.Teardown { // of a front that died
-		for _, conn := range b.sessions {
-			if conn.dialogue == name {
-				sess = conn
+	if name := request.Get("Dialogue"); sess == nil && name != "" && request.Method == rtsp.Teardown { // for a session of a front that has failed
+		for _, candidate := range b.sessions {
+			if candidate.dialogue == name {
+				sess = candidate
 			}
 		}
 	}
@@ -428,7 +430,8 @@
 	return response
 }
 
-// setup takes one track. The first one of a session takes a place, and counts against the cold pace.
+// setup handles the SETUP of one track. The first of a session creates the session, and counts towards the limit
+// on setups during the warm-up.
 func (b *Box) setup(conn *connection, sess *session, request *rtsp.Message) *rtsp.Message {
 	uri, _, _ := strings.Cut(strings.TrimPrefix(request.URI, "rtsp://"), "?")
 	path := strings.Split(strings.Trim(uri, "/"), "/")
@@ -442,7 +445,7 @@
 	track, err := strconv.Atoi(strings.TrimPrefix(path[3], "track"))
 	transports := rtsp.Transports(request.Get("Transport"))
 	rung, rungErr := 0, error(nil)
-	if r := request.Get("Rung"); r != "" { // a player that comes straight to the box tells none
+	if r := request.Get("Rung"); r != "" { // a player that connects directly to the box sends none
 		rung, rungErr = strconv.Atoi(r)
 	}
 	if err != nil || track < 0 || track >= len(b.Plans[plan].Tracks) || rungErr != nil || rung < 0 || rung >= len(b.LadderKB) {
@@ -453,7 +456,7 @@
 	}
 	pipelineID := request.Get("Pipelined-Requests")
 	if earlier, ok := conn.pipelined[pipelineID]; ok && pipelineID != "" && earlier == nil {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq) // the first of them was refused
+		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq) // the first request of the pipeline was rejected
 	}
 	if sess == nil {
 		b.Counts.Setups++
@@ -485,7 +488,8 @@
 	return rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", sess.id).With("Transport", transports[0].String())
 }
 
-// pushed counts a set-up against the cold pace; over the stated multiple the box falls over and stays down.
+// countColdSetup counts a setup during the warm-up and reports whether the box has crashed. Above the configured
+// limit the box crashes: it closes its connections and stays down.
 func (b *Box) countColdSetup() bool {
 	if b.Started == 0 || b.now >= b.Started+b.WarmUp || b.FallMultiple == 0 {
 		return false
@@ -506,13 +510,14 @@
 	return b.crashed
 }
 
-// Allowed is how many set-ups a cold box stands within a span: its places over its warm-up, times the
-// multiple and the part it has warmed.
-func Allowed(places int, warmUp, span Time, multiple, warmth float64) float64 {
-	return multiple * float64(places) / float64(warmUp) * float64(span) * warmth
+// Allowed returns the number of setups within the window above which a cold box crashes: the average rate at which
+// the warm-up would fill all its sessions, times the multiple and its present share of capacity.
+func Allowed(maxSessions int, warmUp, window Time, multiple, capacityFraction float64) float64 {
+	return multiple * float64(maxSessions) / float64(warmUp) * float64(window) * capacityFraction
 }
 
-// weigh books what a session asks of link and uplink; viewers of one live title share a stream.
+// updateDemand adds (sign 1) or removes (sign -1) the rate that a session requests of link and uplink. Viewers of
+// the same live stream share it: each further one costs only the join share of its rate.
 func (b *Box) updateDemand(sess *session, sign int) {
 	plan := &b.Plans[sess.key.plan]
 	kb := b.LadderKB[sess.key.rung] * plan.RateFactor
@@ -550,13 +555,14 @@
 	}
 }
 
-// Down takes what the box asks off its rack, as its death does.
+// Down removes the box's demand from the rack's uplink, as when the box goes down.
 func (b *Box) Down() { b.Rack.addDemand(-b.requestedKB) }
 
-// Sessions is how many playbacks the box carries.
+// Sessions returns the number of sessions on the box.
 func (b *Box) Sessions() int { return b.Counts.Sessions }
 
-// sendFrames sends what a session's rung and the shared link give since the last time.
+// sendFrames sends the RTP packets that a session's rung and its share of the link allow since the last call, and
+// schedules the next call.
 func (b *Box) sendFrames(sess *session) {
 	if sess.ended || !sess.playing || sess.conn.closed || b.crashed {
 		return
@@ -597,10 +603,11 @@
 	}
 }
 
+// payload is the zeroed buffer from which packets are sent.
 var payload = make([]byte, 1<<15)
 
-// tellAll sends notes: each front hears on one of its sessions how full link and uplink are, and what share
-// is delivered while it is short, and once more after.
+// sendNotes sends each front a note on one of its playing sessions: the load of link and uplink, and the delivered
+// share while it is below 0.98 and once after it has recovered.
 func (b *Box) sendNotes() {
 	b.timers.Set(nil, b.now+b.NoteAll, b.sendNotes)
 	share := b.deliveredShare()
@@ -641,8 +648,8 @@
 	})
 }
 
-// Book is what its link gives and what is asked of it, kB a second; an error if what its sessions ask does not
-// add up to that, or its places to its sessions.
+// Book returns the capacity of the link and the rate requested of it, in kB per second. The error reports a session
+// count that does not match the sessions, or a negative requested rate.
 func (b *Box) Book() (link, requested float64, err error) {
 	sum, n := 0.0, 0
 	for _, sess := range b.sessions {
@@ -652,16 +659,17 @@
 		}
 	}
 	if n != b.Counts.Sessions {
-		err = fmt.Errorf("%d sessions, %d places taken", n, b.Counts.Sessions)
+		err = fmt.Errorf("found %d sessions, but the session counter is %d", n, b.Counts.Sessions)
 	}
-	// A live stream's first viewer asks for the whole rate, and it may be another one by now.
+	// The sum is not compared with the total: the first viewer of a live stream is booked at the full rate, and may
+	// have left before those that were booked at the join share.
 	if b.requestedKB < -1e-6 {
-		err = fmt.Errorf("%.3f kB a second are asked, its sessions ask for %.3f", b.requestedKB, sum)
+		err = fmt.Errorf("requested rate is %.3f kB/s, expected at least 0; its sessions request %.3f kB/s", b.requestedKB, sum)
 	}
 	return b.linkCapacity(), b.requestedKB, err
 }
 
-// Orphaned is how many places are taken by sessions whose connection has gone.
+// Orphaned returns the number of sessions whose connection has closed.
 func (b *Box) Orphaned() (n int) {
 	for _, sess := range b.sessions {
 		if !sess.ended && sess.conn.closed {
