--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -1,6 +1,6 @@
-// Package player is a crowd of stand-in players without their sockets. Each one connects to a session
-// manager, asks for a title, plays it for as long as its viewer wants, and counts what it gets: answers for
-// each request, time to the first packet, packets by sequence number and gaps. It comes again when told to.
+// Package player implements stand-in RTSP players, for tests and load generation. It does no socket I/O of its own.
+// Each player connects to a front, sets up a title and plays it for a configured time. It records the responses, the
+// startup time, and RTP packets and sequence gaps. It retries as its profile and the front's Retry-After state.
 package player
 
 import (
@@ -13,140 +13,141 @@
 	"pierlink/internal/rtsp"
 )
 
-// Time is a clock value or span in microseconds.
+// Time is a point in time or a duration in microseconds.
 type Time = core.Time
 
-// Want is what one viewer wants.
+// Want describes what one viewer requests and how it behaves.
 type Want struct {
-	ID       string // of the first request; further ones get a suffix
-	Fronts   []string
+	ID       string   // Request-Id of the first attempt; later attempts append a suffix
+	Fronts   []string // addresses, tried in turn
 	Plan     string
 	Title    string
 	Tenant   string
-	Top      int
-	Tracks   int
-	Watch    Time   // how long it plays
-	Abandon  Time   // gives up an answer after so long
-	Returns  int    // comes again so often, after a refusal, a failure or a loss
-	Break    Time   // before it does, where no time is told
-	Ask      bool   // DESCRIBE first
-	Repeat   bool   // tells its SETUPs twice, as over a bad link
-	Leaves   Time   // closes in the middle of a set-up after so long; 0 for never
-	KeepsTo  bool   // comes again exactly when told; otherwise after Break
-	Early    bool   // comes again at half of the time told
-	Address  string // where its connection comes from, where the network lets it choose
-	Secure   bool   // connects under TLS
-	Account  string // shown when the door asks, with the password
+	Top      int    // highest rung requested
+	Tracks   int    // number of tracks to set up
+	Watch    Time   // playing time
+	Abandon  Time   // how long it waits for the responses to its requests
+	Returns  int    // maximum number of retries after a rejection, a failure or a loss
+	Break    Time   // delay before a retry if Retry-After is absent or ignored
+	Ask      bool   // sends DESCRIBE before SETUP
+	Repeat   bool   // sends its SETUP requests twice, as retransmission on a bad link would
+	Leaves   Time   // closes the connection after this time if the setup is still pending; 0 disables
+	KeepsTo  bool   // retries after the time in Retry-After, not after the default delay
+	Early    bool   // retries after half the time in Retry-After
+	Address  string // source address, where the network supports it
+	Secure   bool   // connects with TLS
+	Account  string // user name for authentication; empty for none
 	Password string
-	Basic    bool // the password itself is shown
+	Basic    bool // uses Basic instead of Digest authentication
 }
 
-// State is how far one asking has come.
+// State is the state of one attempt to play.
 type State int
 
-// The states. The last four are final.
+// The states of an attempt. The last six are final.
 const (
 	Connecting State = iota
 	Requested
 	Ready
 	Playing
-	Refused   // 453, 503
-	Failed    // another status, or a connection lost before the answer
-	Abandoned // no answer by the abandon time
-	Lost      // the connection or the stream ended while it played
-	Done
-	Moved // told to go to another session manager before it played
+	Refused   // rejected with status 453 or 503
+	Failed    // another error status, or connection lost before the session was ready
+	Abandoned // not set up within the abandon time
+	Lost      // the connection or the stream ended while it was playing
+	Done      // played for the requested time
+	Moved     // redirected to another front before it played
 )
 
-// Seen is what one asking got.
+// Seen is the result of one attempt.
 type Seen struct {
 	ID                         string
 	State                      State
 	Began, Answered            Time
-	FirstPacket                Time // span from asking, 0 for none
-	Status                     int
-	RetryAfter                 Time   // 0 where none is told
-	Token                      string // to bring back
-	Brought                    bool   // this asking brought one, at the time told
-	Attempt                    int
+	FirstPacket                Time   // time from the SETUP requests to the first packet; 0 if none arrived
+	Status                     int    // RTSP status of the rejection or failure
+	RetryAfter                 Time   // 0 if absent
+	Token                      string // token of the Come-Again header, to present on the retry
+	Brought                    bool   // this attempt presented a token, and not ahead of its time
+	Attempt                    int    // 0 for the first, then the number of the retry
 	Packets, Gaps              int
 	Bytes                      int64
-	Answers, Unasked           int // answers got; those that nothing asked for
+	Answers, Unasked           int // responses received; messages that match no request or are malformed
 	Requests                   int
 	LongestSilence, lastPacket Time
-	Front                      string // the address asked
-	SentOn                     bool   // came from another session manager, which sent it on
-	Reached                    bool   // the connection came to be
+	Front                      string // address of the front
+	SentOn                     bool   // this attempt follows a redirect from another front
+	Reached                    bool   // the connection was established
 	Ended                      Time
-	Told                       bool // while it played, to go elsewhere
+	Told                       bool // received a REDIRECT request while it was playing
 }
 
-// Crowd is players that share a clock and a network. It is a core.Core.
+// Crowd is a group of players that share a clock and a network. It implements core.Core.
 type Crowd struct {
 	net     core.Net
 	now     Time
 	timers  core.Timers
-	open    int
-	waiting int                // come again later
-	Began   int                // askings
-	Bytes   int64              // of RTP, all together
-	Plays   int                // now: got their first packet
-	Report  func(*Want, *Seen) // called once for each asking, when it has ended
+	open    int                // attempts in progress, and viewers that wait to retry
+	waiting int                // viewers that wait to retry
+	Began   int                // attempts started
+	Bytes   int64              // RTP bytes received in total
+	Plays   int                // attempts in progress that have received a packet
+	Report  func(*Want, *Seen) // called once for each attempt, when it has ended
 }
 
-// New makes a crowd.
+// New returns a group without players, which connects through net.
 func New(net core.Net, now Time) *Crowd { return &Crowd{net: net, now: now} }
 
+// playAttempt is one attempt of a viewer to play, on a connection of its own.
 type playAttempt struct {
 	profile        *Want
-	number         int
+	number         int // 0 for the first, then the number of the retry
 	conn           *core.Conn
 	parser         rtsp.Parser
 	result         Seen
 	cseq           int
-	pending        map[int]string // requests that wait for their answer
-	setupsDone     int
+	pending        map[int]string // methods of the requests without a response, by CSeq
+	setupsDone     int            // successful SETUP responses
 	sessionID      string
 	sessionTimeout Time
-	lastSeq        map[byte]uint16
+	lastSeq        map[byte]uint16 // latest RTP sequence number by channel
 	ended          bool
-	token          string
+	token          string // presented in Come-Again
 	timer          *core.Timer
 	keepaliveTimer *core.Timer
 	out            []byte
-	playStart      Time         // to play
-	front          string       // the session manager's address
-	previous       *playAttempt // plays at the session manager that sent it on, until this one does
-	next           *playAttempt // the other way round
-	redirects      int
-	challenge      string // what the door wants to see
-	authAttempts   int    // shown
+	playStart      Time         // time of the PLAY request
+	front          string       // address of the front
+	previous       *playAttempt // attempt that was redirected here; it plays until this one does
+	next           *playAttempt // attempt at the front to which this one was redirected
+	redirects      int          // redirects followed so far
+	challenge      string       // the WWW-Authenticate value to respond to
+	authAttempts   int          // setups that were repeated with credentials
 }
 
-const maxRedirects = 4 // of one viewer, one after the other
+const maxRedirects = 4 // in a row, per viewer
 
-// At begins a turn.
+// At starts a turn of the event loop: it sets the clock and runs the timers that are due.
 func (g *Crowd) At(now Time) {
 	g.now = now
 	g.timers.Run(now)
 }
 
-// Settle ends a turn.
+// Settle ends a turn and returns the time of the next timer.
 func (g *Crowd) Settle() Time { return g.timers.Next() }
 
-// Accepted is for cores that listen; a player does not.
+// Accepted closes the connection, as players do not accept any.
 func (g *Crowd) Accepted(c *core.Conn, _ string) { g.net.Close(c) }
 
-// Drained has nothing wait here.
+// Drained does nothing, as players do not wait for buffer space.
 func (g *Crowd) Drained(*core.Conn) {}
 
-// Open is how many askings go on.
+// Open returns the number of attempts in progress, including viewers that wait to retry.
 func (g *Crowd) Open() int { return g.open }
 
-// Resting is how many of them wait to come again.
+// Resting returns the number of viewers that wait to retry.
 func (g *Crowd) Resting() int { return g.waiting }
 
-// Start has a viewer ask.
+// Start starts the first attempt of a viewer.
 func (g *Crowd) Start(profile *Want) { g.startAttempt(profile, 0, "") }
 
 func (g *Crowd) startAttempt(profile *Want, number int, token string) {
@@ -173,7 +174,7 @@
 	return attempt
 }
 
-// Dialed goes on once the connection is there.
+// Dialed sends the first requests once the connection is established.
 func (g *Crowd) Dialed(conn *core.Conn, err error) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
@@ -199,6 +200,7 @@
 	return "rtsp://"
 }
 
+// uri returns the URL of a track, or of the whole title for a negative track.
 func (a *playAttempt) uri(track int) string {
 	uri := a.scheme() + a.front + "/" + a.profile.Plan + "/" + a.profile.Title
 	if track >= 0 {
@@ -211,7 +213,7 @@
 	return uri
 }
 
-// setups sends a SETUP for each track in one go.
+// sendSetups sends the SETUP requests of all tracks at once.
 func (g *Crowd) sendSetups(attempt *playAttempt) {
 	attempt.result.State, attempt.result.Began = Requested, g.now
 	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Abandoned) })
@@ -222,7 +224,7 @@
 		g.send(attempt, request)
 	}
 	if attempt.profile.Repeat {
-		attempt.out = append(attempt.out, attempt.out...) // the same bytes, the same CSeqs
+		attempt.out = append(attempt.out, attempt.out...) // byte for byte, with the same CSeq values
 	}
 	g.flush(attempt)
 	if attempt.profile.Leaves > 0 {
@@ -249,7 +251,7 @@
 	}
 }
 
-// Received takes bytes of the session manager.
+// Received parses bytes from the front.
 func (g *Crowd) Received(conn *core.Conn, data []byte) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
@@ -260,7 +262,7 @@
 	}
 }
 
-// Closed takes the end of the connection.
+// Closed ends the attempt whose connection has closed.
 func (g *Crowd) Closed(conn *core.Conn, _ error) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
@@ -283,7 +285,7 @@
 func (handler *parserHandler) Frame(channel byte, payload []byte) {
 	g, attempt := handler.group, handler.attempt
 	if channel&1 == 1 {
-		if len(payload) > 1 && payload[1] == 203 {
+		if len(payload) > 1 && payload[1] == 203 { // RTCP BYE (RFC 3550)
 			g.end(attempt, Lost)
 		}
 		return
@@ -296,7 +298,7 @@
 	if attempt.result.FirstPacket == 0 {
 		attempt.result.FirstPacket = max(g.now-attempt.result.Began, 1)
 		g.Plays++
-		if previous := attempt.previous; previous != nil { // it plays here now
+		if previous := attempt.previous; previous != nil { // playing has moved here: end the previous session
 			attempt.previous, previous.next = nil, nil
 			if !previous.ended {
 				g.teardown(previous)
@@ -362,7 +364,7 @@
 	}
 }
 
-// keepAlive has the session last (RFC 2326 section 10.8).
+// keepAlive sends GET_PARAMETER at a third of the session timeout to keep the session alive (RFC 2326 section 10.8).
 func (g *Crowd) keepAlive(attempt *playAttempt) {
 	attempt.keepaliveTimer = g.timers.Set(attempt.keepaliveTimer, g.now+attempt.sessionTimeout/3, func() {
 		g.send(attempt, rtsp.Request(rtsp.GetParameter, attempt.uri(-1), 0).With("Session", attempt.sessionID))
@@ -371,21 +373,22 @@
 	})
 }
 
+// teardown ends the session; the attempt counts as done even if no response arrives.
 func (g *Crowd) teardown(attempt *playAttempt) {
 	g.send(attempt, rtsp.Request(rtsp.Teardown, attempt.uri(-1), 0).With("Session", attempt.sessionID))
 	g.flush(attempt)
 	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Done) })
 }
 
-// host is the address in an RTSP URL.
+// host returns the host and port of an RTSP URL.
 func host(url string) string {
 	_, rest, _ := strings.Cut(url, "://")
-	h, _, _ := strings.Cut(rest, "/")
-	return h
+	address, _, _ := strings.Cut(rest, "/")
+	return address
 }
 
-// sentOn has a viewer go on at another session manager (RFC 2326 section 10.10): it sets up there first, and
-// ends the session here once it plays there.
+// redirect continues playing at another front (RFC 2326 section 10.10): the viewer sets up a session there first, and
+// ends the present one once packets arrive from the new front.
 func (g *Crowd) redirect(attempt *playAttempt, request *rtsp.Message) {
 	attempt.out = rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", attempt.sessionID).Append(attempt.out)
 	g.flush(attempt)
@@ -401,6 +404,7 @@
 	attempt.next.previous = attempt
 }
 
+// rejected handles an error response to DESCRIBE or SETUP: it authenticates, follows a redirect or ends the attempt.
 func (g *Crowd) rejected(attempt *playAttempt, response *rtsp.Message) {
 	if g.retryWithAuth(attempt, response) {
 		return
@@ -413,12 +417,12 @@
 	if len(attempt.pending) > 0 && attempt.number >= 0 {
 		for _, method := range attempt.pending {
 			if method == rtsp.Setup {
-				return // the other track's answer is on its way
+				return // responses for other tracks are still pending
 			}
 		}
 	}
 	if front := host(response.Get("Location")); response.Status == rtsp.StatusMoved && front != "" && attempt.redirects < maxRedirects {
-		previous := attempt.previous // it still plays where it was sent on from
+		previous := attempt.previous // still plays at the front that redirected it
 		attempt.previous = nil
 		attempt.next = g.startAttemptAt(attempt.profile, attempt.number, "", front, attempt.redirects+1)
 		if attempt.next.previous = previous; previous != nil {
@@ -434,7 +438,7 @@
 	}
 }
 
-// end closes an asking, and has its viewer come again where it does.
+// end ends an attempt in a final state, reports it, and schedules a retry where one is due.
 func (g *Crowd) end(attempt *playAttempt, state State) {
 	if attempt.ended {
 		return
@@ -450,11 +454,11 @@
 	g.net.Close(attempt.conn)
 	attempt.result.Ended = g.now
 	retry := state != Done && state != Moved && attempt.number < attempt.profile.Returns
-	if previous := attempt.previous; previous != nil { // it goes on where it was, for as long as that lasts
+	if previous := attempt.previous; previous != nil { // the viewer continues at the previous front while that session lasts
 		attempt.previous, previous.next = nil, nil
 		retry = retry && previous.ended
 	}
-	if next := attempt.next; next != nil && state != Moved { // it goes on elsewhere already
+	if next := attempt.next; next != nil && state != Moved { // the viewer continues at the next front
 		attempt.next, next.previous = nil, nil
 		retry = retry && next.ended
 	}
--- a/internal/standin/player/proof.go
+++ b/internal/standin/player/proof.go
@@ -12,17 +12,18 @@
 	"pierlink/internal/rtsp"
 )
 
-const maxAuthAttempts = 2 // the second where the first one's nonce was too old
+const maxAuthAttempts = 2 // the second covers a nonce that was stale at the first
 
+// challengeParam matches one parameter of a WWW-Authenticate challenge.
 var challengeParam = regexp.MustCompile(`(\w+)="?([^",]*)"?`)
 
-// proof is what a viewer shows of who it is, by the first scheme that it can use: Digest (RFC 7616), or Basic (RFC
-// 7617) where it wants that and the door offers it.
+// authorization returns the Authorization header of a request: Digest (RFC 7616), or Basic (RFC 7617) if the profile
+// selects it and the front offers it. It is empty before a challenge.
 func (a *playAttempt) authorization(method, uri string) string {
 	return Proof(a.challenge, a.profile.Account, a.profile.Password, method, uri)
 }
 
-// Proof answers a challenge; empty without one, or without an account.
+// Proof returns the Authorization header that answers a challenge; it is empty without a challenge or an account.
 func Proof(challenge, account, password, method, uri string) string {
 	if challenge == "" || account == "" {
 		return ""
@@ -51,19 +52,20 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// HA1 is what a directory keeps of a password (RFC 7616 section 3.4.2).
+// HA1 returns the hash of user name, realm and password that a directory stores (RFC 7616 section 3.4.2), in hex.
 func HA1(realm, account, password string, newHash func() hash.Hash) string {
 	return hashJoined(newHash, account, realm, password)
 }
 
-// challengedBy takes a 401: with an account the SETUPs are sent once more, with proof.
+// retryWithAuth handles status 401: with an account configured, it repeats the SETUP requests with credentials. It
+// reports whether the response has been dealt with.
 func (g *Crowd) retryWithAuth(attempt *playAttempt, response *rtsp.Message) bool {
 	if response.Status != rtsp.StatusUnauthorized || attempt.profile.Account == "" || attempt.authAttempts >= maxAuthAttempts {
 		return false
 	}
 	for _, method := range attempt.pending {
 		if method == rtsp.Setup {
-			return true // the other tracks' answers are on their way
+			return true // responses for other tracks are still pending
 		}
 	}
 	for _, field := range response.Header {
