--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -1,5 +1,5 @@
-// Package authority is a stand-in for a certificate authority (RFC 5280): it signs certificates for the loopback
-// address, for tests and proofs.
+// Package authority implements a certificate authority (RFC 5280) for tests: it issues short-lived certificates for
+// the loopback address.
 package authority
 
 import (
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// Authority signs.
+// Authority is a certificate authority with a self-signed certificate.
 type Authority struct {
 	Cert   *x509.Certificate
 	key    *ecdsa.PrivateKey
-	serial int64
+	serial int64 // of the latest certificate
 }
 
-// New makes one.
+// New creates an authority with a new key.
 func New() (*Authority, error) {
 	a := &Authority{}
 	var err error
@@ -31,6 +31,7 @@
 	return a, err
 }
 
+// issue creates a key and a certificate that is valid for one hour, self-signed if isCA is set.
 func (a *Authority) issue(isCA bool) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -52,14 +53,14 @@
 	return cert, key, err
 }
 
-// Pool holds it alone.
+// Pool returns a certificate pool that holds only the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.Cert)
 	return p
 }
 
-// Pair signs a new certificate.
+// Pair issues a certificate for servers and clients, with its key.
 func (a *Authority) Pair() (tls.Certificate, error) {
 	cert, key, err := a.issue(false)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key, Leaf: cert}, nil
 }
 
-// Write writes a pair to files, as PEM.
+// Write writes a certificate and its key to files in PEM format.
 func Write(certificate tls.Certificate, certFile, keyFile string) error {
 	der, err := x509.MarshalPKCS8PrivateKey(certificate.PrivateKey)
 	if err != nil {
--- a/internal/standin/directory/server.go
+++ b/internal/standin/directory/server.go
@@ -14,20 +14,20 @@
 	ber "github.com/go-asn1-ber/asn1-ber"
 )
 
-// Trouble is what goes wrong for now.
+// Trouble holds the faults that are currently injected into a server.
 type Trouble struct {
-	Stall             bool          // nothing is answered
-	Slow              time.Duration // before each answer
-	Truncate          int           // a search's connection breaks after so many entries; 0 for never
-	Busy              bool          // every search is answered busy (51)
-	Silent            bool          // streams bring nothing, and do not end
-	NoSync            bool          // content synchronisation is not known (12)
-	RejectPageCookies bool          // cookies of pages are not known
-	Refer             string        // every search is referred there (RFC 4511 section 4.1.10): an ldap URL
-	Part              string        // a part of what is searched is said to be there: a continuation reference (section 4.5.3)
+	Stall             bool          // requests are not answered
+	Slow              time.Duration // delay before each response
+	Truncate          int           // a search closes its connection after this many entries; 0 disables
+	Busy              bool          // every search returns busy (51)
+	Silent            bool          // synchronization streams deliver no changes and stay open
+	NoSync            bool          // content synchronization is unsupported (12)
+	RejectPageCookies bool          // cookies of paged searches are rejected (53)
+	Refer             string        // LDAP URL that every search returns as a referral (RFC 4511 section 4.1.10)
+	Part              string        // LDAP URL that every search returns as a continuation reference (section 4.5.3)
 }
 
-// Tags of RFC 4511.
+// Protocol operation tags and result codes of RFC 4511 and RFC 4533, and the object identifiers of the controls.
 const (
 	tagBind, tagBindResponse, tagUnbind, tagSearch, tagSearchResultEntry, tagSearchResultDone, tagAbandon, tagIntermediate = 0, 1, 2, 3, 4, 5, 16, 25
 	tagModify, tagModifyResponse, tagAdd, tagAddResponse, tagDelete, tagDeleteResponse, tagModifyDN, tagModifyDNResponse   = 6, 7, 8, 9, 10, 11, 12, 13
@@ -43,21 +43,21 @@
 	oidSyncInfo     = "1.3.6.1.4.1.4203.1.9.1.4"
 )
 
-// Server serves a store on a socket.
+// Server serves a store over LDAP on a TCP socket.
 type Server struct {
 	store    *Store
 	listener net.Listener
 	mu       sync.Mutex
 	faults   Trouble
 	conns    map[net.Conn]struct{}
-	pages    map[string][]*Entry
+	pages    map[string][]*Entry // remaining entries by cookie of a paged search
 	lastPage int
 	handlers sync.WaitGroup
-	Searches atomic.Int64
-	Password string // of every bind but anonymous ones
+	Searches atomic.Int64 // search requests received
+	Password string       // required of every bind except anonymous ones
 }
 
-// Serve begins on an address.
+// Serve starts a server for a store on a TCP address.
 func Serve(addr string, store *Store) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -89,10 +89,10 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Upset changes what goes wrong.
+// Upset replaces the injected faults.
 func (s *Server) Upset(faults Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return s.faults
 }
 
-// Cut breaks all connections.
+// Cut closes all connections.
 func (s *Server) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// Stop ends it.
+// Stop closes the listener and all connections, and waits for their handlers.
 func (s *Server) Stop() {
 	_ = s.listener.Close()
 	s.Upset(Trouble{})
@@ -122,14 +122,14 @@
 	s.handlers.Wait()
 }
 
-// dialogue is one connection.
+// connection is one client connection.
 type connection struct {
 	server   *Server
 	netConn  net.Conn
-	mu       sync.Mutex // of writing
+	mu       sync.Mutex // guards cancels and writes to netConn
 	closed   chan struct{}
 	searches sync.WaitGroup
-	cancels  map[int64]chan struct{} // searches that may be abandoned
+	cancels  map[int64]chan struct{} // searches by message id; closing a channel abandons the search
 }
 
 func (s *Server) serve(netConn net.Conn) {
@@ -187,13 +187,14 @@
 				conn.search(id, op, controls, canceled)
 			}()
 		case tagModify, tagAdd, tagDelete, tagModifyDN:
-			conn.send(id, newResult(int(op.Tag)+1, conn.update(op)), nil) // the answer's tag is the next one
+			conn.send(id, newResult(int(op.Tag)+1, conn.update(op)), nil) // the tag of a response is one above its request's
 		default:
 			conn.send(id, newResult(tagSearchResultDone, codeProtocolError), nil)
 		}
 	}
 }
 
+// newResult returns a response that consists of an LDAPResult without matched DN and diagnostic message.
 func newResult(tag, code int) *ber.Packet {
 	response := ber.Encode(ber.ClassApplication, ber.TypeConstructed, ber.Tag(tag), nil, "")
 	response.AppendChild(ber.NewInteger(ber.ClassUniversal, ber.TypePrimitive, ber.TagEnumerated, int64(code), ""))
@@ -208,7 +209,7 @@
 
 func encodedString(p *ber.Packet) string { return string(p.Bytes()) }
 
-// control is one control with its value.
+// newControl returns a control with its value.
 func newControl(oid string, value *ber.Packet) *ber.Packet {
 	control := ber.NewSequence("")
 	control.AppendChild(octetString(oid))
@@ -216,6 +217,7 @@
 	return control
 }
 
+// send writes a message and reports whether the write succeeded.
 func (conn *connection) send(id int64, op *ber.Packet, controls []*ber.Packet) bool {
 	message := ber.NewSequence("")
 	message.AppendChild(ber.NewInteger(ber.ClassUniversal, ber.TypePrimitive, ber.TagInteger, id, ""))
@@ -233,40 +235,40 @@
 	return err == nil
 }
 
-// entry writes one with the attributes that are asked for: all of a user's, or those named (RFC 4511 section
+// encodeEntry encodes an entry with the requested attributes: all user attributes, or those named (RFC 4511 section
 // 4.5.1.8).
-func encodeEntry(e *Entry, requestedNames []string) *ber.Packet {
+func encodeEntry(entry *Entry, requestedNames []string) *ber.Packet {
 	packet := ber.Encode(ber.ClassApplication, ber.TypeConstructed, tagSearchResultEntry, nil, "")
-	packet.AppendChild(octetString(e.DN))
+	packet.AppendChild(octetString(entry.DN))
 	attrs := ber.NewSequence("")
 	add := func(name string, values []string) {
-		a := ber.NewSequence("")
-		a.AppendChild(octetString(name))
+		attr := ber.NewSequence("")
+		attr.AppendChild(octetString(name))
 		set := ber.Encode(ber.ClassUniversal, ber.TypeConstructed, ber.TagSet, nil, "")
 		for _, v := range values {
 			set.AppendChild(octetString(v))
 		}
-		a.AppendChild(set)
-		attrs.AppendChild(a)
+		attr.AppendChild(set)
+		attrs.AppendChild(attr)
 	}
 	requested := func(name string) bool {
-		return slices.ContainsFunc(requestedNames, func(w string) bool { return strings.EqualFold(w, name) })
+		return slices.ContainsFunc(requestedNames, func(other string) bool { return strings.EqualFold(other, name) })
 	}
-	for _, k := range sortedNames(e.Attrs) {
+	for _, k := range sortedNames(entry.Attrs) {
 		if len(requestedNames) == 0 || requested("*") || requested(k) {
-			add(k, e.Attrs[k])
+			add(k, entry.Attrs[k])
 		}
 	}
 	for _, k := range []string{"entryUUID", "modifyTimestamp"} {
 		if requested(k) {
-			add(k, e.values(k))
+			add(k, entry.values(k))
 		}
 	}
 	packet.AppendChild(attrs)
 	return packet
 }
 
-// UUID writes one (RFC 4122).
+// UUID formats a UUID in its text form (RFC 4122).
 func UUID(uuid [16]byte) string {
 	const hex = "0123456789abcdef"
 	var b strings.Builder
@@ -288,10 +290,10 @@
 	return all
 }
 
-// search answers one search: whole, by pages, or as content synchronisation.
+// search serves a search request: in full, paged, or as content synchronization.
 func (conn *connection) search(id int64, op *ber.Packet, controls []*ber.Packet, canceled chan struct{}) {
 	server := conn.server
-	done := func(code int, c ...*ber.Packet) { conn.send(id, newResult(tagSearchResultDone, code), c) }
+	done := func(code int, controls ...*ber.Packet) { conn.send(id, newResult(tagSearchResultDone, code), controls) }
 	if len(op.Children) < 8 {
 		done(codeProtocolError)
 		return
@@ -326,13 +328,13 @@
 		conn.send(id, response, nil)
 	}
 	sent := 0
-	sendEntry := func(e *Entry, c ...*ber.Packet) bool {
+	sendEntry := func(e *Entry, controls ...*ber.Packet) bool {
 		if faults.Truncate > 0 && sent >= faults.Truncate {
 			_ = conn.netConn.Close()
 			return false
 		}
 		sent++
-		return conn.send(id, encodeEntry(e, requestedNames), c)
+		return conn.send(id, encodeEntry(e, requestedNames), controls)
 	}
 	for _, c := range controls {
 		if len(c.Children) < 2 {
@@ -365,7 +367,7 @@
 	done(codeSuccess)
 }
 
-// page answers one page (RFC 2696). Its estimate of the total is wrong, as estimates may be.
+// pagedSearch returns one page of results (RFC 2696). Its size estimate is deliberately wrong, as the RFC allows.
 func (conn *connection) pagedSearch(id int64, request *ber.Packet, selects func(*Entry) bool, sendEntry func(*Entry, ...*ber.Packet) bool, done func(int, ...*ber.Packet)) {
 	server := conn.server
 	if len(request.Children) < 2 {
@@ -413,18 +415,18 @@
 	done(codeSuccess, newControl(oidPagedResults, response))
 }
 
-// sync answers content synchronisation (RFC 4533): from a cookie what has changed and gone, without one all;
-// then, where wanted, changes as they come.
+// syncSearch serves content synchronization (RFC 4533): with a cookie the changes and deletions since then, without
+// one all entries. In refreshAndPersist mode it then sends further changes as they occur.
 func (conn *connection) syncSearch(id int64, request *ber.Packet, selects func(*Entry) bool, sendEntry func(*Entry, ...*ber.Packet) bool,
 	done func(int, ...*ber.Packet), canceled chan struct{}) {
 	server := conn.server
 	mode, seq, full := int64(1), uint64(0), true
-	for _, c := range request.Children {
-		switch c.Tag {
+	for _, field := range request.Children {
+		switch field.Tag {
 		case ber.TagEnumerated:
-			mode, _ = c.Value.(int64)
+			mode, _ = field.Value.(int64)
 		case ber.TagOctetString:
-			n, err := strconv.ParseUint(strings.TrimPrefix(c.Data.String(), "seq="), 10, 64)
+			n, err := strconv.ParseUint(strings.TrimPrefix(field.Data.String(), "seq="), 10, 64)
 			if err != nil {
 				done(codeSyncRefreshRequired)
 				return
@@ -432,14 +434,14 @@
 			seq, full = n, false
 		}
 	}
-	stateControl := func(e [16]byte, code int64, cookie uint64) *ber.Packet {
-		x := ber.NewSequence("")
-		x.AppendChild(ber.NewInteger(ber.ClassUniversal, ber.TypePrimitive, ber.TagEnumerated, code, ""))
-		x.AppendChild(octetString(string(e[:])))
+	stateControl := func(uuid [16]byte, code int64, cookie uint64) *ber.Packet {
+		value := ber.NewSequence("")
+		value.AppendChild(ber.NewInteger(ber.ClassUniversal, ber.TypePrimitive, ber.TagEnumerated, code, ""))
+		value.AppendChild(octetString(string(uuid[:])))
 		if cookie > 0 {
-			x.AppendChild(octetString("seq=" + strconv.FormatUint(cookie, 10)))
+			value.AppendChild(octetString("seq=" + strconv.FormatUint(cookie, 10)))
 		}
-		return newControl(oidSyncState, x)
+		return newControl(oidSyncState, value)
 	}
 	notifications, unsubscribe := server.store.subscribe()
 	defer unsubscribe()
@@ -459,7 +461,7 @@
 				cookie = e.Seq
 			}
 			if !selects(e) {
-				deleted = append(deleted, e.UUID) // it may have been of it before
+				deleted = append(deleted, e.UUID) // it may have matched the search before
 				continue
 			}
 			if !sendEntry(e, stateControl(e.UUID, 1, cookie)) {
@@ -467,30 +469,30 @@
 			}
 		}
 		if !(full && first) {
-			for _, u := range deleted {
-				if !sendEntry(&Entry{DN: "", UUID: u}, stateControl(u, 3, 0)) {
+			for _, uuid := range deleted {
+				if !sendEntry(&Entry{DN: "", UUID: uuid}, stateControl(uuid, 3, 0)) {
 					return
 				}
 			}
 		}
 		if first {
 			if mode == 1 {
-				x := ber.NewSequence("")
-				x.AppendChild(octetString("seq=" + strconv.FormatUint(now, 10)))
-				x.AppendChild(ber.NewBoolean(ber.ClassUniversal, ber.TypePrimitive, ber.TagBoolean, !full, ""))
-				done(codeSuccess, newControl(oidSyncDone, x))
+				value := ber.NewSequence("")
+				value.AppendChild(octetString("seq=" + strconv.FormatUint(now, 10)))
+				value.AppendChild(ber.NewBoolean(ber.ClassUniversal, ber.TypePrimitive, ber.TagBoolean, !full, ""))
+				done(codeSuccess, newControl(oidSyncDone, value))
 				return
 			}
 			tag := ber.Tag(1) // refreshDelete
 			if full {
-				tag = 2 // refreshPresent: what was not named is gone
+				tag = 2 // refreshPresent: entries that were not sent no longer exist
 			}
-			x := ber.Encode(ber.ClassContext, ber.TypeConstructed, tag, nil, "")
-			x.AppendChild(octetString("seq=" + strconv.FormatUint(now, 10)))
-			x.AppendChild(ber.NewBoolean(ber.ClassUniversal, ber.TypePrimitive, ber.TagBoolean, true, ""))
+			value := ber.Encode(ber.ClassContext, ber.TypeConstructed, tag, nil, "")
+			value.AppendChild(octetString("seq=" + strconv.FormatUint(now, 10)))
+			value.AppendChild(ber.NewBoolean(ber.ClassUniversal, ber.TypePrimitive, ber.TagBoolean, true, ""))
 			message := ber.Encode(ber.ClassApplication, ber.TypeConstructed, tagIntermediate, nil, "")
 			message.AppendChild(contextString(0, oidSyncInfo))
-			message.AppendChild(contextString(1, encodedString(x)))
+			message.AppendChild(contextString(1, encodedString(value)))
 			if !conn.send(id, message, nil) {
 				return
 			}
@@ -511,13 +513,15 @@
 	}
 }
 
+// contextString returns a string with a context-specific tag.
 func contextString(tag ber.Tag, s string) *ber.Packet {
 	return ber.NewString(ber.ClassContext, ber.TypePrimitive, tag, s, "")
 }
 
-var errUnsupportedFilter = errors.New("a filter that is not known")
+var errUnsupportedFilter = errors.New("unsupported or malformed search filter")
 
-// matches judges a filter (RFC 4511 section 4.5.1.7): and, or, not, equality, present, at least.
+// matchesFilter reports whether an entry matches a filter (RFC 4511 section 4.5.1.7): and, or, not, equalityMatch,
+// greaterOrEqual and present. Any other filter matches nothing.
 func matchesFilter(filter *ber.Packet, entry *Entry) bool {
 	ok, err := evaluateFilter(filter, entry)
 	return err == nil && ok
@@ -525,7 +529,7 @@
 
 func evaluateFilter(filter *ber.Packet, entry *Entry) (bool, error) {
 	switch filter.Tag {
-	case 0, 1:
+	case 0, 1: // and, or
 		for _, c := range filter.Children {
 			ok, err := evaluateFilter(c, entry)
 			if err != nil {
@@ -536,13 +540,13 @@
 			}
 		}
 		return filter.Tag == 0, nil
-	case 2:
+	case 2: // not
 		if len(filter.Children) != 1 {
 			return false, errUnsupportedFilter
 		}
 		ok, err := evaluateFilter(filter.Children[0], entry)
 		return !ok, err
-	case 3, 5:
+	case 3, 5: // equalityMatch, greaterOrEqual
 		if len(filter.Children) != 2 {
 			return false, errUnsupportedFilter
 		}
@@ -554,7 +558,7 @@
 			}
 		}
 		return false, nil
-	case 7:
+	case 7: // present
 		return len(entry.values(filter.Data.String())) > 0, nil
 	}
 	return false, errUnsupportedFilter
--- a/internal/standin/directory/store.go
+++ b/internal/standin/directory/store.go
@@ -1,6 +1,7 @@
-// Package directory is a stand-in for an LDAP directory (RFC 4511, 4512, 4515): bind, search with filters,
-// paging (RFC 2696) and content synchronisation (RFC 4533), over entries in memory, with the troubles that a
-// script gives it. It is written from those RFCs alone and knows nothing of who asks.
+// Package directory implements a stand-in for an LDAP directory (RFC 4511, 4512, 4515), for tests. It supports bind,
+// update operations, search with filters, paged results (RFC 2696) and content synchronization (RFC 4533) over
+// entries in memory, and injects faults as a test script sets them. It follows those RFCs alone and does not depend
+// on any client.
 package directory
 
 import (
@@ -12,16 +13,16 @@
 	"time"
 )
 
-// Entry is one entry.
+// Entry is one entry of the directory. Stored entries are not modified; a change replaces them.
 type Entry struct {
 	UUID      [16]byte
 	DN        string
 	Attrs     map[string][]string // names in lower case
-	Seq       uint64              // of its latest change
-	ChangedAt time.Time           // of it, by the directory's clock
+	Seq       uint64              // sequence number of the latest change
+	ChangedAt time.Time           // time of the latest change, by the directory's clock
 }
 
-// values are those of an attribute, operational ones included (RFC 4512 section 3.4, RFC 4530).
+// values returns the values of an attribute, including operational attributes (RFC 4512 section 3.4, RFC 4530).
 func (e *Entry) values(name string) []string {
 	switch name = strings.ToLower(name); name {
 	case "entryuuid":
@@ -32,17 +33,17 @@
 	return e.Attrs[name]
 }
 
-// Store is the directory's content and its past.
+// Store holds the entries of the directory and a log of deletions. It is safe for concurrent use.
 type Store struct {
 	mu             sync.Mutex
-	byDN           map[string]*Entry
-	seq            uint64
+	byDN           map[string]*Entry // by normalized DN
+	seq            uint64            // of the latest change
 	deleted        []deletion
-	deletionsSince uint64 // removals from here on are known
-	created        uint64
+	deletionsSince uint64 // deletions after this sequence number are known
+	created        uint64 // entries created so far
 	listeners      map[chan struct{}]struct{}
-	deletedAt      map[[16]byte]time.Time // when an entry was deleted
-	Skew           time.Duration          // of its clock; set before it serves
+	deletedAt      map[[16]byte]time.Time // time of deletion by entry UUID
+	Skew           time.Duration          // offset of the directory's clock; set before use
 }
 
 type deletion struct {
@@ -50,13 +51,15 @@
 	uuid [16]byte
 }
 
-// NewStore makes an empty one.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{byDN: map[string]*Entry{}, listeners: map[chan struct{}]struct{}{}, deletedAt: map[[16]byte]time.Time{}}
 }
 
+// normalizeDN folds case and removes the space after commas, so that equal DNs compare equal.
 func normalizeDN(dn string) string { return strings.ToLower(strings.ReplaceAll(dn, ", ", ",")) }
 
+// notifyListeners signals all listeners without blocking; signals that are not yet received are merged.
 func (s *Store) notifyListeners() {
 	for c := range s.listeners {
 		select {
@@ -79,7 +82,7 @@
 		copy(entry.UUID[:], sum[:16])
 		s.byDN[normalizeDN(dn)] = entry
 	}
-	updated := *entry // answers under way keep the old one
+	updated := *entry // searches in progress keep the old version
 	updated.Attrs, updated.Seq, updated.ChangedAt = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
 	for k, v := range attrs {
 		updated.Attrs[strings.ToLower(k)] = slices.Clone(v)
@@ -88,14 +91,14 @@
 	s.notifyListeners()
 }
 
-// Get is an entry, nil for none.
+// Get returns the entry with a DN, or nil if there is none.
 func (s *Store) Get(dn string) *Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byDN[normalizeDN(dn)]
 }
 
-// Delete takes an entry out; false if it is not there.
+// Delete deletes an entry and reports whether it existed.
 func (s *Store) Delete(dn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +114,8 @@
 	return true
 }
 
-// Rename gives an entry another name, or another place; its UUID stays. False if it is not there, or the other
-// is.
+// Rename changes the DN of an entry, which keeps its UUID. It returns false if the entry does not exist or the new
+// DN is taken.
 func (s *Store) Rename(dn, newDN string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,14 +132,14 @@
 	return true
 }
 
-// Forget drops the knowledge of deletions: cookies from before are no longer good.
+// Forget discards the log of deletions, which invalidates the synchronization cookies issued before the latest change.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deleted, s.deletionsSince = nil, s.seq
 }
 
-// All is every entry, in the order of the names.
+// All returns all entries in the order of their DNs, and the sequence number of the latest change.
 func (s *Store) All() (all []*Entry, seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,14 +154,15 @@
 	return all
 }
 
-// DeletedAt is when an entry was deleted; the zero time if it was not.
+// DeletedAt returns when an entry was deleted, or the zero time if it was not.
 func (s *Store) DeletedAt(uuid [16]byte) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.deletedAt[uuid]
 }
 
-// since is what has changed after a moment; false where deletions from then on are not known any more.
+// changesSince returns the entries changed and deleted after a sequence number, and the present sequence number. It
+// returns false if deletions since then are no longer known.
 func (s *Store) changesSince(seq uint64) (changed []*Entry, deleted [][16]byte, now uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,14 +175,15 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *Entry) int { return int(a.Seq) - int(b.Seq) })
-	for _, r := range s.deleted {
-		if r.seq > seq {
-			deleted = append(deleted, r.uuid)
+	for _, d := range s.deleted {
+		if d.seq > seq {
+			deleted = append(deleted, d.uuid)
 		}
 	}
 	return changed, deleted, s.seq, true
 }
 
+// subscribe returns a channel that is signalled after changes, and a function that ends the subscription.
 func (s *Store) subscribe() (chan struct{}, func()) {
 	c := make(chan struct{}, 1)
 	s.mu.Lock()
--- a/internal/standin/directory/change.go
+++ b/internal/standin/directory/update.go
@@ -7,7 +7,8 @@
 	ber "github.com/go-asn1-ber/asn1-ber"
 )
 
-// change carries out a modify, add, delete or rename (RFC 4511 sections 4.6 to 4.9), and tells its result code.
+// update carries out a Modify, Add, Delete or Modify DN operation (RFC 4511 sections 4.6 to 4.9) and returns its
+// result code.
 func (conn *connection) update(op *ber.Packet) int {
 	switch op.Tag {
 	case tagDelete:
@@ -39,6 +40,7 @@
 	return conn.modify(op)
 }
 
+// parseAttribute returns the lower-cased name and the values of an attribute; ok is false if it is malformed.
 func parseAttribute(attr *ber.Packet) (name string, values []string, ok bool) {
 	if len(attr.Children) < 2 {
 		return "", nil, false
@@ -49,7 +51,7 @@
 	return strings.ToLower(attr.Children[0].Data.String()), values, true
 }
 
-// modify takes its changes together or not at all.
+// modify applies all changes of a Modify operation, or none of them.
 func (conn *connection) modify(op *ber.Packet) int {
 	if len(op.Children) < 2 {
 		return codeProtocolError
@@ -95,7 +97,7 @@
 	return codeSuccess
 }
 
-// rename gives an entry another name, and another place where one is told.
+// rename changes the RDN of an entry, and moves it below another parent where the request names one.
 func (conn *connection) rename(op *ber.Packet) int {
 	if len(op.Children) < 3 {
 		return codeProtocolError
