--- a/internal/standin/registry/server.go
+++ b/internal/standin/registry/server.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	watchBuffer  = 256 // transactions that may wait for a watcher before it is dropped
-	fragmentSize = 4   // events in a piece, where pieces are wanted
+	watchBuffer  = 256 // transactions queued for a watcher before it is dropped as too slow
+	fragmentSize = 4   // events in a fragment, if the client accepts fragments
 )
 
-// Server is one member that serves a store. Its embedded defaults answer the rest of the API with
-// "unimplemented".
+// Server is one cluster member that serves a store over gRPC. The embedded types respond to the rest of the API with
+// the status "unimplemented".
 type Server struct {
 	pb.UnimplementedKVServer
 	pb.UnimplementedWatchServer
@@ -28,12 +28,12 @@
 	grpc        *grpc.Server
 	listener    net.Listener
 	mu          sync.Mutex
-	resumed     chan struct{}     // closed when the member goes on; nil while it answers
-	frozenState *pb.RangeResponse // what it answers while nothing new reaches it
+	resumed     chan struct{}     // closed when the member resumes; nil unless it hangs
+	frozenState *pb.RangeResponse // state that a frozen member serves; nil unless it is frozen
 	conns       map[net.Conn]struct{}
 }
 
-// Serve starts a member on an address; options such as credentials are gRPC's.
+// Serve starts a member on a TCP address, with gRPC server options such as credentials.
 func Serve(addr string, store *Store, options ...grpc.ServerOption) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-// listener keeps the connections, so that they can be cut.
+// trackingListener records the accepted connections, so that they can be closed abruptly.
 type trackingListener struct {
 	net.Listener
 	server *Server
@@ -63,16 +63,16 @@
 	return c, err
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the member listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Stop ends the member.
+// Stop stops the member and closes its connections.
 func (s *Server) Stop() {
 	s.Hang(false)
 	s.grpc.Stop()
 }
 
-// Cut breaks all connections as they stand.
+// Cut closes all connections abruptly.
 func (s *Server) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	clear(s.conns)
 }
 
-// Hang has the member answer nothing, or go on.
+// Hang makes the member stop responding, or resume.
 func (s *Server) Hang(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// Freeze has the member answer with what it has now and hear of nothing new, as one cut off from the others
-// that does not know it; or has it go on.
+// Freeze makes the member serve its present state without further updates, as a member does that is partitioned from
+// the cluster and has not detected it; or makes it resume.
 func (s *Server) Freeze(on bool) {
 	header, pairs := s.store.Keys()
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 	return s.frozenState
 }
 
-// in is the part of a frozen answer that lies in a range.
+// filterRange returns the part of a frozen state that lies in the requested range.
 func filterRange(all *pb.RangeResponse, request *pb.RangeRequest) *pb.RangeResponse {
 	response := &pb.RangeResponse{Header: all.Header}
 	selector := watcher{from: string(request.Key), to: string(request.RangeEnd)}
@@ -125,6 +125,7 @@
 	return response
 }
 
+// waitWhileHung blocks while the member hangs. The error is that of the context.
 func (s *Server) waitWhileHung(ctx context.Context) error {
 	s.mu.Lock()
 	resumed := s.resumed
@@ -140,7 +141,7 @@
 	}
 }
 
-// Range reads the present state; past revisions are not kept for reading.
+// Range reads the present state; reads at past revisions are not supported.
 func (s *Server) Range(ctx context.Context, request *pb.RangeRequest) (*pb.RangeResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
@@ -156,7 +157,7 @@
 	return s.store.readRange(request), nil
 }
 
-// Put writes one key.
+// Put writes one key, attached to a lease if the request names one.
 func (s *Server) Put(ctx context.Context, request *pb.PutRequest) (*pb.PutResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
@@ -170,7 +171,7 @@
 	return &pb.PutResponse{Header: s.store.header()}, nil
 }
 
-// DeleteRange deletes keys.
+// DeleteRange deletes the keys of a range.
 func (s *Server) DeleteRange(ctx context.Context, request *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
@@ -181,12 +182,12 @@
 	return &pb.DeleteRangeResponse{Header: s.store.header(), Deleted: responses[0].GetResponseDeleteRange().Deleted}, nil
 }
 
-// Txn compares and then does one branch in one revision.
+// Txn evaluates the comparisons and applies one branch in a single revision.
 func (s *Server) Txn(ctx context.Context, request *pb.TxnRequest) (*pb.TxnResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
 	}
-	if frozen := s.frozen(); frozen != nil { // it reads; what would write does nothing
+	if frozen := s.frozen(); frozen != nil { // a frozen member serves the reads and ignores the writes
 		response := &pb.TxnResponse{Header: frozen.Header}
 		for _, op := range request.Success {
 			if read := op.GetRequestRange(); read != nil {
@@ -209,7 +210,7 @@
 	return &pb.TxnResponse{Header: s.store.header(), Succeeded: succeeded, Responses: responses}, nil
 }
 
-// holds judges one comparison: of a version, a revision or a value.
+// evaluateCompare reports whether a comparison of a version, a revision or a value holds. The caller holds s.mu.
 func (s *Store) evaluateCompare(compare *pb.Compare) bool {
 	kv := s.keys[string(compare.Key)]
 	if kv == nil {
@@ -239,13 +240,13 @@
 	return difference != 0
 }
 
-// Compact forgets old changes.
+// Compact discards the events up to a revision.
 func (s *Server) Compact(ctx context.Context, request *pb.CompactionRequest) (*pb.CompactionResponse, error) {
 	s.store.Compact(request.Revision)
 	return &pb.CompactionResponse{}, ctx.Err()
 }
 
-// Watch serves one stream with one watcher on it; a second create on the stream ends it.
+// Watch serves a stream with a single watcher; each further request on the stream counts as a progress request.
 func (s *Server) Watch(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.WatchResponse]) error {
 	req, err := stream.Recv()
 	if err != nil {
@@ -262,7 +263,7 @@
 	store.mu.Lock()
 	watch := &watcher{from: string(create.Key), to: string(create.RangeEnd), events: make(chan []*mvccpb.Event, watchBuffer)}
 	var missed []*mvccpb.Event
-	head := store.header()
+	initialHeader := store.header()
 	compacted := int64(0)
 	if create.StartRevision > 0 && create.StartRevision <= store.compacted {
 		compacted = store.compacted
@@ -280,20 +281,20 @@
 		delete(store.watchers, watch)
 		store.mu.Unlock()
 	}()
-	if err := stream.Send(&pb.WatchResponse{Header: head, Created: true}); err != nil {
+	if err := stream.Send(&pb.WatchResponse{Header: initialHeader, Created: true}); err != nil {
 		return err
 	}
 	if compacted > 0 {
-		return stream.Send(&pb.WatchResponse{Header: head, Canceled: true, CompactRevision: compacted, CancelReason: "compacted"})
+		return stream.Send(&pb.WatchResponse{Header: initialHeader, Canceled: true, CompactRevision: compacted, CancelReason: "compacted"})
 	}
 	if len(missed) > 0 {
-		if err := s.sendEvents(stream, head, missed, create.Fragment); err != nil {
+		if err := s.sendEvents(stream, initialHeader, missed, create.Fragment); err != nil {
 			return err
 		}
 	}
-	frozen, last := false, head
+	frozen, last := false, initialHeader
 	progressRequests := make(chan struct{}, 1)
-	go func() { // requests for progress; any other is not expected on this stream
+	go func() { // progress requests; no others are expected on this stream
 		for {
 			if _, err := stream.Recv(); err != nil {
 				return
@@ -310,27 +311,27 @@
 			return stream.Context().Err()
 		case events, ok := <-watch.events:
 			if !ok {
-				return stream.Send(&pb.WatchResponse{Header: head, Canceled: true, CancelReason: "dropped"})
+				return stream.Send(&pb.WatchResponse{Header: initialHeader, Canceled: true, CancelReason: "dropped"})
 			}
 			if err := s.waitWhileHung(stream.Context()); err != nil {
 				return err
 			}
-			if missed := s.frozen(); !frozen && missed != nil && events[0].Kv.ModRevision > missed.Header.Revision {
-				frozen, last = true, missed.Header // from here on it knows nothing, whatever is thawed or frozen anew
+			if snapshot := s.frozen(); !frozen && snapshot != nil && events[0].Kv.ModRevision > snapshot.Header.Revision {
+				frozen, last = true, snapshot.Header // this watch stays frozen for good, as it has skipped events
 			}
 			if frozen {
 				continue
 			}
-			if err := s.sendEvents(stream, &pb.ResponseHeader{ClusterId: head.ClusterId, Revision: events[0].Kv.ModRevision}, events, create.Fragment); err != nil {
+			if err := s.sendEvents(stream, &pb.ResponseHeader{ClusterId: initialHeader.ClusterId, Revision: events[0].Kv.ModRevision}, events, create.Fragment); err != nil {
 				return err
 			}
 		case <-progressRequests:
 			if s.waitWhileHung(stream.Context()) != nil {
 				continue
 			}
-			if missed := s.frozen(); missed != nil || frozen {
+			if snapshot := s.frozen(); snapshot != nil || frozen {
 				if !frozen {
-					last = missed.Header
+					last = snapshot.Header
 				}
 				if err := stream.Send(&pb.WatchResponse{Header: last}); err != nil {
 					return err
@@ -351,7 +352,7 @@
 	}
 }
 
-// send brings events, in pieces if wanted.
+// sendEvents sends events, split into fragments if the client accepts them.
 func (s *Server) sendEvents(stream grpc.BidiStreamingServer[pb.WatchRequest, pb.WatchResponse], header *pb.ResponseHeader, events []*mvccpb.Event,
 	fragment bool) error {
 	for fragment && len(events) > fragmentSize {
@@ -363,7 +364,7 @@
 	return stream.Send(&pb.WatchResponse{Header: header, Events: events})
 }
 
-// LeaseGrant begins a lease.
+// LeaseGrant creates a lease.
 func (s *Server) LeaseGrant(ctx context.Context, request *pb.LeaseGrantRequest) (*pb.LeaseGrantResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
@@ -377,7 +378,7 @@
 	return &pb.LeaseGrantResponse{Header: s.store.header(), ID: id, TTL: request.TTL}, nil
 }
 
-// LeaseRevoke ends one, with its keys.
+// LeaseRevoke ends a lease and deletes its keys.
 func (s *Server) LeaseRevoke(ctx context.Context, request *pb.LeaseRevokeRequest) (*pb.LeaseRevokeResponse, error) {
 	if err := s.waitWhileHung(ctx); err != nil {
 		return nil, err
@@ -391,7 +392,7 @@
 	return &pb.LeaseRevokeResponse{Header: s.store.header()}, nil
 }
 
-// LeaseKeepAlive renews leases; one that has ended answers with no time left.
+// LeaseKeepAlive renews leases; the response for an expired or unknown lease has a TTL of 0.
 func (s *Server) LeaseKeepAlive(stream grpc.BidiStreamingServer[pb.LeaseKeepAliveRequest, pb.LeaseKeepAliveResponse]) error {
 	for {
 		request, err := stream.Recv()
--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -1,6 +1,7 @@
-// Package registry is a stand-in for a key-value registry: it serves the published etcd v3 API (KV, Watch,
-// Lease) from its protobuf definitions, in memory, and compacts, restarts, cuts and stalls as a script has
-// it. It keeps what it ever was, so that a checker can tell whether a view is a state that it had.
+// Package registry implements a stand-in for an etcd cluster, for tests. It serves the KV, Watch and Lease services of
+// the etcd v3 API from memory. A test script can compact it, reset it to a new history, close its connections, and
+// make members hang or serve stale state. It records a checksum of every past state, so that a test can verify that a
+// client's view is a state that the registry had.
 package registry
 
 import (
@@ -15,23 +16,24 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 )
 
-// Store is the registry's state and past.
+// Store holds the present state of the registry, its event log and the checksums of its past states. It is safe for
+// concurrent use.
 type Store struct {
 	mu              sync.Mutex
 	clusterID       uint64
 	revision        int64
-	compacted       int64
-	epoch           string
+	compacted       int64  // revision up to which events are discarded
+	epoch           string // name of the present history
 	keys            map[string]*mvccpb.KeyValue
 	log             []*mvccpb.Event
 	leases          map[int64]*lease
 	nextLease       int64
 	watchers        map[*watcher]struct{}
-	checksum        uint64
-	checksums       map[string]map[int64]uint64 // by epoch and revision: the sum of the state
-	committedAt     map[string]map[int64]time.Time
-	changes         int64
-	DroppedWatchers int64
+	checksum        uint64                         // of the present state
+	checksums       map[string]map[int64]uint64    // by epoch and revision
+	committedAt     map[string]map[int64]time.Time // by epoch and revision
+	changes         int64                          // events over all histories
+	DroppedWatchers int64                          // watchers dropped because they were too slow
 }
 
 type lease struct {
@@ -40,25 +42,26 @@
 	keys    map[string]struct{}
 }
 
-// watcher waits for changes; its channel is closed when it is dropped.
+// watcher receives the events of a key range; its channel is closed when it is dropped.
 type watcher struct {
 	from, to string
 	events   chan []*mvccpb.Event
 	dropped  bool
 }
 
-// NewStore begins a history.
-func NewStore(cluster uint64, epoch string, markKey string) *Store {
+// NewStore returns a store with a first history, at revision 1; see Begin.
+func NewStore(clusterID uint64, epoch string, markKey string) *Store {
 	s := &Store{checksums: map[string]map[int64]uint64{}, committedAt: map[string]map[int64]time.Time{}}
-	s.Begin(cluster, epoch, markKey, 1)
+	s.Begin(clusterID, epoch, markKey, 1)
 	return s
 }
 
-// Begin starts another history, empty but for its mark, at a revision of its own.
-func (s *Store) Begin(cluster uint64, epoch, markKey string, revision int64) {
+// Begin replaces the state with a new history that starts at the revision and holds only the key that marks the
+// history, with the epoch as its value. All watchers are dropped.
+func (s *Store) Begin(clusterID uint64, epoch, markKey string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clusterID, s.epoch, s.revision, s.compacted = cluster, epoch, revision, revision
+	s.clusterID, s.epoch, s.revision, s.compacted = clusterID, epoch, revision, revision
 	s.keys, s.log, s.leases, s.checksum = map[string]*mvccpb.KeyValue{}, nil, map[int64]*lease{}, 0
 	for w := range s.watchers {
 		s.dropWatcher(w)
@@ -68,7 +71,7 @@
 	s.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: &pb.PutRequest{Key: []byte(markKey), Value: []byte(epoch)}}}}, nil)
 }
 
-// Sum is a hash of one key's state; those of all keys together are added up.
+// Sum returns a hash of one key's state. The checksum of the whole state is the sum over all keys.
 func Sum(key string, value []byte, modRevision int64) uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(key)
@@ -77,29 +80,29 @@
 	return hash.Sum64()
 }
 
-// Was tells whether the state at a revision of an epoch had a sum; false too where there was no such revision.
-func (s *Store) Was(epoch string, revision int64, sum uint64) bool {
+// Was reports whether the state at a revision of an epoch had the checksum; it returns false for an unknown revision.
+func (s *Store) Was(epoch string, revision int64, checksum uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	got, ok := s.checksums[epoch][revision]
-	return ok && got == sum
+	return ok && got == checksum
 }
 
-// Born is when a revision came to be.
+// Born returns when a revision was committed, or the zero time for an unknown revision.
 func (s *Store) Born(epoch string, revision int64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.committedAt[epoch][revision]
 }
 
-// Made is how many changes there were, over all histories.
+// Made returns the number of events committed over all histories.
 func (s *Store) Made() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
-// Count is how many keys begin so.
+// Count returns the number of keys with a prefix.
 func (s *Store) Count(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,33 +114,35 @@
 	return n
 }
 
-// State is the latest revision with its sum.
-func (s *Store) State() (epoch string, revision int64, sum uint64) {
+// State returns the present epoch, revision and checksum.
+func (s *Store) State() (epoch string, revision int64, checksum uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch, s.revision, s.checksum
 }
 
-// Keys is all that there is now, in the order of the names, with what an answer's header tells.
+// Keys returns all key-value pairs in key order, with a response header of the same revision.
 func (s *Store) Keys() (*pb.ResponseHeader, []*mvccpb.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.header(), s.readRange(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}).Kvs
 }
 
-// Since is the changes from a revision on; false where they are compacted away.
+// Since returns the events from a revision on, with a response header of the present revision. It returns false if the
+// revision is compacted.
 func (s *Store) Since(revision int64) (*pb.ResponseHeader, []*mvccpb.Event, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, _ := slices.BinarySearchFunc(s.log, revision, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
-	return s.header(), slices.Clone(s.log[n:]), revision > s.compacted
+	first, _ := slices.BinarySearchFunc(s.log, revision, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
+	return s.header(), slices.Clone(s.log[first:]), revision > s.compacted
 }
 
 func (s *Store) header() *pb.ResponseHeader {
 	return &pb.ResponseHeader{ClusterId: s.clusterID, MemberId: 1, Revision: s.revision, RaftTerm: 1}
 }
 
-// apply makes one transaction of puts and deletes. It returns what each changed.
+// apply carries out operations as one transaction and delivers its events to the watchers. It appends a response for
+// each operation and returns them. The caller holds mu.
 func (s *Store) apply(ops []*pb.RequestOp, responses []*pb.ResponseOp) []*pb.ResponseOp {
 	revision := s.revision + 1
 	var events []*mvccpb.Event
@@ -146,10 +151,10 @@
 		case *pb.RequestOp_RequestPut:
 			put := request.RequestPut
 			kv := &mvccpb.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision, CreateRevision: revision, Version: 1, Lease: put.Lease}
-			if old := s.keys[string(put.Key)]; old != nil {
-				kv.CreateRevision, kv.Version = old.CreateRevision, old.Version+1
-				s.checksum -= Sum(string(put.Key), old.Value, old.ModRevision)
-				s.detachLease(old)
+			if previous := s.keys[string(put.Key)]; previous != nil {
+				kv.CreateRevision, kv.Version = previous.CreateRevision, previous.Version+1
+				s.checksum -= Sum(string(put.Key), previous.Value, previous.ModRevision)
+				s.detachLease(previous)
 			}
 			s.keys[string(put.Key)] = kv
 			s.checksum += Sum(string(put.Key), put.Value, revision)
@@ -159,17 +164,17 @@
 			events = append(events, &mvccpb.Event{Type: mvccpb.Event_PUT, Kv: kv})
 			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponsePut{ResponsePut: &pb.PutResponse{}}})
 		case *pb.RequestOp_RequestDeleteRange:
-			n := int64(0)
+			deleted := int64(0)
 			for _, k := range s.matchKeys(request.RequestDeleteRange.Key, request.RequestDeleteRange.RangeEnd) {
-				old := s.keys[k]
-				s.checksum -= Sum(k, old.Value, old.ModRevision)
-				s.detachLease(old)
+				previous := s.keys[k]
+				s.checksum -= Sum(k, previous.Value, previous.ModRevision)
+				s.detachLease(previous)
 				delete(s.keys, k)
-				n++
+				deleted++
 				events = append(events, &mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(k), ModRevision: revision}})
 			}
 			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseDeleteRange{
-				ResponseDeleteRange: &pb.DeleteRangeResponse{Deleted: n}}})
+				ResponseDeleteRange: &pb.DeleteRangeResponse{Deleted: deleted}}})
 		case *pb.RequestOp_RequestRange:
 			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: s.readRange(request.RequestRange)}})
 		}
@@ -193,7 +198,7 @@
 		}
 		select {
 		case w.events <- matching:
-		default: // too slow
+		default: // buffer full: the watcher is too slow
 			s.DroppedWatchers++
 			s.dropWatcher(w)
 		}
@@ -214,13 +219,15 @@
 	return k >= w.from && (w.to == "\x00" || w.to == "" && k == w.from || k < w.to)
 }
 
+// detachLease removes a key from the lease to which it is attached.
 func (s *Store) detachLease(kv *mvccpb.KeyValue) {
 	if held := s.leases[kv.Lease]; held != nil {
 		delete(held.keys, string(kv.Key))
 	}
 }
 
-// match is the keys of a range as the API has them: one key, or from Key to RangeEnd, \0 for all.
+// matchKeys returns the sorted keys of a range, as the etcd API defines it: key alone if end is empty, all keys from
+// key on if end is \0, otherwise key up to but excluding end.
 func (s *Store) matchKeys(key, end []byte) (all []string) {
 	selector := watcher{from: string(key), to: string(end)}
 	for k := range s.keys {
@@ -241,16 +248,16 @@
 	return response
 }
 
-// Compact forgets the changes up to a revision.
+// Compact discards the events up to a revision.
 func (s *Store) Compact(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = max(s.compacted, min(revision, s.revision))
-	n, _ := slices.BinarySearchFunc(s.log, s.compacted+1, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
-	s.log = slices.Clone(s.log[n:])
+	first, _ := slices.BinarySearchFunc(s.log, s.compacted+1, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
+	s.log = slices.Clone(s.log[first:])
 }
 
-// Expire ends the leases whose time has come, and lost ones at once if told.
+// Expire revokes the expired leases, or all leases.
 func (s *Store) Expire(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,11 +268,12 @@
 	}
 }
 
+// revoke deletes a lease and its keys. The caller holds mu.
 func (s *Store) revoke(id int64) {
-	ended := s.leases[id]
+	revoked := s.leases[id]
 	delete(s.leases, id)
 	var ops []*pb.RequestOp
-	for k := range ended.keys {
+	for k := range revoked.keys {
 		ops = append(ops, &pb.RequestOp{Request: &pb.RequestOp_RequestDeleteRange{RequestDeleteRange: &pb.DeleteRangeRequest{Key: []byte(k)}}})
 	}
 	if len(ops) > 0 {
@@ -273,7 +281,7 @@
 	}
 }
 
-// Put makes one transaction of some keys; a nil value deletes.
+// Put writes keys in one transaction; a nil value deletes the key.
 func (s *Store) Put(keys map[string][]byte) {
 	var ops []*pb.RequestOp
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
