--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -1,6 +1,7 @@
 // Package player implements stand-in RTSP players, for tests and load generation. It does no socket I/O of its own.
 // Each player connects to a front, sets up a title and plays it for a configured time. It records the responses, the
-// startup time, and RTP packets and sequence gaps. It retries as its profile and the front's Retry-After state.
+// startup time, and RTP packets and sequence gaps. It retries according to its profile and the Retry-After
+// header.
 package player
 
 import (
@@ -52,7 +53,7 @@
 	Playing
 	Refused   // rejected with status 453 or 503
 	Failed    // another error status, or connection lost before the session was ready
-	Abandoned // not set up within the abandon time
+	Abandoned // not set up within the abandon time, or closed by the viewer during setup
 	Lost      // the connection or the stream ended while it was playing
 	Done      // played for the requested time
 	Moved     // redirected to another front before it played
--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -49,15 +49,15 @@
 	dropped  bool
 }
 
-// NewStore returns a store with a first history, at revision 1; see Begin.
+// NewStore returns a store with a first history, which begins after revision 1; see Begin.
 func NewStore(clusterID uint64, epoch string, markKey string) *Store {
 	s := &Store{checksums: map[string]map[int64]uint64{}, committedAt: map[string]map[int64]time.Time{}}
 	s.Begin(clusterID, epoch, markKey, 1)
 	return s
 }
 
-// Begin replaces the state with a new history that starts at the revision and holds only the key that marks the
-// history, with the epoch as its value. All watchers are dropped.
+// Begin replaces the state with a new history that begins after the given revision. Its first transaction writes the
+// epoch to the key that marks the history. All watchers are dropped.
 func (s *Store) Begin(clusterID uint64, epoch, markKey string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
