--- a/internal/standin/directory/store.go
+++ b/internal/standin/directory/store.go
@@ -1,6 +1,7 @@
-// Package directory is a stand-in for an LDAP directory (RFC 4511, 4512, 4515): bind, search with filters,
-// paging (RFC 2696) and content synchronisation (RFC 4533), over entries in memory, with the troubles that a
-// script gives it. It is written from those RFCs alone and knows nothing of who asks.
+// Package directory implements a stand-in for an LDAP directory (RFC 4511, 4512, 4515), for tests. It supports bind,
+// update operations, search with filters, paged results (RFC 2696) and content synchronization (RFC 4533) over
+// entries in memory, and injects faults as a test script sets them. It follows those RFCs alone and does not depend
+// on any client.
 package directory
 
 import (
@@ -12,53 +13,55 @@
 	"time"
 )
 
-// Entry is one entry.
+// Entry is one entry of the directory. Stored entries are not modified; a change replaces them.
 type Entry struct {
-	UUID  [16]byte
-	DN    string
-	Attrs map[string][]string // names in lower case
-	Seq   uint64              // of its latest change
-	At    time.Time           // of it, by the directory's clock
+	UUID      [16]byte
+	DN        string
+	Attrs     map[string][]string // names in lower case
+	Seq       uint64              // sequence number of the latest change
+	ChangedAt time.Time           // time of the latest change, by the directory's clock
 }
 
-// values are those of an attribute, operational ones included (RFC 4512 section 3.4, RFC 4530).
+// values returns the values of an attribute, including operational attributes (RFC 4512 section 3.4, RFC 4530).
 func (e *Entry) values(name string) []string {
 	switch name = strings.ToLower(name); name {
 	case "entryuuid":
 		return []string{UUID(e.UUID)}
 	case "modifytimestamp":
-		return []string{e.At.UTC().Format("20060102150405Z")}
+		return []string{e.ChangedAt.UTC().Format("20060102150405Z")}
 	}
 	return e.Attrs[name]
 }
 
-// Store is the directory's content and its past.
+// Store holds the entries of the directory and a log of deletions. It is safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	byDN    map[string]*Entry
-	seq     uint64
-	deleted []removal
-	kept    uint64 // removals from here on are known
-	made    uint64
-	watch   map[chan struct{}]struct{}
-	born    map[[16]byte]time.Time // when an entry was deleted
-	Skew    time.Duration          // of its clock; set before it serves
-}
-
-type removal struct {
+	mu             sync.Mutex
+	byDN           map[string]*Entry // by normalized DN
+	seq            uint64            // of the latest change
+	deleted        []deletion
+	deletionsSince uint64 // deletions after this sequence number are known
+	created        uint64 // entries created so far
+	listeners      map[chan struct{}]struct{}
+	deletedAt      map[[16]byte]time.Time // time of deletion by entry UUID
+	Skew           time.Duration          // offset of the directory's clock; set before use
+}
+
+type deletion struct {
 	seq  uint64
 	uuid [16]byte
 }
 
-// NewStore makes an empty one.
+// NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{byDN: map[string]*Entry{}, watch: map[chan struct{}]struct{}{}, born: map[[16]byte]time.Time{}}
+	return &Store{byDN: map[string]*Entry{}, listeners: map[chan struct{}]struct{}{}, deletedAt: map[[16]byte]time.Time{}}
 }
 
-func fold(dn string) string { return strings.ToLower(strings.ReplaceAll(dn, ", ", ",")) }
+// normalizeDN folds case and removes the space after commas, so that equal DNs compare equal.
+func normalizeDN(dn string) string { return strings.ToLower(strings.ReplaceAll(dn, ", ", ",")) }
 
-func (s *Store) changed() {
-	for c := range s.watch {
+// notifyListeners signals all listeners without blocking; signals that are not yet received are merged.
+func (s *Store) notifyListeners() {
+	for c := range s.listeners {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -71,79 +74,79 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	e := s.byDN[fold(dn)]
-	if e == nil {
-		s.made++
-		sum := sha256.Sum256([]byte(dn + "\x00" + strconv.FormatUint(s.made, 10)))
-		e = &Entry{DN: dn}
-		copy(e.UUID[:], sum[:16])
-		s.byDN[fold(dn)] = e
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil {
+		s.created++
+		sum := sha256.Sum256([]byte(dn + "\x00" + strconv.FormatUint(s.created, 10)))
+		entry = &Entry{DN: dn}
+		copy(entry.UUID[:], sum[:16])
+		s.byDN[normalizeDN(dn)] = entry
 	}
-	x := *e // answers under way keep the old one
-	x.Attrs, x.Seq, x.At = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
+	updated := *entry // searches in progress keep the old version
+	updated.Attrs, updated.Seq, updated.ChangedAt = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
 	for k, v := range attrs {
-		x.Attrs[strings.ToLower(k)] = slices.Clone(v)
+		updated.Attrs[strings.ToLower(k)] = slices.Clone(v)
 	}
-	s.byDN[fold(dn)] = &x
-	s.changed()
+	s.byDN[normalizeDN(dn)] = &updated
+	s.notifyListeners()
 }
 
-// Get is an entry, nil for none.
+// Get returns the entry with a DN, or nil if there is none.
 func (s *Store) Get(dn string) *Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.byDN[fold(dn)]
+	return s.byDN[normalizeDN(dn)]
 }
 
-// Delete takes an entry out; false if it is not there.
+// Delete deletes an entry and reports whether it existed.
 func (s *Store) Delete(dn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.byDN[fold(dn)]
-	if e == nil {
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil {
 		return false
 	}
 	s.seq++
-	delete(s.byDN, fold(dn))
-	s.deleted = append(s.deleted, removal{s.seq, e.UUID})
-	s.born[e.UUID] = time.Now()
-	s.changed()
+	delete(s.byDN, normalizeDN(dn))
+	s.deleted = append(s.deleted, deletion{s.seq, entry.UUID})
+	s.deletedAt[entry.UUID] = time.Now()
+	s.notifyListeners()
 	return true
 }
 
-// Rename gives an entry another name, or another place; its UUID stays. False if it is not there, or the other
-// is.
-func (s *Store) Rename(dn, to string) bool {
+// Rename changes the DN of an entry, which keeps its UUID. It returns false if the entry does not exist or the new
+// DN is taken.
+func (s *Store) Rename(dn, newDN string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.byDN[fold(dn)]
-	if e == nil || s.byDN[fold(to)] != nil {
+	entry := s.byDN[normalizeDN(dn)]
+	if entry == nil || s.byDN[normalizeDN(newDN)] != nil {
 		return false
 	}
 	s.seq++
-	x := *e
-	x.DN, x.Seq, x.At = to, s.seq, time.Now().Add(s.Skew)
-	delete(s.byDN, fold(dn))
-	s.byDN[fold(to)] = &x
-	s.changed()
+	renamed := *entry
+	renamed.DN, renamed.Seq, renamed.ChangedAt = newDN, s.seq, time.Now().Add(s.Skew)
+	delete(s.byDN, normalizeDN(dn))
+	s.byDN[normalizeDN(newDN)] = &renamed
+	s.notifyListeners()
 	return true
 }
 
-// Forget drops the knowledge of deletions: cookies from before are no longer good.
+// Forget discards the log of deletions, which invalidates the synchronization cookies issued before the latest change.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deleted, s.kept = nil, s.seq
+	s.deleted, s.deletionsSince = nil, s.seq
 }
 
-// All is every entry, in the order of the names.
+// All returns all entries in the order of their DNs, and the sequence number of the latest change.
 func (s *Store) All() (all []*Entry, seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sorted(), s.seq
+	return s.sortedEntries(), s.seq
 }
 
-func (s *Store) sorted() (all []*Entry) {
+func (s *Store) sortedEntries() (all []*Entry) {
 	for _, e := range s.byDN {
 		all = append(all, e)
 	}
@@ -151,18 +154,19 @@
 	return all
 }
 
-// DeletedAt is when an entry was deleted; the zero time if it was not.
+// DeletedAt returns when an entry was deleted, or the zero time if it was not.
 func (s *Store) DeletedAt(uuid [16]byte) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born[uuid]
+	return s.deletedAt[uuid]
 }
 
-// since is what has changed after a moment; false where deletions from then on are not known any more.
-func (s *Store) since(seq uint64) (changed []*Entry, gone [][16]byte, now uint64, ok bool) {
+// changesSince returns the entries changed and deleted after a sequence number, and the present sequence number. It
+// returns false if deletions since then are no longer known.
+func (s *Store) changesSince(seq uint64) (changed []*Entry, deleted [][16]byte, now uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if seq < s.kept || seq > s.seq {
+	if seq < s.deletionsSince || seq > s.seq {
 		return nil, nil, s.seq, false
 	}
 	for _, e := range s.byDN {
@@ -171,22 +175,23 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *Entry) int { return int(a.Seq) - int(b.Seq) })
-	for _, r := range s.deleted {
-		if r.seq > seq {
-			gone = append(gone, r.uuid)
+	for _, d := range s.deleted {
+		if d.seq > seq {
+			deleted = append(deleted, d.uuid)
 		}
 	}
-	return changed, gone, s.seq, true
+	return changed, deleted, s.seq, true
 }
 
-func (s *Store) listen() (chan struct{}, func()) {
+// subscribe returns a channel that is signalled after changes, and a function that ends the subscription.
+func (s *Store) subscribe() (chan struct{}, func()) {
 	c := make(chan struct{}, 1)
 	s.mu.Lock()
-	s.watch[c] = struct{}{}
+	s.listeners[c] = struct{}{}
 	s.mu.Unlock()
 	return c, func() {
 		s.mu.Lock()
-		delete(s.watch, c)
+		delete(s.listeners, c)
 		s.mu.Unlock()
 	}
 }
--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -1,6 +1,7 @@
-// Package registry is a stand-in for a key-value registry: it serves the published etcd v3 API (KV, Watch,
-// Lease) from its protobuf definitions, in memory, and compacts, restarts, cuts and stalls as a script has
-// it. It keeps what it ever was, so that a checker can tell whether a view is a state that it had.
+// Package registry implements a stand-in for an etcd cluster, for tests. It serves the KV, Watch and Lease services of
+// the etcd v3 API from memory. A test script can compact it, reset it to a new history, close its connections, and
+// make members hang or serve stale state. It records a checksum of every past state, so that a test can verify that a
+// client's view is a state that the registry had.
 package registry
 
 import (
@@ -15,91 +16,93 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 )
 
-// Store is the registry's state and past.
+// Store holds the present state of the registry, its event log and the checksums of its past states. It is safe for
+// concurrent use.
 type Store struct {
-	mu        sync.Mutex
-	cluster   uint64
-	revision  int64
-	compacted int64
-	epoch     string
-	keys      map[string]*mvccpb.KeyValue
-	log       []*mvccpb.Event
-	leases    map[int64]*lease
-	nextLease int64
-	watchers  map[*watcher]struct{}
-	sum       uint64
-	past      map[string]map[int64]uint64 // by epoch and revision: the sum of the state
-	born      map[string]map[int64]time.Time
-	changes   int64
-	Dropped   int64
+	mu              sync.Mutex
+	clusterID       uint64
+	revision        int64
+	compacted       int64  // revision up to which events are discarded
+	epoch           string // name of the present history
+	keys            map[string]*mvccpb.KeyValue
+	log             []*mvccpb.Event
+	leases          map[int64]*lease
+	nextLease       int64
+	watchers        map[*watcher]struct{}
+	checksum        uint64                         // of the present state
+	checksums       map[string]map[int64]uint64    // by epoch and revision
+	committedAt     map[string]map[int64]time.Time // by epoch and revision
+	changes         int64                          // events over all histories
+	DroppedWatchers int64                          // watchers dropped because they were too slow
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
-	keys map[string]struct{}
+	ttl     time.Duration
+	expires time.Time
+	keys    map[string]struct{}
 }
 
-// watcher waits for changes; its channel is closed when it is dropped.
+// watcher receives the events of a key range; its channel is closed when it is dropped.
 type watcher struct {
 	from, to string
-	news     chan []*mvccpb.Event
+	events   chan []*mvccpb.Event
 	dropped  bool
 }
 
-// NewStore begins a history.
-func NewStore(cluster uint64, epoch string, markKey string) *Store {
-	s := &Store{past: map[string]map[int64]uint64{}, born: map[string]map[int64]time.Time{}}
-	s.Begin(cluster, epoch, markKey, 1)
+// NewStore returns a store with a first history, which begins after revision 1; see Begin.
+func NewStore(clusterID uint64, epoch string, markKey string) *Store {
+	s := &Store{checksums: map[string]map[int64]uint64{}, committedAt: map[string]map[int64]time.Time{}}
+	s.Begin(clusterID, epoch, markKey, 1)
 	return s
 }
 
-// Begin starts another history, empty but for its mark, at a revision of its own.
-func (s *Store) Begin(cluster uint64, epoch, markKey string, revision int64) {
+// Begin replaces the state with a new history that begins after the given revision. Its first transaction writes the
+// epoch to the key that marks the history. All watchers are dropped.
+func (s *Store) Begin(clusterID uint64, epoch, markKey string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cluster, s.epoch, s.revision, s.compacted = cluster, epoch, revision, revision
-	s.keys, s.log, s.leases, s.sum = map[string]*mvccpb.KeyValue{}, nil, map[int64]*lease{}, 0
+	s.clusterID, s.epoch, s.revision, s.compacted = clusterID, epoch, revision, revision
+	s.keys, s.log, s.leases, s.checksum = map[string]*mvccpb.KeyValue{}, nil, map[int64]*lease{}, 0
 	for w := range s.watchers {
-		s.drop(w)
+		s.dropWatcher(w)
 	}
 	s.watchers = map[*watcher]struct{}{}
-	s.past[epoch], s.born[epoch] = map[int64]uint64{}, map[int64]time.Time{}
+	s.checksums[epoch], s.committedAt[epoch] = map[int64]uint64{}, map[int64]time.Time{}
 	s.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: &pb.PutRequest{Key: []byte(markKey), Value: []byte(epoch)}}}}, nil)
 }
 
-// Sum is a hash of one key's state; those of all keys together are added up.
-func Sum(key string, value []byte, mod int64) uint64 {
-	h := xxhash.New()
-	_, _ = h.WriteString(key)
-	_, _ = h.Write([]byte{0, byte(mod >> 32), byte(mod >> 24), byte(mod >> 16), byte(mod >> 8), byte(mod)})
-	_, _ = h.Write(value)
-	return h.Sum64()
+// Sum returns a hash of one key's state. The checksum of the whole state is the sum over all keys.
+func Sum(key string, value []byte, modRevision int64) uint64 {
+	hash := xxhash.New()
+	_, _ = hash.WriteString(key)
+	_, _ = hash.Write([]byte{0, byte(modRevision >> 32), byte(modRevision >> 24), byte(modRevision >> 16), byte(modRevision >> 8), byte(modRevision)})
+	_, _ = hash.Write(value)
+	return hash.Sum64()
 }
 
-// Was tells whether the state at a revision of an epoch had a sum; false too where there was no such revision.
-func (s *Store) Was(epoch string, revision int64, sum uint64) bool {
+// Was reports whether the state at a revision of an epoch had the checksum; it returns false for an unknown revision.
+func (s *Store) Was(epoch string, revision int64, checksum uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got, ok := s.past[epoch][revision]
-	return ok && got == sum
+	got, ok := s.checksums[epoch][revision]
+	return ok && got == checksum
 }
 
-// Born is when a revision came to be.
+// Born returns when a revision was committed, or the zero time for an unknown revision.
 func (s *Store) Born(epoch string, revision int64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born[epoch][revision]
+	return s.committedAt[epoch][revision]
 }
 
-// Made is how many changes there were, over all histories.
+// Made returns the number of events committed over all histories.
 func (s *Store) Made() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
-// Count is how many keys begin so.
+// Count returns the number of keys with a prefix.
 func (s *Store) Count(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,120 +114,124 @@
 	return n
 }
 
-// State is the latest revision with its sum.
-func (s *Store) State() (epoch string, revision int64, sum uint64) {
+// State returns the present epoch, revision and checksum.
+func (s *Store) State() (epoch string, revision int64, checksum uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.epoch, s.revision, s.sum
+	return s.epoch, s.revision, s.checksum
 }
 
-// Keys is all that there is now, in the order of the names, with what an answer's header tells.
+// Keys returns all key-value pairs in key order, with a response header of the same revision.
 func (s *Store) Keys() (*pb.ResponseHeader, []*mvccpb.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.head(), s.read(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}).Kvs
+	return s.header(), s.readRange(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}).Kvs
 }
 
-// Since is the changes from a revision on; false where they are compacted away.
+// Since returns the events from a revision on, with a response header of the present revision. It returns false if the
+// revision is compacted.
 func (s *Store) Since(revision int64) (*pb.ResponseHeader, []*mvccpb.Event, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n, _ := slices.BinarySearchFunc(s.log, revision, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
-	return s.head(), slices.Clone(s.log[n:]), revision > s.compacted
+	first, _ := slices.BinarySearchFunc(s.log, revision, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
+	return s.header(), slices.Clone(s.log[first:]), revision > s.compacted
 }
 
-func (s *Store) head() *pb.ResponseHeader {
-	return &pb.ResponseHeader{ClusterId: s.cluster, MemberId: 1, Revision: s.revision, RaftTerm: 1}
+func (s *Store) header() *pb.ResponseHeader {
+	return &pb.ResponseHeader{ClusterId: s.clusterID, MemberId: 1, Revision: s.revision, RaftTerm: 1}
 }
 
-// apply makes one transaction of puts and deletes. It returns what each changed.
-func (s *Store) apply(ops []*pb.RequestOp, answers []*pb.ResponseOp) []*pb.ResponseOp {
-	rev := s.revision + 1
+// apply carries out operations as one transaction and delivers its events to the watchers. It appends a response for
+// each operation and returns them. The caller holds mu.
+func (s *Store) apply(ops []*pb.RequestOp, responses []*pb.ResponseOp) []*pb.ResponseOp {
+	revision := s.revision + 1
 	var events []*mvccpb.Event
 	for _, op := range ops {
-		switch r := op.Request.(type) {
+		switch request := op.Request.(type) {
 		case *pb.RequestOp_RequestPut:
-			p := r.RequestPut
-			kv := &mvccpb.KeyValue{Key: p.Key, Value: p.Value, ModRevision: rev, CreateRevision: rev, Version: 1, Lease: p.Lease}
-			if old := s.keys[string(p.Key)]; old != nil {
-				kv.CreateRevision, kv.Version = old.CreateRevision, old.Version+1
-				s.sum -= Sum(string(p.Key), old.Value, old.ModRevision)
-				s.unlease(old)
+			put := request.RequestPut
+			kv := &mvccpb.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision, CreateRevision: revision, Version: 1, Lease: put.Lease}
+			if previous := s.keys[string(put.Key)]; previous != nil {
+				kv.CreateRevision, kv.Version = previous.CreateRevision, previous.Version+1
+				s.checksum -= Sum(string(put.Key), previous.Value, previous.ModRevision)
+				s.detachLease(previous)
 			}
-			s.keys[string(p.Key)] = kv
-			s.sum += Sum(string(p.Key), p.Value, rev)
-			if l := s.leases[p.Lease]; l != nil {
-				l.keys[string(p.Key)] = struct{}{}
+			s.keys[string(put.Key)] = kv
+			s.checksum += Sum(string(put.Key), put.Value, revision)
+			if granted := s.leases[put.Lease]; granted != nil {
+				granted.keys[string(put.Key)] = struct{}{}
 			}
 			events = append(events, &mvccpb.Event{Type: mvccpb.Event_PUT, Kv: kv})
-			answers = append(answers, &pb.ResponseOp{Response: &pb.ResponseOp_ResponsePut{ResponsePut: &pb.PutResponse{}}})
+			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponsePut{ResponsePut: &pb.PutResponse{}}})
 		case *pb.RequestOp_RequestDeleteRange:
-			n := int64(0)
-			for _, k := range s.match(r.RequestDeleteRange.Key, r.RequestDeleteRange.RangeEnd) {
-				old := s.keys[k]
-				s.sum -= Sum(k, old.Value, old.ModRevision)
-				s.unlease(old)
+			deleted := int64(0)
+			for _, k := range s.matchKeys(request.RequestDeleteRange.Key, request.RequestDeleteRange.RangeEnd) {
+				previous := s.keys[k]
+				s.checksum -= Sum(k, previous.Value, previous.ModRevision)
+				s.detachLease(previous)
 				delete(s.keys, k)
-				n++
-				events = append(events, &mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(k), ModRevision: rev}})
+				deleted++
+				events = append(events, &mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(k), ModRevision: revision}})
 			}
-			answers = append(answers, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseDeleteRange{
-				ResponseDeleteRange: &pb.DeleteRangeResponse{Deleted: n}}})
+			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseDeleteRange{
+				ResponseDeleteRange: &pb.DeleteRangeResponse{Deleted: deleted}}})
 		case *pb.RequestOp_RequestRange:
-			answers = append(answers, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: s.read(r.RequestRange)}})
+			responses = append(responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: s.readRange(request.RequestRange)}})
 		}
 	}
 	if len(events) == 0 {
-		return answers
+		return responses
 	}
-	s.revision = rev
+	s.revision = revision
 	s.changes += int64(len(events))
 	s.log = append(s.log, events...)
-	s.past[s.epoch][rev], s.born[s.epoch][rev] = s.sum, time.Now()
+	s.checksums[s.epoch][revision], s.committedAt[s.epoch][revision] = s.checksum, time.Now()
 	for w := range s.watchers {
-		var mine []*mvccpb.Event
+		var matching []*mvccpb.Event
 		for _, e := range events {
-			if w.wants(e) {
-				mine = append(mine, e)
+			if w.matches(e) {
+				matching = append(matching, e)
 			}
 		}
-		if len(mine) == 0 {
+		if len(matching) == 0 {
 			continue
 		}
 		select {
-		case w.news <- mine:
-		default: // too slow
-			s.Dropped++
-			s.drop(w)
+		case w.events <- matching:
+		default: // buffer full: the watcher is too slow
+			s.DroppedWatchers++
+			s.dropWatcher(w)
 		}
 	}
-	return answers
+	return responses
 }
 
-func (s *Store) drop(w *watcher) {
+func (s *Store) dropWatcher(w *watcher) {
 	if !w.dropped {
 		w.dropped = true
-		close(w.news)
+		close(w.events)
 	}
 	delete(s.watchers, w)
 }
 
-func (w *watcher) wants(e *mvccpb.Event) bool {
+func (w *watcher) matches(e *mvccpb.Event) bool {
 	k := string(e.Kv.Key)
 	return k >= w.from && (w.to == "\x00" || w.to == "" && k == w.from || k < w.to)
 }
 
-func (s *Store) unlease(kv *mvccpb.KeyValue) {
-	if l := s.leases[kv.Lease]; l != nil {
-		delete(l.keys, string(kv.Key))
+// detachLease removes a key from the lease to which it is attached.
+func (s *Store) detachLease(kv *mvccpb.KeyValue) {
+	if held := s.leases[kv.Lease]; held != nil {
+		delete(held.keys, string(kv.Key))
 	}
 }
 
-// match is the keys of a range as the API has them: one key, or from Key to RangeEnd, \0 for all.
-func (s *Store) match(key, end []byte) (all []string) {
-	w := watcher{from: string(key), to: string(end)}
+// matchKeys returns the sorted keys of a range, as the etcd API defines it: key alone if end is empty, all keys from
+// key on if end is \0, otherwise key up to but excluding end.
+func (s *Store) matchKeys(key, end []byte) (all []string) {
+	selector := watcher{from: string(key), to: string(end)}
 	for k := range s.keys {
-		if w.wants(&mvccpb.Event{Kv: &mvccpb.KeyValue{Key: []byte(k)}}) {
+		if selector.matches(&mvccpb.Event{Kv: &mvccpb.KeyValue{Key: []byte(k)}}) {
 			all = append(all, k)
 		}
 	}
@@ -232,40 +239,41 @@
 	return all
 }
 
-func (s *Store) read(r *pb.RangeRequest) *pb.RangeResponse {
-	out := &pb.RangeResponse{Header: s.head()}
-	for _, k := range s.match(r.Key, r.RangeEnd) {
-		out.Kvs = append(out.Kvs, s.keys[k])
+func (s *Store) readRange(request *pb.RangeRequest) *pb.RangeResponse {
+	response := &pb.RangeResponse{Header: s.header()}
+	for _, k := range s.matchKeys(request.Key, request.RangeEnd) {
+		response.Kvs = append(response.Kvs, s.keys[k])
 	}
-	out.Count = int64(len(out.Kvs))
-	return out
+	response.Count = int64(len(response.Kvs))
+	return response
 }
 
-// Compact forgets the changes up to a revision.
+// Compact discards the events up to a revision.
 func (s *Store) Compact(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compacted = max(s.compacted, min(revision, s.revision))
-	n, _ := slices.BinarySearchFunc(s.log, s.compacted+1, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
-	s.log = slices.Clone(s.log[n:])
+	first, _ := slices.BinarySearchFunc(s.log, s.compacted+1, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
+	s.log = slices.Clone(s.log[first:])
 }
 
-// Expire ends the leases whose time has come, and lost ones at once if told.
+// Expire revokes the expired leases, or all leases.
 func (s *Store) Expire(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.leases {
-		if all || time.Now().After(l.ends) {
+	for id, held := range s.leases {
+		if all || time.Now().After(held.expires) {
 			s.revoke(id)
 		}
 	}
 }
 
+// revoke deletes a lease and its keys. The caller holds mu.
 func (s *Store) revoke(id int64) {
-	l := s.leases[id]
+	revoked := s.leases[id]
 	delete(s.leases, id)
 	var ops []*pb.RequestOp
-	for k := range l.keys {
+	for k := range revoked.keys {
 		ops = append(ops, &pb.RequestOp{Request: &pb.RequestOp_RequestDeleteRange{RequestDeleteRange: &pb.DeleteRangeRequest{Key: []byte(k)}}})
 	}
 	if len(ops) > 0 {
@@ -273,7 +281,7 @@
 	}
 }
 
-// Put makes one transaction of some keys; a nil value deletes.
+// Put writes keys in one transaction; a nil value deletes the key.
 func (s *Store) Put(keys map[string][]byte) {
 	var ops []*pb.RequestOp
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
