--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -59,7 +59,7 @@
 			if !inst.inTurn {
 				inst.inTurn = true
 				active = append(active, inst)
-				inst.module.At(batch.Now)
+				inst.module.BeginTurn(batch.Now)
 			}
 			if err := inst.dispatch(event); err != nil {
 				return err
@@ -120,10 +120,10 @@
 	if request.Plan >= len(inst.site.Plans) {
 		return request, fmt.Errorf("request of unknown class %d: the settings have fewer classes", request.Plan)
 	}
-	title, ok := inst.titleNumbers[request.Show]
+	title, ok := inst.titleNumbers[request.TitleID]
 	if !ok {
 		title = len(inst.titleNumbers)
-		inst.titleNumbers[request.Show] = title
+		inst.titleNumbers[request.TitleID] = title
 	}
 	request.Title = title
 	request.Playback = len(inst.playbackIDs)
@@ -156,10 +156,10 @@
 		}
 		return nil
 	case simwire.EvList:
-		list := session.List{Whole: event.Complete(), Failed: event.ListFailed(),
+		list := session.List{Complete: event.Complete(), Failed: event.ListFailed(),
 			Entries: make([]session.Entry, len(event.Entries))}
 		for i, entry := range event.Entries {
-			if entry.Kind >= len(inst.site.Fleet.Places) {
+			if entry.Kind >= len(inst.site.Fleet.MaxStreams) {
 				return fmt.Errorf("server list entry of unknown kind %d: the settings have fewer kinds", entry.Kind)
 			}
 			entry.Server = inst.serverNumber(entry.ID)
--- a/cmd/pierlab/standin.go
+++ b/cmd/pierlab/standin.go
@@ -36,15 +36,15 @@
 			if link <= 0 || uplink <= 0 || places < 1 || len(ladder) == 0 {
 				return fmt.Errorf("--link, --uplink and --places must be positive and --ladder must not be empty")
 			}
-			config := mediabox.Frame{Name: name, LadderKB: ladder, Join: 0.25, LinkKB: link, Places: places,
-				Rack: &mediabox.Rack{UplinkKB: uplink}, SetupTime: [2]core.Time{5_000, 20_000}, Tick: 50_000, PacketBytes: 1200,
-				NoteDelay: 400_000, NoteAll: 2 * core.Second, LoadInAnswers: true, SessionTimeout: 60 * core.Second,
-				ColdFrom: 0.3, WarmUp: 10 * core.Second, FallMultiple: 4, FallSpan: core.Second, Seed: uint64(os.Getpid())}
+			config := mediabox.Config{Name: name, LadderKB: ladder, Join: 0.25, LinkKB: link, MaxSessions: places,
+				Rack: &mediabox.Rack{UplinkKB: uplink}, SetupTime: [2]core.Time{5_000, 20_000}, SendInterval: 50_000, PacketBytes: 1200,
+				NoteDelay: 400_000, NoteInterval: 2 * core.Second, LoadInAnswers: true, SessionTimeout: 60 * core.Second,
+				ColdCapacity: 0.3, WarmUp: 10 * core.Second, CrashMultiple: 4, CrashWindow: core.Second, Seed: uint64(os.Getpid())}
 			for _, planName := range plans {
 				config.Plans = append(config.Plans, mediabox.Plan{Name: planName, RateFactor: 1, Tracks: []string{"video", "audio"}})
 			}
 			if cold {
-				config.Started = edge.Now()
+				config.StartedAt = edge.Now()
 			}
 			loop, err := edge.New(listen, func(net core.Net) core.Core { return mediabox.New(config, net, edge.Now()) })
 			if err != nil {
@@ -62,10 +62,10 @@
 				}
 				box := registry.Box{Address: loop.Addr(), Zone: zone, Cell: cell, Kind: "std", Weight: 1, State: "ready"}
 				if cold {
-					box.Started = time.UnixMicro(config.Started)
+					box.Started = time.UnixMicro(config.StartedAt)
 				}
-				client.Register(ctx, client.Place{Endpoints: endpoints, Bounds: registry.Bounds{Timeout: core.Second}},
-					registry.BoxesPrefix+name, box.Value, nil, 3, newLogger(true))
+				client.Register(ctx, client.Config{Endpoints: endpoints, Core: registry.Config{Timeout: core.Second}},
+					registry.BoxesPrefix+name, box.Encode, nil, 3, newLogger(true))
 			}()
 			<-signals
 			cancel()
@@ -98,7 +98,7 @@
 				return fmt.Errorf("--count, --tracks, --watch and --abandon must be positive")
 			}
 			allEnded, playedCount := make(chan struct{}), 0
-			var players *player.Crowd
+			var players *player.Group
 			loop, err := edge.New("", func(net core.Net) core.Core {
 				players = player.New(net, edge.Now())
 				return players
@@ -106,12 +106,12 @@
 			if err != nil {
 				return err
 			}
-			stateNames := map[player.State]string{player.Refused: "refused", player.Failed: "failed", player.Abandoned: "abandoned",
+			stateNames := map[player.State]string{player.Rejected: "refused", player.Failed: "failed", player.Abandoned: "abandoned",
 				player.Lost: "lost", player.Done: "played"}
 			loop.Post(func() {
-				players.Report = func(want *player.Want, seen *player.Seen) {
+				players.Report = func(want *player.Profile, seen *player.Result) {
 					fmt.Printf("%s %s status=%d startup=%s packets=%d bytes=%d gaps=%d answers=%d of %d requests longest-silence=%s\n",
-						seen.ID, stateNames[seen.State], seen.Status, toDuration(seen.FirstPacket), seen.Packets, seen.Bytes, seen.Gaps, seen.Answers, seen.Requests,
+						seen.ID, stateNames[seen.State], seen.Status, toDuration(seen.StartupTime), seen.Packets, seen.Bytes, seen.Gaps, seen.Responses, seen.Requests,
 						toDuration(seen.LongestSilence))
 					if seen.State == player.Done {
 						playedCount++
@@ -121,9 +121,9 @@
 					}
 				}
 				for i := range count {
-					players.Start(&player.Want{ID: fmt.Sprintf("pb-%d-%d", os.Getpid(), i), Fronts: []string{front}, Plan: plan,
-						Title: title, Tenant: tenant, Top: top, Tracks: tracks, Ask: true, Returns: returns, KeepsTo: true,
-						Break: core.Second, Watch: watch.Microseconds(), Abandon: abandon.Microseconds()})
+					players.Start(&player.Profile{ID: fmt.Sprintf("pb-%d-%d", os.Getpid(), i), Fronts: []string{front}, Plan: plan,
+						Title: title, Tenant: tenant, TopRung: top, Tracks: tracks, DescribeFirst: true, MaxRetries: returns, HonorsRetryAfter: true,
+						RetryDelay: core.Second, WatchTime: watch.Microseconds(), AbandonTime: abandon.Microseconds()})
 				}
 			})
 			<-allEnded
@@ -155,7 +155,7 @@
 	var cluster uint64
 	cmd := &cobra.Command{Use: "registry", Short: "Run a stand-in registry (etcd v3 API, in memory)", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			store := standin.NewStore(cluster, fmt.Sprint(time.Now().UnixNano()), registry.MarkKey)
+			store := standin.NewStore(cluster, fmt.Sprint(time.Now().UnixNano()), registry.HistoryKey)
 			server, err := standin.Serve(listen, store)
 			if err != nil {
 				return err
@@ -168,7 +168,7 @@
 			for {
 				select {
 				case <-ticker.C:
-					store.Expire(false)
+					store.ExpireLeases(false)
 				case <-signals:
 					server.Stop()
 					return nil
--- a/cmd/pierlab/why.go
+++ b/cmd/pierlab/why.go
@@ -18,15 +18,15 @@
 	cmd := &cobra.Command{Use: "why PLAYBACK", Short: "Explain in words where the time of a playback went",
 		Long: "Explain the course of a playback, given its Request-Id: from a trace file that pierlink wrote ([trace] in its settings),\n" +
 			"or by playing a day.", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			var stories []*front.Story
+			var stories []*front.PlaybackTrace
 			switch {
 			case dayName != "":
 				day, err := loadDay(dayName, seed)
 				if err != nil {
 					return err
 				}
-				day.Told = func(story *front.Story) {
-					if story.Name == args[0] {
+				day.Told = func(story *front.PlaybackTrace) {
+					if story.RequestID == args[0] {
 						stories = append(stories, story)
 					}
 				}
@@ -34,7 +34,7 @@
 					return err
 				}
 				if len(stories) == 0 {
-					return trace.ErrNone
+					return trace.ErrNotFound
 				}
 			case tracePath != "":
 				file, err := os.Open(tracePath)
@@ -49,7 +49,7 @@
 				return fmt.Errorf("either --trace FILE or --day DAY is required")
 			}
 			for _, story := range stories {
-				fmt.Print(trace.Words(story))
+				fmt.Print(trace.Describe(story))
 			}
 			return nil
 		}}
--- a/cmd/pierlink/directory.go
+++ b/cmd/pierlink/directory.go
@@ -31,8 +31,8 @@
 	client    *client.Client
 	sealKey   []byte // seals the saved view
 	viewPath  string
-	loop      edge.Poster // the front's loop, on which the core runs
-	savedAsOf core.Time   // AsOf of the view saved last
+	loop      edge.DeferredLoop // the front's loop, on which the core runs
+	savedAsOf core.Time         // AsOf of the view saved last
 }
 
 // post runs an action on the core, in a turn of the front.
@@ -43,19 +43,19 @@
 // savedView is the view of the directory as it is saved to disk, sealed.
 type savedView struct {
 	Records []tenants.Record
-	Mark    tenants.Mark
+	Mark    tenants.Checkpoint
 	End     string // endpoint to which the mark belongs
 	AsOf    core.Time
 }
 
 // openDirectory sets up the authorization of players by the directory.
-func (p *process) openDirectory(service *front.Service) error {
+func (p *process) openDirectory(service *front.Config) error {
 	settings := p.site.Directory
-	place := client.Place{Endpoints: settings.Endpoints, Base: settings.Base, Bind: settings.Bind, PageSize: uint32(settings.Page), Terms: tenants.Terms{
-		Seed: uint64(edge.Now()), Longest: core.Time(settings.Longest), Renew: core.Time(settings.Renew), Timeout: core.Time(settings.Timeout),
-		Negative: core.Time(settings.Negative), Waiting: settings.Waiting, Lookups: settings.Lookups, Entries: settings.Entries, Ends: len(settings.Endpoints), Admit: settings.Stale == "admit"}}
-	if settings.Password != "" {
-		text, err := os.ReadFile(p.resolvePath(settings.Password))
+	place := client.Config{Endpoints: settings.Endpoints, Base: settings.Base, BindDN: settings.Bind, PageSize: uint32(settings.Page), Core: tenants.Config{
+		Seed: uint64(edge.Now()), MaxAge: core.Time(settings.Longest), SyncInterval: core.Time(settings.Renew), Timeout: core.Time(settings.Timeout),
+		NegativeTTL: core.Time(settings.Negative), MaxWaiting: settings.Waiting, MaxLookups: settings.Lookups, MaxEntries: settings.Entries, Endpoints: len(settings.Endpoints), AdmitStale: settings.Stale == "admit"}}
+	if settings.PasswordFile != "" {
+		text, err := os.ReadFile(p.resolvePath(settings.PasswordFile))
 		if err != nil {
 			return fmt.Errorf("directory.password_file: %w", err)
 		}
@@ -71,7 +71,7 @@
 			return fmt.Errorf("directory.ca: %s holds no certificate", settings.CA)
 		}
 	}
-	auth := &authorizer{core: tenants.New(place.Terms, edge.Now()), viewPath: p.resolvePath(settings.Kept)}
+	auth := &authorizer{core: tenants.New(place.Core, edge.Now()), viewPath: p.resolvePath(settings.Kept)}
 	if settings.Kept != "" {
 		key, err := os.ReadFile(p.resolvePath(settings.Key))
 		if err != nil {
@@ -80,12 +80,12 @@
 		auth.sealKey = bytes.TrimSpace(key)
 		var view savedView
 		switch err := kept.LoadSealed(auth.viewPath, directoryViewKind, auth.sealKey, &view); {
-		case errors.Is(err, kept.ErrNone):
+		case errors.Is(err, kept.ErrNotFound):
 		case err != nil:
 			p.log.Warn("loading the saved view of the directory failed; starting without it", zap.Error(err))
 		default:
 			view.Mark.End = slices.Index(settings.Endpoints, view.End)
-			auth.core.Resume(view.Records, view.Mark, view.AsOf)
+			auth.core.Restore(view.Records, view.Mark, view.AsOf)
 			p.log.Info("serving the saved view of the directory until the directory answers", zap.Int("entries", len(view.Records)),
 				zap.Duration("age", time.Duration(edge.Now()-view.AsOf)*time.Microsecond))
 		}
@@ -95,7 +95,7 @@
 		return err
 	}
 	p.authorizer = auth
-	service.Gate = &front.Gate{Core: auth.core, Ask: auth.client.Do, Realm: settings.Realm, Basic: p.site.TLS != nil && p.site.TLS.Basic, Guesses: tenants.Guesses{Span: core.Time(settings.Longest), Seed: uint32(place.Terms.Seed)}}
+	service.Access = &front.AccessControl{Core: auth.core, Lookup: auth.client.Do, Realm: settings.Realm, Basic: p.site.TLS != nil && p.site.TLS.AllowBasic, FailedLogins: tenants.FailureLimiter{HalfLife: core.Time(settings.Longest), Seed: uint32(place.Core.Seed)}}
 	return nil
 }
 
@@ -107,7 +107,7 @@
 	}
 	var view savedView
 	p.loop.Do(func() {
-		if mark, asOf := auth.core.Mark(); asOf-auth.savedAsOf >= core.Time(p.site.Directory.Longest)/2 {
+		if mark, asOf := auth.core.Checkpoint(); asOf-auth.savedAsOf >= core.Time(p.site.Directory.Longest)/2 {
 			if view.Mark, view.AsOf = mark, asOf; mark.End >= 0 {
 				view.End = p.site.Directory.Endpoints[mark.End]
 			}
@@ -120,7 +120,7 @@
 	for next >= 0 { // in batches, so that no turn takes long
 		p.loop.Do(func() {
 			var batch []tenants.Record
-			batch, next = auth.core.Part(next, entriesPerTurn)
+			batch, next = auth.core.Chunk(next, entriesPerTurn)
 			view.Records = append(view.Records, batch...)
 		})
 	}
--- a/cmd/pierlink/main.go
+++ b/cmd/pierlink/main.go
@@ -50,7 +50,7 @@
 		}}
 	root.AddCommand(serve, check, version, statusCommand())
 	if err := root.Execute(); err != nil {
-		var mistakes settings.Mistakes
+		var mistakes settings.ValidationErrors
 		if errors.As(err, &mistakes) {
 			for _, mistake := range mistakes {
 				fmt.Fprintln(os.Stderr, mistake)
@@ -63,22 +63,22 @@
 }
 
 // readSettings reads the settings and the server list that they name.
-func readSettings(file string) (*settings.Site, front.List, error) {
+func readSettings(file string) (*settings.Config, front.ListUpdate, error) {
 	site, err := settings.Read(file)
 	if err != nil {
-		return nil, front.List{}, fmt.Errorf("%s: %w", file, err)
+		return nil, front.ListUpdate{}, fmt.Errorf("%s: %w", file, err)
 	}
 	if site.Registry != nil {
-		return site, front.List{}, nil
+		return site, front.ListUpdate{}, nil
 	}
-	list, err := settings.ReadServers(serversPath(file, site), site)
+	list, err := settings.ReadServerList(serversPath(file, site), site)
 	if err != nil {
 		return nil, list, fmt.Errorf("%s: %w", serversPath(file, site), err)
 	}
 	return site, list, nil
 }
 
-func serversPath(file string, site *settings.Site) string {
+func serversPath(file string, site *settings.Config) string {
 	if filepath.IsAbs(site.Servers) {
 		return site.Servers
 	}
--- a/cmd/pierlink/platform.go
+++ b/cmd/pierlink/platform.go
@@ -67,12 +67,12 @@
 	exit := make(chan struct{})
 	var manager *platform.Manager
 	var loop *edge.Loop
-	room := edge.Room{Read: readBufferSize, Mail: int(config.MemoryBytes / inboxMemoryDivisor), Dials: time.Duration(config.Settings.Connect)*time.Microsecond + time.Second,
-		Doors: platform.MaxViewers(config) + platform.MaxArriving(config)}
-	loop, err = edge.NewIn(room, "", func(network core.Net) core.Core {
+	room := edge.Limits{ReadBuffer: readBufferSize, MailboxBytes: int(config.MemoryBytes / inboxMemoryDivisor), DialTimeout: time.Duration(config.Settings.ConnectTimeout)*time.Microsecond + time.Second,
+		MaxConnections: platform.MaxViewers(config) + platform.MaxArriving(config)}
+	loop, err = edge.NewWithLimits(room, "", func(network core.Net) core.Core {
 		manager = platform.New(network, config, edge.Now(), policy.New)
 		manager.Exit = func() { close(exit) }
-		manager.StopAccepting = func() { go loop.Hush() }
+		manager.StopAccepting = func() { go loop.StopAccepting() }
 		if traced {
 			manager.Trace = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 		}
--- a/cmd/pierlink/registry.go
+++ b/cmd/pierlink/registry.go
@@ -19,9 +19,9 @@
 	state := life.State(p.state.Load())
 	entry := registry.Manager{State: state.String()}
 	if state == life.Ready {
-		entry.Address, entry.Secure = p.playerAddress(), p.secureAddress()
+		entry.Address, entry.TLSAddress = p.playerAddress(), p.secureAddress()
 	}
-	return entry.Value()
+	return entry.Encode()
 }
 
 // refreshRegistration requests that the registry key is written again.
@@ -35,8 +35,8 @@
 // followRegistry watches the registry. Its TLS key files are read again for each connection.
 func (p *process) followRegistry(ctx context.Context) (*client.Client, error) {
 	settings, resolve := p.site.Registry, p.resolvePath
-	place := client.Place{Endpoints: settings.Endpoints, Kept: resolve(settings.Kept),
-		Bounds: registry.Bounds{Seed: uint64(edge.Now()), Grace: core.Time(settings.Grace), Timeout: core.Time(settings.Timeout), Held: 1 << 20}}
+	place := client.Config{Endpoints: settings.Endpoints, ViewPath: resolve(settings.Kept),
+		Core: registry.Config{Seed: uint64(edge.Now()), GracePeriod: core.Time(settings.Grace), Timeout: core.Time(settings.Timeout), MaxBufferedChanges: 1 << 20}}
 	if settings.CA != "" || settings.Cert != "" {
 		place.TLS = &tls.Config{MinVersion: tls.VersionTLS12}
 	}
@@ -57,12 +57,12 @@
 		}
 	}
 	if settings.Lease == 0 { // the number of fronts and this front's own number stay as in the settings
-		return edge.Follow(place, nil, nil, p.loop, p.front, p.log)
+		return edge.FollowRegistry(place, nil, nil, p.loop, p.front, p.log)
 	}
 	p.registration.Add(1)
 	go func() {
 		defer p.registration.Done()
 		client.Register(ctx, place, registry.ManagersPrefix+p.site.Name, p.registrationValue, p.registrationChanged, int64(settings.Lease)/int64(core.Second), p.log)
 	}()
-	return edge.Follow(place, &registry.Fleet{Own: p.site.Name, Lease: core.Time(settings.Lease)}, p.refreshRegistration, p.loop, p.front, p.log)
+	return edge.FollowRegistry(place, &registry.ManagerSet{OwnName: p.site.Name, LeaseTime: core.Time(settings.Lease)}, p.refreshRegistration, p.loop, p.front, p.log)
 }
--- a/cmd/pierlink/serve.go
+++ b/cmd/pierlink/serve.go
@@ -40,7 +40,7 @@
 	settingsFile string
 	takeover     bool
 
-	site                *settings.Site // current settings, replaced on reload; used only by the main goroutine
+	site                *settings.Config // current settings, replaced on reload; used only by the main goroutine
 	listen              string
 	advertised          string
 	controlPath         string // path of the control socket
@@ -57,7 +57,7 @@
 	failure             error // error that ends the process
 	exit                chan struct{}
 	authorizer          *authorizer
-	tlsKeys             *edge.Keys         // certificates of the TLS listener, nil without one
+	tlsKeys             *edge.KeyPair      // certificates of the TLS listener, nil without one
 	handedOver          atomic.Bool        // another process has taken over the listeners
 	deregister          context.CancelFunc // stops registering with the registry
 }
@@ -65,7 +65,7 @@
 // dialogueJournal records the dialogues of the front.
 type dialogueJournal struct{ *kept.Journal }
 
-func (j dialogueJournal) Opened(orphan life.Orphan) { j.Journal.Opened(kept.Open(orphan)) }
+func (j dialogueJournal) Opened(orphan life.Orphan) { j.Journal.Opened(kept.Entry(orphan)) }
 
 // resolvePath returns path relative to the settings file's directory, if it is not absolute.
 func (p *process) resolvePath(path string) string {
@@ -100,7 +100,7 @@
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
-	service := site.Service(p.secret[8:])
+	service := site.FrontConfig(p.secret[8:])
 	orphans := p.readOrphans()
 	if dir := p.resolvePath(site.Life.Kept); dir != "" {
 		dialogues, err := kept.NewJournal(dir, func(err error) { p.log.Error("writing the journal of dialogues failed", zap.Error(err)) })
@@ -113,7 +113,7 @@
 		}
 	}
 	if options := site.Trace; options != nil {
-		writer, err := trace.NewFile(p.resolvePath(options.File), options.Part)
+		writer, err := trace.NewWriter(p.resolvePath(options.File), options.SampledShare)
 		if err != nil {
 			return err
 		}
@@ -125,10 +125,10 @@
 				p.log.Warn("playbacks missing from the trace file, which was written too slowly", zap.Int64("stories", lost))
 			}
 		}()
-		service.Told = writer.Tell
+		service.OnAnswered = writer.Record
 	}
 	if options := site.TLS; options != nil {
-		if p.tlsKeys, err = edge.ReadKeys(p.resolvePath(options.Cert), p.resolvePath(options.Key)); err != nil {
+		if p.tlsKeys, err = edge.LoadKeyPair(p.resolvePath(options.Cert), p.resolvePath(options.Key)); err != nil {
 			return fmt.Errorf("tls: %w", err)
 		}
 	}
@@ -138,12 +138,12 @@
 		}
 		defer p.closeDirectory()
 	}
-	lifecycle := life.New(site.Lifetimes(), edge.Now())
+	lifecycle := life.New(site.LifeConfig(), edge.Now())
 	p.loop, err = edge.New("", func(network core.Net) core.Core {
 		now := edge.Now()
 		module := policy.New(&service.Site, binary.BigEndian.Uint64(p.secret), now)
 		p.front = front.New(service, module, network, p.log, now)
-		p.front.Others().Set(site.Life.Others)
+		p.front.OtherManagers().Set(site.Life.Others)
 		p.restoreStanding(now)
 		return p.front
 	})
@@ -156,23 +156,23 @@
 	defer cancel()
 	p.deregister = cancel
 	if p.authorizer != nil {
-		p.authorizer.loop.To(p.loop)
+		p.authorizer.loop.Bind(p.loop)
 	}
 	p.loop.Do(func() {
 		p.adoptOrphans(orphans)
 		if site.Registry == nil {
-			p.front.Listed(list)
-			lifecycle.Has(life.List)
+			p.front.UpdateList(list)
+			lifecycle.Satisfy(life.ServerListLoaded)
 		}
-		lifecycle.Has(life.Settings)
-		lifecycle.Has(life.Module)
-		p.front.Live(lifecycle, p)
+		lifecycle.Satisfy(life.SettingsLoaded)
+		lifecycle.Satisfy(life.PolicyLoaded)
+		p.front.AttachLifecycle(lifecycle, p)
 	})
 	p.warnDescriptorLimit()
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
 	if p.tlsKeys != nil {
-		p.tlsKeys.Follow(fileWatchInterval, stopped.Done(), p.log)
+		p.tlsKeys.Watch(fileWatchInterval, stopped.Done(), p.log)
 	}
 	if site.Registry != nil {
 		if p.registryClient, err = p.followRegistry(ctx); err != nil {
@@ -203,7 +203,7 @@
 		return p.failure
 	}
 	p.saveStanding()
-	var figures front.Figures
+	var figures front.Stats
 	p.loop.Do(func() { figures = p.front.Figures })
 	p.log.Info("stopped", zap.Any("figures", figures))
 	return nil
@@ -252,7 +252,7 @@
 				continue
 			}
 			p.log.Info("received a signal to stop", zap.String("signal", received.String()))
-			p.loop.Post(func() { p.front.Life().Stop() })
+			p.loop.Post(func() { p.front.Lifecycle().Stop() })
 		case <-tick.C:
 			p.saveStanding()
 			p.saveDirectoryView()
@@ -283,33 +283,33 @@
 			p.fail(err)
 			return
 		}
-		p.front.Succeed()
+		p.front.TakeOver()
 		for i, listener := range handover.Listeners { // the first listener is the one without TLS
 			switch {
 			case i == 0:
 				p.loop.Accept(listener, nil)
 			case p.tlsKeys != nil:
-				p.loop.Accept(listener, p.tlsKeys.Door())
+				p.loop.Accept(listener, p.tlsKeys.TLSConfig())
 			default:
 				_ = listener.Close()
 			}
 		}
 		if p.tlsKeys != nil && len(handover.Listeners) == 1 { // the previous process had no TLS listener
-			if err := p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.Door()); err != nil {
+			if err := p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.TLSConfig()); err != nil {
 				p.fail(err)
 				return
 			}
 		}
-		err = handover.Serving(func(seats map[life.Seat]int) { p.loop.Post(func() { p.front.Heir().Hold(seats) }) })
+		err = handover.ConfirmServing(func(seats map[life.Seat]int) { p.loop.Post(func() { p.front.Handover().SetHeldSeats(seats) }) })
 		if err != nil {
 			p.fail(err)
 			return
 		}
-		p.log.Info("took over the listeners", zap.Int("from", handover.From.PID), zap.Int("playing there", handover.From.Playing))
+		p.log.Info("took over the listeners", zap.Int("from", handover.PeerStatus.PID), zap.Int("playing there", handover.PeerStatus.Playing))
 	} else {
 		err := p.loop.Listen(p.listen, nil)
 		if err == nil && p.tlsKeys != nil {
-			err = p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.Door())
+			err = p.loop.Listen(p.site.TLS.Listen, p.tlsKeys.TLSConfig())
 		}
 		if err != nil {
 			p.fail(err)
@@ -327,32 +327,32 @@
 	p.control = control
 }
 
-// Hush stops accepting connections.
-func (p *process) Hush() {
-	if lifecycle := p.front.Life(); lifecycle.Handed() {
+// StopAccepting stops accepting connections.
+func (p *process) StopAccepting() {
+	if lifecycle := p.front.Lifecycle(); lifecycle.HandedOver() {
 		p.handedOver.Store(true)
 		p.deregister()                           // the registry entry now belongs to the other process
 		addresses := []string{p.playerAddress()} // the process that took over has the same address
 		if secure := p.secureAddress(); secure != "" {
-			addresses = append(addresses, life.SecureMark+secure)
+			addresses = append(addresses, life.SecureScheme+secure)
 		}
-		p.front.Others().Set(addresses)
+		p.front.OtherManagers().Set(addresses)
 	}
 	go func() {
-		p.loop.Hush()
-		p.loop.Post(p.front.Life().Hushed)
+		p.loop.StopAccepting()
+		p.loop.Post(p.front.Lifecycle().AcceptStopped)
 	}()
 }
 
-// News reports a change of the lifecycle state to the supervisor, the registry and the log.
-func (p *process) News(state life.State) {
+// StateChanged reports a change of the lifecycle state to the supervisor, the registry and the log.
+func (p *process) StateChanged(state life.State) {
 	p.state.Store(int64(state))
 	if !p.handedOver.Load() { // otherwise the registry entry belongs to the other process
 		p.refreshRegistration()
 	}
 	address := p.loop.Addr()
 	servers := 0
-	p.front.Each(func() { servers++ })
+	p.front.ForEachServer(func() { servers++ })
 	switch state {
 	case life.Ready:
 		p.log.Info("ready", zap.String("name", p.front.Name), zap.String("address", address), zap.String("secure", p.loop.SecureAddr()), zap.Int("servers", servers))
@@ -392,25 +392,25 @@
 
 // status returns the status reported on the control socket.
 func (p *process) status() edge.Status {
-	status := edge.Status{Name: p.front.Name, PID: os.Getpid(), Address: p.loop.Addr(), Starved: p.loop.Starved(), ListAge: -1, Directory: -1,
-		Secure: p.loop.SecureAddr(), Unshaken: p.loop.Unshaken()}
+	status := edge.Status{Name: p.front.Name, PID: os.Getpid(), Address: p.loop.Addr(), DescriptorRejects: p.loop.DescriptorRejects(), RegistryAgeSeconds: -1, DirectoryAgeSeconds: -1,
+		Secure: p.loop.SecureAddr(), BrokenHandshakes: p.loop.BrokenHandshakes()}
 	if p.tlsKeys != nil {
-		status.KeysEnd = p.tlsKeys.Until()
+		status.CertificateExpires = p.tlsKeys.NotAfter()
 	}
 	p.loop.Do(func() {
-		state, since := p.front.Life().State()
-		carried := p.front.Carried()
+		state, since := p.front.Lifecycle().State()
+		carried := p.front.OpenWork()
 		now := edge.Now()
-		status.State, status.For = state.String(), float64(now-since)/1e6
-		status.Waiting, status.Playing, status.SentOn, status.Orphans = carried.Waiting, carried.Playing, carried.Sent, p.front.Orphans().Left()
-		status.BehindMS = float64(p.front.Behind().Late(now)) / 1e3
+		status.State, status.StateSeconds = state.String(), float64(now-since)/1e6
+		status.Waiting, status.Playing, status.Redirected, status.Orphans = carried.Unanswered, carried.Playing, carried.Redirected, p.front.Orphans().Remaining()
+		status.LagMS = float64(p.front.Lag().Lag(now)) / 1e3
 		status.Figures = p.front.Figures
-		if gate := p.front.Gate; gate != nil {
-			status.Directory, status.Entries = float64(gate.Core.Age())/1e6, gate.Core.Size()
+		if gate := p.front.Access; gate != nil {
+			status.DirectoryAgeSeconds, status.DirectoryEntries = float64(gate.Core.Age())/1e6, gate.Core.Size()
 		}
 	})
 	if p.registryClient != nil {
-		status.ListAge = p.registryClient.Age().Seconds()
+		status.RegistryAgeSeconds = p.registryClient.Age().Seconds()
 	}
 	return status
 }
@@ -425,12 +425,12 @@
 }
 
 // readOrphans reads the journals that processes left behind when they died.
-func (p *process) readOrphans() []*kept.Left {
+func (p *process) readOrphans() []*kept.OrphanedJournal {
 	dir := p.resolvePath(p.site.Life.Kept)
 	if dir == "" {
 		return nil
 	}
-	orphans, err := kept.Behind(dir)
+	orphans, err := kept.FindOrphaned(dir)
 	if err != nil {
 		p.log.Error("reading the journals of earlier processes failed; continuing without them", zap.Error(err))
 	}
@@ -439,12 +439,12 @@
 
 // adoptOrphans passes the dialogues that dead processes left open to the front, which ends them. Their journals are
 // removed afterwards.
-func (p *process) adoptOrphans(files []*kept.Left) {
+func (p *process) adoptOrphans(files []*kept.OrphanedJournal) {
 	var orphans []life.Orphan
 	unreadable := 0
 	for _, file := range files {
-		unreadable += file.Bad
-		for _, orphan := range file.Open {
+		unreadable += file.BadLines
+		for _, orphan := range file.Entries {
 			orphans = append(orphans, life.Orphan(orphan))
 		}
 	}
@@ -454,17 +454,17 @@
 	if len(orphans) > 0 {
 		p.log.Info("ending dialogues that an earlier process left open", zap.Int("dialogues", len(orphans)))
 	}
-	p.front.Adopt(orphans, func() {
+	p.front.AdoptOrphans(orphans, func() {
 		for _, file := range files {
-			file.Done()
+			file.Remove()
 		}
 	})
 }
 
 // savedStanding is the file that holds the standing of the admission queue's tenants.
 type savedStanding struct {
-	SavedAt core.Time       `json:"at"`
-	Tenants []fair.Standing `json:"all"`
+	SavedAt core.Time   `json:"at"`
+	Tenants []fair.Lead `json:"all"`
 }
 
 func (p *process) standingPath() string {
@@ -477,19 +477,19 @@
 // restoreStanding loads the saved standing of the tenants, unless it is too old.
 func (p *process) restoreStanding(now core.Time) {
 	path := p.standingPath()
-	scheduler, _ := p.front.Door()
+	scheduler, _ := p.front.Admission()
 	if path == "" || scheduler == nil {
 		return
 	}
 	var saved savedStanding
 	switch err := kept.Load(path, standingKind, &saved); {
-	case errors.Is(err, kept.ErrNone):
+	case errors.Is(err, kept.ErrNotFound):
 	case err != nil:
 		p.log.Warn("loading the tenants' standing failed; starting without it", zap.Error(err))
-	case !p.front.Behind().Fresh(saved.SavedAt, now):
+	case !p.front.Lag().Recent(saved.SavedAt, now):
 		p.log.Info("the saved standing of the tenants is too old and is ignored")
 	default:
-		scheduler.Resume(saved.Tenants)
+		scheduler.RestoreLeads(saved.Tenants)
 		p.log.Info("restored the tenants' standing", zap.Int("tenants", len(saved.Tenants)), zap.Duration("age", time.Duration(now-saved.SavedAt)*time.Microsecond))
 	}
 }
@@ -502,8 +502,8 @@
 	}
 	saved := savedStanding{SavedAt: edge.Now()}
 	p.loop.Do(func() {
-		if scheduler, _ := p.front.Door(); scheduler != nil {
-			saved.Tenants = scheduler.Standing()
+		if scheduler, _ := p.front.Admission(); scheduler != nil {
+			saved.Tenants = scheduler.Leads()
 		}
 	})
 	if err := kept.Save(path, standingKind, saved); err != nil {
@@ -520,15 +520,15 @@
 		p.log.Error("new settings rejected; keeping the current ones", zap.Error(err))
 		return
 	}
-	if fixed := p.site.Fixed(next); len(fixed) > 0 {
+	if fixed := p.site.RestartKeys(next); len(fixed) > 0 {
 		p.log.Error("new settings rejected, as these keys need a restart; keeping the current ones", zap.Strings("keys", fixed))
 		return
 	}
-	reloaded := next.Next(p.secret[8:])
+	reloaded := next.Reload(p.secret[8:])
 	p.loop.Do(func() {
 		p.front.Reload(reloaded)
 		if next.Registry == nil {
-			p.front.Others().Set(next.Life.Others)
+			p.front.OtherManagers().Set(next.Life.Others)
 		}
 	})
 	p.site = next
@@ -538,13 +538,13 @@
 // watchServerList applies changes of the server list's file.
 func (p *process) watchServerList(stop <-chan struct{}) {
 	path := serversPath(p.settingsFile, p.site)
-	edge.Watch(path, fileWatchInterval, stop, func(text []byte) {
-		list, err := settings.ParseServers(text, p.site)
+	edge.WatchFile(path, fileWatchInterval, stop, func(text []byte) {
+		list, err := settings.ParseServerList(text, p.site)
 		if err != nil {
 			p.log.Error("new server list rejected; keeping the current one", zap.String("file", path), zap.Error(err))
 			return
 		}
-		p.loop.Post(func() { p.front.Listed(list) })
+		p.loop.Post(func() { p.front.UpdateList(list) })
 		p.log.Info("server list reloaded", zap.Int("servers", len(list.Servers)))
 	}, func(err error) {
 		p.log.Error("reading the server list failed; keeping the current one", zap.String("file", path), zap.Error(err))
--- a/cmd/pierlink/status.go
+++ b/cmd/pierlink/status.go
@@ -26,7 +26,7 @@
 			}
 			if site.Life.Control != "" {
 				p := &process{settingsFile: file}
-				status, err := edge.Ask(p.resolvePath(site.Life.Control))
+				status, err := edge.QueryStatus(p.resolvePath(site.Life.Control))
 				if err != nil {
 					return fmt.Errorf("%s is not running or did not answer: %w", site.Name, err)
 				}
@@ -56,19 +56,19 @@
 
 // printStatus prints a status in words.
 func printStatus(status *edge.Status) error {
-	fmt.Printf("%s: %s for %.0f s at %s (process %d)\n", status.Name, status.State, status.For, status.Address, status.PID)
+	fmt.Printf("%s: %s for %.0f s at %s (process %d)\n", status.Name, status.State, status.StateSeconds, status.Address, status.PID)
 	if status.Secure != "" {
-		fmt.Printf("TLS at %s, certificate valid until %s; %d connections closed before the end of the handshake\n", status.Secure, status.KeysEnd.Format(time.RFC3339), status.Unshaken)
+		fmt.Printf("TLS at %s, certificate valid until %s; %d connections closed before the end of the handshake\n", status.Secure, status.CertificateExpires.Format(time.RFC3339), status.BrokenHandshakes)
 	}
-	fmt.Printf("playbacks: %d playing, %d waiting for an answer, %d redirected to other session managers\n", status.Playing, status.Waiting, status.SentOn)
-	if status.ListAge >= 0 {
-		fmt.Printf("server list: state of the registry %.1f s ago\n", status.ListAge)
+	fmt.Printf("playbacks: %d playing, %d waiting for an answer, %d redirected to other session managers\n", status.Playing, status.Waiting, status.Redirected)
+	if status.RegistryAgeSeconds >= 0 {
+		fmt.Printf("server list: state of the registry %.1f s ago\n", status.RegistryAgeSeconds)
 	}
-	if status.Directory >= 0 {
-		fmt.Printf("directory: %d entries, state %.1f s old\n", status.Entries, status.Directory)
+	if status.DirectoryAgeSeconds >= 0 {
+		fmt.Printf("directory: %d entries, state %.1f s old\n", status.DirectoryEntries, status.DirectoryAgeSeconds)
 	}
 	fmt.Printf("event handling delayed by %.1f ms recently; %d connections closed for lack of descriptors; %d dialogues of dead processes still open\n",
-		status.BehindMS, status.Starved, status.Orphans)
+		status.LagMS, status.DescriptorRejects, status.Orphans)
 	text, err := json.Marshal(status.Figures)
 	if err == nil {
 		fmt.Println(string(text))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,16 +20,16 @@
 
 // Errors that an edge passes to Closed and Dialed. Any other error means a broken connection.
 var (
-	ErrRefused = errors.New("connection refused")
-	ErrEnded   = errors.New("connection closed by the peer")
+	ErrRefused      = errors.New("connection refused")
+	ErrClosedByPeer = errors.New("connection closed by the peer")
 )
 
 // Conn is a connection. The core and the edge each attach their own state to it.
 type Conn struct {
-	Owner  any    // the core's state
-	Socket any    // the edge's state
-	From   string // source address, on networks that let the core choose it; set before Dial
-	Secure bool   // traffic is encrypted; set by the edge before Accepted
+	Owner      any    // the core's state
+	Socket     any    // the edge's state
+	SourceAddr string // source address, on networks that let the core choose it; set before Dial
+	Secure     bool   // traffic is encrypted; set by the edge before Accepted
 }
 
 // Net is the network as a core uses it. It is called only from the core's goroutine, within a turn.
@@ -50,11 +50,11 @@
 // current time, delivers events in the order of their arrival, and ends with Settle, which returns the latest time at
 // which the next turn has to start.
 type Core interface {
-	At(now Time)                   // starts a turn
+	BeginTurn(now Time)            // starts a turn
 	Accepted(c *Conn, from string) // from is the peer's address
 	Dialed(c *Conn, err error)     // err is nil if the connection is up
 	Received(c *Conn, b []byte)    // b belongs to the edge and must not be kept
 	Drained(c *Conn)               // no bytes are pending any more
 	Closed(c *Conn, err error)     // ended by the peer or the network
-	Settle() Time                  // ends a turn
+	EndTurn() Time                 // ends a turn
 }
--- a/internal/edge/control.go
+++ b/internal/edge/control.go
@@ -18,24 +18,24 @@
 
 // Status is the state of a process as its control socket reports it.
 type Status struct {
-	Name      string        `json:"name"`
-	PID       int           `json:"pid"`
-	State     string        `json:"state"`
-	For       float64       `json:"for_s"` // in seconds, in this state
-	Address   string        `json:"address"`
-	Secure    string        `json:"secure,omitempty"`  // address of the TLS listener
-	KeysEnd   time.Time     `json:"keys_end,omitzero"` // when the certificate expires
-	Unshaken  int64         `json:"handshakes_broken"` // TLS connections that ended before the handshake was done
-	Waiting   int           `json:"waiting"`
-	Playing   int           `json:"playing"`
-	SentOn    int           `json:"sent_on"`         // of those playing
-	Orphans   int           `json:"orphans_left"`    // not torn down yet
-	BehindMS  float64       `json:"behind_ms"`       // highest processing lag within the current window, in milliseconds
-	Starved   int64         `json:"starved"`         // connections closed for lack of file descriptors
-	ListAge   float64       `json:"list_age_s"`      // age of the registry view; -1 where the server list comes from a file
-	Directory float64       `json:"directory_age_s"` // age of the directory view; -1 where there is none
-	Entries   int           `json:"directory_entries,omitempty"`
-	Figures   front.Figures `json:"figures"`
+	Name                string      `json:"name"`
+	PID                 int         `json:"pid"`
+	State               string      `json:"state"`
+	StateSeconds        float64     `json:"for_s"` // in seconds, in this state
+	Address             string      `json:"address"`
+	Secure              string      `json:"secure,omitempty"`  // address of the TLS listener
+	CertificateExpires  time.Time   `json:"keys_end,omitzero"` // when the certificate expires
+	BrokenHandshakes    int64       `json:"handshakes_broken"` // TLS connections that ended before the handshake was done
+	Waiting             int         `json:"waiting"`
+	Playing             int         `json:"playing"`
+	Redirected          int         `json:"sent_on"`         // of those playing
+	Orphans             int         `json:"orphans_left"`    // not torn down yet
+	LagMS               float64     `json:"behind_ms"`       // highest processing lag within the current window, in milliseconds
+	DescriptorRejects   int64       `json:"starved"`         // connections closed for lack of file descriptors
+	RegistryAgeSeconds  float64     `json:"list_age_s"`      // age of the registry view; -1 where the server list comes from a file
+	DirectoryAgeSeconds float64     `json:"directory_age_s"` // age of the directory view; -1 where there is none
+	DirectoryEntries    int         `json:"directory_entries,omitempty"`
+	Figures             front.Stats `json:"figures"`
 }
 
 // heldSeat is the number of seats of a title that the draining process still holds.
@@ -138,7 +138,7 @@
 // from then on this process drains, and reports the seats that it still holds.
 func (c *Control) handOver(conn *net.UnixConn, send func(message) error, receive func() message) error {
 	state := life.Stopped
-	c.loop.Do(func() { state, _ = c.front.Life().State() })
+	c.loop.Do(func() { state, _ = c.front.Lifecycle().State() })
 	if state != life.Ready {
 		return fmt.Errorf("process is %s: only a ready process can hand over", state)
 	}
@@ -164,7 +164,7 @@
 	if receive().Command != "serving" {
 		return errors.New("the other process did not confirm that it serves")
 	}
-	c.loop.Post(func() { c.front.Life().TakenOver() })
+	c.loop.Post(func() { c.front.Lifecycle().TakenOver() })
 	for send(message{Seats: c.seats()}) == nil {
 		time.Sleep(seatReportInterval)
 	}
@@ -173,15 +173,15 @@
 
 func (c *Control) seats() (held []heldSeat) {
 	c.loop.Do(func() {
-		for s, n := range c.front.Seats() {
+		for s, n := range c.front.SeatsInUse() {
 			held = append(held, heldSeat{s.Plan, s.Title, n})
 		}
 	})
 	return held
 }
 
-// Ask returns the status of the process at a control socket.
-func Ask(path string) (*Status, error) {
+// QueryStatus returns the status of the process at a control socket.
+func QueryStatus(path string) (*Status, error) {
 	conn, err := net.DialTimeout("unix", path, controlTimeout)
 	if err != nil {
 		return nil, err
@@ -203,11 +203,11 @@
 
 // Handover is the result of a takeover: listeners of a process that still accepts on them as well.
 type Handover struct {
-	conn      *net.UnixConn
-	lines     *bufio.Scanner
-	Listeners []*net.TCPListener // the one without TLS first
-	From      Status             // of the process that hands over
-	seats     []heldSeat
+	conn       *net.UnixConn
+	lines      *bufio.Scanner
+	Listeners  []*net.TCPListener // the one without TLS first
+	PeerStatus Status             // of the process that hands over
+	seats      []heldSeat
 }
 
 // TakeOver requests the listeners of the process at a control socket.
@@ -270,12 +270,12 @@
 		return fail(err)
 	}
 	_ = conn.SetDeadline(time.Time{})
-	return &Handover{conn: conn, lines: bufio.NewScanner(conn), Listeners: listeners, From: *reply.Status, seats: reply.Seats}, nil
+	return &Handover{conn: conn, lines: bufio.NewScanner(conn), Listeners: listeners, PeerStatus: *reply.Status, seats: reply.Seats}, nil
 }
 
-// Serving confirms to the other process that this one accepts connections. Until the other process has ended,
+// ConfirmServing confirms to the other process that this one accepts connections. Until the other process has ended,
 // setHeldSeats is called with each report of the seats that it still holds, and at its end with nil.
-func (h *Handover) Serving(setHeldSeats func(map[life.Seat]int)) error {
+func (h *Handover) ConfirmServing(setHeldSeats func(map[life.Seat]int)) error {
 	setHeldSeats(seatCounts(h.seats))
 	if _, err := h.conn.Write([]byte("{\"do\":\"serving\"}\n")); err != nil {
 		_ = h.conn.Close()
@@ -305,7 +305,7 @@
 
 // Running reports whether a process listens on a control socket. A socket left by a process that died is removed.
 func Running(path string) bool {
-	if _, err := Ask(path); err == nil {
+	if _, err := QueryStatus(path); err == nil {
 		return true
 	}
 	if conn, err := net.DialTimeout("unix", path, controlTimeout); err == nil { // it accepts, but does not answer
--- a/internal/edge/lifecycle_test.go
+++ b/internal/edge/lifecycle_test.go
@@ -26,29 +26,29 @@
 type process struct {
 	loop          *edge.Loop
 	front         *front.Front
-	life          *life.Life
+	life          *life.Lifecycle
 	listen        func(*process) error
 	err           error
 	ended         atomic.Bool
 	acceptStopped chan struct{}
 }
 
-func (p *process) Listen()         { p.err = p.listen(p) }
-func (p *process) News(life.State) {}
-func (p *process) Exit()           { p.ended.Store(true) }
-func (p *process) Hush() {
-	go func() { p.loop.Hush(); p.loop.Post(p.life.Hushed); close(p.acceptStopped) }()
+func (p *process) Listen()                 { p.err = p.listen(p) }
+func (p *process) StateChanged(life.State) {}
+func (p *process) Exit()                   { p.ended.Store(true) }
+func (p *process) StopAccepting() {
+	go func() { p.loop.StopAccepting(); p.loop.Post(p.life.AcceptStopped); close(p.acceptStopped) }()
 }
 
 func newProcess(t *testing.T, listen func(*process) error) *process {
 	t.Helper()
-	service := &front.Service{Name: "f", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
-		Plans:  []front.Face{{Name: "live", Abandon: 4 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
+	service := &front.Config{Name: "f", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
+		Plans:  []front.PlanProfile{{Name: "live", Abandon: 4 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
 		Bounds: front.Bounds{Connections: 5000, Playbacks: 1000, Pipelined: 8, PlayerBytes: 64 << 10},
-		Site: session.Site{Fronts: 1, Plans: []session.Plan{{Startup: core.Second, Revenue: 1, RateFactor: 1}},
-			Ladder: session.Ladder{RateKB: []float64{100}, Worth: []float64{1}, Join: 1},
-			Fleet:  session.Fleet{Cells: 1, Racks: 1, LinksKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, Places: []float64{100}, NoteDelay: 1e6},
-			Terms:  session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}}}
+		Site: session.Site{Fronts: 1, Plans: []session.Plan{{StartupTarget: core.Second, Revenue: 1, RateFactor: 1}},
+			Ladder: session.Ladder{RateKB: []float64{100}, RevenueShare: []float64{1}, Join: 1},
+			Fleet:  session.Fleet{Cells: 1, Racks: 1, TotalLinkKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, MaxStreams: []float64{100}, NoteDelay: 1e6},
+			Terms:  session.Terms{ColdShare: 1, WarmUp: 1000, ColdMultiple: 4, ColdSpan: 1e6, MaxTries: 3}}}
 	p := &process{listen: listen, acceptStopped: make(chan struct{})}
 	var err error
 	p.loop, err = edge.New("", func(n core.Net) core.Core {
@@ -59,12 +59,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.loop.Stop(false) })
-	p.life = life.New(life.Terms{Drain: core.Second, Finish: 4 * core.Second}, edge.Now())
+	p.life = life.New(life.Timeouts{Drain: core.Second, MaxAbandonTime: 4 * core.Second}, edge.Now())
 	p.loop.Do(func() {
-		for prerequisite := life.Settings; prerequisite <= life.Module; prerequisite++ {
-			p.life.Has(prerequisite)
+		for prerequisite := life.SettingsLoaded; prerequisite <= life.PolicyLoaded; prerequisite++ {
+			p.life.Satisfy(prerequisite)
 		}
-		p.front.Live(p.life, p)
+		p.front.AttachLifecycle(p.life, p)
 	})
 	p.loop.Do(func() {}) // waits until the turn of the call above has ended
 	if p.err != nil {
@@ -109,7 +109,7 @@
 		return err
 	})
 	addr := old.loop.Addr()
-	if s, err := edge.Ask(socket); err != nil || s.Address != addr || !edge.Running(socket) {
+	if s, err := edge.QueryStatus(socket); err != nil || s.Address != addr || !edge.Running(socket) {
 		t.Fatal(s, err)
 	}
 	stop, failed := make(chan struct{}), make(chan error, 1)
@@ -134,7 +134,7 @@
 			return err
 		}
 		p.loop.Accept(handover.Listeners[0], nil)
-		return handover.Serving(func(map[life.Seat]int) { seatReports <- struct{}{} })
+		return handover.ConfirmServing(func(map[life.Seat]int) { seatReports <- struct{}{} })
 	})
 	<-old.acceptStopped
 	for range 50 {
@@ -218,7 +218,7 @@
 	if err := requestOptions(addr); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("connection with no descriptor left: %v", err)
 	}
-	if p.loop.Starved() == 0 {
+	if p.loop.DescriptorRejects() == 0 {
 		t.Error("the closed connection was not counted")
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -29,7 +29,7 @@
 	bytes         int
 }
 
-func (c *countingCore) At(core.Time) { c.turnPieces = 0 }
+func (c *countingCore) BeginTurn(core.Time) { c.turnPieces = 0 }
 func (c *countingCore) Accepted(x *core.Conn, _ string) {
 	c.conns = append(c.conns, x)
 	c.accepted <- len(c.conns)
@@ -44,12 +44,12 @@
 	c.maxTurnPieces = max(c.maxTurnPieces, c.turnPieces)
 }
 func (c *countingCore) Closed(*core.Conn, error) {}
-func (c *countingCore) Settle() core.Time        { return core.Never }
+func (c *countingCore) EndTurn() core.Time       { return core.Never }
 
-func newCountingLoop(t *testing.T, limits edge.Room) (*countingCore, *edge.Loop) {
+func newCountingLoop(t *testing.T, limits edge.Limits) (*countingCore, *edge.Loop) {
 	t.Helper()
 	c := &countingCore{first: make(chan struct{}), proceed: make(chan struct{}), accepted: make(chan int, 100)}
-	l, err := edge.NewIn(limits, "127.0.0.1:0", func(n core.Net) core.Core { c.net = n; return c })
+	l, err := edge.NewWithLimits(limits, "127.0.0.1:0", func(n core.Net) core.Core { c.net = n; return c })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 // Guards against small packets exceeding the memory limit: the mailbox limit counts the size of the buffers held, not
 // the bytes used of them.
 func TestMailboxLimit(t *testing.T) {
-	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640})
+	c, l := newCountingLoop(t, edge.Limits{ReadBuffer: 64, MailboxBytes: 640})
 	const total = 100_000
 	go func() {
 		x, err := net.Dial("tcp", l.Addr())
@@ -92,7 +92,7 @@
 
 // Connections beyond the limit are not accepted until one is closed.
 func TestConnectionLimit(t *testing.T) {
-	c, l := newCountingLoop(t, edge.Room{Read: 64, Mail: 640, Doors: 2})
+	c, l := newCountingLoop(t, edge.Limits{ReadBuffer: 64, MailboxBytes: 640, MaxConnections: 2})
 	for range 3 {
 		x, err := net.Dial("tcp", l.Addr())
 		if err != nil {
@@ -142,10 +142,10 @@
 	done chan error
 }
 
-func (d *dialCore) At(core.Time)                   {}
+func (d *dialCore) BeginTurn(core.Time)            {}
 func (d *dialCore) Dialed(_ *core.Conn, err error) { d.done <- err }
 func (d *dialCore) Closed(*core.Conn, error)       {}
-func (d *dialCore) Settle() core.Time              { return core.Never }
+func (d *dialCore) EndTurn() core.Time             { return core.Never }
 
 // Guards against descriptors held by cancelled dials: the descriptor has to be closed at once, not after the dial timeout.
 func TestCancelledDialClosesDescriptor(t *testing.T) {
@@ -179,7 +179,7 @@
 		}
 	}
 	d := &dialCore{done: make(chan error, 100)}
-	l, err := edge.NewIn(edge.Room{Read: 4096, Mail: 1 << 20, Dials: time.Minute}, "", func(n core.Net) core.Core { d.net = n; return d })
+	l, err := edge.NewWithLimits(edge.Limits{ReadBuffer: 4096, MailboxBytes: 1 << 20, DialTimeout: time.Minute}, "", func(n core.Net) core.Core { d.net = n; return d })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 	received chan string
 }
 
-func (h *halfCloseCore) At(core.Time) {}
+func (h *halfCloseCore) BeginTurn(core.Time) {}
 func (h *halfCloseCore) Dialed(c *core.Conn, err error) {
 	if err != nil {
 		h.received <- err.Error()
@@ -277,7 +277,7 @@
 }
 func (h *halfCloseCore) Received(_ *core.Conn, b []byte) { h.received <- string(b) }
 func (h *halfCloseCore) Closed(_ *core.Conn, err error)  { h.received <- err.Error() }
-func (h *halfCloseCore) Settle() core.Time               { return core.Never }
+func (h *halfCloseCore) EndTurn() core.Time              { return core.Never }
 
 // After CloseWrite a connection still receives what the peer sends, and ends when the peer closes it.
 func TestCloseWrite(t *testing.T) {
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	for _, want := range []string{"late", core.ErrEnded.Error()} {
+	for _, want := range []string{"late", core.ErrClosedByPeer.Error()} {
 		select {
 		case got := <-h.received:
 			if got != want {
--- a/internal/edge/listener.go
+++ b/internal/edge/listener.go
@@ -94,9 +94,9 @@
 	return files, nil
 }
 
-// Hush stops accepting connections, once those that have arrived are accepted, and returns when that is done.
+// StopAccepting stops accepting connections, once those that have arrived are accepted, and returns when that is done.
 // Open connections go on.
-func (l *Loop) Hush() {
+func (l *Loop) StopAccepting() {
 	l.mu.Lock()
 	listeners := l.listeners
 	l.listeners, l.acceptStopped = nil, true
@@ -110,8 +110,8 @@
 	}
 }
 
-// Starved returns how many connections were closed at once for lack of a file descriptor.
-func (l *Loop) Starved() int64 { return l.descriptorRejects.Load() }
+// DescriptorRejects returns how many connections were closed at once for lack of a file descriptor.
+func (l *Loop) DescriptorRejects() int64 { return l.descriptorRejects.Load() }
 
 func (l *Loop) accept(entry *listener) {
 	defer close(entry.done)
@@ -158,13 +158,13 @@
 func (l *Loop) waitForRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for (len(l.mailbox) > maxMailboxEvents || l.limits.Doors > 0 && l.openAccepted >= l.limits.Doors) && !l.stopped && !l.acceptStopped {
+	for (len(l.mailbox) > maxMailboxEvents || l.limits.MaxConnections > 0 && l.openAccepted >= l.limits.MaxConnections) && !l.stopped && !l.acceptStopped {
 		l.spaceFreed.Wait()
 	}
 }
 
-// Unshaken returns how many TLS connections ended before their handshake was done.
-func (l *Loop) Unshaken() int64 { return l.brokenHandshakes.Load() }
+// BrokenHandshakes returns how many TLS connections ended before their handshake was done.
+func (l *Loop) BrokenHandshakes() int64 { return l.brokenHandshakes.Load() }
 
 // counters may be read from outside the loop's goroutine.
 type counters struct{ descriptorRejects, brokenHandshakes atomic.Int64 }
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -27,22 +27,22 @@
 
 const drainTimeout = 5 * time.Second // for writing what is pending when a connection is closed, and the default for dials
 
-// Room holds the limits of a loop on memory, connections and the time for a dial.
-type Room struct {
-	Read  int           // bytes of a receive buffer
-	Mail  int           // bytes of receive buffers in the mailbox beyond which reading stops, so that TCP slows the senders down
-	Dials time.Duration // timeout of a dial; 0 for none
-	Doors int           // open accepted connections beyond which accepting waits; 0 for no limit
+// Limits holds the limits of a loop on memory, connections and the time for a dial.
+type Limits struct {
+	ReadBuffer     int           // bytes of a receive buffer
+	MailboxBytes   int           // bytes of receive buffers in the mailbox beyond which reading stops, so that TCP slows the senders down
+	DialTimeout    time.Duration // timeout of a dial; 0 for none
+	MaxConnections int           // open accepted connections beyond which accepting waits; 0 for no limit
 }
 
 // DefaultLimits are the limits of a loop that has the machine to itself.
-var DefaultLimits = Room{Read: 64 << 10, Mail: 256 << 20, Dials: drainTimeout}
+var DefaultLimits = Limits{ReadBuffer: 64 << 10, MailboxBytes: 256 << 20, DialTimeout: drainTimeout}
 
 // Loop runs one core on sockets.
 type Loop struct {
 	core   core.Core
 	engine *nbio.Engine
-	limits Room
+	limits Limits
 	counters
 
 	mu            sync.Mutex
@@ -101,15 +101,15 @@
 // New starts a loop with the default limits that listens on an address, or nowhere if it is empty. build returns the
 // core; it gets the loop as its network.
 func New(addr string, build func(core.Net) core.Core) (*Loop, error) {
-	return NewIn(DefaultLimits, addr, build)
+	return NewWithLimits(DefaultLimits, addr, build)
 }
 
-// NewIn is like New with the given limits.
-func NewIn(limits Room, addr string, build func(core.Net) core.Core) (*Loop, error) {
+// NewWithLimits is like New with the given limits.
+func NewWithLimits(limits Limits, addr string, build func(core.Net) core.Core) (*Loop, error) {
 	l := &Loop{limits: limits, wake: make(chan struct{}, 1), done: make(chan struct{}), sockets: map[*socket]struct{}{}}
 	l.spaceFreed.L = &l.mu
-	l.buffers.New = func() any { b := make([]byte, limits.Read); return &b }
-	config := nbio.Config{Name: "pierlink", NPoller: 1, ReadBufferSize: limits.Read, EpollMod: nbio.EPOLLLT}
+	l.buffers.New = func() any { b := make([]byte, limits.ReadBuffer); return &b }
+	config := nbio.Config{Name: "pierlink", NPoller: 1, ReadBufferSize: limits.ReadBuffer, EpollMod: nbio.EPOLLLT}
 	l.engine = nbio.NewEngine(config)
 	l.core = build(l)
 	l.engine.OnOpen(func(conn *nbio.Conn) {
@@ -179,12 +179,12 @@
 func (l *Loop) post(e event) {
 	e.arrivedAt = Now()
 	l.mu.Lock()
-	for (l.mailboxBytes > l.limits.Mail || len(l.mailbox) > maxMailboxEvents) && e.kind == received && !l.stopped {
+	for (l.mailboxBytes > l.limits.MailboxBytes || len(l.mailbox) > maxMailboxEvents) && e.kind == received && !l.stopped {
 		l.spaceFreed.Wait()
 	}
 	l.mailbox = append(l.mailbox, e)
 	if e.data != nil {
-		l.mailboxBytes += l.limits.Read // the memory held, not the bytes used of it
+		l.mailboxBytes += l.limits.ReadBuffer // the memory held, not the bytes used of it
 	}
 	l.mu.Unlock()
 	select {
@@ -255,7 +255,7 @@
 			}
 			continue
 		}
-		l.core.At(now)
+		l.core.BeginTurn(now)
 		waited := core.Time(0)
 		if len(events) > 0 {
 			waited = max(now-events[0].arrivedAt, 0)
@@ -267,7 +267,7 @@
 			l.deliver(&events[i])
 			events[i] = event{}
 		}
-		next = l.core.Settle()
+		next = l.core.EndTurn()
 		if observer != nil {
 			observer.Turned(waited, Now()-now)
 		}
@@ -328,7 +328,7 @@
 
 func closeReason(err error) error {
 	if err == nil || errors.Is(err, io.EOF) {
-		return core.ErrEnded
+		return core.ErrClosedByPeer
 	}
 	return err
 }
@@ -349,7 +349,7 @@
 // to 0.0.0.0 for every address of four bytes. OnOpen reports the connection before anything is received on it.
 func (l *Loop) dial(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	tcp, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
+	tcp, err := dialFrom(ctx, s.coreConn.SourceAddr, addr, l.limits.DialTimeout)
 	if err == nil {
 		var conn *nbio.Conn
 		if conn, err = nbio.NBConn(tcp); err != nil { // needs a second file descriptor for a moment
--- a/internal/edge/loop_test.go
+++ b/internal/edge/loop_test.go
@@ -28,7 +28,7 @@
 	front, box, crowd *edge.Loop
 	frontCore         *front.Front
 	boxCore           *mediabox.Box
-	players           *player.Crowd
+	players           *player.Group
 }
 
 func newTestbed(t *testing.T, overspeed float64) *testbed {
@@ -42,27 +42,27 @@
 		return l
 	}
 	bed.box = must(edge.New("127.0.0.1:0", func(n core.Net) core.Core {
-		bed.boxCore = mediabox.New(mediabox.Frame{Name: "box", Plans: []mediabox.Plan{{Name: "live", RateFactor: 1, Tracks: []string{"video"}}},
-			LadderKB: []float64{100}, Join: 1, LinkKB: 1e6, Rack: &mediabox.Rack{UplinkKB: 1e6}, Places: 10000, Tick: 10_000,
+		bed.boxCore = mediabox.New(mediabox.Config{Name: "box", Plans: []mediabox.Plan{{Name: "live", RateFactor: 1, Tracks: []string{"video"}}},
+			LadderKB: []float64{100}, Join: 1, LinkKB: 1e6, Rack: &mediabox.Rack{UplinkKB: 1e6}, MaxSessions: 10000, SendInterval: 10_000,
 			PacketBytes: 1000, LoadInAnswers: true, SessionTimeout: 20 * core.Second}, n, edge.Now())
-		bed.boxCore.Trouble.Overspeed = overspeed
+		bed.boxCore.Faults.SendRateFactor = overspeed
 		return bed.boxCore
 	}))
-	service := &front.Service{Name: "front", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
-		Plans:  []front.Face{{Name: "live", Abandon: 8 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
+	service := &front.Config{Name: "front", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"), SessionTimeout: 20 * core.Second,
+		Plans:  []front.PlanProfile{{Name: "live", Abandon: 8 * core.Second, Tracks: []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}}}},
 		Bounds: front.Bounds{Connections: 5000, Playbacks: 1000, Pipelined: 8, PlayerBytes: 64 << 10},
-		Site: session.Site{Fronts: 1, Plans: []session.Plan{{Startup: 4 * core.Second, Revenue: 1, RateFactor: 1}},
-			Ladder: session.Ladder{RateKB: []float64{100}, Worth: []float64{1}, Join: 1},
-			Fleet: session.Fleet{Cells: 1, Racks: 1, LinksKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, WeightsTold: true, Places: []float64{10000},
+		Site: session.Site{Fronts: 1, Plans: []session.Plan{{StartupTarget: 4 * core.Second, Revenue: 1, RateFactor: 1}},
+			Ladder: session.Ladder{RateKB: []float64{100}, RevenueShare: []float64{1}, Join: 1},
+			Fleet: session.Fleet{Cells: 1, Racks: 1, TotalLinkKB: 1e6, UplinkKB: 1e6, KBPerWeight: 1e6, WeightsListed: true, MaxStreams: []float64{10000},
 				NoteDelay: 1e6, LoadInAnswers: true},
-			Terms: session.Terms{ColdFrom: 1, WarmUp: 1000, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3}}}
+			Terms: session.Terms{ColdShare: 1, WarmUp: 1000, ColdMultiple: 4, ColdSpan: 1e6, MaxTries: 3}}}
 	bed.front = must(edge.New("127.0.0.1:0", func(n core.Net) core.Core {
 		now := edge.Now()
 		bed.frontCore = front.New(service, policy.New(&service.Site, 1, now), n, zap.NewNop(), now)
 		return bed.frontCore
 	}))
 	bed.front.Do(func() {
-		bed.frontCore.Listed(front.List{Whole: true, Servers: []front.Server{{Name: "box", Address: bed.box.Addr(), Zone: "z", Kind: "std", Weight: 1,
+		bed.frontCore.UpdateList(front.ListUpdate{Complete: true, Servers: []front.Server{{Name: "box", Address: bed.box.Addr(), Zone: "z", Kind: "std", Weight: 1,
 			State: session.Ready}}})
 	})
 	bed.crowd = must(edge.New("", func(n core.Net) core.Core {
@@ -74,16 +74,16 @@
 }
 
 // playAll runs n players at the same time and returns what each observed.
-func (bed *testbed) playAll(n int, span core.Time) []player.Seen {
-	done := make(chan player.Seen, n)
+func (bed *testbed) playAll(n int, span core.Time) []player.Result {
+	done := make(chan player.Result, n)
 	bed.crowd.Post(func() {
-		bed.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
+		bed.players.Report = func(_ *player.Profile, s *player.Result) { done <- *s }
 		for i := range n {
-			bed.players.Start(&player.Want{ID: fmt.Sprint("pb", i), Fronts: []string{bed.front.Addr()}, Plan: "live", Title: fmt.Sprint("t", i),
-				Tracks: 1, Watch: span, Abandon: 8 * core.Second, Ask: true})
+			bed.players.Start(&player.Profile{ID: fmt.Sprint("pb", i), Fronts: []string{bed.front.Addr()}, Plan: "live", Title: fmt.Sprint("t", i),
+				Tracks: 1, WatchTime: span, AbandonTime: 8 * core.Second, DescribeFirst: true})
 		}
 	})
-	var all []player.Seen
+	var all []player.Result
 	for range n {
 		all = append(all, <-done)
 	}
@@ -93,7 +93,7 @@
 func TestPlaybackEndToEnd(t *testing.T) {
 	bed := newTestbed(t, 1)
 	for _, s := range bed.playAll(20, core.Second/2) {
-		if s.State != player.Done || s.Packets == 0 || s.Gaps > 0 || s.Answers != s.Requests || s.Unasked > 0 {
+		if s.State != player.Done || s.Packets == 0 || s.Gaps > 0 || s.Responses != s.Requests || s.Unsolicited > 0 {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 	defer c.Close()
 	uri := "rtsp://" + bed.front.Addr() + "/live/slow"
-	b := rtsp.Request(rtsp.Setup, uri+"/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil)
+	b := rtsp.NewRequest(rtsp.Setup, uri+"/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil)
 	if _, err := c.Write(b); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err, string(head[:n]))
 	}
 	id, _, _ := strings.Cut(rest, ";")
-	if _, err := c.Write(rtsp.Request(rtsp.Play, uri, 2).With("Session", id).Append(nil)); err != nil {
+	if _, err := c.Write(rtsp.NewRequest(rtsp.Play, uri, 2).With("Session", id).Append(nil)); err != nil {
 		t.Fatal(err)
 	}
 	lost := func() (n int64) {
@@ -141,7 +141,7 @@
 	if lost() == 0 {
 		t.Fatal("a player that does not read has lost no packets")
 	}
-	bed.box.Do(func() { bed.boxCore.Trouble.Overspeed = 1 })
+	bed.box.Do(func() { bed.boxCore.Faults.SendRateFactor = 1 })
 	before := lost()
 	for _, s := range bed.playAll(5, core.Second/2) {
 		if s.State != player.Done || s.Packets == 0 || s.Gaps > 0 {
@@ -196,7 +196,7 @@
 	bed := newTestbed(t, 1)
 	bed.box.Stop(true)
 	for _, s := range bed.playAll(2, core.Second) {
-		if s.State != player.Refused {
+		if s.State != player.Rejected {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -223,7 +223,7 @@
 	defer close(stop)
 	contents := make(chan string, 8)
 	var failed atomic.Int32
-	go edge.Watch(file, time.Millisecond, stop, func(b []byte) { contents <- string(b) }, func(error) { failed.Add(1) })
+	go edge.WatchFile(file, time.Millisecond, stop, func(b []byte) { contents <- string(b) }, func(error) { failed.Add(1) })
 	time.Sleep(20 * time.Millisecond)
 	write("two")
 	if got := <-contents; got != "two" {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -105,36 +105,36 @@
 
 type tenantFigures struct {
 	name string
-	fair.TenantFigures
+	fair.TenantStats
 }
 
 // Collect reads all figures within one turn, so that they are consistent, and sends them.
 func (c *collector) Collect(out chan<- prometheus.Metric) {
-	var figures front.Figures
+	var figures front.Stats
 	var byTenant []tenantFigures
-	var refused [fair.Causes]int64
-	var turned [fair.Reasons]int64
+	var refused [fair.CauseCount]int64
+	var turned [fair.ReasonCount]int64
 	var waiting, bytes, remembered int
 	var directory *directoryFigures
-	var service map[quality.Group]quality.Figures
+	var service map[quality.Group]quality.Totals
 	var reports quality.Counts
 	pace, queued := 0.0, false
 	c.loop.Do(func() {
 		figures = c.front.Figures
 		directory = directoryFiguresOf(c.front)
 		if monitor := c.front.Quality; monitor != nil {
-			service, reports = monitor.Figures(), monitor.Counts
+			service, reports = monitor.Totals(), monitor.Counts
 		}
-		queue, door := c.front.Door()
+		queue, door := c.front.Admission()
 		turned = door.Refused
 		if queue == nil {
 			return
 		}
 		queued = true
-		refused, pace, remembered = queue.Refused, queue.PerSec(), queue.Remembered()
+		refused, pace, remembered = queue.Refused, queue.AdmissionRate(), queue.TenantCount()
 		waiting, bytes = queue.Waiting()
-		queue.Each(func(name string, f fair.TenantFigures) {
-			byTenant = append(byTenant, tenantFigures{c.front.Named(name), f})
+		queue.EachTenant(func(name string, f fair.TenantStats) {
+			byTenant = append(byTenant, tenantFigures{c.front.TenantName(name), f})
 		})
 	})
 	count := func(name string, v int64, labels ...string) {
@@ -153,10 +153,10 @@
 	gauge("connections", float64(figures.Connections))
 	gauge("dialogues", float64(figures.Dialogues))
 	gauge("playbacks_now", float64(figures.Playbacks))
-	for r := range fair.Reasons {
+	for r := range fair.ReasonCount {
 		count("turned_away", turned[r], r.String())
 	}
-	count("handshakes_broken", c.loop.Unshaken())
+	count("handshakes_broken", c.loop.BrokenHandshakes())
 	if service != nil {
 		for what, v := range map[string]int64{"all": reports.Reports, "duplicate": reports.Duplicates, "late": reports.Late, "strange": reports.Strange,
 			"clock set": reports.Clocks} {
@@ -182,7 +182,7 @@
 	if !queued {
 		return
 	}
-	for r := range fair.Causes {
+	for r := range fair.CauseCount {
 		count("refused", refused[r], r.String())
 	}
 	gauge("waiting", float64(waiting))
@@ -192,35 +192,35 @@
 		gauge("pace", pace)
 	}
 	slices.SortFunc(byTenant, func(a, b tenantFigures) int {
-		if a.Asked != b.Asked {
-			return int(b.Asked - a.Asked)
+		if a.Requested != b.Requested {
+			return int(b.Requested - a.Requested)
 		}
 		return strings.Compare(a.name, b.name)
 	})
-	var others fair.TenantFigures
+	var others fair.TenantStats
 	shown := 0
 	for _, tenant := range byTenant {
 		if tenant.name == "" || shown == c.tenantLabels || !validLabel(tenant.name) {
-			others.Asked, others.Admitted = others.Asked+tenant.Asked, others.Admitted+tenant.Admitted
+			others.Requested, others.Admitted = others.Requested+tenant.Requested, others.Admitted+tenant.Admitted
 			others.Refused, others.Returned = others.Refused+tenant.Refused, others.Returned+tenant.Returned
 			continue
 		}
 		shown++
-		c.tenantMetrics(count, tenant.name, tenant.TenantFigures)
+		c.tenantMetrics(count, tenant.name, tenant.TenantStats)
 	}
 	c.tenantMetrics(count, "other", others)
 }
 
 // qualityMetrics sends the quality by rack and title. Titles that are not valid as labels are left out; the log has them.
-func (c *collector) qualityMetrics(byGroup map[quality.Group]quality.Figures, out chan<- prometheus.Metric) {
+func (c *collector) qualityMetrics(byGroup map[quality.Group]quality.Totals, out chan<- prometheus.Metric) {
 	for group, figures := range byGroup {
 		kind, name := "rack", strconv.Itoa(group.Rack)
 		if group.Kind == quality.Title {
-			if kind, name = "title", group.Title; name != quality.Other && !validLabel(name) {
+			if kind, name = "title", group.Title; name != quality.OtherTitles && !validLabel(name) {
 				continue
 			}
 		}
-		for what, v := range map[string]float64{"service": figures.Service(), "stalls": figures.Stalls(), "rung": figures.Rung()} {
+		for what, v := range map[string]float64{"service": figures.Service(), "stalls": figures.StallRatio(), "rung": figures.MeanWorth()} {
 			out <- prometheus.MustNewConstMetric(c.descs[what], prometheus.GaugeValue, v, kind, name)
 		}
 	}
@@ -235,11 +235,11 @@
 }
 
 func directoryFiguresOf(frontCore *front.Front) *directoryFigures {
-	if frontCore.Gate == nil {
+	if frontCore.Access == nil {
 		return nil
 	}
-	core := frontCore.Gate.Core
-	return &directoryFigures{age: float64(core.Age()) / 1e6, entries: core.Size(), quotasWithoutRow: frontCore.Gate.Rows.Without(), guessesHeld: frontCore.Gate.Guesses.Held, met: core.Counts}
+	core := frontCore.Access.Core
+	return &directoryFigures{age: float64(core.Age()) / 1e6, entries: core.Size(), quotasWithoutRow: frontCore.Access.Rows.Unassigned(), guessesHeld: frontCore.Access.FailedLogins.Rejected, met: core.Counts}
 }
 
 func (c *collector) registryMetrics(count func(string, int64, ...string), gauge func(string, float64)) {
@@ -247,7 +247,7 @@
 	var revision int64
 	var keys int
 	var met registry.Counts
-	c.registryClient.Do(func(core *registry.Core) {
+	c.registryClient.WithCore(func(core *registry.Core) {
 		age, keys, met = float64(core.Age())/1e6, len(core.View()), core.Counts
 		revision, _ = core.Revision()
 	})
@@ -260,8 +260,8 @@
 	}
 }
 
-func (c *collector) tenantMetrics(count func(string, int64, ...string), name string, figures fair.TenantFigures) {
-	for what, v := range map[string]int64{"asked": figures.Asked, "admitted": figures.Admitted, "refused": figures.Refused, "returned": figures.Returned} {
+func (c *collector) tenantMetrics(count func(string, int64, ...string), name string, figures fair.TenantStats) {
+	for what, v := range map[string]int64{"asked": figures.Requested, "admitted": figures.Admitted, "refused": figures.Refused, "returned": figures.Returned} {
 		count("door_requests", v, name, what)
 	}
 }
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -20,14 +20,14 @@
 	loop      *Loop
 	front     *front.Front
 	mu        sync.Mutex
-	pending   front.List
+	pending   front.ListUpdate
 	scheduled bool
 }
 
-func (i *listBatcher) add(list front.List) {
+func (i *listBatcher) add(list front.ListUpdate) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if list.Whole {
+	if list.Complete {
 		i.pending = list
 	} else {
 		i.pending.Servers = append(i.pending.Servers, list.Servers...)
@@ -41,20 +41,20 @@
 func (i *listBatcher) flush() {
 	i.mu.Lock()
 	list := i.pending
-	i.pending, i.scheduled = front.List{}, false
+	i.pending, i.scheduled = front.ListUpdate{}, false
 	i.mu.Unlock()
-	i.front.Listed(list)
-	if l := i.front.Life(); l != nil {
-		l.Has(life.List)
+	i.front.UpdateList(list)
+	if l := i.front.Lifecycle(); l != nil {
+		l.Satisfy(life.ServerListLoaded)
 	}
 }
 
-// Follow feeds a front with the media boxes that a registry lists. The goroutine of the registry client converts
+// FollowRegistry feeds a front with the media boxes that a registry lists. The goroutine of the registry client converts
 // changes into server lists; the front applies them in its own turns.
 // If fleet is not nil, the number of session managers and the index of this one come from the registry too, and
 // onKeyLost is called when the key of this session manager has disappeared although it is running.
-func Follow(place client.Place, fleet *registry.Fleet, onKeyLost func(), loop *Loop, frontCore *front.Front, logger *zap.Logger) (*client.Client, error) {
-	var boxes registry.Boxes
+func FollowRegistry(place client.Config, fleet *registry.ManagerSet, onKeyLost func(), loop *Loop, frontCore *front.Front, logger *zap.Logger) (*client.Client, error) {
+	var boxes registry.BoxTracker
 	managers, ownIndex := 0, 0
 	var others []string
 	batcher := &listBatcher{loop: loop, front: frontCore}
@@ -62,65 +62,65 @@
 		count, index := fleet.Count(Now())
 		if count != managers || index != ownIndex {
 			managers, ownIndex = count, index
-			loop.Post(func() { frontCore.Among(count, index) })
+			loop.Post(func() { frontCore.SetFronts(count, index) })
 			logger.Info("number of session managers or own index changed", zap.Int("fronts", count), zap.Int("front", index))
 		}
 	}
-	c, err := client.New(place, logger, func(news registry.News, _ registry.Mark) {
+	c, err := client.New(place, logger, func(news registry.Update, _ registry.HistoryID) {
 		if fleet != nil {
-			fleet.Take(news, Now())
+			fleet.Apply(news, Now())
 			updateCount()
-			if fleet.Lost {
-				fleet.Lost = false
+			if fleet.LeaseLost {
+				fleet.LeaseLost = false
 				onKeyLost()
 			}
 			if current := fleet.Others(); !slices.Equal(current, others) {
 				others = current
-				loop.Post(func() { frontCore.Others().Set(current) })
+				loop.Post(func() { frontCore.OtherManagers().Set(current) })
 			}
 		}
-		changed, invalid := boxes.Take(news)
+		changed, invalid := boxes.Apply(news)
 		for _, err := range invalid {
 			logger.Warn("invalid value in the registry", zap.Error(err))
 		}
-		if !news.Whole && len(changed) == 0 {
+		if !news.Snapshot && len(changed) == 0 {
 			return
 		}
-		list := front.List{Whole: news.Whole, Kept: news.Kept}
+		list := front.ListUpdate{Complete: news.Snapshot, Restored: news.Restored}
 		for _, b := range changed {
-			list.Servers = append(list.Servers, Line(b))
+			list.Servers = append(list.Servers, ServerOf(b))
 		}
 		batcher.add(list)
 		logAt := logger.Debug
-		if news.Whole {
+		if news.Snapshot {
 			logAt = logger.Info
 		}
-		logAt("server list received", zap.Bool("whole", news.Whole), zap.Int("servers", len(list.Servers)), zap.Int64("revision", news.Revision),
-			zap.Bool("confirmed", news.Guarded))
+		logAt("server list received", zap.Bool("whole", news.Snapshot), zap.Int("servers", len(list.Servers)), zap.Int64("revision", news.Revision),
+			zap.Bool("confirmed", news.Deferred))
 	})
 	if err != nil || fleet == nil {
 		return c, err
 	}
 	go func() { // managers that have gone stop being counted after some lease periods, even if no change arrives
-		tick := time.NewTicker(time.Duration(fleet.Lease) * time.Microsecond)
+		tick := time.NewTicker(time.Duration(fleet.LeaseTime) * time.Microsecond)
 		defer tick.Stop()
 		for {
 			select {
 			case <-c.Done():
 				return
 			case <-tick.C:
-				c.Do(func(*registry.Core) { updateCount() })
+				c.WithCore(func(*registry.Core) { updateCount() })
 			}
 		}
 	}()
 	return c, nil
 }
 
-// Line converts a media box of the registry to an entry of the server list.
-func Line(box registry.Named) front.Server {
+// ServerOf converts a media box of the registry to an entry of the server list.
+func ServerOf(box registry.NamedBox) front.Server {
 	server := front.Server{Name: box.Name, Address: box.Address, Zone: box.Zone, Kind: box.Kind, Cell: box.Cell, Weight: box.Weight, State: session.Ready}
 	switch {
-	case box.Gone:
+	case box.Removed:
 		server.State = session.Gone
 	case box.State == "draining":
 		server.State = session.Draining
--- a/internal/edge/secure.go
+++ b/internal/edge/secure.go
@@ -51,13 +51,13 @@
 	x.run()
 }
 
-// Trust sets the TLS configuration for connections that the core dials.
-func (l *Loop) Trust(config *tls.Config) { l.clientTLS = config }
+// SetClientTLS sets the TLS configuration for connections that the core dials.
+func (l *Loop) SetClientTLS(config *tls.Config) { l.clientTLS = config }
 
 // dialTLS connects over TLS. The core is notified before the handshake; if that fails, the connection is closed.
 func (l *Loop) dialTLS(ctx context.Context, s *socket, addr string) {
 	defer s.cancel()
-	tcp, err := dialFrom(ctx, s.coreConn.From, addr, l.limits.Dials)
+	tcp, err := dialFrom(ctx, s.coreConn.SourceAddr, addr, l.limits.DialTimeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			err = core.ErrRefused
@@ -110,7 +110,7 @@
 		x.loop.brokenHandshakes.Add(1)
 	}
 	if errors.Is(err, io.EOF) {
-		err = core.ErrEnded
+		err = core.ErrClosedByPeer
 	}
 	x.loop.post(event{kind: closed, socket: x.socket, err: err})
 }
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -22,11 +22,11 @@
 )
 
 // writeKeyPair writes a certificate issued by the authority and its key to files, and loads them.
-func writeKeyPair(t *testing.T, issuer *authority.Authority) (k *edge.Keys, cert, key string) {
+func writeKeyPair(t *testing.T, issuer *authority.Authority) (k *edge.KeyPair, cert, key string) {
 	t.Helper()
 	cert, key = filepath.Join(t.TempDir(), "cert"), filepath.Join(t.TempDir(), "key")
 	writeCertificate(t, issuer, cert, key)
-	k, err := edge.ReadKeys(cert, key)
+	k, err := edge.LoadKeyPair(cert, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,9 +35,9 @@
 
 func writeCertificate(t *testing.T, issuer *authority.Authority, cert, key string) {
 	t.Helper()
-	c, err := issuer.Pair()
+	c, err := issuer.IssueKeyPair()
 	if err == nil {
-		err = authority.Write(c, cert, key)
+		err = authority.WriteKeyPair(c, cert, key)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 		if err := p.loop.Listen("127.0.0.1:0", nil); err != nil {
 			return err
 		}
-		if err := p.loop.Listen("127.0.0.1:0", keys.Door()); err != nil {
+		if err := p.loop.Listen("127.0.0.1:0", keys.TLSConfig()); err != nil {
 			return err
 		}
 		_, err := edge.NewControl(socket, p.loop, p.front, func() edge.Status { return edge.Status{Name: "f"} })
@@ -139,12 +139,12 @@
 		t.Error("the certificate was accepted by a client that trusts another authority only")
 	}
 	for range 200 {
-		if old.loop.Unshaken() >= 2 {
+		if old.loop.BrokenHandshakes() >= 2 {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if n := old.loop.Unshaken(); n != 2 {
+	if n := old.loop.BrokenHandshakes(); n != 2 {
 		t.Errorf("%d broken handshakes, want 2", n)
 	}
 	successor := newProcess(t, func(p *process) error {
@@ -156,8 +156,8 @@
 			t.Error(len(handover.Listeners), "listeners, want 2")
 		}
 		p.loop.Accept(handover.Listeners[0], nil)
-		p.loop.Accept(handover.Listeners[1], keys.Door())
-		return handover.Serving(func(map[life.Seat]int) {})
+		p.loop.Accept(handover.Listeners[1], keys.TLSConfig())
+		return handover.ConfirmServing(func(map[life.Seat]int) {})
 	})
 	<-old.acceptStopped
 	if successor.loop.SecureAddr() != addr {
@@ -172,8 +172,8 @@
 func TestStalledHandshakesEvicted(t *testing.T) {
 	keys, _, _ := writeKeyPair(t, newAuthority(t))
 	p := newProcess(t, func(p *process) error {
-		p.front.Limits.HalfOpen = 4
-		return p.loop.Listen("127.0.0.1:0", keys.Door())
+		p.front.Limits.MaxHalfOpen = 4
+		return p.loop.Listen("127.0.0.1:0", keys.TLSConfig())
 	})
 	var conns []net.Conn
 	for range 5 {
@@ -199,38 +199,38 @@
 	bed := newTestbed(t, 1)
 	issuer := newAuthority(t)
 	keys, _, _ := writeKeyPair(t, issuer)
-	gate := tenants.New(tenants.Terms{Longest: 1e12, Renew: 1e9, Timeout: 1e6, Waiting: 10, Lookups: 1, Entries: 10}, edge.Now())
-	gate.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
-		{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "t", Digest: player.HA1("pier", "ann", "pass", sha256.New)}}, tenants.Mark{End: -1}, edge.Now())
+	gate := tenants.New(tenants.Config{MaxAge: 1e12, SyncInterval: 1e9, Timeout: 1e6, MaxWaiting: 10, MaxLookups: 1, MaxEntries: 10}, edge.Now())
+	gate.Restore([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
+		{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "t", Digest: player.HA1("pier", "ann", "pass", sha256.New)}}, tenants.Checkpoint{End: -1}, edge.Now())
 	bed.front.Do(func() {
-		bed.frontCore.Gate = &front.Gate{Core: gate, Ask: func(tenants.Want) {}, Realm: "pier", Basic: true, Guesses: tenants.Guesses{Span: core.Second}}
+		bed.frontCore.Access = &front.AccessControl{Core: gate, Lookup: func(tenants.Request) {}, Realm: "pier", Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
 	})
-	if err := bed.front.Listen("127.0.0.1:0", keys.Door()); err != nil {
+	if err := bed.front.Listen("127.0.0.1:0", keys.TLSConfig()); err != nil {
 		t.Fatal(err)
 	}
-	bed.crowd.Trust(&tls.Config{RootCAs: issuer.Pool()})
-	done := make(chan player.Seen, 10)
-	play := func(w player.Want) player.Seen {
-		w.Plan, w.Title, w.Tracks, w.Watch, w.Abandon = "live", "t", 1, core.Second/5, 4*core.Second
+	bed.crowd.SetClientTLS(&tls.Config{RootCAs: issuer.Pool()})
+	done := make(chan player.Result, 10)
+	play := func(w player.Profile) player.Result {
+		w.Plan, w.Title, w.Tracks, w.WatchTime, w.AbandonTime = "live", "t", 1, core.Second/5, 4*core.Second
 		bed.crowd.Post(func() {
-			bed.players.Report = func(_ *player.Want, s *player.Seen) { done <- *s }
+			bed.players.Report = func(_ *player.Profile, s *player.Result) { done <- *s }
 			bed.players.Start(&w)
 		})
 		return <-done
 	}
 	plain, secure := []string{bed.front.Addr()}, []string{bed.front.SecureAddr()}
 	for name, test := range map[string]struct {
-		player player.Want
+		player player.Profile
 		want   player.State
 	}{
-		"digest":          {player.Want{Fronts: plain, Account: "ann", Password: "pass"}, player.Done},
-		"digest, TLS":     {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "pass"}, player.Done},
-		"password, TLS":   {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "pass", Basic: true}, player.Done},
-		"wrong, TLS":      {player.Want{Fronts: secure, Secure: true, Account: "ann", Password: "no", Basic: true}, player.Refused},
-		"password, clear": {player.Want{Fronts: plain, Account: "ann", Password: "pass", Basic: true}, player.Failed},
-		"unknown, TLS":    {player.Want{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Refused}, // the directory cannot be asked about an unknown account: refused like a wrong password
-		"nothing to show": {player.Want{Fronts: secure, Secure: true}, player.Failed},
-		"in clear at TLS": {player.Want{Fronts: secure, Account: "ann", Password: "pass"}, player.Failed},
+		"digest":          {player.Profile{Fronts: plain, Account: "ann", Password: "pass"}, player.Done},
+		"digest, TLS":     {player.Profile{Fronts: secure, Secure: true, Account: "ann", Password: "pass"}, player.Done},
+		"password, TLS":   {player.Profile{Fronts: secure, Secure: true, Account: "ann", Password: "pass", Basic: true}, player.Done},
+		"wrong, TLS":      {player.Profile{Fronts: secure, Secure: true, Account: "ann", Password: "no", Basic: true}, player.Rejected},
+		"password, clear": {player.Profile{Fronts: plain, Account: "ann", Password: "pass", Basic: true}, player.Failed},
+		"unknown, TLS":    {player.Profile{Fronts: secure, Secure: true, Account: "bob", Password: "pass"}, player.Rejected}, // the directory cannot be asked about an unknown account: refused like a wrong password
+		"nothing to show": {player.Profile{Fronts: secure, Secure: true}, player.Failed},
+		"in clear at TLS": {player.Profile{Fronts: secure, Account: "ann", Password: "pass"}, player.Failed},
 	} {
 		test.player.ID = strings.ReplaceAll(name, " ", "-")
 		if s := play(test.player); s.State != test.want || test.want == player.Done && (s.Packets == 0 || s.Gaps > 0) {
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Watch polls a file at the given interval and calls changed with its content when it has been written or replaced.
+// WatchFile polls a file at the given interval and calls changed with its content when it has been written or replaced.
 // A file that cannot be read is reported once through failed, until it can be read again. It returns when stop is closed.
-func Watch(path string, interval time.Duration, stop <-chan struct{}, changed func([]byte), failed func(error)) {
+func WatchFile(path string, interval time.Duration, stop <-chan struct{}, changed func([]byte), failed func(error)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	var previous os.FileInfo
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -11,12 +11,12 @@
 
 const second = Time(1_000_000)
 
-func testConfig(waiting int) Terms {
-	return Terms{Waiting: waiting, Bytes: waiting * 1000, Tenants: waiting, Clients: waiting, Startup: second, Secret: []byte("key")}
+func testConfig(waiting int) Config {
+	return Config{MaxWaiting: waiting, MaxBytes: waiting * 1000, MaxTenants: waiting, MaxIdleClients: waiting, StartupTarget: second, TokenSecret: []byte("key")}
 }
 
 // newLimitedQueue returns a queue that admits perSec requests per second.
-func newLimitedQueue(config Terms, perSec float64) *Queue {
+func newLimitedQueue(config Config, perSec float64) *Queue {
 	queue := New(config, second)
 	queue.window.limited = true
 	for i := range Time(meterBuckets) {
@@ -32,17 +32,17 @@
 	queue        *Queue
 	now          Time
 	lastID       int
-	requests     map[int]Ask
+	requests     map[int]Request
 	admitted     map[string]int
 	refused      map[string]int
-	lastDecision Verdict
-	decisions    map[int]Verdict
+	lastDecision Decision
+	decisions    map[int]Decision
 	limit        float64
 	endTimes     []Time // of active playbacks, unordered
 }
 
 func (h *harness) settle() {
-	h.queue.At(h.now)
+	h.queue.Advance(h.now)
 	live := h.endTimes[:0]
 	for _, at := range h.endTimes {
 		if at > h.now {
@@ -58,10 +58,10 @@
 
 // settleOnce lets the queue admit at most one request; its playback lasts between 0.5 s and 1.5 s.
 func (h *harness) settleOnce() (admitted bool) {
-	h.queue.Carrying(len(h.endTimes))
+	h.queue.SetActive(len(h.endTimes))
 	window := &h.queue.window
 	window.limited, window.limit, window.ceiling, window.quietSince, window.lastCut = true, h.limit, h.limit*1.2, h.now, h.now
-	h.queue.Settle(func(decision Verdict) {
+	h.queue.Dispatch(func(decision Decision) {
 		request := h.requests[decision.ID]
 		delete(h.requests, decision.ID)
 		if decision.Admit {
@@ -78,14 +78,14 @@
 
 func (h *harness) offer(tenant, client, token string) {
 	h.lastID++
-	request := Ask{ID: h.lastID, Tenant: tenant, Client: client, Bytes: 100, Startup: h.now + second, Abandon: h.now + 4*second, Token: token}
+	request := Request{ID: h.lastID, Tenant: tenant, Client: client, Bytes: 100, StartupDeadline: h.now + second, AbandonDeadline: h.now + 4*second, Token: token}
 	h.requests[h.lastID] = request
-	h.queue.At(h.now)
+	h.queue.Advance(h.now)
 	h.queue.Offer(request)
 }
 
-func newHarness(config Terms, perSec float64) *harness {
-	return &harness{queue: newLimitedQueue(config, perSec), now: second, requests: map[int]Ask{}, admitted: map[string]int{}, refused: map[string]int{}, decisions: map[int]Verdict{}, limit: perSec}
+func newHarness(config Config, perSec float64) *harness {
+	return &harness{queue: newLimitedQueue(config, perSec), now: second, requests: map[int]Request{}, admitted: map[string]int{}, refused: map[string]int{}, decisions: map[int]Decision{}, limit: perSec}
 }
 
 // A tenant that sends a hundred times its share must not cause refusals of tenants within their share.
@@ -148,7 +148,7 @@
 		t.Error("the tenant with a single request was refused")
 	}
 	smaller := testConfig(10)
-	h.queue.Tell(smaller) // a reload with a smaller queue
+	h.queue.Reconfigure(smaller) // a reload with a smaller queue
 	if n, _ := h.queue.Waiting(); n > 10 {
 		t.Error(n, "requests waiting")
 	}
@@ -156,8 +156,8 @@
 	for i := range 20_000 { // each from another tenant
 		h.offer("t"+strconv.Itoa(i), "1", "")
 	}
-	if h.queue.Remembered() > 10 {
-		t.Error(h.queue.Remembered(), "tenants with state")
+	if h.queue.TenantCount() > 10 {
+		t.Error(h.queue.TenantCount(), "tenants with state")
 	}
 }
 
@@ -188,19 +188,19 @@
 	h.offer("a", "me", "")
 	h.settle()
 	decision := h.decisions[h.lastID]
-	if decision.Admit || decision.Token == "" || decision.ComeAgain <= 0 {
+	if decision.Admit || decision.Token == "" || decision.RetryAfter <= 0 {
 		t.Fatalf("expected a refusal with a token and a retry time, got %+v", decision)
 	}
-	due := h.now + decision.ComeAgain
+	due := h.now + decision.RetryAfter
 	reservations := &h.queue.reservations
-	request := Ask{Tenant: "a", Client: "me", Token: decision.Token}
+	request := Request{Tenant: "a", Client: "me", Token: decision.Token}
 	for name, test := range map[string]struct {
-		request Ask
+		request Request
 		at      Time
-	}{"early": {request, due - 1}, "late": {request, due + 3*second}, "another's": {Ask{Tenant: "a", Client: "you", Token: decision.Token}, due},
-		"another tenant's": {Ask{Tenant: "b", Client: "me", Token: decision.Token}, due},
-		"forged":           {Ask{Tenant: "a", Client: "me", Token: decision.Token[:20] + "AAAA"}, due}, "none": {Ask{Tenant: "a", Client: "me"}, due},
-		"nonsense": {Ask{Tenant: "a", Client: "me", Token: "%%%"}, due}} {
+	}{"early": {request, due - 1}, "late": {request, due + 3*second}, "another's": {Request{Tenant: "a", Client: "you", Token: decision.Token}, due},
+		"another tenant's": {Request{Tenant: "b", Client: "me", Token: decision.Token}, due},
+		"forged":           {Request{Tenant: "a", Client: "me", Token: decision.Token[:20] + "AAAA"}, due}, "none": {Request{Tenant: "a", Client: "me"}, due},
+		"nonsense": {Request{Tenant: "a", Client: "me", Token: "%%%"}, due}} {
 		if reservations.redeem(&test.request, test.at) {
 			t.Error(name, "token was accepted")
 		}
@@ -220,7 +220,7 @@
 		refused := h.refused["a"]
 		h.settle()
 		if h.refused["a"] > refused {
-			dueTimes = append(dueTimes, h.now+h.lastDecision.ComeAgain)
+			dueTimes = append(dueTimes, h.now+h.lastDecision.RetryAfter)
 		}
 	}
 	if len(dueTimes) < 150 {
@@ -232,10 +232,10 @@
 		}
 	}
 	early := h.decisions[200]
-	h.now += early.ComeAgain / 2
+	h.now += early.RetryAfter / 2
 	h.offer("a", "199", early.Token)
 	h.settle()
-	if repeated := h.decisions[h.lastID]; repeated.Token != early.Token || repeated.ComeAgain != early.ComeAgain-early.ComeAgain/2 {
+	if repeated := h.decisions[h.lastID]; repeated.Token != early.Token || repeated.RetryAfter != early.RetryAfter-early.RetryAfter/2 {
 		t.Errorf("a client that returned too early lost its retry time: %+v, then %+v", early, repeated)
 	}
 }
@@ -244,10 +244,10 @@
 // token of a queue that does give retry times.
 func TestWithheldRetryTimes(t *testing.T) {
 	open := newLimitedQueue(testConfig(1), 1)
-	open.At(second)
-	_, token := open.Refuse("a", "1")
+	open.Advance(second)
+	_, token := open.RejectionAdvice("a", "1")
 	silent := testConfig(1)
-	silent.Silent = true
+	silent.WithholdRetryTime = true
 	h := newHarness(silent, 1)
 	for i := range 50 {
 		h.offer("a", strconv.Itoa(i%3), token)
@@ -257,11 +257,11 @@
 		t.Fatal("no request refused, or no token issued", h.refused, token)
 	}
 	for id, decision := range h.decisions {
-		if decision.ComeAgain != 0 || decision.Token != "" {
+		if decision.RetryAfter != 0 || decision.Token != "" {
 			t.Errorf("refusal of request %d carries a retry time: %+v", id, decision)
 		}
 	}
-	if retryAfter, token := h.queue.Refuse("a", "9"); retryAfter != 0 || token != "" {
+	if retryAfter, token := h.queue.RejectionAdvice("a", "9"); retryAfter != 0 || token != "" {
 		t.Error(retryAfter, token)
 	}
 }
@@ -280,15 +280,15 @@
 			endTimes = endTimes[1:]
 			queue.Ended()
 		}
-		queue.At(now)
+		queue.Advance(now)
 		if ms%5 == 0 { // 200 requests/s
 			id++
-			queue.Offer(Ask{ID: id, Tenant: strconv.Itoa(id % 3), Startup: now + second, Abandon: now + 4*second})
+			queue.Offer(Request{ID: id, Tenant: strconv.Itoa(id % 3), StartupDeadline: now + second, AbandonDeadline: now + 4*second})
 		}
 		for admitted := true; admitted; {
 			admitted = false
-			queue.Carrying(len(endTimes))
-			queue.Settle(func(decision Verdict) {
+			queue.SetActive(len(endTimes))
+			queue.Dispatch(func(decision Decision) {
 				if !decision.Admit {
 					return
 				}
@@ -298,47 +298,47 @@
 					return
 				}
 				queue.Accepted()
-				queue.Played(1000)
+				queue.Started(1000)
 				endTimes = append(endTimes, now+2*second)
 			})
 		}
-		if ms == 9_999 && (len(endTimes) < 65 || queue.PerSec() < 30 || queue.PerSec() > 45) {
-			t.Error(len(endTimes), "of 80 playbacks active,", queue.PerSec(), "admissions/s")
+		if ms == 9_999 && (len(endTimes) < 65 || queue.AdmissionRate() < 30 || queue.AdmissionRate() > 45) {
+			t.Error(len(endTimes), "of 80 playbacks active,", queue.AdmissionRate(), "admissions/s")
 		}
 	}
 	if len(endTimes) < 30 || rejected > 20 {
 		t.Error(len(endTimes), "of 40 playbacks active,", rejected, "rejected")
 	}
-	queue.Settle(func(Verdict) {})
+	queue.Dispatch(func(Decision) {})
 	for range 2 { // the first round clears the waiting requests
 		now += 60 * second
-		queue.At(now)
-		queue.Settle(func(Verdict) {})
+		queue.Advance(now)
+		queue.Dispatch(func(Decision) {})
 	}
-	if !math.IsInf(queue.PerSec(), 1) {
-		t.Error("admission is still limited:", queue.PerSec())
+	if !math.IsInf(queue.AdmissionRate(), 1) {
+		t.Error("admission is still limited:", queue.AdmissionRate())
 	}
 }
 
 // A limiter of fixed size never underestimates the rate of an address.
 func TestLimiter(t *testing.T) {
-	limiter := NewDoor(Limits{ConnectionsPerAddress: 10, PerConnection: 5}, 1, 0)
+	limiter := NewLimiter(Limits{ConnectionsPerAddress: 10, RequestsPerConnection: 5}, 1, 0)
 	accepted := 0
 	for ms := range Time(10_000) {
-		if limiter.Connect("fast", ms*1000) {
+		if limiter.AllowConnection("fast", ms*1000) {
 			accepted++
 		}
-		if ms%200 == 0 && !limiter.Connect(fmt.Sprint("slow", ms%1000), ms*1000) {
+		if ms%200 == 0 && !limiter.AllowConnection(fmt.Sprint("slow", ms%1000), ms*1000) {
 			t.Error("a connection from a slow address was refused at ms", ms)
 		}
 	}
 	if accepted > 110 || accepted < 50 {
 		t.Error(accepted, "connections of the fast address allowed in 10 s")
 	}
-	var bucket Rate
+	var bucket RequestBucket
 	accepted = 0
 	for ms := range Time(10_000) {
-		if limiter.Request(&bucket, second+ms*1000) {
+		if limiter.AllowRequest(&bucket, second+ms*1000) {
 			accepted++
 		}
 	}
@@ -351,42 +351,42 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		config := testConfig(rapid.IntRange(1, 30).Draw(rt, "waiting"))
-		config.Tenants = rapid.IntRange(1, 10).Draw(rt, "tenants")
-		config.Clients = rapid.IntRange(0, 10).Draw(rt, "clients")
-		config.Unfair = Order(rapid.IntRange(0, 2).Draw(rt, "order"))
-		config.PerSec = 3
+		config.MaxTenants = rapid.IntRange(1, 10).Draw(rt, "tenants")
+		config.MaxIdleClients = rapid.IntRange(0, 10).Draw(rt, "clients")
+		config.Discipline = Discipline(rapid.IntRange(0, 2).Draw(rt, "order"))
+		config.BucketRate = 3
 		queue := New(config, second)
 		now, id := second, 0
 		waiting := map[int]Time{}
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			now += Time(rapid.IntRange(0, 300_000).Draw(rt, "dt"))
-			queue.At(now)
+			queue.Advance(now)
 			switch rapid.IntRange(0, 9).Draw(rt, "what") {
 			case 0:
 				queue.Rejected()
 			case 1:
-				queue.Played(Time(rapid.IntRange(0, 100_000).Draw(rt, "took")))
+				queue.Started(Time(rapid.IntRange(0, 100_000).Draw(rt, "took")))
 			case 2:
 				if id > 0 {
 					cancelled := rapid.IntRange(1, id).Draw(rt, "gone")
-					queue.Gone(cancelled)
+					queue.Cancel(cancelled)
 					if _, ok := waiting[cancelled]; ok && queue.byID[cancelled] == nil {
 						delete(waiting, cancelled)
 					}
 				}
 			case 3:
-				config.Waiting = rapid.IntRange(1, 30).Draw(rt, "reload")
+				config.MaxWaiting = rapid.IntRange(1, 30).Draw(rt, "reload")
 				config.Weights = map[string]float64{"0": rapid.Float64Range(0.1, 10).Draw(rt, "weight")}
-				queue.Tell(config)
+				queue.Reconfigure(config)
 			default:
 				for range rapid.IntRange(1, 20).Draw(rt, "asks") {
 					id++
 					waiting[id] = now + second
-					queue.Offer(Ask{ID: id, Tenant: strconv.Itoa(rapid.IntRange(0, 12).Draw(rt, "tenant")), Bytes: rapid.IntRange(0, 999).Draw(rt, "bytes"),
-						Client: strconv.Itoa(rapid.IntRange(0, 5).Draw(rt, "client")), Startup: now + second, Abandon: now + 2*second})
+					queue.Offer(Request{ID: id, Tenant: strconv.Itoa(rapid.IntRange(0, 12).Draw(rt, "tenant")), Bytes: rapid.IntRange(0, 999).Draw(rt, "bytes"),
+						Client: strconv.Itoa(rapid.IntRange(0, 5).Draw(rt, "client")), StartupDeadline: now + second, AbandonDeadline: now + 2*second})
 				}
 			}
-			queue.Settle(func(decision Verdict) {
+			queue.Dispatch(func(decision Decision) {
 				deadline, ok := waiting[decision.ID]
 				if !ok {
 					rt.Fatalf("second decision for request %d", decision.ID)
@@ -395,7 +395,7 @@
 				delete(waiting, decision.ID)
 			})
 			requests, bytes := queue.Waiting()
-			if requests != len(waiting) || requests > config.Waiting || bytes > config.Bytes || len(queue.tenants) > config.Tenants || queue.idleClientCount > config.Clients {
+			if requests != len(waiting) || requests > config.MaxWaiting || bytes > config.MaxBytes || len(queue.tenants) > config.MaxTenants || queue.idleClientCount > config.MaxIdleClients {
 				rt.Fatalf("%d waiting, want %d; %d bytes, %d tenants, %d idle clients", requests, len(waiting), bytes, len(queue.tenants), queue.idleClientCount)
 			}
 			total := 0
@@ -418,12 +418,12 @@
 	for _, n := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(n, " tenants"), func(b *testing.B) {
 			config := testConfig(n)
-			config.Startup = 1000 * second
+			config.StartupTarget = 1000 * second
 			queue := newLimitedQueue(config, 1e12)
 			names := make([]string, n)
 			for i := range names {
 				names[i] = "t" + strconv.Itoa(i)
-				queue.Offer(Ask{ID: -1 - i, Tenant: names[i], Client: "c", Startup: 2000 * second, Abandon: 2000 * second})
+				queue.Offer(Request{ID: -1 - i, Tenant: names[i], Client: "c", StartupDeadline: 2000 * second, AbandonDeadline: 2000 * second})
 			}
 			i := 0
 			b.ReportAllocs()
@@ -431,7 +431,7 @@
 				queue.serve(queue.next())
 				queue.decisions = queue.decisions[:0]
 				i++
-				queue.Offer(Ask{ID: i, Tenant: names[i%n], Client: "c", Startup: 2000 * second, Abandon: 2000 * second})
+				queue.Offer(Request{ID: i, Tenant: names[i%n], Client: "c", StartupDeadline: 2000 * second, AbandonDeadline: 2000 * second})
 			}
 		})
 	}
--- a/internal/fair/queue.go
+++ b/internal/fair/queue.go
@@ -19,38 +19,38 @@
 // Time is a clock value or span in microseconds.
 type Time = int64
 
-// Terms holds the configuration of a Queue, set at its start and replaced by a reload.
-type Terms struct {
-	Waiting int                // maximum number of waiting requests
-	Bytes   int                // maximum size of the waiting requests together
-	Tenants int                // maximum number of tenants with state
-	Clients int                // maximum number of clients with state but without waiting requests, over all tenants
-	Startup Time               // longest startup target of the plans
-	Longest Time               // longest retry time that clients honour; 0 for no limit
-	Silent  bool               // refusals carry neither a retry time nor a token
-	Weights map[string]float64 // by tenant; 1 for tenants not listed
-	Secret  []byte             // key of the retry tokens; managers that share it accept each other's tokens
-	Unfair  Order              // queueing discipline; a baseline if not the fair one
-	PerSec  float64            // rate of each tenant in the token bucket baseline, in requests/s
-}
-
-// Order is a queueing discipline.
-type Order int
+// Config holds the configuration of a Queue, set at its start and replaced by a reload.
+type Config struct {
+	MaxWaiting        int                // maximum number of waiting requests
+	MaxBytes          int                // maximum size of the waiting requests together
+	MaxTenants        int                // maximum number of tenants with state
+	MaxIdleClients    int                // maximum number of clients with state but without waiting requests, over all tenants
+	StartupTarget     Time               // longest startup target of the plans
+	MaxRetryAfter     Time               // longest retry time that clients honour; 0 for no limit
+	WithholdRetryTime bool               // refusals carry neither a retry time nor a token
+	Weights           map[string]float64 // by tenant; 1 for tenants not listed
+	TokenSecret       []byte             // key of the retry tokens; managers that share it accept each other's tokens
+	Discipline        Discipline         // queueing discipline; a baseline if not the fair one
+	BucketRate        float64            // rate of each tenant in the token bucket baseline, in requests/s
+}
+
+// Discipline is a queueing discipline.
+type Discipline int
 
 // The queueing disciplines. All but the first are baselines for comparison.
 const (
-	Fair    Order = iota
-	Fifo          // a single queue, first come first served
-	Buckets       // a token bucket per tenant in front of a single queue
+	StartTimeFair Discipline = iota
+	FIFO                     // a single queue, first come first served
+	TokenBuckets             // a token bucket per tenant in front of a single queue
 )
 
-// Ask is a playback request that is offered to the queue.
-type Ask struct {
-	ID               int
-	Tenant, Client   string
-	Bytes            int
-	Startup, Abandon Time   // clock times at which the startup target and the abandon time end
-	Token            string // retry token of an earlier refusal, if any
+// Request is a playback request that is offered to the queue.
+type Request struct {
+	ID                               int
+	Tenant, Client                   string
+	Bytes                            int
+	StartupDeadline, AbandonDeadline Time   // clock times at which the startup target and the abandon time end
+	Token                            string // retry token of an earlier refusal, if any
 }
 
 // Cause is the reason for which a request was refused.
@@ -61,18 +61,18 @@
 	TooLate    Cause = iota // its turn would come, or came, too late for its startup target
 	QueueFull               // a queue limit was reached and its tenant was the most over-served
 	NoCapacity              // the module rejected it for lack of capacity
-	Causes
+	CauseCount
 )
 
 func (c Cause) String() string { return [...]string{"late", "crowded", "no room"}[c] }
 
-// Verdict is the queue's decision on a request.
-type Verdict struct {
-	ID        int
-	Admit     bool
-	Cause     Cause
-	ComeAgain Time   // delay until the client should retry; 0 if no time is given
-	Token     string // to present on the retry; empty if no time was reserved
+// Decision is the queue's decision on a request.
+type Decision struct {
+	ID         int
+	Admit      bool
+	Cause      Cause
+	RetryAfter Time   // delay until the client should retry; 0 if no time is given
+	Token      string // to present on the retry; empty if no time was reserved
 }
 
 const (
@@ -96,7 +96,7 @@
 
 // queuedRequest is a request with its state in the queue.
 type queuedRequest struct {
-	Ask
+	Request
 	arrived   Time
 	deadline  Time // refused at this time if it still waits
 	tenant    *tenantQueue
@@ -125,7 +125,7 @@
 	served        meter.Count
 	bucketTokens  float64 // of the token bucket baseline
 	refilledAt    Time
-	Stats         TenantFigures
+	Stats         TenantStats
 }
 
 type clientQueue struct {
@@ -137,12 +137,12 @@
 	idleSeq   uint64 // value of Queue.seq when it became idle; 0 if it is not kept as idle
 }
 
-// TenantFigures counts the requests of a tenant by outcome.
-type TenantFigures struct{ Asked, Admitted, Refused, Returned int64 }
+// TenantStats counts the requests of a tenant by outcome.
+type TenantStats struct{ Requested, Admitted, Refused, Returned int64 }
 
 // Queue is the admission queue of one session manager. It is not safe for concurrent use.
 type Queue struct {
-	config                Terms
+	config                Config
 	now                   Time
 	tenants               map[string]*tenantQueue
 	byStart               heap[*tenantQueue]   // tenants with waiting requests, by start tag
@@ -162,14 +162,14 @@
 	reservations          reservations
 	reservedUntil         Time        // end of the reserved part of the admission rate of all tenants together
 	servedWithinShare     meter.Count // admissions of tenants within their share
-	decisions             []Verdict
+	decisions             []Decision
 	noCapacity            bool // set by repeated rejections until the module accepts a request again
 	consecutiveRejections int
 	nextProbe             Time        // earliest time of the next attempt while noCapacity is set
 	pausedUntil           Time        // until then only tenants within their share are served
 	awaitingResult        bool        // the module has not yet answered the request admitted last
 	untracked             tenantQueue // counts the requests of tenants without state
-	Refused               [Causes]int64
+	Refused               [CauseCount]int64
 	Admitted              int64
 	freeRequests          []*queuedRequest
 	idleClients           []idleClient // clients kept without waiting requests, oldest first
@@ -186,7 +186,7 @@
 }
 
 // New returns an empty queue.
-func New(config Terms, now Time) *Queue {
+func New(config Config, now Time) *Queue {
 	q := &Queue{now: now, tenants: make(map[string]*tenantQueue, 64), byID: make(map[int]*queuedRequest, 64)}
 	q.byStart = heap[*tenantQueue]{less: func(a, b *tenantQueue) bool {
 		return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name
@@ -210,11 +210,11 @@
 	q.deadlines = heap[*queuedRequest]{less: func(a, b *queuedRequest) bool {
 		return a.deadline < b.deadline || a.deadline == b.deadline && a.seq < b.seq
 	}, indexOf: func(r *queuedRequest) *int { return &r.heapIndex }}
-	q.window = newAdmissionWindow(config.Startup, now)
-	q.reservations = newReservations(config.Secret, config.Startup, now)
+	q.window = newAdmissionWindow(config.StartupTarget, now)
+	q.reservations = newReservations(config.TokenSecret, config.StartupTarget, now)
 	q.servedWithinShare = meter.NewCount(serviceSpans*q.window.span, meterBuckets)
 	q.untracked = tenantQueue{weight: 1, served: meter.NewCount(serviceSpans*q.window.span, meterBuckets)}
-	q.Tell(config)
+	q.Reconfigure(config)
 	return q
 }
 
@@ -223,9 +223,9 @@
 func (t *tenantQueue) finishTag() float64 { return t.startTag + float64(t.waiting)/t.weight }
 func (c *clientQueue) finishTag() float64 { return c.startTag + float64(len(c.waiting)) }
 
-// Tell replaces the configuration while requests wait: new weights apply from now on, and requests that exceed
+// Reconfigure replaces the configuration while requests wait: new weights apply from now on, and requests that exceed
 // the new limits are refused.
-func (q *Queue) Tell(config Terms) {
+func (q *Queue) Reconfigure(config Config) {
 	q.config = config
 	q.waitingWeight = 0
 	for _, tenant := range q.tenants {
@@ -236,7 +236,7 @@
 	}
 	q.byFinish.init()
 	q.leastServed.init()
-	for len(q.byID) > max(config.Waiting, 0) || q.waitingBytes > config.Bytes {
+	for len(q.byID) > max(config.MaxWaiting, 0) || q.waitingBytes > config.MaxBytes {
 		q.shed()
 	}
 	q.trimTenants()
@@ -249,39 +249,39 @@
 	return 1
 }
 
-// At starts a turn at the given time.
-func (q *Queue) At(now Time) {
+// Advance starts a turn at the given time.
+func (q *Queue) Advance(now Time) {
 	q.now = max(q.now, now)
 	q.reservations.advance(q.now)
 }
 
-// Behind reports the delay of this turn. Clients that returned in time during the delay do not count as late.
-func (q *Queue) Behind(late Time) { q.reservations.lag = max(late, 0) }
+// SetLag reports the delay of this turn. Clients that returned in time during the delay do not count as late.
+func (q *Queue) SetLag(late Time) { q.reservations.lag = max(late, 0) }
 
 // Offer adds a request. The decision on it is emitted later, at its deadline at the latest.
-func (q *Queue) Offer(offered Ask) {
+func (q *Queue) Offer(offered Request) {
 	if q.byID[offered.ID] != nil {
 		return
 	}
 	tenant := q.lookup(offered.Tenant)
-	tenant.Stats.Asked++
+	tenant.Stats.Requested++
 	if q.now-tenant.lastRequest > q.window.span {
 		tenant.activeSince = q.now
 	}
 	tenant.lastRequest = q.now
 	request := q.newRequest()
-	request.Ask, request.arrived, request.tenant = offered, q.now, tenant
+	request.Request, request.arrived, request.tenant = offered, q.now, tenant
 	request.returning = q.reservations.redeem(&offered, q.now)
 	if request.returning {
 		tenant.Stats.Returned++
 	}
-	request.deadline = min(offered.Startup, offered.Abandon) - Time(setupReserve*q.setupTime)
+	request.deadline = min(offered.StartupDeadline, offered.AbandonDeadline) - Time(setupReserve*q.setupTime)
 	switch {
 	case tenant == &q.untracked:
 		q.refuse(request, QueueFull)
-	case q.config.Unfair != Fair && (len(q.byID) >= q.config.Waiting || q.waitingBytes+request.Bytes > q.config.Bytes):
+	case q.config.Discipline != StartTimeFair && (len(q.byID) >= q.config.MaxWaiting || q.waitingBytes+request.Bytes > q.config.MaxBytes):
 		q.refuse(request, QueueFull)
-	case q.config.Unfair != Fair:
+	case q.config.Discipline != StartTimeFair:
 		q.enqueue(request)
 	case request.deadline < q.now || q.window.limited && !tenant.withinShare(q) && q.expectedWait(tenant, request.returning) > float64(request.deadline-q.now):
 		q.refuse(request, TooLate)
@@ -314,9 +314,9 @@
 // makeRoom enforces the queue limits by refusing requests of the most over-served tenant. It reports false if
 // the new request itself has to be refused.
 func (q *Queue) makeRoom(tenant *tenantQueue, request *queuedRequest) bool {
-	for len(q.byID) >= q.config.Waiting || q.waitingBytes+request.Bytes > q.config.Bytes {
+	for len(q.byID) >= q.config.MaxWaiting || q.waitingBytes+request.Bytes > q.config.MaxBytes {
 		overServed := q.byFinish.top()
-		if overServed == nil || request.Bytes > q.config.Bytes {
+		if overServed == nil || request.Bytes > q.config.MaxBytes {
 			return false
 		}
 		start := tenant.startTag
@@ -343,7 +343,7 @@
 
 // shed refuses the latest request of the most over-served client of the most over-served tenant.
 func (q *Queue) shed() {
-	if q.config.Unfair != Fair {
+	if q.config.Discipline != StartTimeFair {
 		request := q.baselineQueue[len(q.baselineQueue)-1]
 		q.dequeue(request)
 		q.refuse(request, QueueFull)
@@ -380,7 +380,7 @@
 	if tenant.waiting == 0 {
 		q.idle.remove(tenant)
 	}
-	if q.config.Unfair != Fair {
+	if q.config.Discipline != StartTimeFair {
 		q.baselineQueue = append(q.baselineQueue, request)
 		tenant.waiting++
 		return
@@ -435,7 +435,7 @@
 	q.deadlines.remove(request)
 	tenant := request.tenant
 	tenant.waiting--
-	if q.config.Unfair != Fair {
+	if q.config.Discipline != StartTimeFair {
 		if q.baselineQueue = removeRequest(q.baselineQueue, request); tenant.waiting == 0 {
 			q.idle.push(tenant)
 			q.trimTenants()
@@ -484,7 +484,7 @@
 	for q.idleHead < len(q.idleClients) {
 		entry := q.idleClients[q.idleHead]
 		if entry.client.idleSeq == entry.idleSeq {
-			if q.idleClientCount <= q.config.Clients {
+			if q.idleClientCount <= q.config.MaxIdleClients {
 				break
 			}
 			delete(entry.client.tenant.clients, entry.client.name)
@@ -494,7 +494,7 @@
 		q.idleClients[q.idleHead] = idleClient{}
 		q.idleHead++
 	}
-	if len(q.idleClients) > 2*q.config.Clients+16 { // drop the entries of clients that have become active again
+	if len(q.idleClients) > 2*q.config.MaxIdleClients+16 { // drop the entries of clients that have become active again
 		live := q.idleClients[:0]
 		for _, entry := range q.idleClients[q.idleHead:] {
 			if entry.client.idleSeq == entry.idleSeq {
@@ -519,18 +519,18 @@
 
 // next returns the request whose turn it is, or nil if there is none.
 func (q *Queue) next() *queuedRequest {
-	switch q.config.Unfair {
-	case Fifo:
+	switch q.config.Discipline {
+	case FIFO:
 		if len(q.baselineQueue) > 0 {
 			return q.baselineQueue[0]
 		}
 		return nil
-	case Buckets:
+	case TokenBuckets:
 		for _, request := range q.baselineQueue {
 			if tenant := request.tenant; tenant.refilledAt == 0 {
-				tenant.bucketTokens, tenant.refilledAt = q.config.PerSec, q.now
+				tenant.bucketTokens, tenant.refilledAt = q.config.BucketRate, q.now
 			} else {
-				tenant.bucketTokens = min(tenant.bucketTokens+float64(q.now-tenant.refilledAt)/1e6*q.config.PerSec, max(q.config.PerSec, 1))
+				tenant.bucketTokens = min(tenant.bucketTokens+float64(q.now-tenant.refilledAt)/1e6*q.config.BucketRate, max(q.config.BucketRate, 1))
 				tenant.refilledAt = q.now
 			}
 			if request.tenant.bucketTokens >= 1 {
@@ -557,10 +557,10 @@
 // serve charges a request to its tenant and client and admits it.
 func (q *Queue) serve(request *queuedRequest) {
 	tenant := request.tenant
-	if q.config.Unfair == Buckets {
+	if q.config.Discipline == TokenBuckets {
 		tenant.bucketTokens--
 	}
-	if q.config.Unfair == Fair {
+	if q.config.Discipline == StartTimeFair {
 		if q.window.limited && q.withinShare(request) && !request.returning {
 			q.servedWithinShare.Add(q.now, 1)
 		}
@@ -585,7 +585,7 @@
 		request.tenant.served.Add(q.now, 1)
 	}
 	q.Admitted++
-	q.decisions = append(q.decisions, Verdict{ID: request.ID, Admit: true})
+	q.decisions = append(q.decisions, Decision{ID: request.ID, Admit: true})
 	q.release(request)
 }
 
@@ -593,24 +593,24 @@
 	request.tenant.Stats.Refused++
 	q.Refused[cause]++
 	retryAfter, token := q.reserveRetry(request.tenant, request.Client)
-	if !q.config.Silent && (request.returning || request.Token != "") {
-		if due, ok := q.reservations.verify(&request.Ask); ok && due > q.now { // returned too early: its reservation stays valid
+	if !q.config.WithholdRetryTime && (request.returning || request.Token != "") {
+		if due, ok := q.reservations.verify(&request.Request); ok && due > q.now { // returned too early: its reservation stays valid
 			retryAfter, token = due-q.now, request.Token
 		}
 	}
-	q.decisions = append(q.decisions, Verdict{ID: request.ID, Cause: cause, ComeAgain: retryAfter, Token: token})
+	q.decisions = append(q.decisions, Decision{ID: request.ID, Cause: cause, RetryAfter: retryAfter, Token: token})
 	q.release(request)
 }
 
 func (q *Queue) release(request *queuedRequest) {
 	*request = queuedRequest{}
-	if len(q.freeRequests) < q.config.Waiting {
+	if len(q.freeRequests) < q.config.MaxWaiting {
 		q.freeRequests = append(q.freeRequests, request)
 	}
 }
 
-// Refuse counts a request that the module rejected and returns its retry time and token.
-func (q *Queue) Refuse(tenant, client string) (retryAfter Time, token string) {
+// RejectionAdvice counts a request that the module rejected and returns its retry time and token.
+func (q *Queue) RejectionAdvice(tenant, client string) (retryAfter Time, token string) {
 	t := q.lookup(tenant)
 	t.Stats.Refused++
 	q.Refused[NoCapacity]++
@@ -619,7 +619,7 @@
 
 // withinShareRate is the rate, in requests/s, at which tenants within their share are served.
 func (q *Queue) withinShareRate() float64 {
-	return q.servedWithinShare.Most(q.now) / float64(serviceSpans*q.window.span) * 1e6
+	return q.servedWithinShare.UpperBound(q.now) / float64(serviceSpans*q.window.span) * 1e6
 }
 
 // drainRate is the service rate, in requests/s, that a tenant can rely on: its recent rate, but no less than its
@@ -627,7 +627,7 @@
 func (q *Queue) drainRate(tenant *tenantQueue) float64 {
 	span := q.window.span
 	floor := q.fairRate(tenant)
-	served := tenant.served.Most(q.now) / float64(min(max(q.now-tenant.activeSince, span/meterBuckets), serviceSpans*span)) * 1e6
+	served := tenant.served.UpperBound(q.now) / float64(min(max(q.now-tenant.activeSince, span/meterBuckets), serviceSpans*span)) * 1e6
 	return min(max(served, floor), max(q.window.rate(q.now)-q.withinShareRate(), floor))
 }
 
@@ -635,14 +635,14 @@
 // after the other at that rate, with jitter within their intervals. If the time lies beyond the longest retry
 // time, nothing is reserved and the client gets the longest retry time with jitter over its second half.
 func (q *Queue) reserveRetry(tenant *tenantQueue, client string) (Time, string) {
-	if q.config.Silent {
+	if q.config.WithholdRetryTime {
 		return 0, ""
 	}
 	rate := q.drainRate(tenant)
 	returnRate := q.reservations.returnRate(q.now)
 	interval := 1e6 / (rate * reservedShare) * returnRate
 	if !q.window.limited { // no shortage was known: retry soon, but not all at once
-		interval = float64(q.config.Startup) / meterBuckets
+		interval = float64(q.config.StartupTarget) / meterBuckets
 	}
 	earliest := max(float64(tenant.reservedUntil), float64(q.now)+interval+float64(tenant.waiting)/rate*1e6)
 	if q.window.limited { // all tenants together get what tenants within their share leave
@@ -651,7 +651,7 @@
 		earliest = max(earliest, float64(q.reservedUntil))
 	}
 	due := Time(earliest + interval*q.random())
-	if longest := q.config.Longest; longest > 0 && due-q.now > longest {
+	if longest := q.config.MaxRetryAfter; longest > 0 && due-q.now > longest {
 		return longest - Time(float64(longest)/2*q.random()), ""
 	}
 	tenant.reservedUntil = Time(earliest + interval)
@@ -663,7 +663,7 @@
 func (q *Queue) random() float64 {
 	q.randomDraws++
 	b := [4]byte{byte(q.randomDraws >> 24), byte(q.randomDraws >> 16), byte(q.randomDraws >> 8), byte(q.randomDraws)}
-	return float64(crc32.Update(crc32.ChecksumIEEE(q.config.Secret), crc32.IEEETable, b[:])) / (1 << 32)
+	return float64(crc32.Update(crc32.ChecksumIEEE(q.config.TokenSecret), crc32.IEEETable, b[:])) / (1 << 32)
 }
 
 // lookup returns the state of a tenant and creates it if there is none. At the limit it evicts the idle tenant
@@ -673,7 +673,7 @@
 	if tenant != nil {
 		return tenant
 	}
-	if len(q.tenants) >= max(q.config.Tenants, 1) {
+	if len(q.tenants) >= max(q.config.MaxTenants, 1) {
 		evicted := q.idle.top()
 		if evicted == nil { // every tenant has waiting requests
 			return &q.untracked
@@ -699,32 +699,32 @@
 	q.idle.remove(tenant)
 	delete(q.tenants, tenant.name)
 	total, figures := &q.untracked.Stats, &tenant.Stats
-	total.Asked, total.Admitted, total.Refused, total.Returned = total.Asked+figures.Asked, total.Admitted+figures.Admitted, total.Refused+figures.Refused, total.Returned+figures.Returned
+	total.Requested, total.Admitted, total.Refused, total.Returned = total.Requested+figures.Requested, total.Admitted+figures.Admitted, total.Refused+figures.Refused, total.Returned+figures.Returned
 }
 
 // trimTenants evicts idle tenants beyond the limit.
 func (q *Queue) trimTenants() {
-	for len(q.tenants) > max(q.config.Tenants, 1) && q.idle.len() > 0 {
+	for len(q.tenants) > max(q.config.MaxTenants, 1) && q.idle.len() > 0 {
 		q.forgetTenant(q.idle.top())
 	}
 }
 
-// Gone removes a request whose player has disconnected.
-func (q *Queue) Gone(id int) {
+// Cancel removes a request whose player has disconnected.
+func (q *Queue) Cancel(id int) {
 	if request := q.byID[id]; request != nil {
 		q.dequeue(request)
 		q.release(request)
 	}
 }
 
-// Played reports that an admitted request has started to play, and the duration of its setup.
-func (q *Queue) Played(took Time) {
+// Started reports that an admitted request has started to play, and the duration of its setup.
+func (q *Queue) Started(took Time) {
 	q.setupTime += (float64(took) - q.setupTime) / 16
 	q.window.started(q.now)
 }
 
-// Carrying reports the number of playbacks that are active or being set up in the session manager.
-func (q *Queue) Carrying(n int) { q.window.active = float64(n) }
+// SetActive reports the number of playbacks that are active or being set up in the session manager.
+func (q *Queue) SetActive(n int) { q.window.active = float64(n) }
 
 // Ended reports the end of a playback that had started to play.
 func (q *Queue) Ended() { q.window.ended(q.now) }
@@ -744,9 +744,9 @@
 	q.consecutiveRejections++
 }
 
-// Turned reports the duration of a turn of the session manager. A long turn counts as a rejection.
-func (q *Queue) Turned(took Time) {
-	if took > q.config.Startup/longTurnDivisor {
+// TurnFinished reports the duration of a turn of the session manager. A long turn counts as a rejection.
+func (q *Queue) TurnFinished(took Time) {
+	if took > q.config.StartupTarget/longTurnDivisor {
 		q.window.rejected(q.now)
 	}
 }
@@ -754,30 +754,30 @@
 // Waiting returns the number of waiting requests and the bytes that they hold.
 func (q *Queue) Waiting() (requests, bytes int) { return len(q.byID), q.waitingBytes }
 
-// PerSec returns the admission rate in requests/s; it is infinite while admission is unlimited.
-func (q *Queue) PerSec() float64 {
+// AdmissionRate returns the admission rate in requests/s; it is infinite while admission is unlimited.
+func (q *Queue) AdmissionRate() float64 {
 	if !q.window.limited {
 		return math.Inf(1)
 	}
 	return q.window.rate(q.now)
 }
 
-// Remembered returns the number of tenants with state.
-func (q *Queue) Remembered() int { return len(q.tenants) }
+// TenantCount returns the number of tenants with state.
+func (q *Queue) TenantCount() int { return len(q.tenants) }
 
-// Each calls report with the counts of every tenant with state, and with those of all other tenants together
+// EachTenant calls report with the counts of every tenant with state, and with those of all other tenants together
 // under the empty name.
-func (q *Queue) Each(report func(name string, counts TenantFigures)) {
+func (q *Queue) EachTenant(report func(name string, counts TenantStats)) {
 	for name, tenant := range q.tenants {
 		report(name, tenant.Stats)
 	}
 	report("", q.untracked.Stats)
 }
 
-// Settle emits the decisions that can be made now. It admits one request at a time, as the module's answer affects
+// Dispatch emits the decisions that can be made now. It admits one request at a time, as the module's answer affects
 // the next one. While there is no capacity, the most over-served tenant is tried first, so that a tenant with a
 // single request does not lose it to a probe. It returns the time by which it has to be called again.
-func (q *Queue) Settle(emit func(Verdict)) Time {
+func (q *Queue) Dispatch(emit func(Decision)) Time {
 	q.window.advance(q.now, len(q.byID) > 0)
 	q.awaitingResult = false
 	for len(q.byID) > 0 {
@@ -812,15 +812,15 @@
 	if q.noCapacity {
 		nextCall = min(nextCall, max(q.nextProbe, q.now+1))
 	}
-	if q.config.Unfair == Buckets {
-		nextCall = q.now + q.config.Startup/longTurnDivisor/meterBuckets
+	if q.config.Discipline == TokenBuckets {
+		nextCall = q.now + q.config.StartupTarget/longTurnDivisor/meterBuckets
 	}
 	return min(q.deadlines.top().deadline, max(nextCall, q.now+1))
 }
 
 // paused reports whether a request has to wait because of the latest rejections.
 func (q *Queue) paused(request *queuedRequest) bool {
-	if q.config.Unfair != Fair {
+	if q.config.Discipline != StartTimeFair {
 		return false
 	}
 	if q.noCapacity {
@@ -832,7 +832,7 @@
 // withinShare reports whether a request belongs to a tenant that has received, and asks for, no more than its
 // share, with a tolerance of a few requests.
 func (q *Queue) withinShare(request *queuedRequest) bool {
-	return q.config.Unfair == Fair && request.tenant.withinShare(q)
+	return q.config.Discipline == StartTimeFair && request.tenant.withinShare(q)
 }
 
 // withinShare reports whether a tenant has few waiting requests and has recently been served no more than its
@@ -844,7 +844,7 @@
 // overShare reports whether a tenant has recently been served more than its share, beyond the tolerance.
 func (t *tenantQueue) overShare(q *Queue) bool {
 	limit := q.fairRate(t) * float64(serviceSpans*q.window.span) / 1e6 * shareTolerance
-	return t.served.Most(q.now) > max(limit, requestTolerance)
+	return t.served.UpperBound(q.now) > max(limit, requestTolerance)
 }
 
 // fairRate is a tenant's share of the admission rate, in requests/s, among the tenants with recent requests.
--- a/internal/fair/reservation.go
+++ b/internal/fair/reservation.go
@@ -64,11 +64,11 @@
 // returnRate is the share of clients with a reservation that return in time. Without it the reservations of the
 // other clients would stay unused and retry times would be longer than needed.
 func (r *reservations) returnRate(now Time) float64 {
-	due := r.dueCount.Most(now)
+	due := r.dueCount.UpperBound(now)
 	if due < minDueSamples {
 		return 1
 	}
-	return min(max(r.returnedCount.Most(now)/due, minReturnRate), 1)
+	return min(max(r.returnedCount.UpperBound(now)/due, minReturnRate), 1)
 }
 
 func (r *reservations) mac(tenant, client string, due Time) []byte {
@@ -87,7 +87,7 @@
 }
 
 // verify returns the retry time of a token and whether the token is valid.
-func (r *reservations) verify(request *Ask) (due Time, ok bool) {
+func (r *reservations) verify(request *Request) (due Time, ok bool) {
 	payload, err := base64.RawURLEncoding.DecodeString(request.Token)
 	if err != nil || len(payload) != 8+macBytes {
 		return 0, false
@@ -97,7 +97,7 @@
 }
 
 // redeem reports whether a request returns within its return window, for the first time.
-func (r *reservations) redeem(request *Ask, now Time) bool {
+func (r *reservations) redeem(request *Request, now Time) bool {
 	if request.Token == "" {
 		return false
 	}
--- a/internal/fair/window.go
+++ b/internal/fair/window.go
@@ -42,9 +42,9 @@
 // that end (Little, 1961). Until enough ends have been seen, it is the recent rate of starts.
 func (w *admissionWindow) rate(now Time) float64 {
 	floor := 1e6 / float64(w.span)
-	ends, activeTime := w.ends.Most(now), w.activeTime.Most(now)
+	ends, activeTime := w.ends.UpperBound(now), w.activeTime.UpperBound(now)
 	if ends < meterBuckets || activeTime <= 0 {
-		return max(w.starts.Most(now)/float64(max(min(w.span, now-w.createdAt), w.span/meterBuckets))*1e6, floor)
+		return max(w.starts.UpperBound(now)/float64(max(min(w.span, now-w.createdAt), w.span/meterBuckets))*1e6, floor)
 	}
 	return max(w.limit*ends/activeTime*1e6, floor)
 }
--- a/internal/front/access.go
+++ b/internal/front/access.go
@@ -17,15 +17,15 @@
 	"pierlink/internal/tenants"
 )
 
-// Gate authenticates accounts and checks which titles they may play. Its core belongs to the front: it is
+// AccessControl authenticates accounts and checks which titles they may play. Its core belongs to the front: it is
 // called and settled in the front's turns.
-type Gate struct {
-	Core    *tenants.Core
-	Ask     func(tenants.Want) // starts the directory requests that the core wants
-	Realm   string             // authentication realm; empty disables authentication and trusts the account in the URL
-	Basic   bool               // also accept Basic authentication, over encrypted connections only
-	Guesses tenants.Guesses    // limits failed authentication attempts
-	Rows    tenants.Rows       // rows in the module's tenant table for tenants that the settings do not name
+type AccessControl struct {
+	Core         *tenants.Core
+	Lookup       func(tenants.Request)  // starts the directory requests that the core wants
+	Realm        string                 // authentication realm; empty disables authentication and trusts the account in the URL
+	Basic        bool                   // also accept Basic authentication, over encrypted connections only
+	FailedLogins tenants.FailureLimiter // limits failed authentication attempts
+	Rows         tenants.QuotaRows      // rows in the module's tenant table for tenants that the settings do not name
 }
 
 // nonceSessionTimeouts is the lifetime of a nonce, in session timeouts.
@@ -37,8 +37,8 @@
 	pb.credentials = requestCredentials{authorization: authorization, method: request.Method,
 		token: request.Get("Come-Again"), requestBytes: requestSize(request)}
 	account := pb.target.tenantName
-	if f.Gate.Realm != "" {
-		if account = authorization["username"]; account == "" || !f.Gate.Guesses.May(tenants.Fold(account), hostOf(pb.player.address), f.now) {
+	if f.Access.Realm != "" {
+		if account = authorization["username"]; account == "" || !f.Access.FailedLogins.Allow(tenants.Fold(account), hostOf(pb.player.address), f.now) {
 			f.challenge(pb, false)
 			return
 		}
@@ -52,22 +52,22 @@
 	f.lastQueueID++
 	pb.authorizationID = f.lastQueueID
 	f.authorizing[pb.authorizationID] = pb
-	f.authorized(f.Gate.Core.Ask(tenants.Question{ID: pb.authorizationID, Account: pb.account, Plan: f.Plans[pb.target.plan].Name,
-		Until: decisionDeadline(pb.receivedAt, pb.abandonTime), Doubt: pb.rechecked}))
+	f.authorized(f.Access.Core.Ask(tenants.Query{ID: pb.authorizationID, Account: pb.account, Plan: f.Plans[pb.target.plan].Name,
+		Deadline: decisionDeadline(pb.receivedAt, pb.abandonTime), ForceLookup: pb.rechecked}))
 }
 
 // authorized handles the answer of the access control. An account without permission and an account that does
 // not exist get the same response.
 func (f *Front) authorized(answer tenants.Answer) {
 	pb := f.authorizing[answer.ID]
-	if pb == nil || answer.Verdict == tenants.Wait {
+	if pb == nil || answer.Verdict == tenants.Pending {
 		return
 	}
 	delete(f.authorizing, answer.ID)
 	if pb.authorizationID = 0; pb.finished {
 		return
 	}
-	if f.Gate.Realm != "" && answer.Verdict != tenants.Busy {
+	if f.Access.Realm != "" && answer.Verdict != tenants.Busy {
 		if ok, stale := f.verifyCredentials(pb); !ok {
 			if !stale && !pb.rechecked { // the password may have changed: look the account up again, known or not
 				pb.rechecked = true
@@ -75,7 +75,7 @@
 				return
 			}
 			if !stale {
-				f.Gate.Guesses.Failed(tenants.Fold(pb.credentials.authorization["username"]), hostOf(pb.player.address))
+				f.Access.FailedLogins.RecordFailure(tenants.Fold(pb.credentials.authorization["username"]), hostOf(pb.player.address))
 			}
 			f.challenge(pb, stale)
 			return
@@ -85,19 +85,19 @@
 	case tenants.Allowed:
 		pb.target.tenantName = answer.Tenant
 		ok := false
-		if pb.seat, ok = f.Gate.Core.Plays(answer.Tenant); !ok {
+		if pb.seat, ok = f.Access.Core.TakeSeat(answer.Tenant); !ok {
 			f.Figures.Refused++
 			f.reject(pb, retryLaterResponse(f.retryAdvice()))
 			return
 		}
 		pb.target.queueTenant = pb.seat // the directory entry's id survives a rename
 		if pb.target.tenant = slices.Index(f.Tenants, answer.Tenant); pb.target.tenant < 0 {
-			pb.target.tenant = f.Gate.Rows.Row(pb.seat)
+			pb.target.tenant = f.Access.Rows.Row(pb.seat)
 		}
 		f.enqueue(pb)
-	case tenants.Unknown, tenants.NotPlan:
+	case tenants.Unknown, tenants.PlanNotAllowed:
 		f.Figures.Refused++
-		f.reject(pb, rtsp.Answer(rtsp.StatusForbidden, 0))
+		f.reject(pb, rtsp.NewResponse(rtsp.StatusForbidden, 0))
 	default:
 		f.Figures.Refused++
 		f.reject(pb, retryLaterResponse(f.retryAdvice()))
@@ -111,9 +111,9 @@
 	if stale {
 		challenge += ", stale=true"
 	}
-	response := rtsp.Answer(rtsp.StatusUnauthorized, 0).With("WWW-Authenticate", `Digest realm="`+f.Gate.Realm+`", `+challenge)
-	if f.Gate.Basic && pb.player.conn.Secure {
-		response.With("WWW-Authenticate", `Basic realm="`+f.Gate.Realm+`"`)
+	response := rtsp.NewResponse(rtsp.StatusUnauthorized, 0).With("WWW-Authenticate", `Digest realm="`+f.Access.Realm+`", `+challenge)
+	if f.Access.Basic && pb.player.conn.Secure {
+		response.With("WWW-Authenticate", `Basic realm="`+f.Access.Realm+`"`)
 	}
 	f.reject(pb, response)
 	pb.player.lastRefused = nil // the player may retry the playback at once, with credentials
@@ -175,7 +175,7 @@
 // valid but for a nonce that is too old or was issued by another process.
 func (f *Front) verifyCredentials(pb *playback) (ok, stale bool) {
 	params := pb.credentials.authorization
-	ha1, known := f.Gate.Core.Digest(params["username"])
+	ha1, known := f.Access.Core.Digest(params["username"])
 	if !known {
 		ha1 = unknownAccountDigest
 	}
@@ -197,8 +197,8 @@
 	}
 	equal := func(x, y string) bool { return subtle.ConstantTimeCompare([]byte(x), []byte(y)) == 1 }
 	if params[""] == "basic" {
-		return equal(hash(params["username"], f.Gate.Realm, params["password"]), ha1) && known &&
-			f.Gate.Basic && pb.player.conn.Secure, false
+		return equal(hash(params["username"], f.Access.Realm, params["password"]), ha1) && known &&
+			f.Access.Basic && pb.player.conn.Secure, false
 	}
 	expected := hash(ha1, params["nonce"], params["nc"], params["cnonce"], params["qop"],
 		hash(pb.credentials.method, params["uri"]))
@@ -206,7 +206,7 @@
 		expected = hash(ha1, params["nonce"], hash(pb.credentials.method, params["uri"]))
 	}
 	valid := equal(expected, params["response"]) && known && params[""] == "digest" &&
-		params["realm"] == f.Gate.Realm && strings.HasPrefix(params["uri"], pb.target.pathPrefix())
+		params["realm"] == f.Access.Realm && strings.HasPrefix(params["uri"], pb.target.pathPrefix())
 	b, err := base64.RawURLEncoding.DecodeString(params["nonce"])
 	if err != nil || len(b) != 20 {
 		return false, valid
@@ -225,14 +225,14 @@
 // applyShares passes the tenant shares that changed in a turn to the module and to the admission queue, all at
 // once. It returns when it is due next.
 func (f *Front) applyShares() Time {
-	rows := &f.Gate.Rows
-	rows.First, rows.Size, rows.Rest = len(f.Tenants), len(f.Site.Tenants), f.SessionTimeout
+	rows := &f.Access.Rows
+	rows.First, rows.Size, rows.ReuseDelay = len(f.Tenants), len(f.Site.Tenants), f.SessionTimeout
 	weights := map[string]float64{}
 	for _, record := range f.changedShares {
 		if i := slices.Index(f.Tenants, record.Name); i >= 0 {
 			f.Site.Tenants[i].QuotaPerS = record.Quota
 		} else {
-			rows.Want(record.ID, record.Quota)
+			rows.SetQuota(record.ID, record.Quota)
 		}
 		weights[record.ID] = record.Weight
 		if record.Weight == 0 && f.Queue != nil && record.Kind == tenants.Tenant { // no weight in the directory: use the one in the settings
@@ -240,7 +240,7 @@
 		}
 	}
 	f.changedShares = f.changedShares[:0]
-	next := rows.Settle(f.now, func(i int, quota float64) { f.Site.Tenants[i].QuotaPerS = quota })
+	next := rows.Process(f.now, func(i int, quota float64) { f.Site.Tenants[i].QuotaPerS = quota })
 	if f.queue != nil && f.Queue != nil && len(weights) > 0 {
 		terms := *f.Queue
 		terms.Weights = maps.Clone(f.Queue.Weights)
@@ -253,7 +253,7 @@
 			}
 		}
 		f.Queue = &terms
-		f.queue.Tell(terms)
+		f.queue.Reconfigure(terms)
 	}
 	if next == 0 {
 		return core.Never
@@ -261,10 +261,10 @@
 	return next
 }
 
-// Named returns the name of a tenant in the admission queue: the directory entry's name, or the id itself.
-func (f *Front) Named(id string) string {
-	if f.Gate != nil {
-		if name := f.Gate.Core.Name(id); name != "" {
+// TenantName returns the name of a tenant in the admission queue: the directory entry's name, or the id itself.
+func (f *Front) TenantName(id string) string {
+	if f.Access != nil {
+		if name := f.Access.Core.Name(id); name != "" {
 			return name
 		}
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -34,8 +34,8 @@
 	Payload         uint8  // RTP payload type
 }
 
-// Face describes a plan as players see it: its name in URLs, its abandon time and its tracks.
-type Face struct {
+// PlanProfile describes a plan as players see it: its name in URLs, its abandon time and its tracks.
+type PlanProfile struct {
 	Name    string
 	Abandon Time // time after which a player gives up waiting for the SETUP response
 	Tracks  []Track
@@ -48,27 +48,27 @@
 	PlayerBytes            int // bytes queued for sending per connection
 }
 
-// Service is the configuration of a front.
-type Service struct {
+// Config is the configuration of a front.
+type Config struct {
 	Name           string
 	Site           session.Site
-	Plans          []Face // in the order of Site.Plans
+	Plans          []PlanProfile // in the order of Site.Plans
 	Tenants        []string
 	Zones, Kinds   []string
 	SessionTimeout Time
 	Bounds         Bounds
-	Secret         []byte      // key for session ids and nonces
-	Queue          *fair.Terms // terms of the admission queue; nil passes requests to the module at once
+	Secret         []byte       // key for session ids and nonces
+	Queue          *fair.Config // terms of the admission queue; nil passes requests to the module at once
 	Limits         fair.Limits
-	Silent         bool          // refusals carry no Retry-After advice
-	Journal        Journal       // nil disables the journal
-	Gate           *Gate         // access control; nil allows all playbacks
-	Quality        *quality.Core // service quality by rack and title; nil disables it
-	Told           func(*Story)  // called for each playback once it is answered; may be nil
+	OmitRetryAfter bool                 // refusals carry no Retry-After advice
+	Journal        Journal              // nil disables the journal
+	Access         *AccessControl       // access control; nil allows all playbacks
+	Quality        *quality.Collector   // service quality by rack and title; nil disables it
+	OnAnswered     func(*PlaybackTrace) // called for each playback once it is answered; may be nil
 }
 
-// Figures counts events since the start; its last line holds current values.
-type Figures struct {
+// Stats counts events since the start; its last line holds current values.
+type Stats struct {
 	Accepted, Turned                     int64 // connections accepted, turned away
 	Requests, Malformed, Repeated        int64
 	Taken, Plays, Refused, Failed, Left  int64 // playbacks; each one taken is counted in one of the others too
@@ -83,8 +83,8 @@
 
 // Front is one session manager. It implements core.Core and is owned by one goroutine.
 type Front struct {
-	*Service
-	Figures        Figures
+	*Config
+	Figures        Stats
 	network        core.Net
 	log            *zap.Logger
 	module         session.Manager
@@ -108,14 +108,14 @@
 	qualityRecords int64            // number of quality records begun
 	nonceMAC       hash.Hash
 	scratch        []byte
-	limiter        *fair.Door
+	limiter        *fair.Limiter
 	waiting        map[int]*playback // in the admission queue, by queueID
 	lastQueueID    int
-	lifecycle      *life.Life
+	lifecycle      *life.Lifecycle
 	process        Process
-	otherManagers  life.Others
-	handover       life.Heir
-	lag            life.Behind
+	otherManagers  life.Peers
+	handover       life.Successor
+	lag            life.LagMonitor
 	orphans        life.Orphans
 	authorizing    map[int]*playback // waiting for access control, by authorizationID
 	orphansEnded   func()            // called once no orphan is left
@@ -144,7 +144,7 @@
 	channels        []*trackBinding // by interleaved channel
 	recentCSeqs     [8]int          // ring of the latest SETUP and PLAY CSeqs, plus one, to detect repeated requests
 	recentCount     int             // number of CSeqs written to the ring so far
-	requestRate     fair.Rate
+	requestRate     fair.RequestBucket
 	requestReceived bool             // a complete request has arrived
 	lastRefused     *refusedPlayback // the latest playback that did not play
 	playbacks       []*playback
@@ -180,33 +180,33 @@
 }
 
 // New returns a front. The module must have been created for the site of the same configuration.
-func New(config *Service, module session.Manager, network core.Net, log *zap.Logger, now Time) *Front {
-	f := &Front{Service: config, network: network, log: log, module: module, now: now, boxIndex: map[string]int{},
+func New(config *Config, module session.Manager, network core.Net, log *zap.Logger, now Time) *Front {
+	f := &Front{Config: config, network: network, log: log, module: module, now: now, boxIndex: map[string]int{},
 		sessions: map[string]*playback{}, titles: titleTable{ids: map[string]int{}}, players: map[*peerConn]struct{}{},
 		waiting: map[int]*playback{}, authorizing: map[int]*playback{}}
-	f.lag.Startup = shortestStartupTarget(config.Site.Plans)
+	f.lag.StartupTarget = shortestStartupTarget(config.Site.Plans)
 	f.otherManagers.Seed = xxhash.Sum64(config.Secret)
-	f.limiter = fair.NewDoor(config.Limits, xxhash.Sum64(config.Secret), now)
+	f.limiter = fair.NewLimiter(config.Limits, xxhash.Sum64(config.Secret), now)
 	if config.Queue != nil {
 		f.queue = fair.New(*config.Queue, now)
 	}
 	return f
 }
 
-// At begins a turn: it sets the clock and runs the timers that are due.
-func (f *Front) At(now Time) {
+// BeginTurn begins a turn: it sets the clock and runs the timers that are due.
+func (f *Front) BeginTurn(now Time) {
 	f.now = now
-	f.module.At(now)
-	f.lag.Turn(now, now-min(f.timers.Next(), now))
-	if f.Gate != nil {
-		f.Gate.Core.At(now)
+	f.module.BeginTurn(now)
+	f.lag.Record(now, now-min(f.timers.Next(), now))
+	if f.Access != nil {
+		f.Access.Core.SetTime(now)
 	}
 	if f.Quality != nil {
-		f.Quality.At(now)
+		f.Quality.Advance(now)
 	}
 	if f.queue != nil {
-		f.queue.At(now)
-		f.queue.Behind(now - min(f.timers.Next(), now))
+		f.queue.Advance(now)
+		f.queue.SetLag(now - min(f.timers.Next(), now))
 	}
 	f.timers.Run(now)
 }
@@ -215,9 +215,9 @@
 func (f *Front) Accepted(c *core.Conn, address string) {
 	full := int(f.Figures.Connections) >= f.Bounds.Connections
 	if full {
-		f.limiter.Turn(fair.TooManyConnections)
+		f.limiter.CountRefusal(fair.TooManyConnections)
 	}
-	if f.stopped || full || !f.limiter.Connect(hostOf(address), f.now) {
+	if f.stopped || full || !f.limiter.AllowConnection(hostOf(address), f.now) {
 		f.Figures.Turned++
 		f.network.Close(c)
 		return
@@ -225,7 +225,7 @@
 	f.evictHalfOpen()
 	f.Figures.Accepted++
 	f.Figures.Connections++
-	peer := &peerConn{conn: c, address: address, lastReceived: f.now, sessionTimeout: f.SessionTimeout, parser: rtsp.Parser{Bounds: rtsp.Usual}}
+	peer := &peerConn{conn: c, address: address, lastReceived: f.now, sessionTimeout: f.SessionTimeout, parser: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 	peer.sink = sink{f, peer}
 	c.Owner = peer
 	f.players[peer] = struct{}{}
@@ -252,8 +252,8 @@
 	}
 	clear(f.halfOpen[len(live):])
 	f.halfOpen = live
-	if n := f.Limits.HalfOpen; n > 0 && len(f.halfOpen) >= n {
-		f.limiter.Turn(fair.HalfOpenTooLong)
+	if n := f.Limits.MaxHalfOpen; n > 0 && len(f.halfOpen) >= n {
+		f.limiter.CountRefusal(fair.HalfOpenTimeout)
 		f.closePlayer(f.halfOpen[0])
 	}
 }
@@ -271,7 +271,7 @@
 	} else {
 		err = peer.parser.Feed(b, (*playerSink)(&peer.sink))
 	}
-	if !peer.parser.Waiting() {
+	if !peer.parser.Incomplete() {
 		peer.partialSince = 0
 	} else if peer.partialSince == 0 {
 		if peer.partialSince = f.now; peer.dialogue == nil && !peer.closed {
@@ -281,16 +281,16 @@
 	if err == nil || peer.closed {
 		return
 	}
-	bad := err.(*rtsp.Malformed)
+	bad := err.(*rtsp.MalformedError)
 	f.Figures.Malformed++
 	f.log.Info("closing connection: malformed message without a known end", zap.String("peer", peer.address), zap.String("what", bad.Problem))
 	if peer.dialogue != nil {
 		f.dialogueLost(peer.dialogue, session.Failed)
 		return
 	}
-	f.limiter.Turn(fair.HeaderFlood)
+	f.limiter.CountRefusal(fair.HeaderFlood)
 	if bad.Request {
-		f.completeReply(peer, f.reserveReply(peer, bad.CSeq), rtsp.Answer(bad.Status, bad.CSeq))
+		f.completeReply(peer, f.reserveReply(peer, bad.CSeq), rtsp.NewResponse(bad.Status, bad.CSeq))
 	}
 	f.closePlayer(peer)
 }
@@ -321,21 +321,21 @@
 	f.playerClosed(peer)
 }
 
-// Settle ends a turn: it carries out the module's actions, until they cause no more events, and sends the
+// EndTurn ends a turn: it carries out the module's actions, until they cause no more events, and sends the
 // queued output. It returns when the next turn is due at the latest.
-func (f *Front) Settle() Time {
+func (f *Front) EndTurn() Time {
 	next := core.Never
 	for {
 		accessNext := core.Never
-		if f.Gate != nil {
-			accessNext = f.Gate.Core.Settle(f.Gate.Ask, f.authorized, func(record tenants.Record) {
+		if f.Access != nil {
+			accessNext = f.Access.Core.Process(f.Access.Lookup, f.authorized, func(record tenants.Record) {
 				f.changedShares = append(f.changedShares, record)
 			})
 			accessNext = min(accessNext, f.applyShares())
 		}
 		if f.queue != nil {
-			f.queue.Carrying(int(f.Figures.Playbacks))
-			next = f.queue.Settle(f.queueDecided)
+			f.queue.SetActive(int(f.Figures.Playbacks))
+			next = f.queue.Dispatch(f.queueDecided)
 		}
 		next = min(next, accessNext, f.settleLifecycle())
 		if f.Quality != nil {
@@ -367,22 +367,22 @@
 // before.
 func (f *Front) Turned(waited, took Time) {
 	f.arrivedAt = 0
-	f.lag.Turn(f.now+took, waited+took)
+	f.lag.Record(f.now+took, waited+took)
 	if f.queue != nil {
-		f.queue.Turned(took)
+		f.queue.TurnFinished(took)
 	}
 }
 
-// Tell changes the terms of the admission queue and the limits while requests wait.
-func (f *Front) Tell(terms *fair.Terms, limits fair.Limits) {
+// UpdateLimits changes the terms of the admission queue and the limits while requests wait.
+func (f *Front) UpdateLimits(terms *fair.Config, limits fair.Limits) {
 	f.Limits, f.limiter.Limits = limits, limits
 	if f.queue != nil && terms != nil {
-		f.queue.Tell(*terms)
+		f.queue.Reconfigure(*terms)
 	}
 }
 
-// Door returns the admission queue, nil without one, and the limiter in front of it.
-func (f *Front) Door() (*fair.Queue, *fair.Door) { return f.queue, f.limiter }
+// Admission returns the admission queue, nil without one, and the limiter in front of it.
+func (f *Front) Admission() (*fair.Queue, *fair.Limiter) { return f.queue, f.limiter }
 
 // Stop answers all open requests and ends all dialogues; later requests and connections are refused.
 func (f *Front) Stop() {
@@ -420,9 +420,9 @@
 			return
 		}
 		if slow {
-			f.limiter.Turn(fair.SlowSender)
+			f.limiter.CountRefusal(fair.SlowSender)
 			f.Figures.SlowSenders++
-			f.completeReply(peer, f.reserveReply(peer, -1), rtsp.Answer(rtsp.StatusRequestTimeout, -1))
+			f.completeReply(peer, f.reserveReply(peer, -1), rtsp.NewResponse(rtsp.StatusRequestTimeout, -1))
 		} else {
 			f.Figures.SessionsOut++
 		}
@@ -521,7 +521,7 @@
 	if plan.Seats == 0 { // with seats, the reason may be that they are all taken
 		front.queue.Rejected()
 	}
-	retryAfterAdvice, token := front.queue.Refuse(pb.target.queueTenant, hostOf(pb.player.address))
+	retryAfterAdvice, token := front.queue.RejectionAdvice(pb.target.queueTenant, hostOf(pb.player.address))
 	front.reject(pb, retryLaterResponse(retryAfterAdvice).With("Come-Again", token))
 }
 func (a *actions) Abort(id int) {
@@ -531,7 +531,7 @@
 		return
 	}
 	front.Figures.Failed++
-	front.reject(pb, rtsp.Answer(rtsp.StatusInternal, 0))
+	front.reject(pb, rtsp.NewResponse(rtsp.StatusInternal, 0))
 }
 func (a *actions) Move(id int) {
 	front, pb := a.front(), a.playbacks[id]
@@ -558,8 +558,8 @@
 // 12.31), or one without advice if retryAfter is not positive.
 func retryLaterResponse(retryAfter Time) *rtsp.Message {
 	if retryAfter <= 0 {
-		return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, 0)
+		return rtsp.NewResponse(rtsp.StatusNotEnoughBandwidth, 0)
 	}
 	seconds := (retryAfter + core.Second - 1) / core.Second
-	return rtsp.Answer(rtsp.StatusUnavailable, 0).With("Retry-After", strconv.FormatInt(seconds, 10))
+	return rtsp.NewResponse(rtsp.StatusUnavailable, 0).With("Retry-After", strconv.FormatInt(seconds, 10))
 }
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -13,9 +13,9 @@
 
 // Process controls the process around a front on behalf of its lifecycle.
 type Process interface {
-	Listen()         // start accepting connections
-	Hush()           // stop accepting connections, after those that have already arrived
-	News(life.State) // report the new state to the supervisor
+	Listen()                 // start accepting connections
+	StopAccepting()          // stop accepting connections, after those that have already arrived
+	StateChanged(life.State) // report the new state to the supervisor
 	Exit()
 }
 
@@ -26,43 +26,43 @@
 	Ended(name string)
 }
 
-// Live attaches the process lifecycle, which is settled in the front's turns.
-func (f *Front) Live(lifecycle *life.Life, process Process) {
+// AttachLifecycle attaches the process lifecycle, which is settled in the front's turns.
+func (f *Front) AttachLifecycle(lifecycle *life.Lifecycle, process Process) {
 	f.lifecycle, f.process = lifecycle, process
 }
 
-// Life returns the process lifecycle, nil where none is attached.
-func (f *Front) Life() *life.Life { return f.lifecycle }
+// Lifecycle returns the process lifecycle, nil where none is attached.
+func (f *Front) Lifecycle() *life.Lifecycle { return f.lifecycle }
 
-// Others returns the session managers that viewers are redirected to when this one drains.
-func (f *Front) Others() *life.Others { return &f.otherManagers }
+// OtherManagers returns the session managers that viewers are redirected to when this one drains.
+func (f *Front) OtherManagers() *life.Peers { return &f.otherManagers }
 
-// Heir returns the seats and free tries that the draining process before this one still uses.
-func (f *Front) Heir() *life.Heir { return &f.handover }
+// Handover returns the seats and free tries that the draining process before this one still uses.
+func (f *Front) Handover() *life.Successor { return &f.handover }
 
-// Behind returns the measurement of how late this process is with its work.
-func (f *Front) Behind() *life.Behind { return &f.lag }
+// Lag returns the measurement of how late this process is with its work.
+func (f *Front) Lag() *life.LagMonitor { return &f.lag }
 
 // Orphans returns the sessions that dead processes left at boxes.
 func (f *Front) Orphans() *life.Orphans { return &f.orphans }
 
-// Carried returns the numbers of open connections, requests, playbacks and dialogues.
-func (f *Front) Carried() life.Load {
-	work := life.Load{Waiting: len(f.waiting) + len(f.authorizing), Dialogues: int(f.Figures.Dialogues)}
+// OpenWork returns the numbers of open connections, requests, playbacks and dialogues.
+func (f *Front) OpenWork() life.Load {
+	work := life.Load{Unanswered: len(f.waiting) + len(f.authorizing), ServerConnections: int(f.Figures.Dialogues)}
 	for _, peer := range f.halfOpen {
 		if !peer.closed && !peer.requestReceived {
-			work.Fresh++
+			work.NewConnections++
 		}
 	}
 	for _, pb := range f.playbacks {
 		switch {
 		case pb == nil || pb.finished:
 		case !pb.answered:
-			work.Waiting++
+			work.Unanswered++
 		default:
 			work.Playing++
 			if pb.redirected {
-				work.Sent++
+				work.Redirected++
 			}
 		}
 	}
@@ -74,27 +74,27 @@
 	if f.lifecycle == nil {
 		return core.Never
 	}
-	f.lifecycle.At(f.now)
+	f.lifecycle.Advance(f.now)
 	work := life.Load{}
 	if state, _ := f.lifecycle.State(); state > life.Ready {
-		work = f.Carried()
+		work = f.OpenWork()
 	} else {
 		work.Playing = int(f.Figures.Playbacks)
 	}
-	return f.lifecycle.Settle(work, func(act life.Act) {
+	return f.lifecycle.Reconcile(work, func(act life.Action) {
 		switch act.Kind {
 		case life.Listen:
 			f.process.Listen()
-		case life.TellNews:
+		case life.NotifySupervisor:
 			state, _ := f.lifecycle.State()
-			f.process.News(state)
-		case life.Hush:
-			f.process.Hush()
-		case life.Refuse:
+			f.process.StateChanged(state)
+		case life.StopAccepting:
+			f.process.StopAccepting()
+		case life.RejectQueued:
 			f.startDraining()
-		case life.SendOn:
-			f.redirectSessions(act.N)
-		case life.End:
+		case life.RedirectPlaying:
+			f.redirectSessions(act.Count)
+		case life.EndPlaybacks:
 			f.Stop()
 		case life.Exit:
 			f.process.Exit()
@@ -123,17 +123,17 @@
 // retry advice where none is known.
 func (f *Front) redirectOrRefuse(peer *peerConn, baseURL string) *rtsp.Message {
 	if location := f.redirectURL(peer, baseURL); location != "" {
-		return rtsp.Answer(rtsp.StatusMoved, 0).With("Location", location)
+		return rtsp.NewResponse(rtsp.StatusMoved, 0).With("Location", location)
 	}
 	return retryLaterResponse(f.retryAdvice())
 }
 
 // retryAdvice returns the Retry-After advice of refusals that the front makes itself, 0 for none.
 func (f *Front) retryAdvice() Time {
-	if f.Silent {
+	if f.OmitRetryAfter {
 		return 0
 	}
-	return max(f.Site.Terms.MaxComeAgain, core.Second)
+	return max(f.Site.Terms.MaxRetryAfter, core.Second)
 }
 
 // redirectURL returns the URL of a title at another session manager; empty if none is ready.
@@ -169,7 +169,7 @@
 		f.Figures.SentOn++
 		peer := pb.player
 		peer.lastCSeq++
-		f.send(peer, rtsp.Request(rtsp.Redirect, pb.target.baseURL, peer.lastCSeq).With("Session", pb.sessionID).With("Location", location))
+		f.send(peer, rtsp.NewRequest(rtsp.Redirect, pb.target.baseURL, peer.lastCSeq).With("Session", pb.sessionID).With("Location", location))
 	}
 }
 
@@ -177,7 +177,7 @@
 // before this one holds.
 func (f *Front) seatsExhausted(target *playbackTarget) bool {
 	plan := &f.Site.Plans[target.plan]
-	taken := f.handover.Held(life.Seat{Plan: f.Plans[target.plan].Name, Title: target.title})
+	taken := f.handover.HeldSeats(life.Seat{Plan: f.Plans[target.plan].Name, Title: target.title})
 	if plan.Seats == 0 || taken == 0 {
 		return false
 	}
@@ -189,8 +189,8 @@
 	return taken >= plan.Seats
 }
 
-// Seats returns the number of seats that this front's playbacks hold, by plan and title.
-func (f *Front) Seats() map[life.Seat]int {
+// SeatsInUse returns the number of seats that this front's playbacks hold, by plan and title.
+func (f *Front) SeatsInUse() map[life.Seat]int {
 	seats := map[life.Seat]int{}
 	for _, pb := range f.playbacks {
 		if pb != nil && !pb.finished && f.Site.Plans[pb.target.plan].Seats > 0 {
@@ -200,37 +200,37 @@
 	return seats
 }
 
-// Succeed makes the front take over from another process, which drains. Seats and free tries are limited for
+// TakeOver makes the front take over from another process, which drains. Seats and free tries are limited for
 // both processes together, as for one session manager.
-func (f *Front) Succeed() {
-	f.handover.TrySpan = f.Site.Terms.TrySpan
-	f.handover.Take(f.now)
-	configured := f.Site.Terms.FreeTries
+func (f *Front) TakeOver() {
+	f.handover.TrySpan = f.Site.Terms.RetrySpan
+	f.handover.TookOver(f.now)
+	configured := f.Site.Terms.FreeRetries
 	var update func()
 	update = func() {
 		free, until := f.handover.FreeTries(configured, f.now)
-		if f.Site.Terms.FreeTries = free; until > 0 {
+		if f.Site.Terms.FreeRetries = free; until > 0 {
 			f.timers.Set(nil, until, update)
 		}
 	}
 	update()
 }
 
-// Adopt tears down the sessions that a dead process left at boxes. ended is called once none is left.
-func (f *Front) Adopt(orphans []life.Orphan, ended func()) {
-	f.orphans.Timeout = f.SessionTimeout
-	f.orphans.AtOnce = max(f.Bounds.Playbacks/orphanPlaybackDivisor, 1)
-	f.orphans.Take(orphans, f.now)
+// AdoptOrphans tears down the sessions that a dead process left at boxes. ended is called once none is left.
+func (f *Front) AdoptOrphans(orphans []life.Orphan, ended func()) {
+	f.orphans.SessionTimeout = f.SessionTimeout
+	f.orphans.MaxConcurrent = max(f.Bounds.Playbacks/orphanPlaybackDivisor, 1)
+	f.orphans.Add(orphans, f.now)
 	f.orphansEnded = ended
 	f.tearDownOrphans()
 }
 
 func (f *Front) tearDownOrphans() {
-	next := f.orphans.Settle(f.now, f.tearDownOrphan)
+	next := f.orphans.Dispatch(f.now, f.tearDownOrphan)
 	if next >= 0 {
 		f.orphanTimer = f.timers.Set(f.orphanTimer, max(next, f.now+1), f.tearDownOrphans)
 	}
-	if f.orphans.Left() == 0 && f.orphansEnded != nil {
+	if f.orphans.Remaining() == 0 && f.orphansEnded != nil {
 		f.orphansEnded()
 		f.orphansEnded = nil
 	}
@@ -250,20 +250,20 @@
 	})
 }
 
-// Next holds the settings that a reload changes, from the next turn on. Playbacks in set-up keep the settings
+// ReloadConfig holds the settings that a reload changes, from the next turn on. Playbacks in set-up keep the settings
 // with which they were taken.
-type Next struct {
+type ReloadConfig struct {
 	Bounds         Bounds
 	SessionTimeout Time
 	Abandon        []Time    // of the plans, in the order of Site.Plans
 	Quotas         []float64 // of the tenants, in the order of Site.Tenants
-	Queue          *fair.Terms
+	Queue          *fair.Config
 	Limits         fair.Limits
-	Life           life.Terms
+	Life           life.Timeouts
 }
 
 // Reload applies new settings between two turns.
-func (f *Front) Reload(config *Next) {
+func (f *Front) Reload(config *ReloadConfig) {
 	f.Bounds, f.SessionTimeout = config.Bounds, config.SessionTimeout
 	for i := range f.Plans {
 		f.Plans[i].Abandon = config.Abandon[i]
@@ -271,13 +271,13 @@
 	for i := range f.Site.Tenants {
 		f.Site.Tenants[i].QuotaPerS = config.Quotas[i]
 	}
-	f.Tell(config.Queue, config.Limits)
+	f.UpdateLimits(config.Queue, config.Limits)
 	if config.Queue != nil {
 		f.Queue = config.Queue
 	}
-	if f.Gate != nil { // shares from the directory take precedence over the settings
-		f.Gate.Rows.Again()
-		f.Gate.Core.TellAll()
+	if f.Access != nil { // shares from the directory take precedence over the settings
+		f.Access.Rows.Invalidate()
+		f.Access.Core.QueueAllTenants()
 	}
 	if f.lifecycle != nil {
 		f.lifecycle.Reload(config.Life)
@@ -287,8 +287,8 @@
 // shortestStartupTarget is the shortest shortestStartupTarget target of the plans.
 func shortestStartupTarget(plans []session.Plan) (shortest Time) {
 	for i, plan := range plans {
-		if i == 0 || plan.Startup < shortest {
-			shortest = plan.Startup
+		if i == 0 || plan.StartupTarget < shortest {
+			shortest = plan.StartupTarget
 		}
 	}
 	return shortest
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -20,16 +20,16 @@
 // Title is one entry of the catalogue: a title's name, the first cell that holds it, and the number of cells from
 // there on. With a number of 0 all cells hold it.
 type Title struct {
-	Name       string
-	Base, Span int
+	Name                 string
+	FirstCell, CellCount int
 }
 
-// List is an update of the server list and the catalogue.
-type List struct {
-	Servers []Server
-	Titles  []Title // nil leaves the catalogue unchanged
-	Whole   bool    // the update is complete: servers that it does not name are gone
-	Kept    bool    // saved by an earlier process: servers may have restarted since
+// ListUpdate is an update of the server list and the catalogue.
+type ListUpdate struct {
+	Servers  []Server
+	Titles   []Title // nil leaves the catalogue unchanged
+	Complete bool    // the update is complete: servers that it does not name are gone
+	Restored bool    // saved by an earlier process: servers may have restarted since
 }
 
 // boxEntry is the front's state of a server.
@@ -41,14 +41,14 @@
 	probing         bool
 }
 
-// Listed applies an update of the server list and passes it to the module. Servers of an unknown zone or kind
+// UpdateList applies an update of the server list and passes it to the module. Servers of an unknown zone or kind
 // are left out with a log message.
-func (f *Front) Listed(update List) {
-	news := session.List{Whole: update.Whole}
-	if update.Whole {
-		f.Site.StartsTold = !update.Kept
+func (f *Front) UpdateList(update ListUpdate) {
+	news := session.List{Complete: update.Complete}
+	if update.Complete {
+		f.Site.StartsListed = !update.Restored
 	}
-	if update.Whole {
+	if update.Complete {
 		for i := range f.boxes {
 			f.boxes[i].state = session.Gone
 		}
@@ -91,12 +91,12 @@
 	f.module.Listed(news)
 }
 
-// Among sets the number of fronts and the index of this one. The module reads both from the site that it was
+// SetFronts sets the number of fronts and the index of this one. The module reads both from the site that it was
 // created for, which is the one in the front's configuration.
-func (f *Front) Among(fronts, front int) { f.Site.Fronts, f.Site.Front = fronts, front }
+func (f *Front) SetFronts(fronts, front int) { f.Site.Fronts, f.Site.Front = fronts, front }
 
-// Each calls a function once for each server that is not gone.
-func (f *Front) Each(call func()) {
+// ForEachServer calls a function once for each server that is not gone.
+func (f *Front) ForEachServer(call func()) {
 	for i := range f.boxes {
 		if f.boxes[i].state != session.Gone {
 			call()
--- a/internal/front/playback_trace.go
+++ b/internal/front/playback_trace.go
@@ -4,16 +4,16 @@
 	"pierlink/session"
 )
 
-// Story records where the time of a playback went, from its first SETUP to its answer.
-type Story struct {
-	Front, Name, Plan, Title, Tenant string
-	Rung, TopRung                    int
-	ReceivedAt                       Time // its first SETUP arrived
-	AdmittedAt                       Time // the module was asked; 0 if it never was
-	Attempts                         []Attempt
-	AnsweredAt                       Time
-	Status                           int  // of the response to SETUP
-	StartupTarget, AbandonTime       Time // durations, as set when the playback was taken
+// PlaybackTrace records where the time of a playback went, from its first SETUP to its answer.
+type PlaybackTrace struct {
+	Front, RequestID, Plan, Title, Tenant string
+	Rung, TopRung                         int
+	ReceivedAt                            Time // its first SETUP arrived
+	AdmittedAt                            Time // the module was asked; 0 if it never was
+	Attempts                              []Attempt
+	AnsweredAt                            Time
+	Status                                int  // of the response to SETUP
+	StartupTarget, AbandonTime            Time // durations, as set when the playback was taken
 }
 
 // Attempt is one setup try.
@@ -26,17 +26,17 @@
 
 // reportTrace passes the trace of a playback that is being answered to the configured function.
 func (f *Front) reportTrace(pb *playback, status int) {
-	if f.Told == nil {
+	if f.OnAnswered == nil {
 		return
 	}
 	plan := pb.target.plan
-	trace := &Story{Front: f.Name, Name: pb.requestID, Plan: f.Plans[plan].Name, Title: pb.target.title,
+	trace := &PlaybackTrace{Front: f.Name, RequestID: pb.requestID, Plan: f.Plans[plan].Name, Title: pb.target.title,
 		Tenant: pb.target.tenantName, Rung: pb.rung, TopRung: pb.target.topRung,
 		ReceivedAt: pb.receivedAt, AdmittedAt: pb.admittedAt, Attempts: pb.attempts, AnsweredAt: f.now, Status: status,
-		StartupTarget: f.Site.Plans[plan].Startup, AbandonTime: pb.abandonTime}
+		StartupTarget: f.Site.Plans[plan].StartupTarget, AbandonTime: pb.abandonTime}
 	if n := len(trace.Attempts); n > 0 && trace.Attempts[n-1].Outcome < 0 {
 		trace.Attempts[n-1].Duration = f.now - trace.Attempts[n-1].StartedAt
 	}
 	pb.attempts = nil
-	f.Told(trace)
+	f.OnAnswered(trace)
 }
--- a/internal/front/player.go
+++ b/internal/front/player.go
@@ -73,12 +73,12 @@
 // playerSink handles what a player sends.
 type playerSink sink
 
-func (s *playerSink) Bad(malformed *rtsp.Malformed) {
+func (s *playerSink) Malformed(malformed *rtsp.MalformedError) {
 	f, peer := s.front, s.peer
 	f.Figures.Malformed++
 	f.log.Info("malformed request", zap.String("peer", peer.address), zap.String("what", malformed.Problem))
 	if malformed.Request {
-		f.completeReply(peer, f.reserveReply(peer, malformed.CSeq), rtsp.Answer(malformed.Status, malformed.CSeq))
+		f.completeReply(peer, f.reserveReply(peer, malformed.CSeq), rtsp.NewResponse(malformed.Status, malformed.CSeq))
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	f.Figures.Requests++
 	peer.requestReceived = true
-	if !f.limiter.Request(&peer.requestRate, f.now) {
+	if !f.limiter.AllowRequest(&peer.requestRate, f.now) {
 		f.log.Info("closing connection: request rate above the limit", zap.String("peer", peer.address))
 		f.closePlayer(peer)
 		return
@@ -159,23 +159,23 @@
 // handleRequest returns the response to a request, or nil if it is sent later.
 func (f *Front) handleRequest(peer *peerConn, request *rtsp.Message, reply *pendingReply) *rtsp.Message {
 	if required := request.Get("Require"); required != "" {
-		return rtsp.Answer(rtsp.StatusOptionNotSupported, 0).With("Unsupported", required)
+		return rtsp.NewResponse(rtsp.StatusOptionNotSupported, 0).With("Unsupported", required)
 	}
 	var pb *playback
-	if id, _ := rtsp.SessionID(request.Get("Session")); id != "" {
-		if pb = f.sessions[id]; pb == nil && request.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.Known(id) {
-			return f.setParameters(nil, request, rtsp.Answer(rtsp.StatusOK, 0))
+	if id, _ := rtsp.ParseSession(request.Get("Session")); id != "" {
+		if pb = f.sessions[id]; pb == nil && request.Method == rtsp.SetParameter && f.Quality != nil && f.Quality.IsOpen(id) {
+			return f.setParameters(nil, request, rtsp.NewResponse(rtsp.StatusOK, 0))
 		} else if pb == nil || pb.player != peer {
-			return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
+			return rtsp.NewResponse(rtsp.StatusSessionNotFound, 0)
 		}
 	}
-	response := rtsp.Answer(rtsp.StatusOK, 0)
+	response := rtsp.NewResponse(rtsp.StatusOK, 0)
 	if pb != nil {
 		response.With("Session", f.sessionHeader(pb))
 	}
 	switch request.Method {
 	case rtsp.Options:
-		return response.With("Public", rtsp.Supported(rtsp.Options, rtsp.Describe, rtsp.Setup, rtsp.Play, rtsp.Pause,
+		return response.With("Public", rtsp.JoinMethods(rtsp.Options, rtsp.Describe, rtsp.Setup, rtsp.Play, rtsp.Pause,
 			rtsp.GetParameter, rtsp.SetParameter, rtsp.Teardown))
 	case rtsp.Describe:
 		return f.describe(request)
@@ -187,12 +187,12 @@
 		return f.setParameters(pb, request, response)
 	case rtsp.Play, rtsp.Pause, rtsp.Teardown:
 	case "ANNOUNCE", "RECORD", rtsp.Redirect:
-		return rtsp.Answer(rtsp.StatusMethodNotAllowed, 0)
+		return rtsp.NewResponse(rtsp.StatusMethodNotAllowed, 0)
 	default:
-		return rtsp.Answer(rtsp.StatusNotImplemented, 0)
+		return rtsp.NewResponse(rtsp.StatusNotImplemented, 0)
 	}
 	if pb == nil {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, 0)
+		return rtsp.NewResponse(rtsp.StatusSessionNotFound, 0)
 	}
 	switch request.Method {
 	case rtsp.Play:
@@ -200,7 +200,7 @@
 		return response.With("Range", request.Get("Range"))
 	case rtsp.Pause:
 		if !pb.playing {
-			return rtsp.Answer(rtsp.StatusNotValidInState, 0)
+			return rtsp.NewResponse(rtsp.StatusNotValidInState, 0)
 		}
 		pb.playing = false
 		if pb.upstream != nil && pb.upstream.state == statePlaying {
@@ -209,7 +209,7 @@
 		return response
 	default:
 		f.finish(pb, session.OK)
-		return rtsp.Answer(rtsp.StatusOK, 0)
+		return rtsp.NewResponse(rtsp.StatusOK, 0)
 	}
 }
 
@@ -221,9 +221,9 @@
 // getParameters answers GET_PARAMETER; without a body it is a keepalive (RFC 2326 section 10.8).
 func (f *Front) getParameters(pb *playback, request, response *rtsp.Message) *rtsp.Message {
 	var fields []rtsp.Field
-	for _, parameter := range rtsp.Parameters(request.Body) {
+	for _, parameter := range rtsp.ParseParameters(request.Body) {
 		if pb == nil || parameter.Name != "rung" {
-			return rtsp.Answer(rtsp.StatusParameterUnknown, 0)
+			return rtsp.NewResponse(rtsp.StatusParameterUnknown, 0)
 		}
 		fields = append(fields, rtsp.Field{Name: "rung", Value: strconv.Itoa(pb.rung)})
 	}
@@ -293,11 +293,11 @@
 func (f *Front) describe(request *rtsp.Message) *rtsp.Message {
 	target, status := f.parseURL(request.URI)
 	if status != 0 {
-		return rtsp.Answer(status, 0)
+		return rtsp.NewResponse(status, 0)
 	}
 	if accept := request.Get("Accept"); accept != "" && !strings.Contains(accept, "application/sdp") &&
 		!strings.Contains(accept, "*/*") {
-		return rtsp.Answer(415, 0)
+		return rtsp.NewResponse(415, 0)
 	}
 	base, query, _ := strings.Cut(target.baseURL, "?")
 	if query != "" {
@@ -315,9 +315,9 @@
 	}
 	body, err := description.Marshal()
 	if err != nil {
-		return rtsp.Answer(rtsp.StatusInternal, 0)
+		return rtsp.NewResponse(rtsp.StatusInternal, 0)
 	}
-	response := rtsp.Answer(rtsp.StatusOK, 0).With("Content-Type", "application/sdp").With("Content-Base", target.baseURL)
+	response := rtsp.NewResponse(rtsp.StatusOK, 0).With("Content-Type", "application/sdp").With("Content-Base", target.baseURL)
 	response.Body = body
 	return response
 }
@@ -327,20 +327,20 @@
 func (f *Front) setup(peer *peerConn, pb *playback, request *rtsp.Message, reply *pendingReply) *rtsp.Message {
 	target, status := f.parseURL(request.URI)
 	if status != 0 {
-		return rtsp.Answer(status, 0)
+		return rtsp.NewResponse(status, 0)
 	}
 	if target.track < 0 && len(f.Plans[target.plan].Tracks) > 1 {
-		return rtsp.Answer(rtsp.StatusAggregateNotAllowed, 0)
+		return rtsp.NewResponse(rtsp.StatusAggregateNotAllowed, 0)
 	}
 	target.track = max(target.track, 0)
 	var transport rtsp.Transport
-	for _, choice := range rtsp.Transports(request.Get("Transport")) {
-		if choice.TCP() && transport.Profile == "" {
+	for _, choice := range rtsp.ParseTransports(request.Get("Transport")) {
+		if choice.IsTCP() && transport.Profile == "" {
 			transport = choice
 		}
 	}
 	if transport.Profile == "" { // RTP over UDP is not supported
-		return rtsp.Answer(rtsp.StatusUnsupportedTransport, 0)
+		return rtsp.NewResponse(rtsp.StatusUnsupportedTransport, 0)
 	}
 	if refused := peer.lastRefused; refused != nil && pb == nil && refused.baseURL == target.baseURL && refused.tracks&(1<<target.track) == 0 {
 		refused.tracks |= 1 << target.track // a further track of the playback just refused, sent before the refusal arrived
@@ -355,7 +355,7 @@
 			}
 		}
 	} else if pb.target.baseURL != target.baseURL {
-		return rtsp.Answer(rtsp.StatusAggregateNotAllowed, 0)
+		return rtsp.NewResponse(rtsp.StatusAggregateNotAllowed, 0)
 	}
 	if pb != nil {
 		for _, binding := range pb.bindings {
@@ -372,7 +372,7 @@
 		peer.channels = append(peer.channels, make([]*trackBinding, int(c)+1-len(peer.channels))...)
 	}
 	if peer.channels[transport.RTP] != nil || peer.channels[transport.RTCP] != nil {
-		return rtsp.Answer(rtsp.StatusBadRequest, 0)
+		return rtsp.NewResponse(rtsp.StatusBadRequest, 0)
 	}
 	if pb == nil {
 		receivedAt := f.now
@@ -407,7 +407,7 @@
 	response := f.awaitSetup(pb, &pendingSetup{reply, binding})
 	if len(pb.bindings) == 1 {
 		f.Figures.Taken++
-		if f.Gate != nil {
+		if f.Access != nil {
 			f.authorize(pb, request)
 			return response
 		}
@@ -428,13 +428,13 @@
 	f.lastQueueID++
 	pb.queueID = f.lastQueueID
 	f.waiting[pb.queueID] = pb
-	f.queue.Offer(fair.Ask{ID: pb.queueID, Tenant: pb.target.queueTenant, Client: hostOf(pb.player.address),
+	f.queue.Offer(fair.Request{ID: pb.queueID, Tenant: pb.target.queueTenant, Client: hostOf(pb.player.address),
 		Bytes: pb.credentials.requestBytes, Token: pb.credentials.token,
-		Startup: pb.receivedAt + plan.Startup, Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime)})
+		StartupDeadline: pb.receivedAt + plan.StartupTarget, AbandonDeadline: decisionDeadline(pb.receivedAt, pb.abandonTime)})
 }
 
 // queueDecided handles a decision of the admission queue.
-func (f *Front) queueDecided(verdict fair.Verdict) {
+func (f *Front) queueDecided(verdict fair.Decision) {
 	pb := f.waiting[verdict.ID]
 	delete(f.waiting, verdict.ID)
 	if pb == nil || pb.finished {
@@ -445,7 +445,7 @@
 		return
 	}
 	f.Figures.Refused++
-	f.reject(pb, retryLaterResponse(verdict.ComeAgain).With("Come-Again", verdict.Token))
+	f.reject(pb, retryLaterResponse(verdict.RetryAfter).With("Come-Again", verdict.Token))
 }
 
 // freeChannel returns the first free pair's even channel on a connection, 254 if all are taken.
@@ -471,7 +471,7 @@
 func (f *Front) setupResponse(pb *playback, binding *trackBinding) *rtsp.Message {
 	binding.ready = true
 	transport := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: binding.rtp, RTCP: binding.rtcp}
-	return rtsp.Answer(rtsp.StatusOK, 0).With("Session", f.sessionHeader(pb)).With("Transport", transport.String()).
+	return rtsp.NewResponse(rtsp.StatusOK, 0).With("Session", f.sessionHeader(pb)).With("Transport", transport.String()).
 		With("Request-Id", pb.requestID)
 }
 
@@ -493,14 +493,14 @@
 	titleID, titleHash := f.titles.acquire(pb.target.title)
 	title := f.titles.catalogue[pb.target.title]
 	pb.rung = f.Site.Plans[pb.target.plan].Floor
-	pb.request = session.Request{Playback: pb.id, Plan: pb.target.plan, Tenant: pb.target.tenant, Title: titleID, Show: titleHash,
-		Abandon: decisionDeadline(pb.receivedAt, pb.abandonTime), Top: pb.target.topRung, Base: title.Base, Span: title.Span}
+	pb.request = session.Request{Playback: pb.id, Plan: pb.target.plan, Tenant: pb.target.tenant, Title: titleID, TitleID: titleHash,
+		AbandonAt: decisionDeadline(pb.receivedAt, pb.abandonTime), Top: pb.target.topRung, FirstCell: title.FirstCell, CellCount: title.CellCount}
 	f.module.Requested(pb.request)
 	if !pb.answered {
 		pb.admittedAt = f.now
 	}
 	if !pb.answered {
-		pb.deadlineTimer = f.timers.Set(pb.deadlineTimer, pb.request.Abandon, func() { f.deadlineReached(pb) })
+		pb.deadlineTimer = f.timers.Set(pb.deadlineTimer, pb.request.AbandonAt, func() { f.deadlineReached(pb) })
 	}
 }
 
@@ -522,7 +522,7 @@
 	f.log.Warn("no decision by the module before the fallback deadline; answered 500", zap.String("request", pb.requestID))
 	f.Figures.Failed++
 	f.withdraw(pb)
-	f.reject(pb, rtsp.Answer(rtsp.StatusInternal, 0))
+	f.reject(pb, rtsp.NewResponse(rtsp.StatusInternal, 0))
 }
 
 // reject sends the response of a playback that does not play to all its SETUPs, and releases the playback.
@@ -608,12 +608,12 @@
 func (f *Front) withdraw(pb *playback) {
 	f.timers.Stop(pb.deadlineTimer)
 	if pb.authorizationID > 0 {
-		f.Gate.Core.Cancel(pb.authorizationID)
+		f.Access.Core.Cancel(pb.authorizationID)
 		delete(f.authorizing, pb.authorizationID)
 		pb.authorizationID = 0
 	}
 	if pb.queueID > 0 {
-		f.queue.Gone(pb.queueID)
+		f.queue.Cancel(pb.queueID)
 		delete(f.waiting, pb.queueID)
 		pb.queueID = 0
 	}
@@ -654,7 +654,7 @@
 // be repeated and may have run, the response is an error: after a refusal the player would try again.
 func (f *Front) stopResponse(pb *playback) *rtsp.Message {
 	if pb.tries > 0 && f.Site.Plans[pb.target.plan].Repeat == session.Unsafe {
-		return rtsp.Answer(rtsp.StatusInternal, 0)
+		return rtsp.NewResponse(rtsp.StatusInternal, 0)
 	}
 	return f.redirectOrRefuse(pb.player, pb.target.baseURL)
 }
@@ -683,7 +683,7 @@
 	f.timers.Stop(pb.deadlineTimer)
 	f.closeQualityRecord(pb)
 	if pb.seat != "" {
-		f.Gate.Core.Over(pb.seat)
+		f.Access.Core.ReleaseSeat(pb.seat)
 		pb.seat = ""
 	}
 	delete(f.sessions, pb.sessionID)
--- a/internal/front/quality.go
+++ b/internal/front/quality.go
@@ -18,7 +18,7 @@
 	}
 	f.qualityRecords++
 	pb.qualityRecord = "#" + strconv.FormatInt(f.qualityRecords, 10)
-	f.Quality.Taken(pb.qualityRecord, pb.target.plan, pb.target.title, pb.receivedAt)
+	f.Quality.Begin(pb.qualityRecord, pb.target.plan, pb.target.title, pb.receivedAt)
 }
 
 // rackOf returns the rack of a server, -1 if unknown.
@@ -35,14 +35,14 @@
 		return
 	}
 	if pb.qualityRecord != pb.sessionID {
-		f.Quality.Name(pb.qualityRecord, pb.sessionID)
+		f.Quality.Rename(pb.qualityRecord, pb.sessionID)
 		pb.qualityRecord = pb.sessionID
 	}
 	rack := -1
 	if pb.upstream != nil {
 		rack = f.rackOf(pb.upstream.server)
 	}
-	f.Quality.Plays(pb.qualityRecord, rack, pb.rung, f.now)
+	f.Quality.Playing(pb.qualityRecord, rack, pb.rung, f.now)
 }
 
 // closeQualityRecord ends the quality record of a playback.
@@ -53,7 +53,7 @@
 	if pb.sessionID == "" { // never played
 		f.Quality.Failed(pb.qualityRecord, f.rackOf(pb.lastServer))
 	}
-	f.Quality.Ended(pb.qualityRecord, f.now)
+	f.Quality.End(pb.qualityRecord, f.now)
 	pb.qualityRecord = ""
 }
 
@@ -61,16 +61,16 @@
 // the quality that the player saw (docs/wire.md). Reports are accepted for a while after the end of their session.
 // If any parameter is unknown, none is applied.
 func (f *Front) setParameters(pb *playback, request, response *rtsp.Message) *rtsp.Message {
-	parameters := rtsp.Parameters(request.Body)
+	parameters := rtsp.ParseParameters(request.Body)
 	if len(parameters) == 0 {
 		return response
 	}
-	id, _ := rtsp.SessionID(request.Get("Session"))
+	id, _ := rtsp.ParseSession(request.Get("Session"))
 	var reports []quality.Report
 	for _, parameter := range parameters {
 		report, valid := parseReport(parameter.Value)
 		if f.Quality == nil || id == "" || parameter.Name != "report" || !valid {
-			return rtsp.Answer(rtsp.StatusParameterUnknown, 0)
+			return rtsp.NewResponse(rtsp.StatusParameterUnknown, 0)
 		}
 		reports = append(reports, report)
 	}
@@ -99,14 +99,14 @@
 		}
 		numbers[i] = Time(math.Round(number * 1e6))
 	}
-	result = quality.Report{Seq: uint32(seq), Clock: numbers[0], At: numbers[1]}
+	result = quality.Report{Seq: uint32(seq), SentAt: numbers[0], OccurredAt: numbers[1]}
 	switch words[3] {
 	case "startup":
-		result.What, result.Span = quality.Startup, numbers[2]
+		result.Type, result.Duration = quality.StartupReport, numbers[2]
 	case "stall":
-		result.What, result.Span = quality.Stall, numbers[2]
+		result.Type, result.Duration = quality.StallReport, numbers[2]
 	case "rung":
-		result.What, result.Rung = quality.Rung, int(numbers[2]/1e6)
+		result.Type, result.Rung = quality.RungReport, int(numbers[2]/1e6)
 	default:
 		return result, false
 	}
@@ -116,7 +116,7 @@
 // settleQuality logs the racks and titles whose service is worse than that of the others, and when it no longer
 // is.
 func (f *Front) settleQuality() Time {
-	return f.Quality.Settle(func(alarm quality.Alarm) {
+	return f.Quality.Evaluate(func(alarm quality.Alarm) {
 		kind, name := "rack", strconv.Itoa(alarm.Rack)
 		if alarm.Kind == quality.Title {
 			kind, name = "title", alarm.Title
@@ -125,7 +125,7 @@
 			f.log.Info("service quality back to that of the others", zap.String(kind, name))
 			return
 		}
-		f.log.Warn("service quality worse than that of the others", zap.String(kind, name), zap.Float64("lost", alarm.Lost),
-			zap.Float64("others", alarm.Rest))
+		f.log.Warn("service quality worse than that of the others", zap.String(kind, name), zap.Float64("lost", alarm.Loss),
+			zap.Float64("others", alarm.OthersLoss))
 	})
 }
--- a/internal/front/relay_test.go
+++ b/internal/front/relay_test.go
@@ -13,7 +13,7 @@
 // idleModule is a module that makes no decisions.
 type idleModule struct{ session.Manager }
 
-func (idleModule) At(session.Time)        {}
+func (idleModule) BeginTurn(session.Time) {}
 func (idleModule) Settle(session.Actions) {}
 
 // countingNetwork is a network that counts the bytes sent.
@@ -36,20 +36,20 @@
 
 // newRelay returns a front with one playing playback, and the connection to its box.
 func newRelay(network *countingNetwork) (*Front, *core.Conn) {
-	f := New(&Service{SessionTimeout: core.Second, Bounds: Bounds{Connections: 9, Playbacks: 9, Pipelined: 9, PlayerBytes: 1 << 16}},
+	f := New(&Config{SessionTimeout: core.Second, Bounds: Bounds{Connections: 9, Playbacks: 9, Pipelined: 9, PlayerBytes: 1 << 16}},
 		idleModule{}, network, zap.NewNop(), 1)
 	playerConn := &core.Conn{}
-	f.At(1)
+	f.BeginTurn(1)
 	f.Accepted(playerConn, "a")
 	peer := playerConn.Owner.(*peerConn)
 	pb := &playback{player: peer, playing: true, answered: true}
 	pb.bindings = []*trackBinding{{pb: pb, rtcp: 1, kind: videoUnit, ready: true}}
 	boxConn := &core.Conn{}
 	dialogue := &serverDialogue{playback: pb, state: statePlaying, connected: true}
-	dialogue.peer = &peerConn{conn: boxConn, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.Usual}}
+	dialogue.peer = &peerConn{conn: boxConn, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 	dialogue.peer.sink = sink{f, dialogue.peer}
 	boxConn.Owner, pb.upstream = dialogue.peer, dialogue
-	f.Settle()
+	f.EndTurn()
 	return f, boxConn
 }
 
@@ -69,12 +69,12 @@
 	chunk := mediaChunk()
 	now := Time(2)
 	turn := func() {
-		f.At(now)
+		f.BeginTurn(now)
 		f.Received(boxConn, chunk[:len(chunk)/2+300])
-		f.Settle()
-		f.At(now)
+		f.EndTurn()
+		f.BeginTurn(now)
 		f.Received(boxConn, chunk[len(chunk)/2+300:])
-		f.Settle()
+		f.EndTurn()
 	}
 	for range 100 {
 		turn()
@@ -94,8 +94,8 @@
 	b.SetBytes(int64(len(chunk)))
 	b.ReportAllocs()
 	for b.Loop() {
-		f.At(2)
+		f.BeginTurn(2)
 		f.Received(boxConn, chunk)
-		f.Settle()
+		f.EndTurn()
 	}
 }
--- a/internal/front/rules.go
+++ b/internal/front/rules.go
@@ -32,7 +32,7 @@
 func probeLimit(site *session.Site) Time {
 	longest := Time(0)
 	for _, plan := range site.Plans {
-		longest = max(longest, plan.Startup)
+		longest = max(longest, plan.StartupTarget)
 	}
 	return longest / probeStartupDivisor
 }
--- a/internal/front/scenario_test.go
+++ b/internal/front/scenario_test.go
@@ -31,7 +31,7 @@
 type scenario struct {
 	t               *testing.T
 	line            string
-	config          *front.Service
+	config          *front.Config
 	manager         *front.Front
 	now             core.Time
 	nextTurn        core.Time
@@ -45,10 +45,10 @@
 	sessionIDs      map[string]string
 	recordedActions []string
 	receivedBytes   map[string]int
-	lifecycle       *life.Life // nil unless the scenario sets one
+	lifecycle       *life.Lifecycle // nil unless the scenario sets one
 	otherManagers   []string
 	access          *tenants.Core
-	lookup          tenants.Want
+	lookup          tenants.Request
 	nonce           string
 }
 
@@ -71,7 +71,7 @@
 func (s *scenario) Send(c *core.Conn, b []byte) {
 	name := s.connNames[c]
 	if s.parsers[name] == nil {
-		s.parsers[name] = &rtsp.Parser{Bounds: rtsp.Usual}
+		s.parsers[name] = &rtsp.Parser{Bounds: rtsp.DefaultBounds}
 	}
 	s.receivedBytes[name] += len(b)
 	if s.unsentBytes[name] > 0 {
@@ -84,12 +84,12 @@
 		s.t.Errorf("%s: %s received malformed output: %v", s.line, name, err)
 	}
 }
-func (s *scenario) Listen()                  {}
-func (s *scenario) Hush()                    { s.record("hush"); s.manager.Life().Hushed() }
-func (s *scenario) Exit()                    { s.record("exit") }
-func (s *scenario) News(state life.State)    { s.record("state %s", state) }
-func (s *scenario) Pending(c *core.Conn) int { return s.unsentBytes[s.connNames[c]] }
-func (s *scenario) Close(c *core.Conn)       { s.record("%s closed", s.connNames[c]) }
+func (s *scenario) Listen()                       {}
+func (s *scenario) StopAccepting()                { s.record("hush"); s.manager.Lifecycle().AcceptStopped() }
+func (s *scenario) Exit()                         { s.record("exit") }
+func (s *scenario) StateChanged(state life.State) { s.record("state %s", state) }
+func (s *scenario) Pending(c *core.Conn) int      { return s.unsentBytes[s.connNames[c]] }
+func (s *scenario) Close(c *core.Conn)            { s.record("%s closed", s.connNames[c]) }
 
 // messageRecorder records the messages and frames that the front sends on one connection.
 type messageRecorder struct {
@@ -97,7 +97,7 @@
 	party    string
 }
 
-func (r *messageRecorder) Bad(malformed *rtsp.Malformed) {
+func (r *messageRecorder) Malformed(malformed *rtsp.MalformedError) {
 	r.scenario.t.Errorf("%s: the front sent a malformed message: %v", r.scenario.line, malformed)
 }
 func (r *messageRecorder) Frame(channel byte, payload []byte) {
@@ -109,7 +109,7 @@
 		text += message.Method
 	} else {
 		text += strconv.Itoa(message.Status)
-		if id, _ := rtsp.SessionID(message.Get("Session")); id != "" {
+		if id, _ := rtsp.ParseSession(message.Get("Session")); id != "" {
 			r.scenario.sessionIDs[r.party] = id
 		}
 	}
@@ -128,22 +128,22 @@
 	r.scenario.record("%s", text)
 }
 
-func newConfig() *front.Service {
+func newConfig() *front.Config {
 	tracks := []front.Track{{Media: "video", Encoding: "H264/90000", Payload: 96}, {Media: "audio", Encoding: "opus/48000", Payload: 97}}
-	return &front.Service{Name: "front", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"),
-		SessionTimeout: 20 * core.Second, Plans: []front.Face{{Name: "live", Abandon: 4 * core.Second, Tracks: tracks},
+	return &front.Config{Name: "front", Zones: []string{"z"}, Kinds: []string{"std"}, Secret: []byte("s"),
+		SessionTimeout: 20 * core.Second, Plans: []front.PlanProfile{{Name: "live", Abandon: 4 * core.Second, Tracks: tracks},
 			{Name: "paid", Abandon: 4 * core.Second, Tracks: tracks[:1]}},
 		Bounds: front.Bounds{Connections: 100, Playbacks: 100, Pipelined: 8, PlayerBytes: 32 << 10},
-		Site: session.Site{Fronts: 1, Plans: []session.Plan{{Startup: core.Second, Revenue: 1, RateFactor: 1, Top: 1},
-			{Startup: core.Second, Revenue: 1, RateFactor: 1, Top: 1, Repeat: session.Unsafe}},
-			Ladder: session.Ladder{RateKB: []float64{10, 20}, Worth: []float64{.5, 1}, Join: 1, Change: 5e5},
-			Fleet: session.Fleet{Cells: 3, Racks: 1, LinksKB: 3000, UplinkKB: 3000, KBPerWeight: 1000, WeightsTold: true,
-				Places: []float64{100}, NoteDelay: 1e6, NoteEvery: 3e6, LoadInAnswers: true, LoadInProbes: true},
-			Terms: session.Terms{ColdFrom: .5, WarmUp: 1e5, FallMultiple: 4, FallSpan: 1e6, MaxTries: 3, MaxComeAgain: 2e6}}}
+		Site: session.Site{Fronts: 1, Plans: []session.Plan{{StartupTarget: core.Second, Revenue: 1, RateFactor: 1, Top: 1},
+			{StartupTarget: core.Second, Revenue: 1, RateFactor: 1, Top: 1, Repeat: session.Unsafe}},
+			Ladder: session.Ladder{RateKB: []float64{10, 20}, RevenueShare: []float64{.5, 1}, Join: 1, RungChangeCost: 5e5},
+			Fleet: session.Fleet{Cells: 3, Racks: 1, TotalLinkKB: 3000, UplinkKB: 3000, KBPerWeight: 1000, WeightsListed: true,
+				MaxStreams: []float64{100}, NoteDelay: 1e6, NoteInterval: 3e6, LoadInAnswers: true, LoadInProbes: true},
+			Terms: session.Terms{ColdShare: .5, WarmUp: 1e5, ColdMultiple: 4, ColdSpan: 1e6, MaxTries: 3, MaxRetryAfter: 2e6}}}
 }
 
 func (s *scenario) updateList(state map[string]session.ServerState, whole bool) {
-	update := front.List{Whole: whole}
+	update := front.ListUpdate{Complete: whole}
 	for i := range 3 {
 		name := "box-" + strconv.Itoa(i)
 		if serverState, ok := state[name]; ok {
@@ -154,16 +154,16 @@
 			update.Servers = append(update.Servers, front.Server{Name: name, Address: name, Zone: "z", Kind: "std", Cell: i, Weight: 1, State: serverState})
 		}
 	}
-	s.manager.Listed(update)
+	s.manager.UpdateList(update)
 }
 
 // turn runs one turn of the front at the present time of the scenario's clock.
 func (s *scenario) turn(event func()) {
-	s.manager.At(s.now)
+	s.manager.BeginTurn(s.now)
 	if event != nil {
 		event()
 	}
-	s.nextTurn = s.manager.Settle()
+	s.nextTurn = s.manager.EndTurn()
 }
 
 func (s *scenario) advance(until core.Time) {
@@ -192,9 +192,9 @@
 	}
 	delete(options, "cseq")
 	status, err := strconv.Atoi(words[0])
-	message := rtsp.Answer(status, cseq)
+	message := rtsp.NewResponse(status, cseq)
 	if err != nil {
-		message = rtsp.Request(words[0], "rtsp://front/"+path, cseq)
+		message = rtsp.NewRequest(words[0], "rtsp://front/"+path, cseq)
 	}
 	if channel, err := strconv.Atoi(options["ch"]); err == nil {
 		message.With("Transport", rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: byte(channel), RTCP: byte(channel + 1)}.String())
@@ -243,38 +243,38 @@
 	case party == "stop":
 		s.turn(s.manager.Stop)
 	case party == "halt":
-		s.turn(func() { s.manager.Life().Stop() })
+		s.turn(func() { s.manager.Lifecycle().Stop() })
 	case party == "handed":
-		s.turn(func() { s.manager.Life().TakenOver() })
+		s.turn(func() { s.manager.Lifecycle().TakenOver() })
 	case party == "late":
 		seconds, _ := strconv.ParseFloat(words[1], 64)
 		s.manager.Turned(core.Time(seconds*1e6), 0)
 	case party == "came": // came SECONDS who event: the event arrived SECONDS ago
 		seconds, _ := strconv.ParseFloat(words[1], 64)
-		s.manager.At(s.now)
+		s.manager.BeginTurn(s.now)
 		s.manager.Came(s.now - core.Time(seconds*1e6))
 		s.manager.Received(s.conns[words[2]], s.message(words[2], words[3:]))
-		s.nextTurn = s.manager.Settle()
+		s.nextTurn = s.manager.EndTurn()
 		s.manager.Turned(0, 0)
 	case party == "found" || party == "none": // the directory answers the pending look-up
 		s.turn(func() {
 			switch {
 			case party == "none":
-				s.access.Looked(s.lookup.Try, nil)
+				s.access.HandleLookup(s.lookup.Attempt, nil)
 				return
 			case words[1] == "ann":
-				s.access.Looked(s.lookup.Try, &tenants.Record{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")})
+				s.access.HandleLookup(s.lookup.Attempt, &tenants.Record{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")})
 				return
 			}
-			s.access.Looked(s.lookup.Try, &tenants.Record{ID: "9", Kind: tenants.Member, Name: words[1], Tenant: "school"})
+			s.access.HandleLookup(s.lookup.Attempt, &tenants.Record{ID: "9", Kind: tenants.Member, Name: words[1], Tenant: "school"})
 		})
 	case party == "orphan":
 		s.turn(func() {
-			s.manager.Adopt([]life.Orphan{{Name: words[2], Address: words[1], URI: "rtsp://" + words[1] + "/live/t"}}, func() { s.record("settled") })
+			s.manager.AdoptOrphans([]life.Orphan{{Name: words[2], Address: words[1], URI: "rtsp://" + words[1] + "/live/t"}}, func() { s.record("settled") })
 		})
 	case party == "reload":
 		abandonSeconds, _ := strconv.ParseFloat(words[2], 64)
-		config := &front.Next{Bounds: s.config.Bounds, SessionTimeout: s.config.SessionTimeout}
+		config := &front.ReloadConfig{Bounds: s.config.Bounds, SessionTimeout: s.config.SessionTimeout}
 		for range s.config.Plans {
 			config.Abandon = append(config.Abandon, core.Time(abandonSeconds*1e6))
 		}
@@ -296,7 +296,7 @@
 	case words[1] == "refused":
 		s.turn(func() { s.manager.Dialed(conn, core.ErrRefused) })
 	case words[1] == "close":
-		s.turn(func() { s.manager.Closed(conn, core.ErrEnded) })
+		s.turn(func() { s.manager.Closed(conn, core.ErrClosedByPeer) })
 	case words[1] == "stuck":
 		s.unsentBytes[party] = 1
 	case words[1] == "drains":
@@ -361,38 +361,38 @@
 		case "playbacks":
 			s.config.Bounds.Playbacks = value
 		case "halfopen":
-			s.config.Limits.HalfOpen = value
+			s.config.Limits.MaxHalfOpen = value
 		case "silent": // no Retry-After advice
-			s.config.Silent, s.config.Site.Terms.MaxComeAgain = true, 0
+			s.config.OmitRetryAfter, s.config.Site.Terms.MaxRetryAfter = true, 0
 		case "queue":
-			s.config.Queue = &fair.Terms{Waiting: value, Bytes: 1 << 20, Tenants: 9, Clients: 9, Silent: s.config.Silent}
+			s.config.Queue = &fair.Config{MaxWaiting: value, MaxBytes: 1 << 20, MaxTenants: 9, MaxIdleClients: 9, WithholdRetryTime: s.config.OmitRetryAfter}
 		case "seats": // per title of the paid plan
 			s.config.Site.Plans[1].Seats = value
 		case "ration": // budget of further tries per 10 s
 			terms := &s.config.Site.Terms
-			terms.Rationed, terms.FreeTries, terms.TrySpan, terms.MaxTries = true, float64(value), 10*core.Second, 9
+			terms.RetriesLimited, terms.FreeRetries, terms.RetrySpan, terms.MaxTries = true, float64(value), 10*core.Second, 9
 		case "drain":
-			s.lifecycle = life.New(life.Terms{Drain: core.Time(value) * core.Second, Finish: 4 * core.Second}, core.Second)
-			for part := life.Settings; part <= life.Module; part++ {
-				s.lifecycle.Has(part)
+			s.lifecycle = life.New(life.Timeouts{Drain: core.Time(value) * core.Second, MaxAbandonTime: 4 * core.Second}, core.Second)
+			for part := life.SettingsLoaded; part <= life.PolicyLoaded; part++ {
+				s.lifecycle.Satisfy(part)
 			}
 		case "others":
 			s.otherManagers = strings.Split(words[2], ",")
 		case "gate": // 0: access control without authentication; 1: with it
-			s.access = tenants.New(tenants.Terms{Longest: 60e6, Renew: 30e6, Timeout: 1e6, Negative: 1e6, Waiting: 10, Lookups: 2}, core.Second)
-			s.access.Resume([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "school", Plans: []string{"live"}, Seats: 2},
-				{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")}}, tenants.Mark{Cookie: []byte("c")}, core.Second)
-			s.config.Gate = &front.Gate{Core: s.access, Realm: map[int]string{1: "pier"}[value],
-				Guesses: tenants.Guesses{Span: 60e6}, Ask: func(want tenants.Want) {
-					if s.lookup = want; want.Act == tenants.Look {
-						s.record("asks %s", want.Account)
+			s.access = tenants.New(tenants.Config{MaxAge: 60e6, SyncInterval: 30e6, Timeout: 1e6, NegativeTTL: 1e6, MaxWaiting: 10, MaxLookups: 2}, core.Second)
+			s.access.Restore([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "school", Plans: []string{"live"}, Seats: 2},
+				{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "school", Digest: digestHex("ann", "pier", "secret")}}, tenants.Checkpoint{Cookie: []byte("c")}, core.Second)
+			s.config.Access = &front.AccessControl{Core: s.access, Realm: map[int]string{1: "pier"}[value],
+				FailedLogins: tenants.FailureLimiter{HalfLife: 60e6}, Lookup: func(want tenants.Request) {
+					if s.lookup = want; want.Op == tenants.LookUpMember {
+						s.record("asks %s", want.Name)
 					}
 				}}
 		case "quality": // seconds after a session's end in which reports are accepted
-			s.config.Quality = quality.New(quality.Terms{Plans: make([]quality.Plan, len(s.config.Site.Plans)), Worth: s.config.Site.Ladder.Worth, Racks: 1, Titles: 9,
-				Playbacks: 9, Width: core.Second, Buckets: 60, Late: core.Time(value) * core.Second}, core.Second)
+			s.config.Quality = quality.New(quality.Config{Plans: make([]quality.Plan, len(s.config.Site.Plans)), RungWorth: s.config.Site.Ladder.RevenueShare, Racks: 1, MaxTitles: 9,
+				MaxPlaybacks: 9, BucketWidth: core.Second, BucketCount: 60, ReportGrace: core.Time(value) * core.Second}, core.Second)
 		case "requests": // limit per second and connection
-			s.config.Limits.PerConnection = float64(value)
+			s.config.Limits.RequestsPerConnection = float64(value)
 		default:
 			s.t.Fatal(s.line)
 		}
@@ -414,8 +414,8 @@
 		if s.manager == nil {
 			s.now = core.Second
 			s.manager = front.New(s.config, policy.New(&s.config.Site, 7, s.now), s, zap.NewNop(), s.now)
-			if s.manager.Others().Set(s.otherManagers); s.lifecycle != nil {
-				s.manager.Live(s.lifecycle, s)
+			if s.manager.OtherManagers().Set(s.otherManagers); s.lifecycle != nil {
+				s.manager.AttachLifecycle(s.lifecycle, s)
 			}
 			s.turn(func() {
 				s.updateList(map[string]session.ServerState{"box-0": session.Ready, "box-1": session.Ready, "box-2": session.Ready}, true)
--- a/internal/front/upstream.go
+++ b/internal/front/upstream.go
@@ -59,7 +59,7 @@
 
 func (f *Front) dialAddress(dialogue *serverDialogue, name, address string) {
 	c := &core.Conn{}
-	dialogue.peer = &peerConn{conn: c, address: name, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.Usual}}
+	dialogue.peer = &peerConn{conn: c, address: name, dialogue: dialogue, parser: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 	dialogue.peer.sink = sink{f, dialogue.peer}
 	c.Owner = dialogue.peer
 	dialogue.startedAt = f.now
@@ -72,14 +72,14 @@
 func (f *Front) startTry(pb *playback, server int, limit Time) {
 	f.Figures.Tries++
 	pb.lastServer = server
-	if f.Told != nil && !pb.answered {
+	if f.OnAnswered != nil && !pb.answered {
 		pb.attempts = append(pb.attempts, Attempt{Box: f.boxes[server].name, Rung: pb.rung, StartedAt: f.now, Outcome: -1})
 	}
 	dialogue := &serverDialogue{server: server, playback: pb, try: pb.tries, rung: pb.rung}
 	pb.tries++
 	pb.upstream = dialogue
 	dialogue.uri = "rtsp://" + f.boxes[server].address + "/" + f.Plans[pb.target.plan].Name + "/" + pb.target.title
-	deadline := pb.request.Abandon
+	deadline := pb.request.AbandonAt
 	if limit > 0 {
 		deadline = min(deadline, f.now+limit)
 	}
@@ -127,7 +127,7 @@
 // newRequest returns the next request of a dialogue.
 func (f *Front) newRequest(dialogue *serverDialogue, method string) *rtsp.Message {
 	dialogue.lastCSeq++
-	return rtsp.Request(method, dialogue.uri, dialogue.lastCSeq).With("User-Agent", f.Name).With("Session", dialogue.sessionID)
+	return rtsp.NewRequest(method, dialogue.uri, dialogue.lastCSeq).With("User-Agent", f.Name).With("Session", dialogue.sessionID)
 }
 
 // sendRequest sends a request whose response needs no handling.
@@ -160,7 +160,7 @@
 // boxSink handles what a box sends.
 type boxSink sink
 
-func (s *boxSink) Bad(malformed *rtsp.Malformed) {
+func (s *boxSink) Malformed(malformed *rtsp.MalformedError) {
 	s.front.Figures.Malformed++
 	s.front.log.Info("malformed message from box", zap.String("server", s.peer.address), zap.String("what", malformed.Problem))
 	if dialogue := s.peer.dialogue; !malformed.Request && dialogue.playback != nil && dialogue.state == stateTrying {
@@ -215,7 +215,7 @@
 			f.tryFailed(dialogue, outcome)
 			return
 		}
-		if id, _ := rtsp.SessionID(message.Get("Session")); id != "" {
+		if id, _ := rtsp.ParseSession(message.Get("Session")); id != "" {
 			dialogue.sessionID = id
 		}
 		if message.CSeq == dialogue.playCSeq {
@@ -228,7 +228,7 @@
 		// try has succeeded nonetheless, it is sent for the session too. The response has no other effect.
 		f.Figures.LateAnswers++
 		if dialogue.state = stateClosing; message.Status < 300 {
-			dialogue.sessionID, _ = rtsp.SessionID(message.Get("Session"))
+			dialogue.sessionID, _ = rtsp.ParseSession(message.Get("Session"))
 			f.sendRequest(dialogue, rtsp.Teardown, nil)
 		}
 		f.closeDialogue(dialogue)
@@ -263,7 +263,7 @@
 	f.timers.Stop(dialogue.timer)
 	f.module.Playing(dialogue.playback.id, dialogue.try, dialogue.server, f.now-dialogue.startedAt)
 	if f.queue != nil {
-		f.queue.Played(f.now - dialogue.startedAt)
+		f.queue.Started(f.now - dialogue.startedAt)
 	}
 	f.reportLoad(dialogue, dialogue.load)
 	f.started(dialogue.playback)
@@ -274,11 +274,11 @@
 
 // reportLoad passes the load that a box reports of its link and its rack's uplink to the module.
 func (f *Front) reportLoad(dialogue *serverDialogue, load session.Load) {
-	note := session.Note{Playback: dialogue.playback.id, Server: dialogue.server, Kind: session.LinkAsked, Value: load.Link}
+	note := session.Note{Playback: dialogue.playback.id, Server: dialogue.server, Kind: session.LinkDemand, Value: load.Link}
 	if load.HasLink {
 		f.module.Noted(note)
 	}
-	if note.Kind, note.Value = session.UplinkAsked, load.Uplink; load.HasUplink {
+	if note.Kind, note.Value = session.UplinkDemand, load.Uplink; load.HasUplink {
 		f.module.Noted(note)
 	}
 }
@@ -288,7 +288,7 @@
 	status := rtsp.StatusOK
 	switch request.Method {
 	case rtsp.SetParameter:
-		for _, parameter := range rtsp.Parameters(request.Body) {
+		for _, parameter := range rtsp.ParseParameters(request.Body) {
 			number, err := strconv.ParseFloat(parameter.Value, 64)
 			if err != nil || number < 0 || number > 1e6 {
 				status = rtsp.StatusParameterUnknown
@@ -297,11 +297,11 @@
 			kind := session.NoteKind(0)
 			switch parameter.Name {
 			case "delivered":
-				kind = session.Delivered
+				kind = session.DeliveredShare
 			case "link":
-				kind = session.LinkAsked
+				kind = session.LinkDemand
 			case "uplink":
-				kind = session.UplinkAsked
+				kind = session.UplinkDemand
 			default:
 				status = rtsp.StatusParameterUnknown
 			}
@@ -321,13 +321,13 @@
 	default:
 		status = rtsp.StatusNotImplemented
 	}
-	f.send(dialogue.peer, rtsp.Answer(status, request.CSeq))
+	f.send(dialogue.peer, rtsp.NewResponse(status, request.CSeq))
 }
 
 // ParseLoad parses a Load header such as link=0.8;uplink=0.4;capped (docs/wire.md). ok is false if it is
 // malformed or has neither link nor uplink.
 func ParseLoad(value string) (load session.Load, ok bool) {
-	for _, pair := range rtsp.Pairs(value) {
+	for _, pair := range rtsp.ParsePairs(value) {
 		number, err := strconv.ParseFloat(pair.Value, 64)
 		bad := err != nil || !(number >= 0 && number <= 1e6)
 		switch {
