--- a/internal/kept/journal.go
+++ b/internal/kept/journal.go
@@ -19,8 +19,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Open is a setup try or a playback that may be running at a media box.
-type Open struct {
+// Entry is a setup try or a playback that may be running at a media box.
+type Entry struct {
 	Name    string `json:"name"`    // id of the request at the media box, followed by the number of the try
 	Address string `json:"address"` // of the media box
 	URI     string `json:"uri"`
@@ -29,7 +29,7 @@
 
 // record is one line of a journal. That of an end has only the name and Ended.
 type record struct {
-	Open
+	Entry
 	Ended bool `json:"ended,omitempty"`
 }
 
@@ -50,10 +50,10 @@
 	file    *os.File
 	queue   chan record
 	done    chan struct{}
-	open    map[string]Open // by name
-	lines   int             // in the file
-	Dropped atomic.Int64    // records not written: the queue was full, or the disk returned an error
-	onError func(error)     // called with write errors
+	open    map[string]Entry // by name
+	lines   int              // in the file
+	Dropped atomic.Int64     // records not written: the queue was full, or the disk returned an error
+	onError func(error)      // called with write errors
 }
 
 // NewJournal creates a journal file in a directory, which is created if it does not exist. Write errors are passed
@@ -62,7 +62,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	j := &Journal{queue: make(chan record, queueCapacity), done: make(chan struct{}), open: map[string]Open{}, onError: onError}
+	j := &Journal{queue: make(chan record, queueCapacity), done: make(chan struct{}), open: map[string]Entry{}, onError: onError}
 	for n := 0; ; n++ {
 		j.path = filepath.Join(dir, strconv.Itoa(os.Getpid())+"-"+strconv.Itoa(n)+journalSuffix)
 		f, err := os.OpenFile(j.path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -84,10 +84,10 @@
 }
 
 // Opened records what may be running from now on. It does not wait for the disk.
-func (j *Journal) Opened(o Open) { j.enqueue(record{Open: o}) }
+func (j *Journal) Opened(o Entry) { j.enqueue(record{Entry: o}) }
 
 // Ended records that it is no longer running.
-func (j *Journal) Ended(name string) { j.enqueue(record{Open: Open{Name: name}, Ended: true}) }
+func (j *Journal) Ended(name string) { j.enqueue(record{Entry: Entry{Name: name}, Ended: true}) }
 
 func (j *Journal) enqueue(r record) {
 	select {
@@ -147,7 +147,7 @@
 	if r.Ended {
 		delete(j.open, r.Name)
 	} else {
-		j.open[r.Name] = r.Open
+		j.open[r.Name] = r.Entry
 	}
 	j.lines++
 	return appendLine(buf, r)
@@ -165,7 +165,7 @@
 func (j *Journal) compact() error {
 	var buf []byte
 	for _, name := range slices.Sorted(maps.Keys(j.open)) {
-		buf = appendLine(buf, record{Open: j.open[name]})
+		buf = appendLine(buf, record{Entry: j.open[name]})
 	}
 	next := strings.TrimSuffix(j.path, journalSuffix) + ".next"
 	f, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -189,17 +189,17 @@
 	return nil
 }
 
-// Left is the journal of a process that has died.
-type Left struct {
-	path string
-	file *os.File
-	Open []Open // entries that had not ended
-	Bad  int    // lines that were corrupt or truncated
+// OrphanedJournal is the journal of a process that has died.
+type OrphanedJournal struct {
+	path     string
+	file     *os.File
+	Entries  []Entry // entries that had not ended
+	BadLines int     // lines that were corrupt or truncated
 }
 
-// Behind reads the journals of processes that have died, and locks them so that no other process takes them as
+// FindOrphaned reads the journals of processes that have died, and locks them so that no other process takes them as
 // well. Those of running processes are skipped.
-func Behind(dir string) (all []*Left, err error) {
+func FindOrphaned(dir string) (all []*OrphanedJournal, err error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+journalSuffix))
 	if err != nil {
 		return nil, err
@@ -217,7 +217,7 @@
 			_ = f.Close()
 			continue
 		}
-		l := &Left{path: path, file: f}
+		l := &OrphanedJournal{path: path, file: f}
 		l.read()
 		all = append(all, l)
 	}
@@ -230,33 +230,33 @@
 }
 
 // read collects the entries that are open at the end of a journal.
-func (l *Left) read() {
-	open := map[string]Open{}
+func (l *OrphanedJournal) read() {
+	open := map[string]Entry{}
 	lines := bufio.NewScanner(l.file)
 	lines.Buffer(nil, 1<<16)
 	for lines.Scan() {
 		check, body, ok := bytes.Cut(lines.Bytes(), []byte(" "))
 		var r record
 		if !ok || string(check) != fmt.Sprintf("%016x", xxhash.Sum64(body)) || json.Unmarshal(body, &r) != nil {
-			l.Bad++
+			l.BadLines++
 			continue
 		}
 		if r.Ended {
 			delete(open, r.Name)
 		} else {
-			open[r.Name] = r.Open
+			open[r.Name] = r.Entry
 		}
 	}
 	if lines.Err() != nil {
-		l.Bad++
+		l.BadLines++
 	}
 	for _, name := range slices.Sorted(maps.Keys(open)) {
-		l.Open = append(l.Open, open[name])
+		l.Entries = append(l.Entries, open[name])
 	}
 }
 
-// Done removes the file once all its entries have ended.
-func (l *Left) Done() {
+// Remove removes the file once all its entries have ended.
+func (l *OrphanedJournal) Remove() {
 	_ = os.Remove(l.path)
 	_ = l.file.Close()
 }
--- a/internal/kept/kept_test.go
+++ b/internal/kept/kept_test.go
@@ -23,7 +23,7 @@
 func TestSnapshotDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
 	var got sample
-	if err := Load(path, "sample 1", &got); !errors.Is(err, ErrNone) {
+	if err := Load(path, "sample 1", &got); !errors.Is(err, ErrNotFound) {
 		t.Fatal(err)
 	}
 	want := sample{"a", map[string]float64{"b": 1.5, "c": 2}}
@@ -33,7 +33,7 @@
 	if err := Load(path, "sample 1", &got); err != nil || got.B["c"] != 2 {
 		t.Fatal(got, err)
 	}
-	if err := Load(path, "sample 2", &got); !errors.Is(err, ErrBad) {
+	if err := Load(path, "sample 2", &got); !errors.Is(err, ErrCorrupt) {
 		t.Error("a snapshot of another kind was loaded:", err)
 	}
 	text, err := os.ReadFile(path)
@@ -45,7 +45,7 @@
 			if err := os.WriteFile(path, damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := Load(path, "sample 1", &got); !errors.Is(err, ErrBad) {
+			if err := Load(path, "sample 1", &got); !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("damage at byte %d of %d: %v", n, len(text), err)
 			}
 		}
@@ -78,7 +78,7 @@
 		}
 		for i := range 3000 {
 			name := fmt.Sprint("r", i)
-			j.Opened(Open{Name: name, Address: "box:1", URI: "rtsp://box:1/p/t", At: 1})
+			j.Opened(Entry{Name: name, Address: "box:1", URI: "rtsp://box:1/p/t", At: 1})
 			if i >= 7 {
 				j.Ended(fmt.Sprint("r", i-7))
 			}
@@ -107,16 +107,16 @@
 	if _, err := out.Read(line); err != nil || string(line) != "written" {
 		t.Fatal(string(line), err)
 	}
-	if all, err := Behind(dir); err != nil || len(all) != 0 {
+	if all, err := FindOrphaned(dir); err != nil || len(all) != 0 {
 		t.Errorf("the journal of a running process was taken: %v %v", all, err)
 	}
 	_ = child.Process.Kill()
 	_ = child.Wait()
-	all, err := Behind(dir)
-	if err != nil || len(all) != 1 || len(all[0].Open) != 7 || all[0].Bad != 0 || all[0].Open[0].Name != "r2993" {
+	all, err := FindOrphaned(dir)
+	if err != nil || len(all) != 1 || len(all[0].Entries) != 7 || all[0].BadLines != 0 || all[0].Entries[0].Name != "r2993" {
 		t.Fatalf("%+v %v", all, err)
 	}
-	if again, _ := Behind(dir); len(again) != 0 {
+	if again, _ := FindOrphaned(dir); len(again) != 0 {
 		t.Error("the journal was taken twice")
 	}
 	_ = all[0].file.Close()
@@ -134,11 +134,11 @@
 		if err := os.WriteFile(all[0].path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		found, err := Behind(dir)
+		found, err := FindOrphaned(dir)
 		if err != nil || len(found) != 1 {
 			t.Fatal(found, err)
 		}
-		for _, o := range found[0].Open { // a corrupt line must not yield an entry
+		for _, o := range found[0].Entries { // a corrupt line must not yield an entry
 			if o.Address != "box:1" {
 				t.Fatal(o)
 			}
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Opened(Open{Name: "x"})
+	j.Opened(Entry{Name: "x"})
 	j.Ended("x")
 	j.Close()
 	if _, err := os.Stat(j.path); !errors.Is(err, os.ErrNotExist) {
@@ -168,7 +168,7 @@
 		t.Error("the content is readable in the file:", err)
 	}
 	var got sample
-	if err := LoadSealed(path, "sample 1", []byte("another"), &got); !errors.Is(err, ErrBad) {
+	if err := LoadSealed(path, "sample 1", []byte("another"), &got); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 	if err := LoadSealed(path, "sample 1", []byte("key"), &got); err != nil || got.A != "a secret word" {
--- a/internal/kept/sealed.go
+++ b/internal/kept/sealed.go
@@ -37,14 +37,14 @@
 		return err
 	}
 	if len(content) < aead.NonceSize() {
-		return fmt.Errorf("%s: %w", path, ErrBad)
+		return fmt.Errorf("%s: %w", path, ErrCorrupt)
 	}
 	body, err := aead.Open(nil, content[:aead.NonceSize()], content[aead.NonceSize():], []byte(kind))
 	if err != nil {
-		return fmt.Errorf("%s: %w, or encrypted with another key", path, ErrBad)
+		return fmt.Errorf("%s: %w, or encrypted with another key", path, ErrCorrupt)
 	}
 	if err := json.Unmarshal(body, value); err != nil {
-		return fmt.Errorf("%s: %w: %w", path, ErrBad, err)
+		return fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	return nil
 }
--- a/internal/kept/snapshot.go
+++ b/internal/kept/snapshot.go
@@ -13,11 +13,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrNone is returned when there is no snapshot.
-var ErrNone = errors.New("no snapshot found")
+// ErrNotFound is returned when there is no snapshot.
+var ErrNotFound = errors.New("no snapshot found")
 
-// ErrBad is returned when a snapshot is truncated, corrupt, or of another kind or version.
-var ErrBad = errors.New("snapshot is truncated, corrupt or of another version")
+// ErrCorrupt is returned when a snapshot is truncated, corrupt, or of another kind or version.
+var ErrCorrupt = errors.New("snapshot is truncated, corrupt or of another version")
 
 // headerFormat is the first line of a snapshot: its kind with a version, and a checksum of the kind and the content.
 const headerFormat = "pierlink %s %016x\n"
@@ -67,17 +67,17 @@
 func Load(path, kind string, value any) error {
 	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return ErrNone
+		return ErrNotFound
 	}
 	if err != nil {
 		return err
 	}
 	header, body, ok := bytes.Cut(content, []byte("\n"))
 	if !ok || string(header)+"\n" != fmt.Sprintf(headerFormat, kind, checksum(kind, body)) {
-		return fmt.Errorf("%s: %w", path, ErrBad)
+		return fmt.Errorf("%s: %w", path, ErrCorrupt)
 	}
 	if err := json.Unmarshal(body, value); err != nil {
-		return fmt.Errorf("%s: %w: %w", path, ErrBad, err)
+		return fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	return nil
 }
--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -51,7 +51,7 @@
 // holders are the servers that hold a title and are ready.
 func (b *baseline) holders(r *session.Request) (all []int) {
 	for i := range b.servers {
-		if e := &b.servers[i]; e.State == session.Ready && (r.Span == 0 || (e.Cell-r.Base+b.Fleet.Cells)%b.Fleet.Cells < r.Span) {
+		if e := &b.servers[i]; e.State == session.Ready && (r.CellCount == 0 || (e.Cell-r.FirstCell+b.Fleet.Cells)%b.Fleet.Cells < r.CellCount) {
 			all = append(all, i)
 		}
 	}
@@ -90,9 +90,9 @@
 	return slices.MinFunc(all, func(x, y int) int { return b.own[x] + far(x) - b.own[y] - far(y) })
 }
 
-func (b *baseline) At(now session.Time) { b.now = now }
+func (b *baseline) BeginTurn(now session.Time) { b.now = now }
 func (b *baseline) Listed(l session.List) {
-	if l.Whole {
+	if l.Complete {
 		for i := range b.servers {
 			b.servers[i].State = session.Gone
 		}
@@ -157,7 +157,7 @@
 			}
 			plan := &b.Plans[p.Plan]
 			s := -1
-			if p.fails == 0 && b.now < p.Abandon {
+			if p.fails == 0 && b.now < p.AbandonAt {
 				s = b.pick(b, &p.Request)
 			}
 			switch {
@@ -170,7 +170,7 @@
 			case p.tried && plan.Repeat == session.Unsafe:
 				a.Abort(pb)
 			default:
-				a.Reject(pb, b.Terms.MaxComeAgain)
+				a.Reject(pb, b.Terms.MaxRetryAfter)
 			}
 			delete(b.pbs, pb)
 			a.Forget(pb)
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -171,9 +171,9 @@
 	say := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	var box *mediabox.Box
 	boxLoop, err := edge.New("127.0.0.1:0", func(n core.Net) core.Core {
-		box = mediabox.New(mediabox.Frame{Name: "box", Plans: []mediabox.Plan{{Name: "bench", RateFactor: 1, Tracks: []string{"video"}}},
-			LadderKB: []float64{b.RateKB}, Join: 1, LinkKB: 1e9, Rack: &mediabox.Rack{UplinkKB: 1e9}, Places: 100000,
-			Tick: 50_000, PacketBytes: 1200, LoadInAnswers: true, SessionTimeout: 60 * core.Second}, n, edge.Now())
+		box = mediabox.New(mediabox.Config{Name: "box", Plans: []mediabox.Plan{{Name: "bench", RateFactor: 1, Tracks: []string{"video"}}},
+			LadderKB: []float64{b.RateKB}, Join: 1, LinkKB: 1e9, Rack: &mediabox.Rack{UplinkKB: 1e9}, MaxSessions: 100000,
+			SendInterval: 50_000, PacketBytes: 1200, LoadInAnswers: true, SessionTimeout: 60 * core.Second}, n, edge.Now())
 		return box
 	})
 	if err != nil {
@@ -190,9 +190,9 @@
 	if err != nil {
 		return nil, err
 	}
-	pair, err := trusted.Pair()
+	pair, err := trusted.IssueKeyPair()
 	if err == nil {
-		err = authority.Write(pair, filepath.Join(dir, "cert"), filepath.Join(dir, "key"))
+		err = authority.WriteKeyPair(pair, filepath.Join(dir, "cert"), filepath.Join(dir, "key"))
 	}
 	if err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 		return nil, err
 	}
 	defer front.end()
-	var crowd *player.Crowd
+	var crowd *player.Group
 	loop, err := edge.New("", func(n core.Net) core.Core {
 		crowd = player.New(n, edge.Now())
 		return crowd
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	defer loop.Stop(false)
-	loop.Trust(&tls.Config{RootCAs: trusted.Pool()})
+	loop.SetClientTLS(&tls.Config{RootCAs: trusted.Pool()})
 	x := &benchRun{Bench: b, crowd: crowd, loop: loop}
 
 	idle := x.idle(front, 10000, nil)
@@ -282,7 +282,7 @@
 }
 
 func (b *Bench) boxes(n, perSec int) (memory, cpu float64, err error) {
-	store := standin.NewStore(1, "bench", registry.MarkKey)
+	store := standin.NewStore(1, "bench", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		return 0, 0, err
@@ -292,7 +292,7 @@
 	name := func(i int) string { return registry.BoxesPrefix + "box-" + strconv.Itoa(i) }
 	all := map[string][]byte{}
 	for i := range n {
-		all[name(i)] = x.Value()
+		all[name(i)] = x.Encode()
 	}
 	store.Put(all)
 	dir, err := os.MkdirTemp("", "pierlab")
@@ -319,7 +319,7 @@
 	for i := range changes {
 		<-tick.C
 		x.Weight = 1 + float64(i%2)
-		store.Put(map[string][]byte{name(i * 7919 % n): x.Value()})
+		store.Put(map[string][]byte{name(i * 7919 % n): x.Encode()})
 	}
 	time.Sleep(200 * time.Millisecond)
 	return front.memory(), 1e6 * (front.cpu() - began) / float64(changes), nil
@@ -327,7 +327,7 @@
 
 type benchRun struct {
 	*Bench
-	crowd       *player.Crowd
+	crowd       *player.Group
 	loop        *edge.Loop
 	perPlayback float64
 	n           int
@@ -335,7 +335,7 @@
 }
 
 func (x *benchRun) read() (bytes int64, plays, open int) {
-	x.loop.Do(func() { bytes, plays, open = x.crowd.Bytes, x.crowd.Plays, x.crowd.Open() })
+	x.loop.Do(func() { bytes, plays, open = x.crowd.Bytes, x.crowd.Playing, x.crowd.Open() })
 	return
 }
 
@@ -348,13 +348,13 @@
 	}
 }
 
-func (x *benchRun) want(addr string, watch time.Duration) *player.Want {
+func (x *benchRun) want(addr string, watch time.Duration) *player.Profile {
 	x.n++
-	return &player.Want{ID: "b" + strconv.Itoa(x.n), Fronts: []string{addr}, Plan: "bench", Title: "t" + strconv.Itoa(x.n), Tracks: 1,
-		Watch: watch.Microseconds(), Abandon: 10 * core.Second}
+	return &player.Profile{ID: "b" + strconv.Itoa(x.n), Fronts: []string{addr}, Plan: "bench", Title: "t" + strconv.Itoa(x.n), Tracks: 1,
+		WatchTime: watch.Microseconds(), AbandonTime: 10 * core.Second}
 }
 
-func (x *benchRun) wantAt(c *child, watch time.Duration) *player.Want {
+func (x *benchRun) wantAt(c *child, watch time.Duration) *player.Profile {
 	w := x.want(c.addr, watch)
 	if x.secure {
 		w.Secure, w.Fronts = true, []string{c.secure}
@@ -391,7 +391,7 @@
 	end := make(chan struct{})
 	c0 := c.cpu()
 	x.loop.Do(func() {
-		x.crowd.Report = func(_ *player.Want, s *player.Seen) {
+		x.crowd.Report = func(_ *player.Profile, s *player.Result) {
 			if s.State == player.Done {
 				n++
 			}
@@ -419,7 +419,7 @@
 		for i, addr := range []string{box, front} {
 			done := make(chan core.Time, 1)
 			x.loop.Do(func() {
-				x.crowd.Report = func(_ *player.Want, s *player.Seen) { done <- s.FirstPacket }
+				x.crowd.Report = func(_ *player.Profile, s *player.Result) { done <- s.StartupTime }
 				x.crowd.Start(x.want(addr, 100*time.Millisecond))
 			})
 			_ = h[i].RecordValue(<-done)
@@ -439,7 +439,7 @@
 	if err != nil {
 		return 0
 	}
-	loop.Trust(trust)
+	loop.SetClientTLS(trust)
 	loop.Do(func() { h.n = n })
 	time.Sleep(4 * time.Second)
 	after := c.memory()
@@ -456,13 +456,13 @@
 	secure bool
 }
 
-func (h *holder) At(core.Time)                {}
+func (h *holder) BeginTurn(core.Time)         {}
 func (h *holder) Accepted(*core.Conn, string) {}
 func (h *holder) Dialed(*core.Conn, error)    {}
 func (h *holder) Received(*core.Conn, []byte) {}
 func (h *holder) Drained(*core.Conn)          {}
 func (h *holder) Closed(*core.Conn, error)    {}
-func (h *holder) Settle() core.Time {
+func (h *holder) EndTurn() core.Time {
 	for ; h.n > 0; h.n-- {
 		h.net.Dial(&core.Conn{Secure: h.secure}, h.addr)
 	}
--- a/internal/lab/broken_test.go
+++ b/internal/lab/broken_test.go
@@ -83,13 +83,13 @@
 				s.Plans[i].Repeat = session.Harmless
 			}
 		}}},
-		"deaf to drains": {3, &Broken{List: func(l front.List) front.List {
+		"deaf to drains": {3, &Broken{List: func(l front.ListUpdate) front.ListUpdate {
 			for i := range l.Servers {
 				l.Servers[i].State = session.Ready
 			}
 			return l
 		}}},
-		"pushes": {4, &Broken{Site: func(s *session.Site) { s.Terms.FallMultiple *= 100 }}},
+		"pushes": {4, &Broken{Site: func(s *session.Site) { s.Terms.ColdMultiple *= 100 }}},
 		"terms": {5, &Broken{Site: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
@@ -102,7 +102,7 @@
 				s.Plans[i].Floor = 0
 			}
 		}}},
-		"spends": {6, &Broken{Site: func(s *session.Site) { s.Terms.Rationed = false }}},
+		"spends": {6, &Broken{Site: func(s *session.Site) { s.Terms.RetriesLimited = false }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/doorcost.go
+++ b/internal/lab/doorcost.go
@@ -60,36 +60,36 @@
 		gated := k % 2
 		var turns []time.Duration
 		s := d.Service(0)
-		s.Site.Terms.ColdFrom, s.Site.Terms.WarmUp = 1, 1000 // boxes that are up and warm
-		s.Site.Fleet.NoteEvery, s.Site.Fleet.LoadInAnswers, s.Site.Fleet.LoadInProbes = 0, false, false
+		s.Site.Terms.ColdShare, s.Site.Terms.WarmUp = 1, 1000 // boxes that are up and warm
+		s.Site.Fleet.NoteInterval, s.Site.Fleet.LoadInAnswers, s.Site.Fleet.LoadInProbes = 0, false, false
 		net := &discards{}
 		now := core.Time(1e9)
 		if gated == 1 {
-			c := tenants.New(tenants.Terms{Longest: 1 << 50, Renew: 1 << 50, Timeout: 1 << 40, Negative: 1 << 40, Waiting: 10, Lookups: 1, Entries: rounds + 1}, now)
+			c := tenants.New(tenants.Config{MaxAge: 1 << 50, SyncInterval: 1 << 50, Timeout: 1 << 40, NegativeTTL: 1 << 40, MaxWaiting: 10, MaxLookups: 1, MaxEntries: rounds + 1}, now)
 			all := []tenants.Record{{ID: "t", Kind: tenants.Tenant, Name: "t", Plans: []string{"live-lesson"}}}
 			for i := range rounds {
 				account := fmt.Sprint("m", i)
 				all = append(all, tenants.Record{ID: account, Kind: tenants.Member, Name: account, Tenant: "t", Digest: player.HA1(realm, account, "pass", sha256.New)})
 			}
-			c.Resume(all, tenants.Mark{End: -1}, now)
-			s.Gate = &front.Gate{Core: c, Ask: func(tenants.Want) {}, Realm: realm, Guesses: tenants.Guesses{Span: core.Second}}
+			c.Restore(all, tenants.Checkpoint{End: -1}, now)
+			s.Access = &front.AccessControl{Core: c, Lookup: func(tenants.Request) {}, Realm: realm, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
 		}
 		f := front.New(s, policy.New(&s.Site, 1, now), net, zap.NewNop(), now)
-		f.Listed(front.List{Whole: true, Servers: []front.Server{{Name: "b", Address: "b:1", Zone: s.Zones[0], Kind: "std", Weight: 1, State: session.Ready}}})
+		f.UpdateList(front.ListUpdate{Complete: true, Servers: []front.Server{{Name: "b", Address: "b:1", Zone: s.Zones[0], Kind: "std", Weight: 1, State: session.Ready}}})
 		conn := &core.Conn{}
 		turn := func(b []byte) time.Duration {
 			now += 10_000
 			began := cpu()
-			f.At(now)
+			f.BeginTurn(now)
 			f.Received(conn, b)
-			f.Settle()
+			f.EndTurn()
 			return cpu() - began
 		}
-		f.At(now)
+		f.BeginTurn(now)
 		f.Accepted(conn, "127.0.0.1:1")
 		challenge := ""
 		if gated == 1 {
-			turn(rtsp.Request(rtsp.Setup, "rtsp://f/live-lesson/t/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil))
+			turn(rtsp.NewRequest(rtsp.Setup, "rtsp://f/live-lesson/t/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil))
 			if challenge = net.answer("WWW-Authenticate"); challenge == "" {
 				return fmt.Errorf("no proof was asked for: %q", net.last)
 			}
@@ -98,8 +98,8 @@
 			conn = &core.Conn{}
 			f.Accepted(conn, fmt.Sprintf("127.0.%d.%d:1", i/250, i%250))
 			uri := fmt.Sprintf("rtsp://f/live-lesson/t%d/track0", i%50)
-			m := rtsp.Request(rtsp.Setup, uri, 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").
-				With("Authorization", player.Proof(challenge, fmt.Sprint("m", i), "pass", rtsp.Setup, uri))
+			m := rtsp.NewRequest(rtsp.Setup, uri, 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").
+				With("Authorization", player.Authorization(challenge, fmt.Sprint("m", i), "pass", rtsp.Setup, uri))
 			if x := turn(m.Append(nil)); i >= warm {
 				turns = append(turns, x)
 			}
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -27,7 +27,7 @@
 // one under TLS, and a view of its own. It keeps what was true of each account and when, and judges by it what
 // viewers got.
 type doors struct {
-	terms     tenants.Terms
+	terms     tenants.Config
 	store     *directory.Store
 	servers   [2]*directory.Server
 	authority *authority.Authority
@@ -41,7 +41,7 @@
 	gates    map[string]*keptGate
 	secure   map[string]string // doors under TLS, by those in the clear
 	past     map[string][]truth
-	kinds    map[*player.Want]string
+	kinds    map[*player.Profile]string
 	got      map[string]map[int]int // statuses by kind; 0 for what played
 	times    map[string][]Time      // to the answer, by kind
 	wrongly  [2]int                 // admitted, refused
@@ -61,7 +61,7 @@
 type keptGate struct {
 	core   *tenants.Core
 	client *client.Client
-	loop   edge.Poster
+	loop   edge.DeferredLoop
 }
 
 func (g *keptGate) post(f func(*tenants.Core)) {
@@ -70,10 +70,10 @@
 
 func newDoors(seed uint64, all, members int) (*doors, error) {
 	x := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: all, members: members, gates: map[string]*keptGate{},
-		secure: map[string]string{}, past: map[string][]truth{}, kinds: map[*player.Want]string{}, got: map[string]map[int]int{},
+		secure: map[string]string{}, past: map[string][]truth{}, kinds: map[*player.Profile]string{}, got: map[string]map[int]int{},
 		times: map[string][]Time{}, troubles: map[string]int{},
-		terms: tenants.Terms{Seed: seed, Longest: 3_000_000, Renew: 500_000, Timeout: 300_000, Negative: 500_000, Waiting: 5000, Lookups: 4,
-			Entries: 1 << 16, Ends: 2}}
+		terms: tenants.Config{Seed: seed, MaxAge: 3_000_000, SyncInterval: 500_000, Timeout: 300_000, NegativeTTL: 500_000, MaxWaiting: 5000, MaxLookups: 4,
+			MaxEntries: 1 << 16, Endpoints: 2}}
 	for t := range all {
 		x.store.Put(tenantDN(t), tenantAttrs(t, 1+t%3))
 		for m := range members {
@@ -86,11 +86,11 @@
 			return nil, err
 		}
 	}
-	x.servers[1].Upset(directory.Trouble{NoSync: true}) // one endpoint that is polled
+	x.servers[1].SetFaults(directory.Faults{NoSync: true}) // one endpoint that is polled
 	if x.authority, err = authority.New(); err != nil {
 		return nil, err
 	}
-	pair, err := x.authority.Pair()
+	pair, err := x.authority.IssueKeyPair()
 	x.keys = &tls.Config{Certificates: []tls.Certificate{pair}}
 	return x, err
 }
@@ -110,7 +110,7 @@
 }
 
 // equip gives a manager that starts its gate; one that it had before has died with it.
-func (x *doors) equip(s *front.Service, seed uint64) error {
+func (x *doors) equip(s *front.Config, seed uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.end(s.Name)
@@ -119,13 +119,13 @@
 	t.Seed = seed
 	g.core = tenants.New(t, edge.Now())
 	var err error
-	g.client, err = client.New(client.Place{Endpoints: []string{x.servers[0].Addr(), x.servers[1].Addr()}, Base: "dc=pier", PageSize: 100, Terms: t},
+	g.client, err = client.New(client.Config{Endpoints: []string{x.servers[0].Addr(), x.servers[1].Addr()}, Base: "dc=pier", PageSize: 100, Core: t},
 		g.post, zap.NewNop())
 	if err != nil {
 		return err
 	}
 	x.gates[s.Name] = g
-	s.Gate = &front.Gate{Core: g.core, Ask: g.client.Do, Realm: realm, Basic: true, Guesses: tenants.Guesses{Span: t.Longest, Seed: uint32(seed)}}
+	s.Access = &front.AccessControl{Core: g.core, Lookup: g.client.Do, Realm: realm, Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: t.MaxAge, Seed: uint32(seed)}}
 	return nil
 }
 
@@ -142,7 +142,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	h := x.live.host(name)
-	x.gates[name].loop.To(h.loop)
+	x.gates[name].loop.Bind(h.loop)
 	at := x.secure[h.addr]
 	if at == "" {
 		at = "127.0.0.1:0"
@@ -156,7 +156,7 @@
 }
 
 // viewer says who a viewer is. Most are who they say.
-func (x *doors) viewer(w *player.Want) {
+func (x *doors) viewer(w *player.Profile) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	t, m := x.rng.IntN(x.tenants), x.rng.IntN(x.members)
@@ -164,14 +164,14 @@
 	kind := "right"
 	all := x.past[account]
 	w.Account, w.Password = account, all[len(all)-1].password
-	w.Address = fmt.Sprintf("127.1.%d.%d", t+1, m+1)
+	w.SourceAddr = fmt.Sprintf("127.1.%d.%d", t+1, m+1)
 	switch n := x.rng.IntN(100); {
 	case w.Password == "":
 		kind, w.Password = "gone", "x"
 	case n < 4:
 		kind, w.Password = "wrong", "no"
 	case n < 8: // one who guesses at many, there and not there
-		kind, w.Password, w.Address = "guesser", "1234", "127.9.9.9"
+		kind, w.Password, w.SourceAddr = "guesser", "1234", "127.9.9.9"
 	case n < 12:
 		kind, w.Account = "unknown", fmt.Sprint("nobody-", x.rng.IntN(1000))
 	case n < 14:
@@ -188,22 +188,22 @@
 }
 
 // saw judges what a viewer got.
-func (x *doors) saw(w *player.Want, s *player.Seen) {
+func (x *doors) saw(w *player.Profile, s *player.Result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	kind := x.kinds[w]
-	if s.Answered == 0 && s.FirstPacket == 0 || !s.Reached {
+	if s.AnsweredAt == 0 && s.StartupTime == 0 || !s.Connected {
 		return
 	}
-	played := s.FirstPacket > 0 || s.Status == 0
+	played := s.StartupTime > 0 || s.Status == 0
 	if x.got[kind] == nil {
 		x.got[kind] = map[int]int{}
 	}
 	x.got[kind][s.Status]++
 	if s.Status == 401 {
-		x.times[kind] = append(x.times[kind], s.Answered-s.Began)
+		x.times[kind] = append(x.times[kind], s.AnsweredAt-s.StartedAt)
 	}
-	until := max(s.Answered, s.Began+s.FirstPacket)
+	until := max(s.AnsweredAt, s.StartedAt+s.StartupTime)
 	good, always := false, true // it was that within the bound before the answer; it was nothing else
 	all := x.past[w.Account]
 	for i, p := range all {
@@ -211,7 +211,7 @@
 		if i+1 < len(all) {
 			end = all[i+1].at
 		}
-		if end < s.Began-x.terms.Longest || p.at > until {
+		if end < s.StartedAt-x.terms.MaxAge || p.at > until {
 			continue
 		}
 		if p.password != "" && p.password == w.Password {
@@ -256,29 +256,29 @@
 	kind := (*bag)[0]
 	*bag = (*bag)[1:]
 	x.troubles[kind]++
-	a, b := directory.Trouble{}, directory.Trouble{NoSync: true}
+	a, b := directory.Faults{}, directory.Faults{NoSync: true}
 	switch kind {
 	case "truncate":
-		a.Truncate, b.Truncate = 1+x.rng.IntN(x.tenants*x.members), 1+x.rng.IntN(x.tenants*x.members)
+		a.TruncateAfter, b.TruncateAfter = 1+x.rng.IntN(x.tenants*x.members), 1+x.rng.IntN(x.tenants*x.members)
 	case "busy":
 		a.Busy, b.Busy = true, true
 	case "stall":
 		a.Stall, b.Stall = true, true
 	case "silent":
-		a.Silent = true
+		a.SilentSync = true
 	case "slow": // just under the time-out
-		a.Slow, b.Slow = 250*time.Millisecond, 250*time.Millisecond
+		a.ResponseDelay, b.ResponseDelay = 250*time.Millisecond, 250*time.Millisecond
 	case "hang":
 		a.Stall = true
 	case "refer":
-		a.Refer = "ldap://" + x.servers[1].Addr()
+		a.Referral = "ldap://" + x.servers[1].Addr()
 	case "forget":
-		x.store.Forget()
+		x.store.ForgetDeletions()
 	}
-	x.servers[0].Upset(a)
-	x.servers[1].Upset(b)
+	x.servers[0].SetFaults(a)
+	x.servers[1].SetFaults(b)
 	if kind != "silent" && kind != "slow" && kind != "well" && kind != "stall" {
-		x.servers[0].Cut()
+		x.servers[0].CloseConnections()
 	}
 }
 
@@ -337,7 +337,7 @@
 	play, tape, err := Loopback(d, func(l *Live, t *Tape) *Play {
 		x.live = l
 		play := Begin(d, l, t, nil, log)
-		l.hosts["players"].loop.Trust(&tls.Config{RootCAs: x.authority.Pool()})
+		l.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: x.authority.Pool()})
 		ran.Go(func() { x.run(stop) })
 		return play
 	})
--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -70,22 +70,22 @@
 		asked[l.Tenant]++
 		flooding[l.Tenant] = flooding[l.Tenant] || l.Of.Flood
 		for i, x := range l.Seen {
-			if x.FirstPacket > 0 {
+			if x.StartupTime > 0 {
 				s.plays++
 				total++
 				if i == 0 || !direct || l.Of.Flood {
 					got[l.Tenant]++
 				}
 			}
-			if l.Of.Lone && i == 0 && x.Answered > 0 && l.At >= floodFrom {
-				loneTimes = append(loneTimes, x.Answered-x.Began)
+			if l.Of.Lone && i == 0 && x.AnsweredAt > 0 && l.At >= floodFrom {
+				loneTimes = append(loneTimes, x.AnsweredAt-x.StartedAt)
 			}
-			if x.State == player.Refused && x.Token == "" {
+			if x.State == player.Rejected && x.RetryToken == "" {
 				s.refusedUntil++
 			}
-			if x.Brought && !p.voided(l.Seen[i-1].Answered, x.Began) {
+			if x.BroughtToken && !p.voided(l.Seen[i-1].AnsweredAt, x.StartedAt) {
 				s.came++
-				if x.FirstPacket > 0 {
+				if x.StartupTime > 0 {
 					s.kept++
 				}
 			}
@@ -161,7 +161,7 @@
 		e[1] = l.At
 		span[l.Tenant] = e
 		c := coming{at: l.At}
-		if len(l.Seen) > 0 && l.Seen[0].State == player.Refused && l.Seen[0].Token != "" {
+		if len(l.Seen) > 0 && l.Seen[0].State == player.Rejected && l.Seen[0].RetryToken != "" {
 			c.told = l.Seen[0].RetryAfter
 		}
 		by[l.Tenant] = append(by[l.Tenant], c)
@@ -203,8 +203,8 @@
 	count := map[Time]float64{}
 	for _, l := range p.Log {
 		for _, x := range l.Seen {
-			if x.FirstPacket > 0 {
-				count[x.Answered/(5*core.Second)]++
+			if x.StartupTime > 0 {
+				count[x.AnsweredAt/(5*core.Second)]++
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 	w.Run(p.began + p.Length())
 	open := 1
 	for range 400 { // until the last who was told a time has come
-		w.Call("players", func(c core.Core) { open = c.(*player.Crowd).Open() })
+		w.Call("players", func(c core.Core) { open = c.(*player.Group).Open() })
 		w.Run(w.now + 5*core.Second)
 		if open == 0 {
 			break
@@ -252,21 +252,21 @@
 		return float64(m.HeapAlloc)
 	}
 	before := heap()
-	q := fair.New(fair.Terms{Waiting: 4096, Bytes: 4096 * 400, Tenants: 8192, Clients: 4096, Startup: core.Second, Secret: []byte("x")}, 0)
+	q := fair.New(fair.Config{MaxWaiting: 4096, MaxBytes: 4096 * 400, MaxTenants: 8192, MaxIdleClients: 4096, StartupTarget: core.Second, TokenSecret: []byte("x")}, 0)
 	q.Rejected()
 	peak := 0.0
 	now := Time(1)
 	for i := range n {
 		if now += core.Second / Time(n); i%64 == 0 {
-			q.At(now)
-			q.Settle(func(fair.Verdict) {})
-			q.Played(20_000)
+			q.Advance(now)
+			q.Dispatch(func(fair.Decision) {})
+			q.Started(20_000)
 		}
 		tenant := "flood"
 		if manyTenants {
 			tenant = "t" + strconv.Itoa(i)
 		}
-		q.Offer(fair.Ask{ID: i + 1, Tenant: tenant, Client: "c" + strconv.Itoa(i), Bytes: 300, Startup: now + 1000*core.Second, Abandon: now + 2000*core.Second})
+		q.Offer(fair.Request{ID: i + 1, Tenant: tenant, Client: "c" + strconv.Itoa(i), Bytes: 300, StartupDeadline: now + 1000*core.Second, AbandonDeadline: now + 2000*core.Second})
 		if i%(n/8) == n/8-1 {
 			peak = max(peak, heap()-before)
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -56,12 +56,12 @@
 // attempts that found nobody, and those that were heard by one that was not ready.
 func (x *Processes) unanswered(play *Play, slack Time) (refused int, first string) {
 	for _, s := range play.Seen {
-		if s.Reached || s.State == player.Abandoned || x.down(s.Front, s.Began, slack) || x.down(s.Front, s.Ended, slack) {
+		if s.Connected || s.State == player.Abandoned || x.down(s.Front, s.StartedAt, slack) || x.down(s.Front, s.EndedAt, slack) {
 			continue
 		}
 		refused++
 		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.Began-play.began))
+			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.StartedAt-play.began))
 		}
 	}
 	return refused, first
@@ -71,12 +71,12 @@
 // was killed nor stopped.
 func (x *Processes) broken(play *Play, slack Time) (n int, first string) {
 	for _, s := range play.Seen {
-		if s.State != player.Lost || x.down(s.Front, s.Ended, slack) {
+		if s.State != player.Lost || x.down(s.Front, s.EndedAt, slack) {
 			continue
 		}
 		n++
 		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.Ended-play.began))
+			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.EndedAt-play.began))
 		}
 	}
 	return n, first
@@ -91,11 +91,11 @@
 				continue
 			}
 			for _, h := range i.halts {
-				if s.Ended < h.From || s.Began > h.To || !s.Reached {
+				if s.EndedAt < h.From || s.StartedAt > h.To || !s.Connected {
 					continue
 				}
 				open++
-				if !s.Told && (s.State == player.Lost || s.State == player.Failed && s.Status == 0) && h.has(s.Ended, 0) {
+				if !s.RedirectReceived && (s.State == player.Lost || s.State == player.Failed && s.Status == 0) && h.has(s.EndedAt, 0) {
 					without++
 				}
 			}
@@ -255,7 +255,7 @@
 			if h.down {
 				continue
 			}
-			x.live.Call(b.name, func(c core.Core) { got <- c.(*mediabox.Box).Orphaned() })
+			x.live.Call(b.name, func(c core.Core) { got <- c.(*mediabox.Box).OrphanedSessions() })
 			orphans += <-got
 		}
 		x.live.mu.Unlock()
@@ -354,7 +354,7 @@
 			return err
 		}
 		var got thing
-		if err := kept.Load(path, "proof 1", &got); !errors.Is(err, kept.ErrBad) {
+		if err := kept.Load(path, "proof 1", &got); !errors.Is(err, kept.ErrCorrupt) {
 			missed++
 		}
 	}
--- a/internal/lab/ground.go
+++ b/internal/lab/ground.go
@@ -11,7 +11,7 @@
 )
 
 // ids are the names of a viewer's askings, in their order.
-func (p *Play) ids(w *player.Want) (all []string) {
+func (p *Play) ids(w *player.Profile) (all []string) {
 	for round := range p.Day.Returns + 1 {
 		id := w.ID
 		if round > 0 {
@@ -35,7 +35,7 @@
 		if !ok {
 			continue
 		}
-		link, took, err := x.Book()
+		link, took, err := x.CheckDemand()
 		if err != nil {
 			p.odd("%s at %.1f s: %v", b.name, seconds(w.now-p.began), err)
 		}
@@ -50,8 +50,8 @@
 	}
 	for _, r := range p.racks {
 		kb += min(uplinks[r], r.UplinkKB)
-		if x := asked[r]; math.Abs(x-r.Fill()*r.UplinkKB) > 1e-3*max(x, 1) {
-			p.odd("a rack at %.1f s: its boxes ask for %.1f kB a second, it has booked %.1f", seconds(w.now-p.began), x, r.Fill()*r.UplinkKB)
+		if x := asked[r]; math.Abs(x-r.Load()*r.UplinkKB) > 1e-3*max(x, 1) {
+			p.odd("a rack at %.1f s: its boxes ask for %.1f kB a second, it has booked %.1f", seconds(w.now-p.began), x, r.Load()*r.UplinkKB)
 		}
 	}
 	p.gives = append(p.gives, kb)
@@ -60,16 +60,16 @@
 	waiting := 0
 	for _, f := range p.fronts {
 		if x := frontOf(w.Core(f.name)); x != nil {
-			waiting += x.Carried().Waiting
+			waiting += x.OpenWork().Unanswered
 		}
 	}
 	p.waiting = append(p.waiting, float64(waiting))
-	if c, ok := w.Core("players").(*player.Crowd); ok {
+	if c, ok := w.Core("players").(*player.Group); ok {
 		p.mu.Lock()
 		ended := p.Tally.Asked
 		p.mu.Unlock()
-		if c.Began != ended+c.Open()-c.Resting() {
-			p.odd("at %.1f s: %d askings began, %d ended, %d are open", seconds(w.now-p.began), c.Began, ended, c.Open()-c.Resting())
+		if c.Attempts != ended+c.Open()-c.Waiting() {
+			p.odd("at %.1f s: %d askings began, %d ended, %d are open", seconds(w.now-p.began), c.Attempts, ended, c.Open()-c.Waiting())
 		}
 	}
 	if w.now-p.began < p.Length() {
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -235,7 +235,7 @@
 	for end := p.began + p.Length(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
 		open := make(chan int, 1)
 		l.mu.Lock()
-		l.Call("players", func(c core.Core) { open <- c.(*player.Crowd).Open() })
+		l.Call("players", func(c core.Core) { open <- c.(*player.Group).Open() })
 		l.mu.Unlock()
 		if <-open == 0 {
 			break
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -55,7 +55,7 @@
 
 // Run takes the steps. The last one is the one that was too much, if any was.
 func (l *Load) Run() ([]Step, error) {
-	var crowd *player.Crowd
+	var crowd *player.Group
 	loop, err := edge.New("", func(n core.Net) core.Core {
 		crowd = player.New(n, edge.Now())
 		return crowd
@@ -73,7 +73,7 @@
 		intended := map[string]core.Time{}
 		left := 0
 		loop.Do(func() {
-			crowd.Report = func(w *player.Want, x *player.Seen) {
+			crowd.Report = func(w *player.Profile, x *player.Result) {
 				at, ok := intended[w.ID]
 				if !ok {
 					return
@@ -81,10 +81,10 @@
 				delete(intended, w.ID)
 				left--
 				switch {
-				case x.FirstPacket > 0:
+				case x.StartupTime > 0:
 					s.Played++
-					_ = h.RecordValue(x.Began + x.FirstPacket - at)
-				case x.State == player.Refused:
+					_ = h.RecordValue(x.StartedAt + x.StartupTime - at)
+				case x.State == player.Rejected:
 					s.Refused++
 				case x.State == player.Abandoned:
 					s.Abandoned++
@@ -95,7 +95,7 @@
 		})
 		cpu, turned := cpuOf(l.Control), int64(0)
 		if l.Control != "" {
-			if x, err := edge.Ask(l.Control); err == nil {
+			if x, err := edge.QueryStatus(l.Control); err == nil {
 				turned = x.Figures.Turned
 			}
 		}
@@ -107,8 +107,8 @@
 			}
 			at := next
 			n++
-			w := &player.Want{ID: "load-" + strconv.Itoa(n), Fronts: []string{l.To}, Plan: l.Plan, Title: "t" + strconv.Itoa(rng.IntN(l.Titles)),
-				Top: 99, Tracks: l.Tracks, Watch: l.Watch.Microseconds(), Abandon: l.Abandon.Microseconds()}
+			w := &player.Profile{ID: "load-" + strconv.Itoa(n), Fronts: []string{l.To}, Plan: l.Plan, Title: "t" + strconv.Itoa(rng.IntN(l.Titles)),
+				TopRung: 99, Tracks: l.Tracks, WatchTime: l.Watch.Microseconds(), AbandonTime: l.Abandon.Microseconds()}
 			loop.Post(func() {
 				s.Behind = max(s.Behind, time.Duration(edge.Now()-at)*time.Microsecond)
 				s.Asked++
@@ -121,7 +121,7 @@
 		took := seconds(edge.Now() - began)
 		if l.Control != "" {
 			s.CPU = (cpuOf(l.Control) - cpu) / took
-			if s.Status, err = edge.Ask(l.Control); err != nil {
+			if s.Status, err = edge.QueryStatus(l.Control); err != nil {
 				return steps, err
 			}
 			s.Turned = s.Status.Figures.Turned - turned
@@ -151,7 +151,7 @@
 	if control == "" {
 		return 0
 	}
-	s, err := edge.Ask(control)
+	s, err := edge.QueryStatus(control)
 	if err != nil {
 		return 0
 	}
@@ -163,7 +163,7 @@
 		s.Asked, s.Played, s.Refused, s.Failed, s.Abandoned, s.P50.Round(100*time.Microsecond), s.P99.Round(100*time.Microsecond),
 		s.Max.Round(100*time.Microsecond), s.Behind.Round(100*time.Microsecond))
 	if s.Status != nil {
-		t += fmt.Sprintf("; manager: %.2f processors, late by %.1f ms, shed %d", s.CPU, s.Status.BehindMS, s.Status.Figures.Shed)
+		t += fmt.Sprintf("; manager: %.2f processors, late by %.1f ms, shed %d", s.CPU, s.Status.LagMS, s.Status.Figures.Shed)
 	}
 	return t
 }
@@ -181,7 +181,7 @@
 	switch {
 	case last.Behind > l.Target/4:
 		what = "the load itself: it fell behind, and the figures of this step say little of the session manager"
-	case last.Status != nil && last.Status.Starved > 0:
+	case last.Status != nil && last.Status.DescriptorRejects > 0:
 		what = "descriptors of the session manager"
 	case 2*last.Turned > int64(last.Failed) && last.Failed > 0:
 		what = "the door: connections are turned away (bounds.connections, door.per_address, door.half_open)"
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -41,9 +41,9 @@
 	room    *newsroom
 	name    string
 	core    *registry.Core
-	boxes   registry.Boxes
-	fleet   registry.Fleet
-	want    registry.Want
+	boxes   registry.BoxTracker
+	fleet   registry.ManagerSet
+	want    registry.Request
 	open    bool // the watch is open
 	sent    int64
 	arrives Time
@@ -52,7 +52,7 @@
 }
 
 func newRoom(p *Play, d *DayRegistry) *newsroom {
-	r := &newsroom{DayRegistry: d, p: p, store: standin.NewStore(7, "day-0", registry.MarkKey)}
+	r := &newsroom{DayRegistry: d, p: p, store: standin.NewStore(7, "day-0", registry.HistoryKey)}
 	p.at(d.Timeout, r.progress)
 	return r
 }
@@ -66,48 +66,48 @@
 	}
 	r.ears = slices.DeleteFunc(r.ears, func(e *ear) bool { return e.gone })
 	now := r.p.stage.Now()
-	e := &ear{Front: f, room: r, name: name, fleet: registry.Fleet{Own: name, Lease: r.Lease}, states: map[string]session.ServerState{}}
+	e := &ear{Front: f, room: r, name: name, fleet: registry.ManagerSet{OwnName: name, LeaseTime: r.Lease}, states: map[string]session.ServerState{}}
 	seed := r.p.Day.Seed<<16 + uint64(len(r.ears)) + uint64(now)
-	e.core = registry.New(registry.Bounds{Seed: seed, Grace: r.p.Day.Grace, Timeout: r.Timeout, Held: 1 << 16}, now)
+	e.core = registry.New(registry.Config{Seed: seed, GracePeriod: r.p.Day.Grace, Timeout: r.Timeout, MaxBufferedChanges: 1 << 16}, now)
 	r.ears = append(r.ears, e)
-	f.Among(1, 0) // it knows of none but itself
+	f.SetFronts(1, 0) // it knows of none but itself
 	return e
 }
 
-// At begins a turn.
-func (e *ear) At(now Time) {
-	e.Front.At(now)
-	e.core.At(now)
+// BeginTurn begins a turn.
+func (e *ear) BeginTurn(now Time) {
+	e.Front.BeginTurn(now)
+	e.core.SetTime(now)
 }
 
-// Settle ends a turn.
-func (e *ear) Settle() Time {
-	next := e.core.Settle(e.do, e.take)
-	return min(next, e.Front.Settle())
+// EndTurn ends a turn.
+func (e *ear) EndTurn() Time {
+	next := e.core.Process(e.do, e.take)
+	return min(next, e.Front.EndTurn())
 }
 
-func (e *ear) take(n registry.News) {
+func (e *ear) take(n registry.Update) {
 	now := e.room.p.stage.Now()
-	e.fleet.Take(n, now)
+	e.fleet.Apply(n, now)
 	e.count()
-	named, _ := e.boxes.Take(n)
-	if !n.Whole && len(named) == 0 {
+	named, _ := e.boxes.Apply(n)
+	if !n.Snapshot && len(named) == 0 {
 		return
 	}
-	l := front.List{Whole: n.Whole}
+	l := front.ListUpdate{Complete: n.Snapshot}
 	for _, b := range named {
-		x := edge.Line(b)
+		x := edge.ServerOf(b)
 		x.Address = strings.TrimSuffix(x.Address, port)
 		l.Servers = append(l.Servers, x)
 	}
 	if b := e.room.p.broken; b != nil && b.List != nil {
 		l = b.List(l)
 	}
-	e.Front.Listed(l)
+	e.Front.UpdateList(l)
 }
 
 // count has the front know how many managers there are.
-func (e *ear) count() { e.Front.Among(e.fleet.Count(e.room.p.stage.Now())) }
+func (e *ear) count() { e.Front.SetFronts(e.fleet.Count(e.room.p.stage.Now())) }
 
 // told notes what reached the manager, whatever it makes of it.
 func (e *ear) told(key string, value []byte, deleted bool) {
@@ -116,9 +116,9 @@
 		return
 	}
 	state, started := session.Ready, Time(0)
-	if b, err := registry.ReadBox(value); deleted || err != nil {
+	if b, err := registry.DecodeBox(value); deleted || err != nil {
 		state = session.Gone
-	} else if s := edge.Line(registry.Named{Name: name, Box: b}); true {
+	} else if s := edge.ServerOf(registry.NamedBox{Name: name, Box: b}); true {
 		state, started = s.State, s.Started
 	}
 	if old, known := e.states[name]; !known || old != state {
@@ -144,32 +144,32 @@
 }
 
 // do carries out what the manager's view wants.
-func (e *ear) do(w registry.Want) {
+func (e *ear) do(w registry.Request) {
 	r := e.room
 	s := r.p.stage
 	e.want, e.open = w, false
 	s.At(max(s.Now()+r.Way, r.stalled), func() {
-		if e.gone || e.want.Try != w.Try {
+		if e.gone || e.want.Attempt != w.Attempt {
 			return
 		}
-		end := func(why registry.Failure) { e.in(r.Way, func() { e.core.Ended(w.Try, why) }) }
+		end := func(why registry.Failure) { e.in(r.Way, func() { e.core.HandleFailure(w.Attempt, why) }) }
 		if r.down {
-			end(registry.Lost)
+			end(registry.ConnectionLost)
 			return
 		}
 		h, all := r.store.Keys()
-		head := registry.Head{Cluster: h.ClusterId, Revision: h.Revision}
-		mark := registry.Mark("")
+		head := registry.Header{Cluster: h.ClusterId, Revision: h.Revision}
+		mark := registry.HistoryID("")
 		keys := map[string]registry.Entry{}
 		for _, kv := range all {
 			keys[string(kv.Key)] = registry.Entry{Value: kv.Value, Mod: kv.ModRevision}
-			if string(kv.Key) == registry.MarkKey {
-				mark = registry.Mark(kv.Value)
+			if string(kv.Key) == registry.HistoryKey {
+				mark = registry.HistoryID(kv.Value)
 			}
 		}
-		if w.Act == registry.List {
+		if w.Op == registry.List {
 			e.in(r.Way, func() {
-				if e.want.Try == w.Try {
+				if e.want.Attempt == w.Attempt {
 					for _, kv := range all {
 						e.told(string(kv.Key), kv.Value, false)
 					}
@@ -179,19 +179,19 @@
 						}
 					}
 				}
-				e.core.Listed(w.Try, head, mark, keys)
+				e.core.HandleList(w.Attempt, head, mark, keys)
 			})
 			return
 		}
-		_, old, there := r.store.Since(w.From)
+		_, old, there := r.store.EventsSince(w.StartRevision)
 		switch {
-		case mark != w.Mark:
-			end(registry.Foreign)
+		case mark != w.History:
+			end(registry.HistoryChanged)
 		case !there:
 			end(registry.Compacted)
 		default:
 			e.open, e.sent = true, head.Revision
-			e.in(r.Way, func() { e.core.Watched(w.Try, head, nil, false, true) })
+			e.in(r.Way, func() { e.core.HandleWatch(w.Attempt, head, nil, false, true) })
 			if len(old) > 0 {
 				e.send(head, old)
 			}
@@ -199,19 +199,19 @@
 	})
 }
 
-func (e *ear) send(head registry.Head, events []*mvccpb.Event) {
-	try := e.want.Try
+func (e *ear) send(head registry.Header, events []*mvccpb.Event) {
+	try := e.want.Attempt
 	var changes []registry.Change
 	for _, x := range events {
 		changes = append(changes, registry.Change{Key: string(x.Kv.Key), Value: x.Kv.Value, Mod: x.Kv.ModRevision, Deleted: x.Type == mvccpb.Event_DELETE})
 	}
 	e.in(e.room.Way, func() {
-		if e.want.Try == try {
+		if e.want.Attempt == try {
 			for _, c := range changes {
 				e.told(c.Key, c.Value, c.Deleted)
 			}
 		}
-		e.core.Watched(try, head, changes, false, false)
+		e.core.HandleWatch(try, head, changes, false, false)
 	})
 }
 
@@ -224,9 +224,9 @@
 	r.store.Put(keys)
 	for _, e := range r.ears {
 		if e.open && !e.gone {
-			h, events, _ := r.store.Since(e.sent + 1)
+			h, events, _ := r.store.EventsSince(e.sent + 1)
 			e.sent = h.Revision
-			e.send(registry.Head{Cluster: h.ClusterId, Revision: h.Revision}, events)
+			e.send(registry.Header{Cluster: h.ClusterId, Revision: h.Revision}, events)
 		}
 	}
 }
@@ -240,7 +240,7 @@
 		e.in(r.Way, e.count)
 		if e.open && !r.down {
 			h, _ := r.store.Keys()
-			e.send(registry.Head{Cluster: h.ClusterId, Revision: h.Revision}, nil)
+			e.send(registry.Header{Cluster: h.ClusterId, Revision: h.Revision}, nil)
 		}
 	}
 	r.p.stage.At(r.p.stage.Now()+r.Timeout, r.progress)
@@ -264,7 +264,7 @@
 	if b.started != 0 {
 		v.Started = micro(b.started)
 	}
-	return v.Value()
+	return v.Encode()
 }
 
 // manager has one register, or its key go when its lease has run out.
@@ -287,8 +287,8 @@
 	for _, e := range r.ears {
 		if e.open && !e.gone {
 			e.open = false
-			try := e.want.Try
-			e.in(r.Way, func() { e.core.Ended(try, registry.Lost) })
+			try := e.want.Attempt
+			e.in(r.Way, func() { e.core.HandleFailure(try, registry.ConnectionLost) })
 		}
 	}
 	r.p.stage.At(r.p.stage.Now()+span, func() { r.down = false })
@@ -300,7 +300,7 @@
 	r.epochs++
 	h, _ := r.store.Keys()
 	mark := "day-" + string(rune('0'+r.epochs%10)) + r.p.Day.Name
-	r.store.Begin(7, mark, registry.MarkKey, max(1, h.Revision+int64(r.p.rng.IntN(60))-30))
+	r.store.Reset(7, mark, registry.HistoryKey, max(1, h.Revision+int64(r.p.rng.IntN(60))-30))
 	r.again()
 }
 
@@ -309,7 +309,7 @@
 	_, all := r.store.Keys()
 	keys := map[string][]byte{}
 	for _, kv := range all {
-		if string(kv.Key) != registry.MarkKey {
+		if string(kv.Key) != registry.HistoryKey {
 			keys[string(kv.Key)] = nil
 		}
 	}
--- a/internal/lab/notation.go
+++ b/internal/lab/notation.go
@@ -35,13 +35,13 @@
 	figures bool   // session managers count quality
 	doors   *doors // where who may play is known from a directory
 	Name    string
-	Text    string             // as written
-	Told    func(*front.Story) // of playbacks, where somebody wants to know
-	Policy  string             // a baseline in place of the module; empty for the module
+	Text    string                     // as written
+	Told    func(*front.PlaybackTrace) // of playbacks, where somebody wants to know
+	Policy  string                     // a baseline in place of the module; empty for the module
 	Seed    uint64
 
 	Managers, Boxes, Zones, Racks int
-	Frame                         mediabox.Frame // of each box, but for its name, rack and start
+	Frame                         mediabox.Config // of each box, but for its name, rack and start
 	UplinkKB                      float64
 	NoticeSpread                  Time // the list reaches managers within so long
 	LostNotice                    Time // a death shows in the list after so long
@@ -64,7 +64,7 @@
 	Troubles []Trouble
 
 	Tenants []DayTenant // if there are any, they are the load
-	Door    *fair.Terms
+	Door    *fair.Config
 
 	Processes bool         // it has troubles of processes
 	Recover   bool         // managers that come back end what they left at boxes
@@ -87,7 +87,7 @@
 
 // DayPlan is a plan with how its viewers behave.
 type DayPlan struct {
-	front.Face
+	front.PlanProfile
 	Share float64
 	Watch [2]Time
 }
@@ -299,16 +299,16 @@
 	d.Managers, d.Boxes = w.count("managers", d.Managers), w.count("boxes", d.Boxes)
 	d.Zones, d.Racks = w.count("zones", d.Zones), w.count("racks", d.Racks)
 	f := &d.Frame
-	f.Places = w.count("places", 30)
+	f.MaxSessions = w.count("places", 30)
 	f.LinkKB, d.UplinkKB = w.number("link", 1000), w.number("uplink", 3000)
-	f.FullFrom = w.number("fullfrom", 0)
+	f.RejectFromLoad = w.number("fullfrom", 0)
 	f.SetupTime = w.pair("setup", 0.01, 0.04)
-	f.Tick, f.PacketBytes = w.span("tick", 0.1), w.count("packet", 1200)
-	f.NoteDelay, f.NoteAll = w.span("notedelay", 0.5), w.span("noteevery", 2)
+	f.SendInterval, f.PacketBytes = w.span("tick", 0.1), w.count("packet", 1200)
+	f.NoteDelay, f.NoteInterval = w.span("notedelay", 0.5), w.span("noteevery", 2)
 	d.ByProbes = w.text("load", "answers") == "probes"
-	f.LoadInAnswers, f.UplinkUntold = !d.ByProbes, w.text("uplinks", "told") == "untold"
+	f.LoadInAnswers, f.OmitUplinkLoad = !d.ByProbes, w.text("uplinks", "told") == "untold"
 	d.NoticeSpread, d.LostNotice = w.span("spread", 0.3), w.span("notice", 1.5)
-	f.KeepsAfterConnClose = w.text("keeps", "") != ""
+	f.KeepSessionsOnClose = w.text("keeps", "") != ""
 }
 
 func (d *Day) parseLadder(w *words) {
@@ -317,11 +317,11 @@
 		return
 	}
 	d.Frame.LadderKB = w.list(w.plain[0])
-	d.Site.Ladder.Worth = w.list(w.text("worth", ""))
-	if len(d.Site.Ladder.Worth) != len(d.Frame.LadderKB) {
+	d.Site.Ladder.RevenueShare = w.list(w.text("worth", ""))
+	if len(d.Site.Ladder.RevenueShare) != len(d.Frame.LadderKB) {
 		w.fail("worth= needs a number for each rate")
 	}
-	d.Frame.Join, d.Site.Ladder.Change = w.number("join", 1), w.span("change", 0.5)
+	d.Frame.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.span("change", 0.5)
 }
 
 func (d *Day) parsePlan(w *words) {
@@ -338,9 +338,9 @@
 		}
 		p.Tracks = append(p.Tracks, t)
 	}
-	s := session.Plan{Startup: w.span("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
+	s := session.Plan{StartupTarget: w.span("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
 		RateFactor: w.number("rate", 1), Floor: w.count("floor", 0), Top: w.count("top", 99),
-		Seats: w.count("seats", 0), Window: w.span("window", 5)}
+		Seats: w.count("seats", 0), KeyWindow: w.span("window", 5)}
 	switch r := w.text("repeat", "harmless"); r {
 	case "harmless":
 	case "keyed":
@@ -356,21 +356,21 @@
 
 func (d *Day) parseTerms(w *words) {
 	t, f := &d.Site.Terms, &d.Frame
-	t.ColdFrom, t.WarmUp = w.number("coldfrom", 0.3), w.span("warmup", 6)
-	t.FallMultiple, t.FallSpan = w.number("fallmultiple", 4), w.span("fallspan", 1)
-	t.AskWithin, t.MaxTries = w.span("askwithin", 10), w.count("tries", 4)
-	t.MaxComeAgain = w.span("comeagain", 2)
-	t.Rationed = w.kv["tryshare"] != "" || w.kv["freetries"] != ""
-	t.FreeTries, t.TryShare, t.TrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.span("tryspan", 10)
+	t.ColdShare, t.WarmUp = w.number("coldfrom", 0.3), w.span("warmup", 6)
+	t.ColdMultiple, t.ColdSpan = w.number("fallmultiple", 4), w.span("fallspan", 1)
+	t.ListDeadline, t.MaxTries = w.span("askwithin", 10), w.count("tries", 4)
+	t.MaxRetryAfter = w.span("comeagain", 2)
+	t.RetriesLimited = w.kv["tryshare"] != "" || w.kv["freetries"] != ""
+	t.FreeRetries, t.RetryShare, t.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.span("tryspan", 10)
 	t.Probes = w.count("probes", 1) > 0
 	if d.Silent = w.count("advice", 1) == 0; d.Silent {
-		t.MaxComeAgain = 0
+		t.MaxRetryAfter = 0
 	}
 	d.Grace, d.Timeout = w.span("grace", 0.25), w.span("timeout", 20)
 	d.Site.Prices = session.Prices{CrossZone: w.number("crosszone", 0.02), Move: w.number("move", 0.05),
-		Probe: w.number("probe", 0.01), OverShare: 0.1,
+		Probe: w.number("probe", 0.01), OverQuota: 0.1,
 		WorstPlan: w.number("worstplan", 0)}
-	f.ColdFrom, f.WarmUp, f.FallMultiple, f.FallSpan = t.ColdFrom, t.WarmUp, t.FallMultiple, t.FallSpan
+	f.ColdCapacity, f.WarmUp, f.CrashMultiple, f.CrashWindow = t.ColdShare, t.WarmUp, t.ColdMultiple, t.ColdSpan
 	f.SessionTimeout = d.Timeout
 }
 
@@ -412,16 +412,16 @@
 }
 
 func (d *Day) parseDoor(w *words) {
-	orders := map[string]fair.Order{"fair": fair.Fair, "fifo": fair.Fifo, "buckets": fair.Buckets}
-	t := &fair.Terms{Waiting: w.count("waiting", 500), Longest: w.span("longest", 0), PerSec: w.number("persec", 1)}
-	t.Bytes = w.count("bytes", 1000*t.Waiting)
-	t.Tenants, t.Clients = w.count("tenants", 4*t.Waiting), w.count("clients", t.Waiting)
+	orders := map[string]fair.Discipline{"fair": fair.StartTimeFair, "fifo": fair.FIFO, "buckets": fair.TokenBuckets}
+	t := &fair.Config{MaxWaiting: w.count("waiting", 500), MaxRetryAfter: w.span("longest", 0), BucketRate: w.number("persec", 1)}
+	t.MaxBytes = w.count("bytes", 1000*t.MaxWaiting)
+	t.MaxTenants, t.MaxIdleClients = w.count("tenants", 4*t.MaxWaiting), w.count("clients", t.MaxWaiting)
 	name := w.text("order", "fair")
 	order, ok := orders[name]
 	if !ok {
 		w.fail("order=%s: fair, fifo or buckets was expected", name)
 	}
-	t.Unfair = order
+	t.Discipline = order
 	d.Door = t
 }
 
@@ -429,12 +429,12 @@
 func (d *Day) finish() {
 	d.Site.Fronts = d.Managers
 	d.Site.Ladder.RateKB, d.Site.Ladder.Join = d.Frame.LadderKB, d.Frame.Join
-	d.Site.Fleet = session.Fleet{Cells: d.Boxes, Racks: d.Racks, LinksKB: d.Frame.LinkKB * float64(d.Boxes),
-		UplinkKB: d.UplinkKB, KBPerWeight: d.Frame.LinkKB, WeightsTold: true, Places: []float64{float64(d.Frame.Places)},
-		FullFrom: d.Frame.FullFrom, NoteDelay: d.Frame.NoteDelay, NoteEvery: d.Frame.NoteAll,
-		LoadInAnswers: !d.ByProbes, LoadInProbes: true, UplinkUntold: d.Frame.UplinkUntold}
+	d.Site.Fleet = session.Fleet{Cells: d.Boxes, Racks: d.Racks, TotalLinkKB: d.Frame.LinkKB * float64(d.Boxes),
+		UplinkKB: d.UplinkKB, KBPerWeight: d.Frame.LinkKB, WeightsListed: true, MaxStreams: []float64{float64(d.Frame.MaxSessions)},
+		RefusalFill: d.Frame.RejectFromLoad, NoteDelay: d.Frame.NoteDelay, NoteInterval: d.Frame.NoteInterval,
+		LoadInAnswers: !d.ByProbes, LoadInProbes: true, UplinkUnreported: d.Frame.OmitUplinkLoad}
 	if d.ByProbes {
-		d.Site.Fleet.NoteEvery = 0
+		d.Site.Fleet.NoteInterval = 0
 	}
 	for i := range d.Site.Plans {
 		p := &d.Site.Plans[i]
@@ -449,7 +449,7 @@
 
 // Bounds are the figures that the rules are judged by.
 func (d *Day) Bounds(slack Time) *Bounds {
-	b := &Bounds{Site: d.Site, Grace: d.Grace, Places: d.Frame.Places, Slack: slack,
+	b := &Bounds{Site: d.Site, Grace: d.Grace, Places: d.Frame.MaxSessions, Slack: slack,
 		Travel: 4 * (d.Links.Latency + d.Links.Jitter + d.Links.Across)}
 	for _, p := range d.Plans {
 		b.Plans, b.Abandon = append(b.Plans, p.Name), append(b.Abandon, p.Abandon)
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -144,25 +144,25 @@
 		zones = append(zones, fmt.Sprintf("%q", fmt.Sprint("zone-", i)))
 	}
 	t, f, pr := &d.Site.Terms, &d.Site.Fleet, &d.Site.Prices
-	ration, advice := "", fmt.Sprintf("max_come_again = \"%dus\"", t.MaxComeAgain)
-	if t.Rationed {
-		ration = fmt.Sprintf("rationed = true\nfree_tries = %g\ntry_share = %g\ntry_span = \"%dus\"", t.FreeTries, t.TryShare, t.TrySpan)
+	ration, advice := "", fmt.Sprintf("max_come_again = \"%dus\"", t.MaxRetryAfter)
+	if t.RetriesLimited {
+		ration = fmt.Sprintf("rationed = true\nfree_tries = %g\ntry_share = %g\ntry_span = \"%dus\"", t.FreeRetries, t.RetryShare, t.RetrySpan)
 	}
 	if d.Silent {
 		advice = "advice = false"
 	}
 	text := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.Timeout, playbacks, endpoint, d.Grace,
-		drain, floats(d.Frame.LadderKB), floats(d.Site.Ladder.Worth), d.Frame.Join, d.Site.Ladder.Change, f.Cells, f.Racks, f.LinksKB,
-		f.UplinkKB, f.KBPerWeight, f.FullFrom, f.NoteDelay, f.NoteEvery, d.Frame.Places, t.ColdFrom, t.WarmUp, t.FallMultiple, t.FallSpan,
-		t.MaxTries, ration, advice, pr.CrossZone, pr.Move, pr.Probe, pr.OverShare)
+		drain, floats(d.Frame.LadderKB), floats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, f.Cells, f.Racks, f.TotalLinkKB,
+		f.UplinkKB, f.KBPerWeight, f.RefusalFill, f.NoteDelay, f.NoteInterval, d.Frame.MaxSessions, t.ColdShare, t.WarmUp, t.ColdMultiple, t.ColdSpan,
+		t.MaxTries, ration, advice, pr.CrossZone, pr.Move, pr.Probe, pr.OverQuota)
 	repeats := map[session.Repeat]string{session.Harmless: "harmless", session.Keyed: "keyed", session.Unsafe: "unsafe"}
 	for i, p := range d.Plans {
 		s := d.Site.Plans[i]
 		text += fmt.Sprintf("[[plan]]\nname = %q\nrepeat = %q\nstartup = \"%dus\"\nabandon = \"%dus\"\nrevenue = %g\nlive = %t\n"+
-			"rate_factor = %g\nfloor = %d\ntop = %d\nseats = %d\n", p.Name, repeats[s.Repeat], s.Startup, p.Abandon, s.Revenue, s.Live,
+			"rate_factor = %g\nfloor = %d\ntop = %d\nseats = %d\n", p.Name, repeats[s.Repeat], s.StartupTarget, p.Abandon, s.Revenue, s.Live,
 			s.RateFactor, s.Floor, s.Top, s.Seats)
 		if s.Repeat == session.Keyed {
-			text += fmt.Sprintf("window = \"%dus\"\n", s.Window)
+			text += fmt.Sprintf("window = \"%dus\"\n", s.KeyWindow)
 		}
 		for _, x := range p.Tracks {
 			text += fmt.Sprintf("[[plan.track]]\nmedia = %q\nencoding = %q\npayload = %d\n", x.Media, x.Encoding, x.Payload)
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	x := &Processes{Program: program, dir: dir, day: d, live: l, instances: map[string]*instance{}, last: map[string]session.ServerState{},
-		store: standin.NewStore(7, "fleet", registry.MarkKey)}
+		store: standin.NewStore(7, "fleet", registry.HistoryKey)}
 	if x.spawner, err = newSpawner(); err != nil {
 		return nil, err
 	}
@@ -330,7 +330,7 @@
 		if b.started != 0 {
 			v.Started = micro(b.started)
 		}
-		x.store.Put(map[string][]byte{key: v.Value()})
+		x.store.Put(map[string][]byte{key: v.Encode()})
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -459,7 +459,7 @@
 	}
 	x.mu.Unlock()
 	for _, i := range instances {
-		s, e := edge.Ask(filepath.Join(filepath.Dir(i.file), "control"))
+		s, e := edge.QueryStatus(filepath.Join(filepath.Dir(i.file), "control"))
 		if e != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", i.name, e))
 			continue
--- a/internal/lab/quality.go
+++ b/internal/lab/quality.go
@@ -44,8 +44,8 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x9a11))
 	length := 900 * sec
-	terms := quality.Terms{Plans: []quality.Plan{{Startup: 1_500_000, Revenue: 4}, {Startup: 800_000, Revenue: 1}, {Startup: 1_000_000, Revenue: 2}},
-		Worth: []float64{0.4, 0.7, 0.9, 1}, Racks: racks, Titles: 2 * titles, Playbacks: n, Width: 30 * sec, Buckets: 64, Late: 60 * sec}
+	terms := quality.Config{Plans: []quality.Plan{{Startup: 1_500_000, Revenue: 4}, {Startup: 800_000, Revenue: 1}, {Startup: 1_000_000, Revenue: 2}},
+		RungWorth: []float64{0.4, 0.7, 0.9, 1}, Racks: racks, MaxTitles: 2 * titles, MaxPlaybacks: n, BucketWidth: 30 * sec, BucketCount: 64, ReportGrace: 60 * sec}
 	badRack, badTitle := rng.IntN(racks), fmt.Sprint("title-", rng.IntN(titles/4))
 	bad := [2]Time{240 * sec, 480 * sec}
 	base := Time(1_700_000_000) * sec
@@ -80,20 +80,20 @@
 			if rng.IntN(10) == 0 {
 				sent += Time(rng.Float64() * 30 * float64(sec))
 			}
-			x := quality.Report{Seq: seq, What: what, Clock: sent + offset, At: at + offset, Span: span, Rung: rung}
+			x := quality.Report{Seq: seq, Type: what, SentAt: sent + offset, OccurredAt: at + offset, Duration: span, Rung: rung}
 			arrive := sent + Time(rng.Float64()*0.02*float64(sec))
 			arrivals = append(arrivals, arrival{arrive, t.id, x})
 			for rng.IntN(4) == 0 { // sent again, as the answer was lost: its clock has gone on
 				again := Time(rng.Float64() * 5 * float64(sec))
-				x.Clock += again
+				x.SentAt += again
 				arrivals = append(arrivals, arrival{arrive + again, t.id, x})
 			}
 		}
 		if t.startup >= 0 {
-			report(quality.Startup, t.taken+t.startup, 0, 0)
-			arrivals[len(arrivals)-1].r.Span = t.startup
+			report(quality.StartupReport, t.taken+t.startup, 0, 0)
+			arrivals[len(arrivals)-1].r.Duration = t.startup
 			for k := len(arrivals) - 1; k >= 0 && arrivals[k].id == t.id; k-- {
-				arrivals[k].r.Span = t.startup
+				arrivals[k].r.Duration = t.startup
 			}
 			at := t.taken + t.startup
 			t.rungs = append(t.rungs, [2]Time{at, Time(rng.IntN(4))})
@@ -101,10 +101,10 @@
 				if rng.IntN(2) == 0 {
 					long := min(Time(rng.Float64()*2*float64(sec)), t.ends-at-1)
 					t.stalls = append(t.stalls, [2]Time{at, at + long})
-					report(quality.Stall, at, long, 0)
+					report(quality.StallReport, at, long, 0)
 				} else if r := Time(rng.IntN(4)); r != t.rungs[len(t.rungs)-1][1] {
 					t.rungs = append(t.rungs, [2]Time{at, r})
-					report(quality.Rung, at, 0, int(r))
+					report(quality.RungReport, at, 0, int(r))
 				}
 			}
 		}
@@ -112,26 +112,26 @@
 	}
 	type step struct {
 		at   Time
-		call func(*quality.Core)
+		call func(*quality.Collector)
 	}
 	var steps []step
-	do := func(at Time, call func(*quality.Core)) { steps = append(steps, step{at, call}) }
+	do := func(at Time, call func(*quality.Collector)) { steps = append(steps, step{at, call}) }
 	for i := range truths {
 		t := &truths[i]
-		do(t.taken, func(c *quality.Core) { c.Taken(t.id, t.plan, t.title, t.taken) })
+		do(t.taken, func(c *quality.Collector) { c.Begin(t.id, t.plan, t.title, t.taken) })
 		if t.startup >= 0 {
 			seen := t.taken + t.startup*9/10 // what the session manager sees itself is not what the viewer saw
-			do(seen, func(c *quality.Core) { c.Plays(t.id, t.rack, int(t.rungs[0][1]), seen) })
+			do(seen, func(c *quality.Collector) { c.Playing(t.id, t.rack, int(t.rungs[0][1]), seen) })
 		}
-		do(t.ends, func(c *quality.Core) {
+		do(t.ends, func(c *quality.Collector) {
 			c.Failed(t.id, t.rack)
-			c.Ended(t.id, t.ends)
+			c.End(t.id, t.ends)
 		})
 	}
 	accepted := 0
 	for _, a := range arrivals {
 		accepted++
-		do(a.at, func(c *quality.Core) { c.Report(a.id, a.r) })
+		do(a.at, func(c *quality.Collector) { c.Report(a.id, a.r) })
 	}
 	slices.SortStableFunc(steps, func(a, b step) int {
 		if a.at < b.at {
@@ -153,25 +153,25 @@
 		began := time.Now()
 		for next <= s.at {
 			now := next
-			c.At(now)
-			next = c.Settle(func(a quality.Alarm) { alarms = append(alarms, alarm{a, now - base}) })
+			c.Advance(now)
+			next = c.Evaluate(func(a quality.Alarm) { alarms = append(alarms, alarm{a, now - base}) })
 		}
-		c.At(s.at)
+		c.Advance(s.at)
 		s.call(c)
 		took += time.Since(began)
 	}
 	end := base + length + 200*sec
 	for next <= end {
 		now := next
-		c.At(now)
-		next = c.Settle(func(a quality.Alarm) { alarms = append(alarms, alarm{a, now - base}) })
+		c.Advance(now)
+		next = c.Evaluate(func(a quality.Alarm) { alarms = append(alarms, alarm{a, now - base}) })
 	}
 	want := answersOf(truths, &terms)
-	got := c.Figures()
+	got := c.Totals()
 	worst, what := 0.0, ""
 	for g, w := range want {
 		f := got[g]
-		for name, x := range map[string][2]float64{"due": {f.Due, w.Due}, "on time": {f.OnTime, w.OnTime}, "watched": {f.Watched, w.Watched},
+		for name, x := range map[string][2]float64{"due": {f.RevenueDue, w.RevenueDue}, "on time": {f.RevenueOnTime, w.RevenueOnTime}, "watched": {f.Watched, w.Watched},
 			"stalled": {f.Stalled, w.Stalled}, "worth": {f.Worth, w.Worth}, "changes": {f.Changes, w.Changes}} {
 			if off := math.Abs(x[0]-x[1]) / max(x[1], 1); off > worst {
 				worst, what = off, fmt.Sprintf("%s of %+v: %.3f, not %.3f", name, g, x[0], x[1])
@@ -186,7 +186,7 @@
 		right := a.Group == quality.Group{Kind: quality.Rack, Rack: badRack} || a.Group == quality.Group{Kind: quality.Title, Title: badTitle}
 		if !right {
 			wrong++
-			p.Note("wrongly: %+v at %.0f s: lost %.3f, others %.3f", a.Group, seconds(a.at), a.Lost, a.Rest)
+			p.Note("wrongly: %+v at %.0f s: lost %.3f, others %.3f", a.Group, seconds(a.at), a.Loss, a.OthersLoss)
 		} else if a.Raised {
 			if _, ok := raised[a.Group]; !ok {
 				raised[a.Group] = a.at
@@ -199,12 +199,12 @@
 	p.AtMost(float64(wrong), 0, "alarms of what was not bad")
 	for g, at := range raised {
 		p.Note("%+v: bad from %.0f s on, named at %.0f s, no more at %.0f s", g, seconds(bad[0]), seconds(at), seconds(mended[g]))
-		full := Time(terms.Buckets/8+2)*terms.Width + terms.Late // what is looked at is full of it, and closed to reports
+		full := Time(terms.BucketCount/8+2)*terms.BucketWidth + terms.ReportGrace // what is looked at is full of it, and closed to reports
 		p.AtMost(seconds(at-bad[0]), seconds(full), "seconds from the beginning of the trouble to its being named")
 	}
 	counts := c.Counts
 	p.Note("%+v; %.2f us a playback with its reports", counts, float64(took.Microseconds())/float64(n))
-	p.AtMost(float64(c.Open()), 0, "records left open")
+	p.AtMost(float64(c.OpenCount()), 0, "records left open")
 	p.AtLeast(float64(counts.Duplicates), float64(len(arrivals))/20, "reports that came twice and were left out")
 	p.Judged["playbacks"], p.Judged["reports"], p.Judged["groups"] = n, accepted, len(want)
 	return p, p.slowRack(seed, log)
@@ -213,14 +213,14 @@
 func within(t Time, x [2]Time) bool { return t >= x[0] && t < x[1] }
 
 // answersOf works the figures out from what was true, playback by playback.
-func answersOf(all []known, terms *quality.Terms) map[quality.Group]quality.Figures {
-	want := map[quality.Group]quality.Figures{}
+func answersOf(all []known, terms *quality.Config) map[quality.Group]quality.Totals {
+	want := map[quality.Group]quality.Totals{}
 	for _, t := range all {
 		plan := terms.Plans[t.plan]
-		f := quality.Figures{Due: plan.Revenue, Count: 1}
+		f := quality.Totals{RevenueDue: plan.Revenue, Playbacks: 1}
 		if t.startup >= 0 {
 			if t.startup <= plan.Startup {
-				f.OnTime = plan.Revenue
+				f.RevenueOnTime = plan.Revenue
 			}
 			f.Watched = plan.Revenue * seconds(t.ends-t.taken-t.startup)
 			for _, s := range t.stalls {
@@ -231,7 +231,7 @@
 				if i+1 < len(t.rungs) {
 					to = t.rungs[i+1][0]
 				}
-				f.Worth += plan.Revenue * terms.Worth[r[1]] * seconds(to-r[0])
+				f.Worth += plan.Revenue * terms.RungWorth[r[1]] * seconds(to-r[0])
 				if i > 0 {
 					f.Changes += plan.Revenue
 				}
@@ -239,8 +239,8 @@
 		}
 		for _, g := range []quality.Group{{Kind: quality.Rack, Rack: t.rack}, {Kind: quality.Title, Title: t.title}} {
 			x := want[g]
-			x.Due, x.OnTime, x.Watched, x.Stalled = x.Due+f.Due, x.OnTime+f.OnTime, x.Watched+f.Watched, x.Stalled+f.Stalled
-			x.Worth, x.Changes, x.Count = x.Worth+f.Worth, x.Changes+f.Changes, x.Count+f.Count
+			x.RevenueDue, x.RevenueOnTime, x.Watched, x.Stalled = x.RevenueDue+f.RevenueDue, x.RevenueOnTime+f.RevenueOnTime, x.Watched+f.Watched, x.Stalled+f.Stalled
+			x.Worth, x.Changes, x.Playbacks = x.Worth+f.Worth, x.Changes+f.Changes, x.Playbacks+f.Playbacks
 			want[g] = x
 		}
 	}
@@ -248,13 +248,13 @@
 }
 
 // serviceOf adds up what a session manager makes of each rack and title.
-func (p *Play) serviceOf(c *quality.Core) {
+func (p *Play) serviceOf(c *quality.Collector) {
 	if p.service == nil {
-		p.service = map[quality.Group]quality.Figures{}
+		p.service = map[quality.Group]quality.Totals{}
 	}
-	for g, f := range c.Figures() {
+	for g, f := range c.Totals() {
 		x := p.service[g]
-		x.Due, x.OnTime, x.Watched, x.Count = x.Due+f.Due, x.OnTime+f.OnTime, x.Watched+f.Watched, x.Count+f.Count
+		x.RevenueDue, x.RevenueOnTime, x.Watched, x.Playbacks = x.RevenueDue+f.RevenueDue, x.RevenueOnTime+f.RevenueOnTime, x.Watched+f.Watched, x.Playbacks+f.Playbacks
 		p.service[g] = x
 	}
 }
@@ -281,7 +281,7 @@
 			last[a.request] = a
 		}
 	}
-	want := make([]quality.Figures, d.Racks)
+	want := make([]quality.Totals, d.Racks)
 	for _, a := range answered {
 		t := last[a.request]
 		if t == nil {
@@ -289,19 +289,19 @@
 		}
 		plan, _ := d.Bounds(0).plan(a.plan)
 		w := &want[cells[t.box]%d.Racks]
-		w.Due += d.Site.Plans[plan].Revenue
-		if a.status == 200 && a.answeredAt-a.at <= d.Site.Plans[plan].Startup {
-			w.OnTime += d.Site.Plans[plan].Revenue
+		w.RevenueDue += d.Site.Plans[plan].Revenue
+		if a.status == 200 && a.answeredAt-a.at <= d.Site.Plans[plan].StartupTarget {
+			w.RevenueOnTime += d.Site.Plans[plan].Revenue
 		}
 	}
 	worst, lowest := 0.0, 0
 	for r := range want {
 		f := play.service[quality.Group{Kind: quality.Rack, Rack: r}]
-		worst = max(worst, math.Abs(f.Due/want[r].Due-1), math.Abs(f.OnTime/want[r].OnTime-1))
+		worst = max(worst, math.Abs(f.RevenueDue/want[r].RevenueDue-1), math.Abs(f.RevenueOnTime/want[r].RevenueOnTime-1))
 		if want[r].Service() < want[lowest].Service() {
 			lowest = r
 		}
-		p.Note("rack %d: service %.3f, from what passed %.3f; due %.0f and %.0f", r, f.Service(), want[r].Service(), f.Due, want[r].Due)
+		p.Note("rack %d: service %.3f, from what passed %.3f; due %.0f and %.0f", r, f.Service(), want[r].Service(), f.RevenueDue, want[r].RevenueDue)
 	}
 	p.AtMost(100*worst, 0.5, "per cent by which what managers make of a rack differs from what passed")
 	p.Check(lowest == play.slowRack, float64(lowest), fmt.Sprint(play.slowRack), "the rack with the least service is the one that was slow")
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -24,7 +24,7 @@
 	view     map[string]registry.Entry
 	sum      uint64
 	rev      int64
-	mark     registry.Mark
+	mark     registry.HistoryID
 	news     int
 	never    int             // states that the registry never had
 	twice    int             // changes applied twice
@@ -33,14 +33,14 @@
 	firstBad string
 }
 
-func (f *follower) take(n registry.News, mark registry.Mark) {
+func (f *follower) take(n registry.Update, mark registry.HistoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.news++
 	if mark == f.mark && n.Revision < f.rev {
 		f.back++
 	}
-	if n.Whole {
+	if n.Snapshot {
 		f.view, f.sum = map[string]registry.Entry{}, 0
 	}
 	for _, x := range n.Changes {
@@ -48,22 +48,22 @@
 			if old.Mod >= x.Mod {
 				f.twice++
 			}
-			f.sum -= standin.Sum(x.Key, old.Value, old.Mod)
+			f.sum -= standin.Checksum(x.Key, old.Value, old.Mod)
 			delete(f.view, x.Key)
 		}
 		if !x.Deleted {
 			f.view[x.Key] = registry.Entry{Value: x.Value, Mod: x.Mod}
-			f.sum += standin.Sum(x.Key, x.Value, x.Mod)
+			f.sum += standin.Checksum(x.Key, x.Value, x.Mod)
 		}
 	}
 	f.rev, f.mark = n.Revision, mark
-	if !f.store.Was(string(mark), n.Revision, f.sum) {
+	if !f.store.HadState(string(mark), n.Revision, f.sum) {
 		f.never++
 		if f.firstBad == "" {
-			f.firstBad = fmt.Sprintf("revision %d of %s (whole %t, %d changes)", n.Revision, mark, n.Whole, len(n.Changes))
+			f.firstBad = fmt.Sprintf("revision %d of %s (whole %t, %d changes)", n.Revision, mark, n.Snapshot, len(n.Changes))
 		}
 	}
-	if born := f.store.Born(string(mark), n.Revision); !n.Whole && !born.IsZero() {
+	if born := f.store.CommittedAt(string(mark), n.Revision); !n.Snapshot && !born.IsZero() {
 		f.delays = append(f.delays, time.Since(born))
 	}
 }
@@ -91,7 +91,7 @@
 		changes = 200_000
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x2e9))
-	store := standin.NewStore(7, "history-0", registry.MarkKey)
+	store := standin.NewStore(7, "history-0", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		return nil, err
@@ -110,8 +110,8 @@
 		if i%4 == 0 {
 			ends = append(ends, hanging.Addr())
 		}
-		f.client, err = client.New(client.Place{Endpoints: ends, Bounds: registry.Bounds{Seed: seed + uint64(i), Grace: 250_000,
-			Timeout: 400_000, Held: 1 << 20}}, zap.NewNop(), f.take)
+		f.client, err = client.New(client.Config{Endpoints: ends, Core: registry.Config{Seed: seed + uint64(i), GracePeriod: 250_000,
+			Timeout: 400_000, MaxBufferedChanges: 1 << 20}}, zap.NewNop(), f.take)
 		if err != nil {
 			return nil, err
 		}
@@ -127,7 +127,7 @@
 		registered.Add(1)
 		go func() {
 			defer registered.Done()
-			client.Register(ctx, client.Place{Endpoints: []string{addr}, Bounds: registry.Bounds{Timeout: 400_000}},
+			client.Register(ctx, client.Config{Endpoints: []string{addr}, Core: registry.Config{Timeout: 400_000}},
 				registry.BoxesPrefix+fmt.Sprint("leased-", i), func() []byte { return []byte("{}") }, nil, 2, zap.NewNop())
 		}()
 	}
@@ -135,17 +135,17 @@
 	var bag []string
 	epochs := 0
 	next := 0
-	for store.Made() < int64(changes) {
+	for store.ChangeCount() < int64(changes) {
 		txn := map[string][]byte{}
 		for range 1 + rng.IntN(8) {
 			b := registry.Box{Address: fmt.Sprintf("127.0.0.1:%d", 1000+rng.IntN(9000)), Zone: "z", Kind: "std", Weight: 1, State: "ready"}
 			key := registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxes))
-			if txn[key] = b.Value(); rng.IntN(6) == 0 {
+			if txn[key] = b.Encode(); rng.IntN(6) == 0 {
 				txn[key] = nil
 			}
 		}
 		store.Put(txn)
-		store.Expire(false)
+		store.ExpireLeases(false)
 		if next--; next > 0 {
 			if rng.IntN(4) == 0 {
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Microsecond)
@@ -165,7 +165,7 @@
 			_, rev, _ := store.State()
 			store.Compact(rev - int64(rng.IntN(200)))
 		case "cut":
-			server.Cut()
+			server.CloseConnections()
 			if rng.IntN(2) == 0 { // and what they would resume from is gone
 				store.Put(map[string][]byte{registry.BoxesPrefix + "box-0": []byte("x")})
 				_, rev, _ := store.State()
@@ -180,13 +180,13 @@
 		case "freeze":
 			hanging.Freeze(rng.IntN(2) == 0)
 		case "lose":
-			store.Expire(true)
+			store.ExpireLeases(true)
 		case "new history", "restart":
 			server.Stop()
 			if kind == "new history" { // lower, or soon past what was seen, with the same cluster id or another
 				epochs++
 				_, rev, _ := store.State()
-				store.Begin(7+uint64(rng.IntN(2)), fmt.Sprint("history-", epochs), registry.MarkKey, max(1, rev+int64(rng.IntN(400))-200))
+				store.Reset(7+uint64(rng.IntN(2)), fmt.Sprint("history-", epochs), registry.HistoryKey, max(1, rev+int64(rng.IntN(400))-200))
 				for range rng.IntN(50) {
 					store.Put(map[string][]byte{registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxes)): []byte("y")})
 				}
@@ -210,7 +210,7 @@
 	for time.Since(quiet) < 15*time.Second && (behind > 0 || again < leased) {
 		time.Sleep(50 * time.Millisecond)
 		epoch, rev, sum := store.State()
-		behind, again = 0, store.Count(registry.BoxesPrefix+"leased-")
+		behind, again = 0, store.CountPrefix(registry.BoxesPrefix+"leased-")
 		for _, f := range all {
 			f.mu.Lock()
 			if string(f.mark) != epoch || f.rev != rev || f.sum != sum {
@@ -226,7 +226,7 @@
 	}
 	lists := func() (n int64) {
 		for _, f := range all {
-			f.client.Do(func(c *registry.Core) { n += c.Counts.Lists })
+			f.client.WithCore(func(c *registry.Core) { n += c.Counts.Lists })
 		}
 		return n
 	}
@@ -283,7 +283,7 @@
 			p.Note("never: %s", f.firstBad)
 		}
 		f.mu.Unlock()
-		f.client.Do(func(c *registry.Core) {
+		f.client.WithCore(func(c *registry.Core) {
 			x, y := &counts, &c.Counts
 			x.Lists, x.Watches, x.Compactions, x.Histories = x.Lists+y.Lists, x.Watches+y.Watches, x.Compactions+y.Compactions, x.Histories+y.Histories
 			x.Lower, x.Duplicates, x.Guarded, x.Refuted, x.Failures = x.Lower+y.Lower, x.Duplicates+y.Duplicates, x.Guarded+y.Guarded, x.Refuted+y.Refuted, x.Failures+y.Failures
@@ -293,7 +293,7 @@
 	p.AtMost(float64(relists), 0, "lists after breaks over which watches could go on")
 	p.AtMost(parts[len(parts)/2], 4, "time to every view after a break, over the break's length, median")
 	slices.Sort(delays)
-	p.Judged["news"], p.Judged["changes"], p.Judged["managers"] = news, int(store.Made()), managers
+	p.Judged["news"], p.Judged["changes"], p.Judged["managers"] = news, int(store.ChangeCount()), managers
 	for k, n := range kinds {
 		p.Judged[k] = n
 	}
@@ -302,7 +302,7 @@
 	p.AtMost(float64(never), 0, "states that the registry never had")
 	p.AtMost(float64(twice), 0, "changes applied twice")
 	p.AtMost(float64(back), 0, "revisions that went back within a history")
-	p.AtLeast(float64(store.Made()), float64(changes), "changes made")
+	p.AtLeast(float64(store.ChangeCount()), float64(changes), "changes made")
 	if n := len(delays); n > 0 {
 		p.Note("from a change to the view by a watch: median %s, 99%% %s (the breaks and stalls included)", delays[n/2], delays[n*99/100])
 	}
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -338,13 +338,13 @@
 			}
 			v.Judged++
 			window = append(window, at)
-			for window[0] <= at-t.FallSpan {
+			for window[0] <= at-t.ColdSpan {
 				window = window[1:]
 			}
-			warmth := t.ColdFrom + (1-t.ColdFrom)*float64(at-e.Started)/float64(t.WarmUp)
-			if may := max(mediabox.Allowed(b.Places, t.WarmUp, t.FallSpan, t.FallMultiple, warmth), 1); float64(len(window)) > may {
+			warmth := t.ColdShare + (1-t.ColdShare)*float64(at-e.Started)/float64(t.WarmUp)
+			if may := max(mediabox.MaxColdSetups(b.Places, t.WarmUp, t.ColdSpan, t.ColdMultiple, warmth), 1); float64(len(window)) > may {
 				v.fail("%s: %d set-ups within %.1f s, %.1f s after its start; %.1f may be", e.Place, len(window),
-					seconds(t.FallSpan), seconds(at-e.Started), may)
+					seconds(t.ColdSpan), seconds(at-e.Started), may)
 			}
 		}
 	}
@@ -434,7 +434,7 @@
 func budget(entries []Entry, tries []*attempt, players []*asked, b *Bounds) Verdict {
 	v := Verdict{Rule: 6, Name: "further tries stay within their budget"}
 	t := &b.Site.Terms
-	if !t.Rationed {
+	if !t.RetriesLimited {
 		return v
 	}
 	outs := outages(entries)
@@ -456,7 +456,7 @@
 		}
 		v.Judged++
 		w := append(further[a.front], a.opened)
-		since := a.opened - t.TrySpan
+		since := a.opened - t.RetrySpan
 		for _, o := range outs[a.front] {
 			if o[0] <= a.opened {
 				since = max(since, o[0])
@@ -472,8 +472,8 @@
 				n++
 			}
 		}
-		if may := t.FreeTries + t.TryShare*float64(n); float64(len(w)) > may {
-			v.fail("%s: %d further tries within %.1f s, %.1f may be", a.front, len(w), seconds(t.TrySpan), may)
+		if may := t.FreeRetries + t.RetryShare*float64(n); float64(len(w)) > may {
+			v.fail("%s: %d further tries within %.1f s, %.1f may be", a.front, len(w), seconds(t.RetrySpan), may)
 		}
 	}
 	return v
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -44,15 +44,15 @@
 	Moved                                                 int
 	SentOn                                                int // told while they played to go elsewhere
 	Revenue, Offered                                      float64
-	ByLate                                                []float64     // revenue by tenth of a second since the day began
-	Fronts                                                front.Figures // added up over all that ran
+	ByLate                                                []float64   // revenue by tenth of a second since the day began
+	Fronts                                                front.Stats // added up over all that ran
 }
 
 // Broken makes a front that breaks a rule on purpose, to show that its checker catches it: it may change
 // what the module is told, or the network that the front sends by.
 type Broken struct {
 	Site   func(*session.Site)
-	List   func(front.List) front.List
+	List   func(front.ListUpdate) front.ListUpdate
 	Net    func(core.Net) core.Net
 	Module func(session.Manager) session.Manager // changes what the module hears
 	Seed   uint64                                // other draws of the module's chance
@@ -75,20 +75,20 @@
 	crowd                          float64
 	asked                          int
 	slowRack                       int // of the trouble of that name
-	service                        map[quality.Group]quality.Figures
+	service                        map[quality.Group]quality.Totals
 	broken                         *Broken
 	log                            *zap.Logger
 	zipf                           []float64
 	Log                            []*Logged // of days with tenants
-	byWant                         map[*player.Want]*Logged
+	byWant                         map[*player.Profile]*Logged
 	room                           *newsroom  // where the day has a registry
 	out                            *Processes // where managers are processes of their own
-	paid                           map[*player.Want]bool
+	paid                           map[*player.Profile]bool
 	Orphans                        float64 // places that they take, mean over the day
 	orphaned, looks                float64
-	Seen                           []player.Seen // where managers are processes of their own
-	wants                          []*player.Want
-	askedAt                        map[*player.Want]Time
+	Seen                           []player.Result // where managers are processes of their own
+	wants                          []*player.Profile
+	askedAt                        map[*player.Profile]Time
 	zoneOf                         map[string]string
 	gives, fills, fullest, waiting []float64 // each half second, on the virtual network
 	sent                           int       // packets, by boxes
@@ -127,7 +127,7 @@
 
 func begin(d *Day, s Stage, tape *Tape, broken *Broken, log *zap.Logger, out *Processes) *Play {
 	p := &Play{Day: d, stage: s, tape: tape, rng: rand.New(rand.NewPCG(d.Seed, 0xda1)), began: s.Now(), surge: 1,
-		broken: broken, log: log, askedAt: map[*player.Want]Time{}, zoneOf: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
+		broken: broken, log: log, askedAt: map[*player.Profile]Time{}, zoneOf: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
 	if p.out = out; out != nil {
 		out.play = p
 	}
@@ -188,13 +188,13 @@
 
 // lookAtOrphans counts, ten times a second, the places that sessions without a connection take.
 func (p *Play) lookAtOrphans() {
-	if p.Day.Frame.KeepsAfterConnClose && p.out == nil {
+	if p.Day.Frame.KeepSessionsOnClose && p.out == nil {
 		p.looks++
 		for _, b := range p.boxes {
 			p.stage.Call(b.name, func(c core.Core) {
 				if x, ok := c.(*mediabox.Box); ok {
 					p.mu.Lock()
-					p.orphaned += float64(x.Orphaned())
+					p.orphaned += float64(x.OrphanedSessions())
 					p.mu.Unlock()
 				}
 			})
@@ -220,7 +220,7 @@
 
 func (p *Play) startBox(b *boxState, started Time) {
 	f := p.Day.Frame
-	f.Name, f.Rack, f.Started = b.name, p.racks[b.cell%p.Day.Racks], started
+	f.Name, f.Rack, f.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], started
 	b.starts++
 	f.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
 	p.tape.Began(p.stage.Now(), b.name, started)
@@ -228,30 +228,30 @@
 }
 
 // Service is what the day's front of a number is told.
-func (d *Day) Service(number int) *front.Service {
-	s := &front.Service{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, Silent: d.Silent,
+func (d *Day) Service(number int) *front.Config {
+	s := &front.Config{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
 		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(number)},
 		Bounds: front.Bounds{Connections: 20000, Playbacks: 8000, Pipelined: 16, PlayerBytes: 256 << 10}}
 	for i := range d.Zones {
 		s.Zones = append(s.Zones, "zone-"+strconv.Itoa(i))
 	}
 	for _, x := range d.Plans {
-		s.Plans = append(s.Plans, x.Face)
+		s.Plans = append(s.Plans, x.PlanProfile)
 	}
 	if d.Door != nil {
 		t := *d.Door
-		t.Secret, t.Silent = s.Secret, d.Silent
+		t.TokenSecret, t.WithholdRetryTime = s.Secret, d.Silent
 		for _, p := range d.Site.Plans {
-			t.Startup = max(t.Startup, p.Startup)
+			t.StartupTarget = max(t.StartupTarget, p.StartupTarget)
 		}
 		s.Queue = &t
 		s.Bounds.Connections = 200000
 	}
-	s.Told = d.Told
+	s.OnAnswered = d.Told
 	if d.figures {
-		t := quality.Terms{Worth: s.Site.Ladder.Worth, Racks: d.Racks, Titles: 1000, Playbacks: 20000, Width: core.Second, Buckets: 1000}
+		t := quality.Config{RungWorth: s.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
 		for _, x := range s.Site.Plans {
-			t.Plans = append(t.Plans, quality.Plan{Startup: x.Startup, Revenue: x.Revenue})
+			t.Plans = append(t.Plans, quality.Plan{Startup: x.StartupTarget, Revenue: x.Revenue})
 		}
 		s.Quality = quality.New(t, 0)
 	}
@@ -316,7 +316,7 @@
 		}
 	}
 	if len(left) > 0 {
-		p.stage.Call(f.name, func(c core.Core) { frontOf(c).Adopt(left, nil) })
+		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(left, nil) })
 	}
 	if p.room != nil {
 		p.room.manager(f)
@@ -337,7 +337,7 @@
 
 // tell brings a front the list's lines of some boxes as they stand now.
 func (p *Play) tell(f *frontState, boxes []*boxState, whole bool) {
-	l := front.List{Whole: whole}
+	l := front.ListUpdate{Complete: whole}
 	for _, b := range boxes {
 		l.Servers = append(l.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
 			Cell: b.cell, Weight: 1, State: b.state, Started: b.started})
@@ -349,7 +349,7 @@
 		if p.broken != nil && p.broken.List != nil {
 			l = p.broken.List(l)
 		}
-		c.(*front.Front).Listed(l)
+		c.(*front.Front).UpdateList(l)
 	})
 }
 
@@ -396,7 +396,7 @@
 	p.mu.Lock()
 	p.Tally.Offered += p.revenue(w)
 	p.mu.Unlock()
-	p.stage.Call("players", func(c core.Core) { c.(*player.Crowd).Start(w) })
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
 	gap := p.rng.ExpFloat64() / (d.Rate * p.surge)
 	p.at(now+Time(gap*1e6), p.arrive)
 }
@@ -409,18 +409,18 @@
 	}
 	w := p.want()
 	p.asked++
-	w.Tenant, w.Address = name, name+"/"+strconv.Itoa(p.rng.IntN(t.Addresses))
+	w.Tenant, w.SourceAddr = name, name+"/"+strconv.Itoa(p.rng.IntN(t.Addresses))
 	x := p.rng.Float64()
-	w.KeepsTo, w.Early = x < t.Exact+t.Early, x >= t.Exact && x < t.Exact+t.Early
-	if !w.KeepsTo {
-		w.Returns = 0
+	w.HonorsRetryAfter, w.RetriesEarly = x < t.Exact+t.Early, x >= t.Exact && x < t.Exact+t.Early
+	if !w.HonorsRetryAfter {
+		w.MaxRetries = 0
 	}
 	p.Log = append(p.Log, &Logged{Tenant: name, Of: t, Want: w, At: p.stage.Now()})
 	if p.byWant == nil {
-		p.byWant = map[*player.Want]*Logged{}
+		p.byWant = map[*player.Profile]*Logged{}
 	}
 	p.byWant[w] = p.Log[len(p.Log)-1]
-	p.stage.Call("players", func(c core.Core) { c.(*player.Crowd).Start(w) })
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
 	p.at(now+Time(p.rng.ExpFloat64()/t.Rate*1e6), func() { p.arriveOf(t, name) })
 }
 
@@ -428,12 +428,12 @@
 type Logged struct {
 	Tenant string
 	Of     *DayTenant
-	Want   *player.Want
+	Want   *player.Profile
 	At     Time
-	Seen   []player.Seen
+	Seen   []player.Result
 }
 
-func (p *Play) want() *player.Want {
+func (p *Play) want() *player.Profile {
 	d := p.Day
 	x, plan := p.rng.Float64(), 0
 	total := 0.0
@@ -452,15 +452,15 @@
 	if p.crowd > 0 && p.rng.Float64() < p.crowd {
 		title = 0
 	}
-	w := &player.Want{ID: "pb" + strconv.Itoa(p.asked), Plan: q.Name, Title: q.Name + "-" + strconv.Itoa(title),
-		Top: len(d.Frame.LadderKB) - 1, Tracks: len(q.Tracks), Abandon: q.Abandon, Returns: d.Returns, Break: d.Break,
-		Watch: q.Watch[0] + Time(p.rng.Float64()*float64(q.Watch[1]-q.Watch[0])), KeepsTo: p.rng.Float64() < 0.7,
-		Ask: p.rng.Float64() < 0.3, Repeat: p.rng.Float64() < p.repeat}
+	w := &player.Profile{ID: "pb" + strconv.Itoa(p.asked), Plan: q.Name, Title: q.Name + "-" + strconv.Itoa(title),
+		TopRung: len(d.Frame.LadderKB) - 1, Tracks: len(q.Tracks), AbandonTime: q.Abandon, MaxRetries: d.Returns, RetryDelay: d.Break,
+		WatchTime: q.Watch[0] + Time(p.rng.Float64()*float64(q.Watch[1]-q.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
+		DescribeFirst: p.rng.Float64() < 0.3, DuplicateSetups: p.rng.Float64() < p.repeat}
 	if p.rng.Float64() < d.SmallScreens {
-		w.Top = max(w.Top-2, d.Site.Plans[plan].Floor)
+		w.TopRung = max(w.TopRung-2, d.Site.Plans[plan].Floor)
 	}
 	if p.rng.Float64() < p.leave {
-		w.Leaves = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
+		w.LeaveAfter = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
 	}
 	zone := p.rng.IntN(d.Zones)
 	first := p.rng.IntN(len(p.fronts))
@@ -477,7 +477,7 @@
 	return w
 }
 
-func (p *Play) revenue(w *player.Want) float64 {
+func (p *Play) revenue(w *player.Profile) float64 {
 	for i := range p.Day.Plans {
 		if p.Day.Plans[i].Name == w.Plan {
 			return p.Day.Site.Plans[i].Revenue
@@ -487,7 +487,7 @@
 }
 
 // report takes the end of one asking.
-func (p *Play) report(w *player.Want, s *player.Seen) {
+func (p *Play) report(w *player.Profile, s *player.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l := p.byWant[w]; l != nil {
@@ -499,23 +499,23 @@
 	t := &p.Tally
 	t.Asked++
 	t.Requests += s.Requests
-	t.Answers += s.Answers
-	t.Unasked += s.Unasked
+	t.Answers += s.Responses
+	t.Unasked += s.Unsolicited
 	t.Packets += s.Packets
 	t.Gaps += s.Gaps
-	if s.Told {
+	if s.RedirectReceived {
 		t.SentOn++
 	}
 	if p.out != nil {
 		p.Seen = append(p.Seen, *s)
 	}
-	if s.FirstPacket > 0 && !s.SentOn && !p.paid[w] {
+	if s.StartupTime > 0 && !s.FromRedirect && !p.paid[w] {
 		if p.paid == nil {
-			p.paid = map[*player.Want]bool{}
+			p.paid = map[*player.Profile]bool{}
 		}
 		p.paid[w] = true
 		t.Revenue += p.revenue(w)
-		if n := int((s.Began - p.began) / (core.Second / 10)); n >= 0 {
+		if n := int((s.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
 			for len(t.ByLate) <= n {
 				t.ByLate = append(t.ByLate, 0)
 			}
@@ -523,12 +523,12 @@
 		}
 	}
 	t.Bytes += s.Bytes
-	if s.FirstPacket > 0 {
+	if s.StartupTime > 0 {
 		t.Played++
-		t.Startup = append(t.Startup, s.FirstPacket)
+		t.Startup = append(t.Startup, s.StartupTime)
 	}
 	switch s.State {
-	case player.Refused:
+	case player.Rejected:
 		t.Refused++
 	case player.Failed:
 		t.Failed++
@@ -536,7 +536,7 @@
 		t.Abandoned++
 	case player.Lost:
 		t.Lost++
-	case player.Moved:
+	case player.Redirected:
 		t.Moved++
 	case player.Done:
 		t.Done++
@@ -555,10 +555,10 @@
 }
 
 // upset changes what goes wrong at a box, if it is there.
-func (p *Play) upset(b *boxState, change func(*mediabox.Trouble)) {
+func (p *Play) upset(b *boxState, change func(*mediabox.Faults)) {
 	p.stage.Call(b.name, func(c core.Core) {
 		if x, ok := c.(*mediabox.Box); ok {
-			change(&x.Trouble)
+			change(&x.Faults)
 		}
 	})
 }
@@ -569,19 +569,19 @@
 	later := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
 	fault := func(kind mediabox.Fault, methods ...string) {
 		for _, b := range p.some(t.Boxes) {
-			p.upset(b, func(x *mediabox.Trouble) {
-				x.Part, x.Late, x.Faults = t.Part, Time(t.Size*1e6), map[string]mediabox.Fault{}
+			p.upset(b, func(x *mediabox.Faults) {
+				x.Probability, x.ResponseDelay, x.ByMethod = t.Part, Time(t.Size*1e6), map[string]mediabox.Fault{}
 				for _, m := range methods {
-					x.Faults[m] = kind
+					x.ByMethod[m] = kind
 				}
 			})
 			later(t.For, func() {
 				b.busy = false
-				p.upset(b, func(x *mediabox.Trouble) { x.Faults = nil })
+				p.upset(b, func(x *mediabox.Faults) { x.ByMethod = nil })
 			})
 		}
 	}
-	state := func(set, unset func(x *mediabox.Trouble)) {
+	state := func(set, unset func(x *mediabox.Faults)) {
 		for _, b := range p.some(t.Boxes) {
 			p.upset(b, set)
 			later(t.For, func() {
@@ -608,33 +608,33 @@
 	case "errors":
 		fault(mediabox.Error, "SETUP")
 	case "lost-answers":
-		fault(mediabox.LostAnswer, "SETUP", "PLAY")
+		fault(mediabox.LostResponse, "SETUP", "PLAY")
 	case "late-answers":
-		fault(mediabox.LateAnswer, "SETUP", "PLAY")
+		fault(mediabox.LateResponse, "SETUP", "PLAY")
 	case "stuck":
-		fault(mediabox.Stuck, "SETUP", "PLAY")
+		fault(mediabox.Dropped, "SETUP", "PLAY")
 	case "cut-answers":
-		fault(mediabox.Cut, "SETUP", "PLAY")
+		fault(mediabox.TruncatedResponse, "SETUP", "PLAY")
 	case "slow-rack":
 		p.slowRack = p.rng.IntN(p.Day.Racks)
 		for _, b := range p.boxes {
 			if b.cell%p.Day.Racks == p.slowRack {
-				p.upset(b, func(x *mediabox.Trouble) { x.Slow = t.Size })
-				later(t.For, func() { p.upset(b, func(x *mediabox.Trouble) { x.Slow = 0 }) })
+				p.upset(b, func(x *mediabox.Faults) { x.SetupTimeFactor = t.Size })
+				later(t.For, func() { p.upset(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
 			}
 		}
 	case "slow":
-		state(func(x *mediabox.Trouble) { x.Slow = t.Size }, func(x *mediabox.Trouble) { x.Slow = 0 })
+		state(func(x *mediabox.Faults) { x.SetupTimeFactor = t.Size }, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 })
 	case "neighbour":
-		state(func(x *mediabox.Trouble) { x.Neighbour = t.Part }, func(x *mediabox.Trouble) { x.Neighbour = 0 })
+		state(func(x *mediabox.Faults) { x.CompetingShare = t.Part }, func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "overspeed":
-		state(func(x *mediabox.Trouble) { x.Overspeed = t.Size }, func(x *mediabox.Trouble) { x.Overspeed = 0 })
+		state(func(x *mediabox.Faults) { x.SendRateFactor = t.Size }, func(x *mediabox.Faults) { x.SendRateFactor = 0 })
 	case "reports-late":
-		state(func(x *mediabox.Trouble) { x.ReportLag, x.KeepLoad = Time(t.Size*1e6), true },
-			func(x *mediabox.Trouble) { x.ReportLag, x.KeepLoad = 0, false })
+		state(func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = Time(t.Size*1e6), true },
+			func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = 0, false })
 	case "sag":
-		state(func(x *mediabox.Trouble) { x.Neighbour = 1 - 1/max(t.Size, 1) },
-			func(x *mediabox.Trouble) { x.Neighbour = 0 })
+		state(func(x *mediabox.Faults) { x.CompetingShare = 1 - 1/max(t.Size, 1) },
+			func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "surge":
 		p.surge = t.Size
 		later(t.For, func() { p.surge = 1 })
@@ -706,7 +706,7 @@
 	p.count(b)
 	p.stage.Call(b.name, func(c core.Core) {
 		if x, ok := c.(*mediabox.Box); ok {
-			x.Down()
+			x.ReleaseUplink()
 		}
 		p.stage.At(p.stage.Now(), func() { p.stage.Kill(b.name, silent) })
 	})
@@ -728,10 +728,10 @@
 		if x, ok := c.(*mediabox.Box); ok {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.Tally.Fell += x.Counts.Fell
+			p.Tally.Fell += x.Counts.Crashes
 			p.Tally.Setups += x.Counts.Setups
 			p.sent += x.Counts.Packets
-			x.Trouble.Deaf = true // counted: it sends nothing more in this moment
+			x.Faults.Unresponsive = true // counted: it sends nothing more in this moment
 		}
 	})
 }
@@ -771,7 +771,7 @@
 	}
 }
 
-func add(t, x *front.Figures) {
+func add(t, x *front.Stats) {
 	for _, f := range []struct{ to, from *int64 }{{&t.Requests, &x.Requests}, {&t.Malformed, &x.Malformed},
 		{&t.Repeated, &x.Repeated}, {&t.Taken, &x.Taken}, {&t.Plays, &x.Plays}, {&t.Refused, &x.Refused},
 		{&t.Failed, &x.Failed}, {&t.Left, &x.Left}, {&t.Overdue, &x.Overdue}, {&t.Tries, &x.Tries},
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -76,7 +76,7 @@
 // Plants are changes for the worse on purpose: an experiment must find them.
 var Plants = map[string]*Broken{
 	"lower-brim": {Module: func(m session.Manager) session.Manager { return &fuller{m} }}, // links are taken for full too early
-	"deaf-to-drains": {List: func(l front.List) front.List { // a guard of rule 3 taken out
+	"deaf-to-drains": {List: func(l front.ListUpdate) front.ListUpdate { // a guard of rule 3 taken out
 		l.Servers = slices.Clone(l.Servers)
 		for i := range l.Servers {
 			if l.Servers[i].State == session.Draining {
@@ -109,7 +109,7 @@
 }
 
 func (f *fuller) Noted(n session.Note) {
-	if n.Kind == session.LinkAsked || n.Kind == session.UplinkAsked {
+	if n.Kind == session.LinkDemand || n.Kind == session.UplinkDemand {
 		n.Value *= seenFuller
 	}
 	f.Manager.Noted(n)
--- a/internal/lab/tape.go
+++ b/internal/lab/tape.go
@@ -109,8 +109,8 @@
 	t.conns++
 	n := t.conns
 	t.mu.Unlock()
-	return &tap{t: t, conn: n, place: place, front: front, player: player, in: rtsp.Parser{Bounds: rtsp.Usual},
-		out: rtsp.Parser{Bounds: rtsp.Usual}}
+	return &tap{t: t, conn: n, place: place, front: front, player: player, in: rtsp.Parser{Bounds: rtsp.DefaultBounds},
+		out: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 }
 
 func (p *tap) entry(at Time, k Kind) Entry {
@@ -135,7 +135,7 @@
 	fromFront bool
 }
 
-func (s *tapSink) Bad(*rtsp.Malformed) {}
+func (s *tapSink) Malformed(*rtsp.MalformedError) {}
 func (s *tapSink) Frame(channel byte, payload []byte) {
 	if p := s.p; p.player && s.fromFront && channel&1 == 0 {
 		if p.flow == nil {
@@ -161,7 +161,7 @@
 	e := s.p.entry(s.at, Answers)
 	e.FromFront, e.CSeq, e.Status = s.fromFront, m.CSeq, m.Status
 	e.Request = m.Get("Request-Id")
-	e.Session, _ = rtsp.SessionID(m.Get("Session"))
+	e.Session, _ = rtsp.ParseSession(m.Get("Session"))
 	e.Retry = m.Get("Retry-After") != ""
 	if m.IsRequest() {
 		e.Kind, e.Method = Asks, m.Method
@@ -171,7 +171,7 @@
 		if n, err := strconv.Atoi(m.Get("Rung")); err == nil {
 			e.Rung = n
 		}
-		for _, x := range rtsp.Parameters(m.Body) {
+		for _, x := range rtsp.ParseParameters(m.Body) {
 			if n, err := strconv.Atoi(x.Value); err == nil && x.Name == "rung" {
 				e.Rung = n
 			}
--- a/internal/lab/tenants.go
+++ b/internal/lab/tenants.go
@@ -25,15 +25,15 @@
 	calls   chan func(*tenants.Core)
 	stop    chan struct{}
 	done    chan struct{}
-	judged  func(tenants.Question, tenants.Answer)
-	pending map[int]tenants.Question
+	judged  func(tenants.Query, tenants.Answer)
+	pending map[int]tenants.Query
 	next    int
 	took    []time.Duration // of questions that a warm view answers
 }
 
-func newAsker(p client.Place, judged func(tenants.Question, tenants.Answer)) (*asker, error) {
-	a := &asker{core: tenants.New(p.Terms, edge.Now()), calls: make(chan func(*tenants.Core), 1024), stop: make(chan struct{}), done: make(chan struct{}),
-		judged: judged, pending: map[int]tenants.Question{}}
+func newAsker(p client.Config, judged func(tenants.Query, tenants.Answer)) (*asker, error) {
+	a := &asker{core: tenants.New(p.Core, edge.Now()), calls: make(chan func(*tenants.Core), 1024), stop: make(chan struct{}), done: make(chan struct{}),
+		judged: judged, pending: map[int]tenants.Query{}}
 	var err error
 	a.client, err = client.New(p, a.post, zap.NewNop())
 	if err != nil {
@@ -67,12 +67,12 @@
 		case <-a.stop:
 			return
 		case f := <-a.calls:
-			a.core.At(edge.Now())
+			a.core.SetTime(edge.Now())
 			f(a.core)
 		case <-timer.C:
-			a.core.At(edge.Now())
+			a.core.SetTime(edge.Now())
 		}
-		next := a.core.Settle(a.client.Do, func(x tenants.Answer) {
+		next := a.core.Process(a.client.Do, func(x tenants.Answer) {
 			if q, ok := a.pending[x.ID]; ok {
 				delete(a.pending, x.ID)
 				a.judged(q, x)
@@ -86,10 +86,10 @@
 func (a *asker) ask(account, plan string, abandon Time) {
 	a.post(func(c *tenants.Core) {
 		a.next++
-		q := tenants.Question{ID: a.next, Account: account, Plan: plan, Until: edge.Now() + abandon}
+		q := tenants.Query{ID: a.next, Account: account, Plan: plan, Deadline: edge.Now() + abandon}
 		began := time.Now()
 		x := c.Ask(q)
-		if x.Verdict == tenants.Wait {
+		if x.Verdict == tenants.Pending {
 			a.pending[q.ID] = q
 			return
 		}
@@ -148,7 +148,7 @@
 	}
 	defer hanging.Stop()
 	longest := Time(4_000_000)
-	terms := tenants.Terms{Seed: seed, Longest: longest, Renew: 1_000_000, Timeout: 400_000, Negative: 500_000, Waiting: 20_000, Lookups: 4, Entries: 1 << 20}
+	terms := tenants.Config{Seed: seed, MaxAge: longest, SyncInterval: 1_000_000, Timeout: 400_000, NegativeTTL: 500_000, MaxWaiting: 20_000, MaxLookups: 4, MaxEntries: 1 << 20}
 
 	var mu sync.Mutex
 	gone := map[string]time.Time{} // members deleted, and when
@@ -163,7 +163,7 @@
 		}
 	}
 	warm := atomic.Bool{}
-	judged := func(q tenants.Question, x tenants.Answer) {
+	judged := func(q tenants.Query, x tenants.Answer) {
 		mu.Lock()
 		defer mu.Unlock()
 		verdicts[x.Verdict]++
@@ -183,7 +183,7 @@
 				spoiled("%s was unknown though it is there", q.Account)
 			}
 		}
-		if edge.Now() > q.Until {
+		if edge.Now() > q.Deadline {
 			spoiled("%s was answered too late", q.Account)
 			late++
 		}
@@ -196,8 +196,8 @@
 		if i%2 == 1 {
 			ends = append(ends, hanging.Addr())
 		}
-		x.Ends = len(ends)
-		a, err := newAsker(client.Place{Endpoints: ends, Base: "dc=pier", PageSize: 500, Paged: i%4 == 1, Terms: x}, judged)
+		x.Endpoints = len(ends)
+		a, err := newAsker(client.Config{Endpoints: ends, Base: "dc=pier", PageSize: 500, PagedOnly: i%4 == 1, Core: x}, judged)
 		if err != nil {
 			return nil, err
 		}
@@ -284,33 +284,33 @@
 			kind := bag[0]
 			bag = bag[1:]
 			kinds[kind]++
-			server.Upset(directory.Trouble{})
-			hanging.Upset(directory.Trouble{})
+			server.SetFaults(directory.Faults{})
+			hanging.SetFaults(directory.Faults{})
 			switch kind {
 			case "cut":
-				server.Cut()
+				server.CloseConnections()
 			case "truncate":
-				server.Upset(directory.Trouble{Truncate: 1 + rng.IntN(len(entries))})
-				server.Cut()
+				server.SetFaults(directory.Faults{TruncateAfter: 1 + rng.IntN(len(entries))})
+				server.CloseConnections()
 			case "busy":
-				server.Upset(directory.Trouble{Busy: true})
+				server.SetFaults(directory.Faults{Busy: true})
 			case "stall":
-				server.Upset(directory.Trouble{Stall: true})
+				server.SetFaults(directory.Faults{Stall: true})
 			case "silent":
-				server.Upset(directory.Trouble{Silent: true})
+				server.SetFaults(directory.Faults{SilentSync: true})
 			case "forget":
-				store.Forget()
-				server.Cut()
+				store.ForgetDeletions()
+				server.CloseConnections()
 			case "slow":
-				server.Upset(directory.Trouble{Slow: 350 * time.Millisecond})
+				server.SetFaults(directory.Faults{ResponseDelay: 350 * time.Millisecond})
 			case "hang":
-				hanging.Upset(directory.Trouble{Stall: true})
+				hanging.SetFaults(directory.Faults{Stall: true})
 			}
 		}
 		time.Sleep(4 * time.Millisecond)
 	}
-	server.Upset(directory.Trouble{})
-	hanging.Upset(directory.Trouble{})
+	server.SetFaults(directory.Faults{})
+	hanging.SetFaults(directory.Faults{})
 	asked := server.Searches.Load() + hanging.Searches.Load() - searches
 	differ, what := managers, ""
 	for until := time.Now().Add(8 * time.Second); time.Now().Before(until) && differ > 0; time.Sleep(20 * time.Millisecond) {
@@ -373,18 +373,18 @@
 
 	// the directory is down for good: playing on goes by the fallback that the terms state
 	server.Stop()
-	hanging.Upset(directory.Trouble{Stall: true})
+	hanging.SetFaults(directory.Faults{Stall: true})
 	refusedKnown := 0
-	down := tenants.New(tenants.Terms{Seed: 1, Longest: 1, Renew: 1_000_000, Timeout: 400_000, Waiting: 10, Lookups: 1, Admit: true}, edge.Now())
+	down := tenants.New(tenants.Config{Seed: 1, MaxAge: 1, SyncInterval: 1_000_000, Timeout: 400_000, MaxWaiting: 10, MaxLookups: 1, AdmitStale: true}, edge.Now())
 	var kept []tenants.Record
-	var mark tenants.Mark
+	var mark tenants.Checkpoint
 	var asOf Time
 	askers[0].do(func(c *tenants.Core) { kept, mark, asOf = c.Records() })
-	down.Resume(kept, mark, asOf)
-	down.At(edge.Now() + 10_000_000)
+	down.Restore(kept, mark, asOf)
+	down.SetTime(edge.Now() + 10_000_000)
 	for i, r := range kept {
 		if r.Kind == tenants.Member {
-			if x := down.Ask(tenants.Question{ID: i, Account: r.Name, Plan: "live", Until: edge.Now() + 20_000_000}); x.Verdict != tenants.Allowed {
+			if x := down.Ask(tenants.Query{ID: i, Account: r.Name, Plan: "live", Deadline: edge.Now() + 20_000_000}); x.Verdict != tenants.Allowed {
 				refusedKnown++
 			}
 		}
@@ -408,7 +408,7 @@
 	}
 	by := map[string]*directory.Entry{}
 	for _, e := range all {
-		by[directory.UUID(e.UUID)] = e
+		by[directory.FormatUUID(e.UUID)] = e
 	}
 	for _, r := range records {
 		e := by[r.ID]
@@ -440,9 +440,9 @@
 	var m0, m1 runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m0)
-	c := tenants.New(tenants.Terms{Longest: 1 << 50, Renew: 1 << 50, Timeout: 1 << 40, Waiting: 10, Lookups: 1, Entries: 2 * n}, 1)
+	c := tenants.New(tenants.Config{MaxAge: 1 << 50, SyncInterval: 1 << 50, Timeout: 1 << 40, MaxWaiting: 10, MaxLookups: 1, MaxEntries: 2 * n}, 1)
 	try := 0
-	c.Settle(func(w tenants.Want) { try = w.Try }, func(tenants.Answer) {}, func(tenants.Record) {})
+	c.Process(func(w tenants.Request) { try = w.Attempt }, func(tenants.Answer) {}, func(tenants.Record) {})
 	began := time.Now()
 	for i := range n {
 		r := tenants.Record{ID: fmt.Sprintf("00000000-0000-0000-0000-%012d", i), DN: fmt.Sprintf("uid=m%d,cn=tenant-%d,dc=pier", i, i%1000), Kind: tenants.Member,
@@ -450,9 +450,9 @@
 		if i < 1000 {
 			r.Kind, r.Name, r.Plans = tenants.Tenant, fmt.Sprint("tenant-", i), []string{"live"}
 		}
-		c.Entry(try, r)
+		c.HandleEntry(try, r)
 	}
-	c.Refreshed(try, []byte("c"), true, true)
+	c.HandleRefreshed(try, []byte("c"), true, true)
 	took := time.Since(began)
 	runtime.GC()
 	runtime.ReadMemStats(&m1)
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -225,7 +225,7 @@
 	if h.core == nil {
 		return
 	}
-	if next := max(h.core.Settle(), w.now+1); next != core.Never && next != h.wakeAt {
+	if next := max(h.core.EndTurn(), w.now+1); next != core.Never && next != h.wakeAt {
 		h.wakeAt = next
 		w.push(&happening{at: next, what: hWake, host: h, life: h.life})
 	}
@@ -251,7 +251,7 @@
 	}
 	if w.turn == nil {
 		w.turn = h
-		h.core.At(w.now)
+		h.core.BeginTurn(w.now)
 	}
 	e := x.end
 	switch x.what {
@@ -357,7 +357,7 @@
 		return
 	}
 	e.last = max(e.last, w.arrival(e.host, p.host), at)
-	w.push(&happening{at: e.last, what: hClosed, host: p.host, life: p.life, end: p, err: core.ErrEnded})
+	w.push(&happening{at: e.last, what: hClosed, host: p.host, life: p.life, end: p, err: core.ErrClosedByPeer})
 }
 
 // Dial connects to a host by its name.
@@ -390,8 +390,8 @@
 	back := there + w.arrival(to, h) - w.now
 	e.last, p.last = there, back
 	from := h.name
-	if c.From != "" {
-		from = c.From
+	if c.SourceAddr != "" {
+		from = c.SourceAddr
 	}
 	w.push(&happening{at: there, what: hAccept, host: to, life: to.life, end: p, from: from})
 	w.push(&happening{at: back, what: hDialed, host: h, life: h.life, end: e, from: addr})
--- a/internal/lab/worth.go
+++ b/internal/lab/worth.go
@@ -127,7 +127,7 @@
 	crossed, revenue := 0.0, 0.0
 	tenants := map[string]*[2]float64{}
 	for _, x := range p.wants {
-		if x.Leaves > 0 { // it goes away before it can be served
+		if x.LeaveAfter > 0 { // it goes away before it can be served
 			continue
 		}
 		plan := 0
@@ -135,13 +135,13 @@
 			plan++
 		}
 		s := &d.Site.Plans[plan]
-		top := min(x.Top, s.Top)
+		top := min(x.TopRung, s.Top)
 		per := s.Revenue * float64(bucket) / 1e6
 		watched := Time(0)
 		began := p.askedAt[x]
-		for b := at(began); b <= at(began+x.Watch-1); b++ {
-			part := float64(min(began+x.Watch, p.began+Time(b+1)*bucket)-max(began, p.began+Time(b)*bucket)) / float64(bucket)
-			v := per * d.Site.Ladder.Worth[top] * max(part, 0)
+		for b := at(began); b <= at(began+x.WatchTime-1); b++ {
+			part := float64(min(began+x.WatchTime, p.began+Time(b+1)*bucket)-max(began, p.began+Time(b)*bucket)) / float64(bucket)
+			v := per * d.Site.Ladder.RevenueShare[top] * max(part, 0)
 			w.Offered[b] += v
 			offeredBy[plan] += v
 			if len(d.Tenants) > 0 {
@@ -156,7 +156,7 @@
 			if h == nil || h.first == 0 {
 				continue
 			}
-			late := h.first-h.asked > s.Startup
+			late := h.first-h.asked > s.StartupTarget
 			if !late {
 				revenue += s.Revenue
 			}
@@ -167,22 +167,22 @@
 				for k+1 < len(all) && all[k+1].from <= (from+to)/2 {
 					k++
 				}
-				if to <= from || k < 0 || watched >= x.Watch {
+				if to <= from || k < 0 || watched >= x.WatchTime {
 					continue
 				}
 				r := all[k]
 				part := float64(to-from) / float64(bucket)
 				watched += to - from
 				if late {
-					w.Late += per * d.Site.Ladder.Worth[top] * part
+					w.Late += per * d.Site.Ladder.RevenueShare[top] * part
 					continue
 				}
 				due := d.Frame.LadderKB[r.rung] * s.RateFactor * 1000 * seconds(bucket) * part
 				share := min(h.delivered(b, p.began)/due, 1)
-				v := per * d.Site.Ladder.Worth[min(r.rung, top)] * part * share
+				v := per * d.Site.Ladder.RevenueShare[min(r.rung, top)] * part * share
 				w.Earned[b] += v
-				at := per * d.Site.Ladder.Worth[min(r.rung, top)] * part
-				w.LowRung += per*d.Site.Ladder.Worth[top]*part - at
+				at := per * d.Site.Ladder.RevenueShare[min(r.rung, top)] * part
+				w.LowRung += per*d.Site.Ladder.RevenueShare[top]*part - at
 				w.Short += at - v
 				plans[plan] += v
 				if tenants[x.Tenant] != nil {
@@ -243,7 +243,7 @@
 	pr := &d.Site.Prices
 	asks := float64(max(len(p.wants), 1))
 	w.Prices = pr.CrossZone*crossed/offered + pr.Move*float64(w.Moves)/asks + pr.Probe*float64(probes)/asks/10 +
-		seconds(d.Site.Ladder.Change)*float64(w.Changes)*revenue/asks/offered
+		seconds(d.Site.Ladder.RungChangeCost)*float64(w.Changes)*revenue/asks/offered
 	w.Goal = wholePart*w.Whole + worstPart*w.Worst + planPart*w.WorstPlan - w.Prices
 	return w
 }
@@ -276,7 +276,7 @@
 		viewers[i], more[i], firsts[i] = make([]int, len(d.Plans)*width), make([]int, len(d.Plans)*width), map[string]bool{}
 	}
 	for _, x := range p.wants {
-		if x.Leaves > 0 { // it goes away before it can be served
+		if x.LeaveAfter > 0 { // it goes away before it can be served
 			continue
 		}
 		plan := 0
@@ -285,8 +285,8 @@
 		}
 		s := &d.Site.Plans[plan]
 		began := p.askedAt[x]
-		k := plan*width + min(x.Top, s.Top)
-		for b := int((began - p.began) / bucket); b <= int((began+x.Watch-1-p.began)/bucket) && b < n; b++ {
+		k := plan*width + min(x.TopRung, s.Top)
+		for b := int((began - p.began) / bucket); b <= int((began+x.WatchTime-1-p.began)/bucket) && b < n; b++ {
 			if s.Live && firsts[b][x.Title] {
 				more[b][k]++
 			} else {
@@ -315,7 +315,7 @@
 				}
 				lastKB, lastWorth := 0.0, 0.0
 				for r := s.Floor; r <= k%width; r++ {
-					rate, worth := d.Frame.LadderKB[r]*part, d.Site.Ladder.Worth[r]*s.Revenue*seconds(bucket)
+					rate, worth := d.Frame.LadderKB[r]*part, d.Site.Ladder.RevenueShare[r]*s.Revenue*seconds(bucket)
 					steps = append(steps, step{float64(count) * (rate - lastKB), float64(count) * (worth - lastWorth)})
 					lastKB, lastWorth = rate, worth
 				}
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -30,31 +30,31 @@
 
 // The prerequisites.
 const (
-	Settings Prerequisite = iota // the settings are read
-	List                         // the server list, or a saved view of it, is loaded
-	Module                       // the policy module is created
+	SettingsLoaded   Prerequisite = iota // the settings are read
+	ServerListLoaded                     // the server list, or a saved view of it, is loaded
+	PolicyLoaded                         // the policy module is created
 	prerequisiteCount
 )
 
-// Terms are the time limits of a drain; the settings give them.
-type Terms struct {
-	Drain  Time // how long playing sessions may go on
-	Finish Time // the longest abandon time: by then every pending setup has been answered
+// Timeouts are the time limits of a drain; the settings give them.
+type Timeouts struct {
+	Drain          Time // how long playing sessions may go on
+	MaxAbandonTime Time // the longest abandon time: by then every pending setup has been answered
 }
 
 // Load counts what is open at present.
 type Load struct {
-	Fresh     int // connections without a complete request so far
-	Waiting   int // playbacks that wait for an answer
-	Playing   int
-	Sent      int // those of Playing that were redirected to another session manager
-	Dialogues int // connections to media boxes
+	NewConnections    int // connections without a complete request so far
+	Unanswered        int // playbacks that wait for an answer
+	Playing           int
+	Redirected        int // those of Playing that were redirected to another session manager
+	ServerConnections int // connections to media boxes
 }
 
-// Act is one step that the process has to carry out.
-type Act struct {
-	Kind ActionKind
-	N    int // sessions to redirect
+// Action is one step that the process has to carry out.
+type Action struct {
+	Kind  ActionKind
+	Count int // sessions to redirect
 }
 
 // ActionKind is what a step does.
@@ -62,13 +62,13 @@
 
 // The kinds of steps.
 const (
-	Listen   ActionKind = iota // accept connections
-	TellNews                   // report the state to the supervisor
-	Hush                       // stop accepting, once connections that have arrived are accepted
-	Refuse                     // reject queued requests; redirect every new request
-	SendOn                     // redirect the given number of playing sessions to other session managers
-	End                        // end all playbacks, here and at the media boxes
-	Exit                       // the process may exit
+	Listen           ActionKind = iota // accept connections
+	NotifySupervisor                   // report the state to the supervisor
+	StopAccepting                      // stop accepting, once connections that have arrived are accepted
+	RejectQueued                       // reject queued requests; redirect every new request
+	RedirectPlaying                    // redirect the given number of playing sessions to other session managers
+	EndPlaybacks                       // end all playbacks, here and at the media boxes
+	Exit                               // the process may exit
 )
 
 const (
@@ -78,10 +78,10 @@
 	teardownDivisor     = 4 // TEARDOWNs at the end have longest abandon time / teardownDivisor to be answered
 )
 
-// Life is the lifecycle of one process. Inputs change its state; it emits the steps that the process has
+// Lifecycle is the lifecycle of one process. Inputs change its state; it emits the steps that the process has
 // to carry out.
-type Life struct {
-	Terms
+type Lifecycle struct {
+	Timeouts
 	now           Time
 	state         State
 	since         Time
@@ -99,40 +99,40 @@
 }
 
 // New returns the lifecycle of a process that starts now.
-func New(t Terms, now Time) *Life { return &Life{Terms: t, now: now, since: now} }
+func New(t Timeouts, now Time) *Lifecycle { return &Lifecycle{Timeouts: t, now: now, since: now} }
 
-// At sets the present time; a time before the last one is ignored.
-func (l *Life) At(now Time) { l.now = max(l.now, now) }
+// Advance sets the present time; a time before the last one is ignored.
+func (l *Lifecycle) Advance(now Time) { l.now = max(l.now, now) }
 
 // State returns the present state and the time of its beginning.
-func (l *Life) State() (State, Time) { return l.state, l.since }
+func (l *Lifecycle) State() (State, Time) { return l.state, l.since }
 
-// Has records that a prerequisite is met.
-func (l *Life) Has(p Prerequisite) { l.satisfied[p] = true }
+// Satisfy records that a prerequisite is met.
+func (l *Lifecycle) Satisfy(p Prerequisite) { l.satisfied[p] = true }
 
 // Stop requests a drain. A second call, or one after a takeover, cuts the drain short; a third one ends the process
 // at once.
-func (l *Life) Stop() { l.stopRequests++ }
+func (l *Lifecycle) Stop() { l.stopRequests++ }
 
-// Hushed reports that accepting has stopped: connections that had arrived by then are accepted, none follow.
-func (l *Life) Hushed() { l.acceptStopped = true }
+// AcceptStopped reports that accepting has stopped: connections that had arrived by then are accepted, none follow.
+func (l *Lifecycle) AcceptStopped() { l.acceptStopped = true }
 
 // TakenOver reports that another process accepts connections in place of this one, which then drains.
 // It has no effect unless the process is ready.
-func (l *Life) TakenOver() {
+func (l *Lifecycle) TakenOver() {
 	if l.state == Ready {
 		l.takenOver = true
 	}
 }
 
-// Handed reports whether another process has taken over.
-func (l *Life) Handed() bool { return l.takenOver }
+// HandedOver reports whether another process has taken over.
+func (l *Lifecycle) HandedOver() bool { return l.takenOver }
 
 // Reload replaces the time limits; they apply to a drain under way too.
-func (l *Life) Reload(t Terms) { l.Terms = t }
+func (l *Lifecycle) Reload(t Timeouts) { l.Timeouts = t }
 
 // targetState returns the state that the process should be in, at most one step on from the present one.
-func (l *Life) targetState(load Load) State {
+func (l *Lifecycle) targetState(load Load) State {
 	age := l.now - l.since
 	switch l.state {
 	case Starting:
@@ -151,12 +151,12 @@
 		}
 	case Draining:
 		// Connections accepted last get time to send a request; otherwise they would be accepted only to be closed.
-		arriving := !l.acceptStopped || load.Fresh > 0 && age < l.Finish/firstRequestDivisor
-		if l.stopRequests > 1 || l.takenOver && l.stopRequests > 0 || age >= max(l.Drain, l.Finish/firstRequestDivisor) || load.Waiting+load.Playing == 0 && !arriving {
+		arriving := !l.acceptStopped || load.NewConnections > 0 && age < l.MaxAbandonTime/firstRequestDivisor
+		if l.stopRequests > 1 || l.takenOver && l.stopRequests > 0 || age >= max(l.Drain, l.MaxAbandonTime/firstRequestDivisor) || load.Unanswered+load.Playing == 0 && !arriving {
 			return Stopping
 		}
 	case Stopping:
-		if l.stopRequests > 2 || load.Dialogues == 0 || age >= l.Finish/teardownDivisor {
+		if l.stopRequests > 2 || load.ServerConnections == 0 || age >= l.MaxAbandonTime/teardownDivisor {
 			return Stopped
 		}
 	}
@@ -165,7 +165,7 @@
 
 // redirectsDue returns how many sessions should have been redirected by now, and when the next one is due. They are
 // spread evenly over time so that the session managers that receive them see no burst.
-func (l *Life) redirectsDue() (count int, next Time) {
+func (l *Lifecycle) redirectsDue() (count int, next Time) {
 	from, span := l.since, l.Drain/redirectDivisor
 	if l.takenOver { // sessions may stay as long as possible: no other process needs their place
 		from, span = l.since+l.Drain/handoverDivisor, l.Drain/handoverDivisor/redirectDivisor
@@ -184,9 +184,9 @@
 	return count, from + Time(float64(count)*float64(span)/float64(l.redirectTotal)) + 1
 }
 
-// Settle moves on to the state that the inputs call for and emits the steps that it requires and that have not
+// Reconcile moves on to the state that the inputs call for and emits the steps that it requires and that have not
 // been emitted yet. It returns the time by which it has to be called again.
-func (l *Life) Settle(load Load, emit func(Act)) Time {
+func (l *Lifecycle) Reconcile(load Load, emit func(Action)) Time {
 	for {
 		next := l.targetState(load)
 		if next == l.state {
@@ -200,38 +200,38 @@
 	once := func(done *bool, when bool, kind ActionKind) {
 		if when && !*done {
 			*done = true
-			emit(Act{Kind: kind})
+			emit(Action{Kind: kind})
 		}
 	}
 	once(&applied.listening, l.state == Ready, Listen)
-	once(&applied.acceptStopped, l.state > Ready && applied.listening, Hush)
-	once(&applied.rejected, l.state > Ready && applied.listening, Refuse)
+	once(&applied.acceptStopped, l.state > Ready && applied.listening, StopAccepting)
+	once(&applied.rejected, l.state > Ready && applied.listening, RejectQueued)
 	next := l.now + Time(1)<<40
 	if l.state == Draining {
-		l.redirectTotal = max(l.redirectTotal, applied.redirected+load.Playing-load.Sent) // setups that were pending at the start of the drain may play by now
+		l.redirectTotal = max(l.redirectTotal, applied.redirected+load.Playing-load.Redirected) // setups that were pending at the start of the drain may play by now
 		due, at := l.redirectsDue()
 		if due > applied.redirected {
-			emit(Act{Kind: SendOn, N: due - applied.redirected})
+			emit(Action{Kind: RedirectPlaying, Count: due - applied.redirected})
 			applied.redirected = due
 		}
-		next = min(at, l.since+max(l.Drain, l.Finish/firstRequestDivisor))
-		if load.Fresh > 0 {
-			next = min(next, l.since+l.Finish/firstRequestDivisor)
+		next = min(at, l.since+max(l.Drain, l.MaxAbandonTime/firstRequestDivisor))
+		if load.NewConnections > 0 {
+			next = min(next, l.since+l.MaxAbandonTime/firstRequestDivisor)
 		}
 	}
-	once(&applied.ended, l.state > Draining && applied.listening, End)
+	once(&applied.ended, l.state > Draining && applied.listening, EndPlaybacks)
 	if l.state == Stopping {
-		next = l.since + l.Finish/teardownDivisor
+		next = l.since + l.MaxAbandonTime/teardownDivisor
 	}
 	if !applied.notified || applied.notifiedState != l.state {
 		applied.notified, applied.notifiedState = true, l.state
-		emit(Act{Kind: TellNews})
+		emit(Action{Kind: NotifySupervisor})
 	}
 	once(&applied.exited, l.state == Stopped, Exit)
 	return max(next, l.now+1)
 }
 
 // String returns the state and its duration as text.
-func (l *Life) String() string {
+func (l *Lifecycle) String() string {
 	return fmt.Sprintf("%s for %.1f s", l.state, float64(l.now-l.since)/1e6)
 }
--- a/internal/life/orphans.go
+++ b/internal/life/orphans.go
@@ -16,14 +16,14 @@
 // they would otherwise occupy capacity the longest. An unreachable media box is retried until its session timeout
 // has passed since the orphans were found; by then it has ended the session by itself.
 type Orphans struct {
-	Timeout  Time                 // of sessions at media boxes
-	AtOnce   int                  // teardowns in flight at once
-	Found    int                  // orphans added in all
-	TornDown int64                // teardown answered by the media box
-	Expired  int64                // left to the session timeout
-	queue    []*orphan            // to be torn down or retried
-	inFlight map[*orphan]struct{} // torn down now, without an answer yet
-	foundAt  Time
+	SessionTimeout Time                 // of sessions at media boxes
+	MaxConcurrent  int                  // teardowns in flight at once
+	Found          int                  // orphans added in all
+	TornDown       int64                // teardown answered by the media box
+	Expired        int64                // left to the session timeout
+	queue          []*orphan            // to be torn down or retried
+	inFlight       map[*orphan]struct{} // torn down now, without an answer yet
+	foundAt        Time
 }
 
 type orphan struct {
@@ -32,36 +32,36 @@
 	backoff Time // before the next retry
 }
 
-// Take queues the orphans that were found, given in the order in which they were opened.
-func (o *Orphans) Take(all []Orphan, now Time) {
+// Add queues the orphans that were found, given in the order in which they were opened.
+func (o *Orphans) Add(all []Orphan, now Time) {
 	if o.inFlight == nil {
 		o.inFlight = map[*orphan]struct{}{}
 	}
 	o.foundAt = now
 	o.Found += len(all)
 	for i := range all {
-		o.queue = append(o.queue, &orphan{Orphan: all[len(all)-1-i], backoff: o.Timeout / firstRetryDivisor})
+		o.queue = append(o.queue, &orphan{Orphan: all[len(all)-1-i], backoff: o.SessionTimeout / firstRetryDivisor})
 	}
 }
 
-// Left returns the number of orphans that are queued or being torn down.
-func (o *Orphans) Left() int { return len(o.queue) + len(o.inFlight) }
+// Remaining returns the number of orphans that are queued or being torn down.
+func (o *Orphans) Remaining() int { return len(o.queue) + len(o.inFlight) }
 
-// Settle calls tearDown for each orphan to be torn down now; done has to be called once the media box has answered or
+// Dispatch calls tearDown for each orphan to be torn down now; done has to be called once the media box has answered or
 // the attempt has failed. It returns the time by which it has to be called again, -1 for never.
-func (o *Orphans) Settle(now Time, tearDown func(x Orphan, done func(now Time, answered bool))) Time {
+func (o *Orphans) Dispatch(now Time, tearDown func(x Orphan, done func(now Time, answered bool))) Time {
 	next := Time(-1)
 	rest := o.queue[:0]
 	for _, item := range o.queue {
 		switch {
-		case now-o.foundAt >= o.Timeout:
+		case now-o.foundAt >= o.SessionTimeout:
 			o.Expired++
 			continue
 		case item.retryAt > now:
 			if next < 0 || item.retryAt < next {
 				next = item.retryAt
 			}
-		case len(o.inFlight) < o.AtOnce:
+		case len(o.inFlight) < o.MaxConcurrent:
 			o.inFlight[item] = struct{}{}
 			tearDown(item.Orphan, func(now Time, answered bool) { o.finish(item, now, answered) })
 			continue
@@ -70,8 +70,8 @@
 	}
 	clear(o.queue[len(rest):])
 	o.queue = rest
-	if len(o.queue) > 0 && (next < 0 || next > o.foundAt+o.Timeout) {
-		next = o.foundAt + o.Timeout
+	if len(o.queue) > 0 && (next < 0 || next > o.foundAt+o.SessionTimeout) {
+		next = o.foundAt + o.SessionTimeout
 	}
 	return next
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -32,8 +32,8 @@
 // Add adds x to the count at now.
 func (c *Count) Add(now Time, x float64) { c.buckets[c.advance(now, 0)] += x }
 
-// Most returns the count over the span and up to one bucket more: an upper bound.
-func (c *Count) Most(now Time) (sum float64) {
+// UpperBound returns the count over the span and up to one bucket more: an upper bound.
+func (c *Count) UpperBound(now Time) (sum float64) {
 	c.advance(now, 0)
 	for _, x := range c.buckets {
 		sum += x
@@ -43,7 +43,7 @@
 
 // LowerBound returns the count over the span less up to one bucket: a lower bound.
 func (c *Count) LowerBound(now Time) float64 {
-	sum := c.Most(now)
+	sum := c.UpperBound(now)
 	return sum - c.buckets[(c.latest+1)%Time(len(c.buckets))]
 }
 
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -103,7 +103,7 @@
 	switch {
 	case bus.transport == nil && m.now >= bus.reconnectAt:
 		m.connectBus()
-	case bus.transport != nil && !bus.up && m.now-bus.lastHeardAt > m.config.Settings.Connect, bus.transport != nil && m.now-bus.lastHeardAt > busHeartbeatTimeout:
+	case bus.transport != nil && !bus.up && m.now-bus.lastHeardAt > m.config.Settings.ConnectTimeout, bus.transport != nil && m.now-bus.lastHeardAt > busHeartbeatTimeout:
 		m.reconnectBus()
 	}
 	if bus.previous.transport != nil && m.now-bus.previous.lastHeardAt > busHeartbeatTimeout {
--- a/internal/platform/bus_test.go
+++ b/internal/platform/bus_test.go
@@ -42,12 +42,12 @@
 		manager := platform.New(network, config, now, policy.New)
 		for next := now; next < begin+outage+core.Second; {
 			now = next
-			manager.At(now)
+			manager.BeginTurn(now)
 			for _, conn := range network.conns { // the bus is down and its machine refuses connections
 				manager.Dialed(conn, core.ErrRefused)
 			}
 			network.conns = nil
-			next = max(manager.Settle(), now+core.Millisecond)
+			next = max(manager.EndTurn(), now+core.Millisecond)
 		}
 	}
 	total, peak := 0, 0
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -16,9 +16,9 @@
 	Seed              uint64 // of session IDs and jitter, and of the decision module
 	Cores             float64
 	MemoryBytes       int64
-	Sockets           int          // limit of open descriptors
-	Settings          *start.Told  // the fleet's settings
-	KnownEvents       []feed.Event // events of the server list up to the offset from which the bus is read
+	Sockets           int             // limit of open descriptors
+	Settings          *start.Settings // the fleet's settings
+	KnownEvents       []feed.Event    // events of the server list up to the offset from which the bus is read
 }
 
 // ParseConfig parses and checks the platform's configuration. An error names the key that it concerns.
@@ -53,12 +53,12 @@
 	if config.Settings, err = start.Read(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	for i, patience := range config.Settings.Patience {
+	for i, patience := range config.Settings.AbandonAfter {
 		if patience <= 0 {
 			return nil, fmt.Errorf("settings: classes[%d].giveUp: expected a time above 0", i)
 		}
 	}
-	if config.Settings.Connect <= 0 || config.Settings.Idle <= 0 {
+	if config.Settings.ConnectTimeout <= 0 || config.Settings.IdleTimeout <= 0 {
 		return nil, fmt.Errorf("settings: limits.connectTimeout and limits.connIdle: expected times above 0")
 	}
 	if config.KnownEvents, err = feed.ParseEvents(raw.Known, config.Settings.Zones, config.Settings.Kinds); err != nil {
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -67,7 +67,7 @@
 // the loss of the playbacks: a machine that was unreachable and came back accepts connections, but has lost its playbacks.
 func (m *Manager) notesExpected() bool {
 	settings := m.config.Settings
-	return settings.Tell > 0 && settings.Tell+settings.Site.Fleet.NoteDelay < endNoticeDeadline-2*core.Second
+	return settings.NoteInterval > 0 && settings.NoteInterval+settings.Site.Fleet.NoteDelay < endNoticeDeadline-2*core.Second
 }
 
 // MaxArriving returns how many connections from viewers are accepted beyond MaxViewers until others have been evicted.
@@ -104,7 +104,7 @@
 // as longer transit times are not waited for either.
 func (m *Manager) nearIdleTimeout(conn *serverConn) bool {
 	settings := m.config.Settings
-	return conn.up && m.now-conn.lastUsedAt > max(settings.Idle-settings.Connect-sweepInterval, settings.Idle/2)
+	return conn.up && m.now-conn.lastUsedAt > max(settings.IdleTimeout-settings.ConnectTimeout-sweepInterval, settings.IdleTimeout/2)
 }
 
 // hasExited reports whether a server that refuses connections has exited, together with its playbacks. A process that
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -60,7 +60,7 @@
 func readMessage(t *testing.T, conn net.Conn, in *bufio.Reader) *rtsp.Message {
 	t.Helper()
 	var got *rtsp.Message
-	parser := &rtsp.Parser{Bounds: rtsp.Usual}
+	parser := &rtsp.Parser{Bounds: rtsp.DefaultBounds}
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 	for got == nil {
 		b, err := in.ReadByte()
@@ -80,9 +80,9 @@
 
 type messageFunc func(*rtsp.Message)
 
-func (s messageFunc) Message(m *rtsp.Message) { s(m) }
-func (s messageFunc) Frame(byte, []byte)      {}
-func (s messageFunc) Bad(*rtsp.Malformed)     {}
+func (s messageFunc) Message(m *rtsp.Message)        { s(m) }
+func (s messageFunc) Frame(byte, []byte)             {}
+func (s messageFunc) Malformed(*rtsp.MalformedError) {}
 
 // Over real sockets, a set-up passes from a viewer to a server and its answer back, the server's end reaches the viewer,
 // a bus event drains the server, and a stop ends the process.
@@ -113,12 +113,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range config.Settings.Patience { // shortens the stop
-		config.Settings.Patience[i] = core.Second / 2
+	for i := range config.Settings.AbandonAfter { // shortens the stop
+		config.Settings.AbandonAfter[i] = core.Second / 2
 	}
 	var manager *platform.Manager
 	exit := make(chan struct{})
-	loop, err := edge.NewIn(edge.Room{Read: 4096, Mail: 1 << 20, Dials: time.Second, Doors: 100}, "127.0.0.1:0", func(offset core.Net) core.Core {
+	loop, err := edge.NewWithLimits(edge.Limits{ReadBuffer: 4096, MailboxBytes: 1 << 20, DialTimeout: time.Second, MaxConnections: 100}, "127.0.0.1:0", func(offset core.Net) core.Core {
 		manager = platform.New(offset, config, edge.Now(), policy.New)
 		manager.Exit = func() { close(exit) }
 		return manager
@@ -135,12 +135,12 @@
 	in := bufio.NewReader(viewer)
 	ask := func(request *rtsp.Message) { _, _ = viewer.Write(request.Append(nil)) }
 	setup := func(name string) {
-		request := rtsp.Request(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id(name)).With("Call-Kind", "live")
+		request := rtsp.NewRequest(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id(name)).With("Call-Kind", "live")
 		request.With("Answer-Within", "500").With("Routing-Data", "home:0;copies:2;top:1;viewer:00000000b4d65521")
 		request.Body = []byte("of the viewer\r\n")
 		ask(request)
 	}
-	ask(rtsp.Request(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")))
+	ask(rtsp.NewRequest(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")))
 	if reply := readMessage(t, viewer, in); reply.Status != 200 || reply.CSeq != 3 || reply.Get("Session") != id("0") {
 		t.Fatalf("%+v", reply)
 	}
@@ -155,7 +155,7 @@
 	if reply := readMessage(t, viewer, in); reply.Method != rtsp.Teardown || reply.Get("Reason") != "cause=16" {
 		t.Fatalf("%+v", reply)
 	}
-	ask(rtsp.Answer(200, 2).With("Session", id("a")))
+	ask(rtsp.NewResponse(200, 2).With("Session", id("a")))
 	if offset := <-offsets; offset != 1 {
 		t.Error("position", offset)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -109,9 +109,9 @@
 	m := &Manager{config: config, network: network, now: now, wakeups: map[uint64]*core.Timer{}, playbacks: map[string]*playback{}, titles: map[uint64]*titleEntry{},
 		servers: map[uint32]*server{}}
 	m.halfCloser, _ = network.(core.HalfCloser)
-	config.Settings.Site.StartsTold = true
+	config.Settings.Site.StartsListed = true
 	m.module = newModule(config.Settings.Site, config.Seed, now)
-	m.module.At(now)
+	m.module.BeginTurn(now)
 	m.bus.configure(config)
 	for _, event := range config.KnownEvents {
 		m.applyEvent(event)
@@ -146,10 +146,10 @@
 	}
 }
 
-// At begins a turn.
-func (m *Manager) At(now core.Time) {
+// BeginTurn begins a turn.
+func (m *Manager) BeginTurn(now core.Time) {
 	m.now, m.eventAt = now, now
-	m.module.At(now)
+	m.module.BeginTurn(now)
 }
 
 // Turned records the duration of a turn.
@@ -158,9 +158,9 @@
 // Came sets the arrival time of the next event, which may precede the turn.
 func (m *Manager) Came(at core.Time) { m.eventAt = min(at, m.now) }
 
-// Settle ends a turn and returns the time at which the next one is due. Received events are handled before timers
+// EndTurn ends a turn and returns the time at which the next one is due. Received events are handled before timers
 // fire, because after a pause of the process both may be waiting.
-func (m *Manager) Settle() core.Time {
+func (m *Manager) EndTurn() core.Time {
 	m.timers.Run(m.now)
 	m.evictViewers()
 	m.settleModule()
@@ -259,7 +259,7 @@
 	pb.try++
 	pb.phase, pb.server, pb.phaseSince, pb.offerSent = phaseTrying, srv, m.now, false
 	srv.tries++
-	remaining := pb.request.Abandon - m.now
+	remaining := pb.request.AbandonAt - m.now
 	if limit == 0 || limit > remaining {
 		limit = remaining
 	}
@@ -284,7 +284,7 @@
 func (m *Manager) Reject(number int, comeAgain core.Time) {
 	pb := m.byNumber[number]
 	m.stats.Refused++
-	reply := rtsp.Answer(rtsp.StatusUnavailable, setupCSeq)
+	reply := rtsp.NewResponse(rtsp.StatusUnavailable, setupCSeq)
 	if comeAgain > 0 {
 		reply.With("Come-Back-Ms", strconv.FormatInt(comeAgain/core.Millisecond, 10))
 	}
@@ -294,7 +294,7 @@
 // Abort answers a set-up with 500.
 func (m *Manager) Abort(number int) {
 	m.stats.Failed++
-	m.answerSetup(m.byNumber[number], rtsp.Answer(rtsp.StatusInternal, setupCSeq))
+	m.answerSetup(m.byNumber[number], rtsp.NewResponse(rtsp.StatusInternal, setupCSeq))
 }
 
 // Move asks the viewer of a playback to set it up again, so that it is placed on another server.
@@ -306,7 +306,7 @@
 	m.stats.Moved++
 	pb.moving = true
 	if viewer := m.notifyConn(pb.viewer, nil); viewer != nil {
-		m.sendToViewer(viewer, rtsp.Request(rtsp.Redirect, "rtsp://media/"+pb.titleKey, 4).With("Session", pb.id))
+		m.sendToViewer(viewer, rtsp.NewRequest(rtsp.Redirect, "rtsp://media/"+pb.titleKey, 4).With("Session", pb.id))
 	}
 	pb.timer = m.timers.Set(pb.timer, m.now+core.Second, func() { // the server normally ends it first
 		m.sendToServer(pb.server, &boxes.Message{Op: boxes.End, SessionID: pb.id, Cause: causeMoved})
@@ -334,9 +334,9 @@
 	m.byNumber[number] = nil
 	m.freeNumbers = append(m.freeNumbers, number)
 	m.removePlayback(pb)
-	if title := m.titles[pb.request.Show]; title != nil {
+	if title := m.titles[pb.request.TitleID]; title != nil {
 		if title.refs--; title.refs == 0 {
-			delete(m.titles, pb.request.Show)
+			delete(m.titles, pb.request.TitleID)
 			m.freeTitles = append(m.freeTitles, title.index)
 		}
 	}
@@ -387,13 +387,13 @@
 // register assigns the module's playback and title numbers to a playback and adds it to the tables.
 func (m *Manager) register(pb *playback) {
 	request := &pb.request
-	title := m.titles[request.Show]
+	title := m.titles[request.TitleID]
 	if title == nil {
 		title = &titleEntry{index: len(m.titles) + len(m.freeTitles)}
 		if count := len(m.freeTitles); count > 0 {
 			title.index, m.freeTitles = m.freeTitles[count-1], m.freeTitles[:count-1]
 		}
-		m.titles[request.Show] = title
+		m.titles[request.TitleID] = title
 	}
 	title.refs++
 	request.Title = title.index
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -104,7 +104,7 @@
 }
 
 func (h *viewerReader) Frame(byte, []byte) {}
-func (h *viewerReader) Bad(malformed *rtsp.Malformed) {
+func (h *viewerReader) Malformed(malformed *rtsp.MalformedError) {
 	h.scenario.t.Errorf("%s: %v", h.scenario.step, malformed)
 }
 func (h *viewerReader) Message(msg *rtsp.Message) {
@@ -158,7 +158,7 @@
 	conn := s.conns[connName]
 	if conn == nil && connName != "stop" && connName != "wait" && connName != "renew" {
 		conn = &core.Conn{}
-		s.conns[connName], s.names[conn], s.parsers[connName] = conn, connName, &rtsp.Parser{Bounds: rtsp.Usual}
+		s.conns[connName], s.names[conn], s.parsers[connName] = conn, connName, &rtsp.Parser{Bounds: rtsp.DefaultBounds}
 	}
 	receive := func(text string) { s.manager.Received(conn, []byte(text)) }
 	serverLine := func(op, call string, rest string) {
@@ -177,7 +177,7 @@
 	case args[0] == "open":
 		s.manager.Accepted(conn, "10.0.0.1:1")
 	case args[0] == "close":
-		s.manager.Closed(conn, core.ErrEnded)
+		s.manager.Closed(conn, core.ErrClosedByPeer)
 	case args[0] == "up":
 		s.manager.Dialed(conn, nil)
 	case args[0] == "refused":
@@ -197,7 +197,7 @@
 		receive(strings.Repeat("x", count))
 	case args[0] == "SETUP":
 		opts := parseOptions(args[2:])
-		request := rtsp.Request(rtsp.Setup, "rtsp://media/"+orDefault(opts["title"], "7f3a9c21e0b4d655"), 1).With("Session", id(args[1]))
+		request := rtsp.NewRequest(rtsp.Setup, "rtsp://media/"+orDefault(opts["title"], "7f3a9c21e0b4d655"), 1).With("Session", id(args[1]))
 		request.With("Call-Kind", orDefault(opts["plan"], "live")).With("Answer-Within", orDefault(opts["within"], "4000"))
 		if opts["for"] != "" {
 			request.With("Charged-Party", opts["for"])
@@ -212,13 +212,13 @@
 		}
 		s.manager.Received(conn, request.Append(nil))
 	case args[0] == "TEARDOWN":
-		request := rtsp.Request(rtsp.Teardown, "rtsp://media/x", 2).With("Session", id(args[1]))
+		request := rtsp.NewRequest(rtsp.Teardown, "rtsp://media/x", 2).With("Session", id(args[1]))
 		if len(args) > 2 {
 			request.With("Reason", "cause="+args[2])
 		}
 		s.manager.Received(conn, request.Append(nil))
 	case args[0] == "OPTIONS":
-		s.manager.Received(conn, rtsp.Request(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")).Append(nil))
+		s.manager.Received(conn, rtsp.NewRequest(rtsp.Options, "rtsp://media/ping", 3).With("Session", id("0")).Append(nil))
 	case args[0] == "accept":
 		serverLine("accept", id(args[1]), `"with":{},"desc":"`+args[2]+`"`)
 	case args[0] == "end":
@@ -267,8 +267,8 @@
 func (s *scenario) advance(to core.Time) {
 	for s.next < to {
 		s.now = max(s.now, s.next)
-		s.manager.At(s.now)
-		s.next = s.manager.Settle()
+		s.manager.BeginTurn(s.now)
+		s.next = s.manager.EndTurn()
 	}
 	s.now = to
 }
@@ -329,9 +329,9 @@
 				}
 				s.actions = nil
 				s.advance(begin + core.Time(at*1e6))
-				s.manager.At(s.now)
+				s.manager.BeginTurn(s.now)
 				s.deliver(words[1:])
-				s.next = s.manager.Settle()
+				s.next = s.manager.EndTurn()
 			}
 		}
 	}
@@ -351,7 +351,7 @@
 // A set-up that arrives in two pieces, split at any byte and one second apart, is served. If the rest does not arrive, the
 // connection is closed within 3 s and nothing is sent to a server.
 func TestSetupSplitAnywhere(t *testing.T) {
-	whole := rtsp.Request(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id("a")).With("Call-Kind", "live").
+	whole := rtsp.NewRequest(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id("a")).With("Call-Kind", "live").
 		With("Answer-Within", "4000").With("Routing-Data", "home:0;copies:2;top:1;viewer:00000000b4d65521")
 	whole.Body = []byte("sdp")
 	text := string(whole.Append(nil))
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -58,7 +58,7 @@
 
 // applyEvent applies an event of the server list.
 func (m *Manager) applyEvent(event feed.Event) {
-	list := session.List{Whole: event.Snapshot}
+	list := session.List{Complete: event.Snapshot}
 	named := map[uint32]bool{}
 	for _, entry := range event.Servers {
 		named[entry.ID] = true
@@ -135,7 +135,7 @@
 			return conn
 		}
 	}
-	if best != nil && m.config.Settings.Shared > 0 && len(best.setups) >= m.config.Settings.Shared {
+	if best != nil && m.config.Settings.StreamsPerConn > 0 && len(best.setups) >= m.config.Settings.StreamsPerConn {
 		return nil
 	}
 	return best
@@ -150,7 +150,7 @@
 	srv.conns = append(srv.conns, conn)
 	srv.lastDialAt = m.now
 	m.serverConnCount++
-	conn.timer = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.serverConnUp(conn, errors.New("connect timeout")) })
+	conn.timer = m.timers.Set(nil, m.now+m.config.Settings.ConnectTimeout, func() { m.serverConnUp(conn, errors.New("connect timeout")) })
 	m.network.Dial(conn.transport, srv.address)
 	return conn
 }
@@ -292,7 +292,7 @@
 
 func (m *Manager) probeServer(srv *server) {
 	id := m.newID()
-	srv.probes[id] = m.timers.Set(nil, m.now+m.config.Settings.Connect, func() { m.probeEnded(srv, id, session.TimedOut, "") })
+	srv.probes[id] = m.timers.Set(nil, m.now+m.config.Settings.ConnectTimeout, func() { m.probeEnded(srv, id, session.TimedOut, "") })
 	m.sendToServer(srv, &boxes.Message{Op: boxes.Test, SessionID: id, Cause: 1})
 	if len(srv.conns) == 0 {
 		m.deferred = append(m.deferred, func() { m.failProbes(srv, session.NoConnection) })
@@ -323,7 +323,7 @@
 	}
 	var names []string
 	var values []float64
-	for _, field := range rtsp.Pairs(strings.ReplaceAll(text, ":", "=")) {
+	for _, field := range rtsp.ParsePairs(strings.ReplaceAll(text, ":", "=")) {
 		if value, err := strconv.ParseFloat(field.Value, 64); err == nil && value >= 0 && value < 1e6 {
 			names, values = append(names, field.Name), append(values, value)
 		}
@@ -427,7 +427,7 @@
 	pb.description = ""
 	m.stats.Served++
 	m.stats.Tries[session.OK]++
-	reply := rtsp.Answer(rtsp.StatusOK, setupCSeq).With("Session", pb.id)
+	reply := rtsp.NewResponse(rtsp.StatusOK, setupCSeq).With("Session", pb.id)
 	reply.Body = []byte(msg.Description)
 	m.sendToViewer(pb.viewer, reply)
 	m.module.Playing(pb.request.Playback, pb.try, pb.server.index, took)
@@ -463,8 +463,8 @@
 }
 
 // noteKinds maps the names of notes on the wire.
-var noteKinds = map[string]session.NoteKind{"got": session.Delivered, "level": session.RungNow, "port": session.LinkAsked,
-	"spine": session.UplinkAsked}
+var noteKinds = map[string]session.NoteKind{"got": session.DeliveredShare, "level": session.CurrentRung, "port": session.LinkDemand,
+	"spine": session.UplinkDemand}
 
 func (m *Manager) serverNote(pb *playback, msg *boxes.Message) {
 	kind, ok := noteKinds[msg.Fields["note"]]
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -15,7 +15,7 @@
 		return
 	}
 	m.stoppingSince = m.now
-	wait := min(slices.Max(m.config.Settings.Patience), maxStopWait)
+	wait := min(slices.Max(m.config.Settings.AbandonAfter), maxStopWait)
 	m.timers.Set(nil, m.now+stopAcceptingAfter, func() {
 		if m.StopAccepting != nil {
 			m.StopAccepting()
@@ -38,7 +38,7 @@
 			if pb.phase == phaseTrying {
 				m.withdrawOffer(pb)
 			}
-			m.answerSetup(pb, rtsp.Answer(rtsp.StatusInternal, setupCSeq))
+			m.answerSetup(pb, rtsp.NewResponse(rtsp.StatusInternal, setupCSeq))
 			continue
 		}
 		m.notifyEnded(pb.viewer, pb.id, causeReset)
--- a/internal/platform/tenants_test.go
+++ b/internal/platform/tenants_test.go
@@ -17,7 +17,7 @@
 	tenants []int
 }
 
-func (a *tenantRecorder) At(core.Time)           {}
+func (a *tenantRecorder) BeginTurn(core.Time)    {}
 func (a *tenantRecorder) Listed(session.List)    {}
 func (a *tenantRecorder) Settle(session.Actions) {}
 func (a *tenantRecorder) Requested(request session.Request) {
@@ -39,10 +39,10 @@
 	module := &tenantRecorder{}
 	manager := platform.New(&refusingNet{now: &now, dials: map[core.Time]int{}}, config, now, func(*session.Site, uint64, core.Time) session.Manager { return module })
 	conn := &core.Conn{}
-	manager.At(now)
+	manager.BeginTurn(now)
 	manager.Accepted(conn, "10.0.0.1:1")
 	for i, setup := range []struct{ tenant, at string }{{"south", ""}, {"north", ""}, {"south", ";at:s-00000001"}} {
-		request := rtsp.Request(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id(string(rune('a'+i)))).With("Call-Kind", "live")
+		request := rtsp.NewRequest(rtsp.Setup, "rtsp://media/7f3a9c21e0b4d655", 1).With("Session", id(string(rune('a'+i)))).With("Call-Kind", "live")
 		request.With("Answer-Within", "500").With("Charged-Party", setup.tenant).With("Routing-Data", "home:0;copies:2;top:1;viewer:00000000b4d65521"+setup.at)
 		request.Body = []byte("sdp")
 		manager.Received(conn, request.Append(nil))
--- a/internal/platform/viewers.go
+++ b/internal/platform/viewers.go
@@ -33,7 +33,7 @@
 const uriPrefix = "rtsp://media/"
 
 // messageBounds limits the messages of viewers; a body may have 16 KiB.
-var messageBounds = rtsp.Bounds{Line: 2048, Head: 4096, Fields: 32, Body: boxes.MaxMessageSize, NoFrames: true}
+var messageBounds = rtsp.Bounds{LineBytes: 2048, HeadBytes: 4096, HeaderFields: 32, BodyBytes: boxes.MaxMessageSize, NoFrames: true}
 
 // viewerConn is a connection from viewers. It carries many sessions.
 type viewerConn struct {
@@ -151,17 +151,17 @@
 	if err != nil {
 		m.stats.Bad++
 		status := rtsp.StatusBadRequest
-		var malformed *rtsp.Malformed
+		var malformed *rtsp.MalformedError
 		if errors.As(err, &malformed) {
 			status = malformed.Status
 		}
-		m.sendToViewer(viewer, rtsp.Answer(status, -1))
+		m.sendToViewer(viewer, rtsp.NewResponse(status, -1))
 		m.closeViewer(viewer)
 		return
 	}
-	m.bufferedBytes += viewer.parser.Held() - viewer.bufferedBytes
-	viewer.bufferedBytes = viewer.parser.Held()
-	if !viewer.parser.Waiting() {
+	m.bufferedBytes += viewer.parser.BufferedBytes() - viewer.bufferedBytes
+	viewer.bufferedBytes = viewer.parser.BufferedBytes()
+	if !viewer.parser.Incomplete() {
 		viewer.partialSince = 0
 	} else if viewer.partialSince == 0 {
 		viewer.partialSince = m.now
@@ -173,7 +173,7 @@
 				fullest = other
 			}
 		}
-		m.sendToViewer(fullest, rtsp.Answer(rtsp.StatusUnavailable, -1))
+		m.sendToViewer(fullest, rtsp.NewResponse(rtsp.StatusUnavailable, -1))
 		m.closeViewer(fullest)
 	}
 }
@@ -181,10 +181,10 @@
 // Frame is never called, because messageBounds forbids interleaved frames.
 func (v *viewerConn) Frame(byte, []byte) {}
 
-// Bad rejects a malformed message whose end is known.
-func (v *viewerConn) Bad(malformed *rtsp.Malformed) {
+// Malformed rejects a malformed message whose end is known.
+func (v *viewerConn) Malformed(malformed *rtsp.MalformedError) {
 	v.manager.stats.Bad++
-	v.manager.sendToViewer(v, rtsp.Answer(malformed.Status, malformed.CSeq))
+	v.manager.sendToViewer(v, rtsp.NewResponse(malformed.Status, malformed.CSeq))
 	v.manager.closeViewer(v)
 }
 
@@ -216,10 +216,10 @@
 		if m.stoppingSince > 0 {
 			status = rtsp.StatusUnavailable
 		}
-		m.sendToViewer(v, rtsp.Answer(status, msg.CSeq).With("Session", id))
+		m.sendToViewer(v, rtsp.NewResponse(status, msg.CSeq).With("Session", id))
 	default:
 		m.stats.Bad++
-		m.sendToViewer(v, rtsp.Answer(rtsp.StatusMethodNotAllowed, msg.CSeq).With("Session", id))
+		m.sendToViewer(v, rtsp.NewResponse(rtsp.StatusMethodNotAllowed, msg.CSeq).With("Session", id))
 	}
 }
 
@@ -227,7 +227,7 @@
 func (m *Manager) rejectMalformed(viewer *viewerConn, msg *rtsp.Message) {
 	m.stats.Bad++
 	if msg.IsRequest() {
-		reply := rtsp.Answer(rtsp.StatusBadRequest, msg.CSeq)
+		reply := rtsp.NewResponse(rtsp.StatusBadRequest, msg.CSeq)
 		if id := msg.Get("Session"); boxes.ValidID(id) {
 			reply.With("Session", id)
 		}
@@ -258,9 +258,9 @@
 			return nil, "", false
 		}
 	}
-	request.Show, _ = strconv.ParseUint(pb.titleKey, 16, 64)
+	request.TitleID, _ = strconv.ParseUint(pb.titleKey, 16, 64)
 	fields := map[string]string{}
-	for _, field := range rtsp.Pairs(strings.ReplaceAll(msg.Get("Routing-Data"), ":", "=")) {
+	for _, field := range rtsp.ParsePairs(strings.ReplaceAll(msg.Get("Routing-Data"), ":", "=")) {
 		if _, duplicate := fields[field.Name]; duplicate {
 			return nil, "", false
 		}
@@ -272,14 +272,14 @@
 	if !baseOK || !spanOK || !topOK || !boxes.ValidID(fields["viewer"]) {
 		return nil, "", false
 	}
-	request.Base, request.Span, request.Top = int(base), int(span), int(top)
+	request.FirstCell, request.CellCount, request.Top = int(base), int(span), int(top)
 	serverName = fields["at"]
-	answerWithin, answerWithinOK := parseNumber(msg.Get("Answer-Within"), 1, settings.Patience[request.Plan]/core.Millisecond)
+	answerWithin, answerWithinOK := parseNumber(msg.Get("Answer-Within"), 1, settings.AbandonAfter[request.Plan]/core.Millisecond)
 	if !answerWithinOK && serverName == "" { // a playback that plays already needs no answer
 		return nil, "", false
 	}
 	answerWithin *= core.Millisecond
-	request.Abandon = m.eventAt + answerWithin - answerWithin/networkMarginDivisor
+	request.AbandonAt = m.eventAt + answerWithin - answerWithin/networkMarginDivisor
 	pb.rung = settings.Site.Plans[request.Plan].Floor
 	return pb, serverName, true
 }
@@ -303,8 +303,8 @@
 	}
 	if m.stoppingSince > 0 || int64(m.bufferedBytes+len(pb.description)) > m.config.MemoryBytes/bufferedMemoryDivisor {
 		m.stats.Refused++
-		reply := rtsp.Answer(rtsp.StatusUnavailable, setupCSeq).With("Session", id)
-		if retryAfter := m.config.Settings.Site.Terms.MaxComeAgain; retryAfter > 0 {
+		reply := rtsp.NewResponse(rtsp.StatusUnavailable, setupCSeq).With("Session", id)
+		if retryAfter := m.config.Settings.Site.Terms.MaxRetryAfter; retryAfter > 0 {
 			reply.With("Come-Back-Ms", strconv.FormatInt(retryAfter/core.Millisecond, 10))
 		}
 		m.sendToViewer(viewer, reply)
@@ -341,10 +341,10 @@
 	cause, hasReason := parseReason(msg.Get("Reason"))
 	pb := m.playbacks[id]
 	if pb == nil || pb.phase != phasePlaying && hasReason {
-		m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusSessionNotFound, msg.CSeq).With("Session", id))
+		m.sendToViewer(viewer, rtsp.NewResponse(rtsp.StatusSessionNotFound, msg.CSeq).With("Session", id))
 		return
 	}
-	m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusOK, msg.CSeq).With("Session", id))
+	m.sendToViewer(viewer, rtsp.NewResponse(rtsp.StatusOK, msg.CSeq).With("Session", id))
 	if pb.phase != phasePlaying { // sessions are not bound to connections, so any connection may withdraw a set-up
 		m.abandonSetup(pb)
 		return
@@ -439,7 +439,7 @@
 	}
 	notice.conn, notice.sentAt = viewer, m.now
 	notice.sendCount++
-	m.sendToViewer(viewer, rtsp.Request(rtsp.Teardown, uriPrefix+notice.id, teardownCSeq).With("Session", notice.id).With("Reason", "cause="+strconv.Itoa(notice.cause)))
+	m.sendToViewer(viewer, rtsp.NewRequest(rtsp.Teardown, uriPrefix+notice.id, teardownCSeq).With("Session", notice.id).With("Reason", "cause="+strconv.Itoa(notice.cause)))
 }
 
 // retryTeardowns repeats unanswered teardowns and drops those whose deadline or send limit is reached.
@@ -460,7 +460,7 @@
 		switch {
 		case viewer.messageOverdue(m.now):
 			m.stats.Bad++
-			m.sendToViewer(viewer, rtsp.Answer(rtsp.StatusRequestTimeout, -1))
+			m.sendToViewer(viewer, rtsp.NewResponse(rtsp.StatusRequestTimeout, -1))
 			m.closeViewer(viewer)
 		case viewer.pendingSetups == 0 && viewer.playing == 0 && viewer.partialSince == 0 && viewer.lastMessageAt > 0 && m.now-viewer.lastActiveAt > viewerIdleTimeout:
 			m.closeViewer(viewer)
--- a/internal/quality/alarm.go
+++ b/internal/quality/alarm.go
@@ -10,9 +10,9 @@
 // Alarm reports that a group has become an outlier, or is one no longer.
 type Alarm struct {
 	Group
-	Raised bool
-	Lost   float64 // share of its due service that was not delivered
-	Rest   float64 // the same share for the others of its kind
+	Raised     bool
+	Loss       float64 // share of its due service that was not delivered
+	OthersLoss float64 // the same share for the others of its kind
 }
 
 const (
@@ -24,7 +24,7 @@
 	recentDivisor     = 8    // the latest buckets checked, as a fraction 1/n of all
 )
 
-// Settle closes the playbacks whose time for reports is over, and once per bucket reports the groups that have become
+// Evaluate closes the playbacks whose time for reports is over, and once per bucket reports the groups that have become
 // or ceased to be outliers. It returns the time at which it has to be called again.
 //
 // A rack or title is an outlier if it loses more than twice what the others of its kind lose, by more than a
@@ -32,45 +32,45 @@
 // playbacks. The alarm finds a slow rack before users complain. Titles are judged without their playbacks on outlier
 // racks, and racks without those of outlier titles, so that a slow rack does not raise alarms for all titles on it.
 // Alarms are late by the time for which playbacks accept reports, and there are none if all groups are equally bad.
-func (c *Core) Settle(report func(Alarm)) Time {
-	for len(c.ended) > 0 && c.now-c.ended[0].endedAt >= c.Late {
+func (c *Collector) Evaluate(report func(Alarm)) Time {
+	for len(c.ended) > 0 && c.now-c.ended[0].endedAt >= c.ReportGrace {
 		c.close(c.ended[0])
 		c.ended = c.ended[1:]
 	}
-	if bucket := c.now / c.Width; bucket != c.lastCheck {
+	if bucket := c.now / c.BucketWidth; bucket != c.lastCheck {
 		c.lastCheck = bucket
 		c.checkKind(Rack, report)
 		c.checkKind(Title, report)
 	}
-	next := (c.now/c.Width + 1) * c.Width
+	next := (c.now/c.BucketWidth + 1) * c.BucketWidth
 	if len(c.ended) > 0 {
-		next = min(next, c.ended[0].endedAt+c.Late)
+		next = min(next, c.ended[0].endedAt+c.ReportGrace)
 	}
 	return max(next, c.now+1)
 }
 
 // chanceBound is the excess loss of a group over the others that chance can explain: Bernstein's bound for a sum of
 // losses weighted by revenue, which holds for few playbacks too.
-func chanceBound(othersLoss float64, figures *Figures, othersCount int) float64 {
-	playbackShare := figures.RevenueSquares / (figures.Due * figures.Due) // mean share of one playback in the sum
+func chanceBound(othersLoss float64, figures *Totals, othersCount int) float64 {
+	playbackShare := figures.RevenueSquares / (figures.RevenueDue * figures.RevenueDue) // mean share of one playback in the sum
 	return chanceDeviations*math.Sqrt(max(othersLoss*(1-othersLoss), 1/float64(othersCount))*playbackShare) + chanceDeviations*chanceDeviations/3*playbackShare
 }
 
 // checkKind reports the groups of a kind that have become or ceased to be outliers.
-func (c *Core) checkKind(kind Kind, report func(Alarm)) {
+func (c *Collector) checkKind(kind Kind, report func(Alarm)) {
 	type candidate struct {
 		Group
 		*series
-		sum Figures
+		sum Totals
 	}
 	var groups []candidate
-	var total Figures
+	var total Totals
 	for group, s := range c.groups {
-		if group.Kind != kind || group.Title == Other {
+		if group.Kind != kind || group.Title == OtherTitles {
 			continue
 		}
-		s.advance(c.now / c.Width)
-		g := candidate{group, s, s.recent(s.unblamed, max(c.Buckets/recentDivisor, 2))}
+		s.advance(c.now / c.BucketWidth)
+		g := candidate{group, s, s.recent(s.unblamed, max(c.BucketCount/recentDivisor, 2))}
 		total.add(&g.sum)
 		groups = append(groups, g)
 	}
@@ -90,11 +90,11 @@
 			others.subtract(&g.sum)
 		}
 		loss, othersLoss := g.sum.Loss(), others.Loss()
-		if others.Due == 0 {
+		if others.RevenueDue == 0 {
 			othersLoss = 0
 		}
-		isOutlier := g.sum.Count >= minPlaybacks && loss > lossFactor*othersLoss && loss > othersLoss+minExcessLoss && others.Count >= minPlaybacks &&
-			loss > othersLoss+chanceBound(othersLoss, &g.sum, others.Count)
+		isOutlier := g.sum.Playbacks >= minPlaybacks && loss > lossFactor*othersLoss && loss > othersLoss+minExcessLoss && others.Playbacks >= minPlaybacks &&
+			loss > othersLoss+chanceBound(othersLoss, &g.sum, others.Playbacks)
 		switch {
 		case isOutlier && !g.outlier:
 			g.outlier, g.clearChecks = true, 0
@@ -111,8 +111,8 @@
 }
 
 // subtract removes the sums of another from f.
-func (f *Figures) subtract(other *Figures) {
-	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due-other.Due, f.OnTime-other.OnTime, f.Watched-other.Watched, f.Stalled-other.Stalled
-	f.Worth, f.Changes, f.Count = f.Worth-other.Worth, f.Changes-other.Changes, f.Count-other.Count
+func (f *Totals) subtract(other *Totals) {
+	f.RevenueDue, f.RevenueOnTime, f.Watched, f.Stalled = f.RevenueDue-other.RevenueDue, f.RevenueOnTime-other.RevenueOnTime, f.Watched-other.Watched, f.Stalled-other.Stalled
+	f.Worth, f.Changes, f.Playbacks = f.Worth-other.Worth, f.Changes-other.Changes, f.Playbacks-other.Playbacks
 	f.RevenueSquares -= other.RevenueSquares
 }
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -20,52 +20,52 @@
 	Revenue float64
 }
 
-// Terms holds the configuration, set at the start.
-type Terms struct {
-	Plans     []Plan
-	Worth     []float64 // by rung
-	Racks     int
-	Titles    int  // maximum number of titles with figures of their own
-	Playbacks int  // maximum number of records
-	Width     Time // duration of a bucket
-	Buckets   int  // number of buckets kept
-	Late      Time // time after its end for which a playback accepts reports
-}
-
-// Figures holds sums over playbacks, each weighted by its revenue.
-type Figures struct {
-	Due            float64 // revenue of the playbacks requested
-	OnTime         float64 // revenue of those that started within their startup target
+// Config holds the configuration, set at the start.
+type Config struct {
+	Plans        []Plan
+	RungWorth    []float64 // by rung
+	Racks        int
+	MaxTitles    int  // maximum number of titles with figures of their own
+	MaxPlaybacks int  // maximum number of records
+	BucketWidth  Time // duration of a bucket
+	BucketCount  int  // number of buckets kept
+	ReportGrace  Time // time after its end for which a playback accepts reports
+}
+
+// Totals holds sums over playbacks, each weighted by its revenue.
+type Totals struct {
+	RevenueDue     float64 // revenue of the playbacks requested
+	RevenueOnTime  float64 // revenue of those that started within their startup target
 	Watched        float64 // revenue times seconds played
 	Stalled        float64 // revenue times seconds stalled
 	Worth          float64 // revenue times seconds times worth of the current rung
 	Changes        float64 // revenue times rung changes
 	RevenueSquares float64 // sum of the squared revenues of the playbacks requested, for the variance of their sum
-	Count          int     // number of playbacks requested
+	Playbacks      int     // number of playbacks requested
 }
 
-func (f *Figures) add(other *Figures) {
-	f.Due, f.OnTime, f.Watched, f.Stalled = f.Due+other.Due, f.OnTime+other.OnTime, f.Watched+other.Watched, f.Stalled+other.Stalled
-	f.Worth, f.Changes, f.Count = f.Worth+other.Worth, f.Changes+other.Changes, f.Count+other.Count
+func (f *Totals) add(other *Totals) {
+	f.RevenueDue, f.RevenueOnTime, f.Watched, f.Stalled = f.RevenueDue+other.RevenueDue, f.RevenueOnTime+other.RevenueOnTime, f.Watched+other.Watched, f.Stalled+other.Stalled
+	f.Worth, f.Changes, f.Playbacks = f.Worth+other.Worth, f.Changes+other.Changes, f.Playbacks+other.Playbacks
 	f.RevenueSquares += other.RevenueSquares
 }
 
 // Service is the share of the revenue whose playbacks started in time.
-func (f *Figures) Service() float64 { return ratio(f.OnTime, f.Due) }
+func (f *Totals) Service() float64 { return ratio(f.RevenueOnTime, f.RevenueDue) }
 
-// Stalls is the share of the playing time that was stalled.
-func (f *Figures) Stalls() float64 { return ratio(f.Stalled, f.Watched) }
+// StallRatio is the share of the playing time that was stalled.
+func (f *Totals) StallRatio() float64 { return ratio(f.Stalled, f.Watched) }
 
-// Rung is the mean worth of the rungs played.
-func (f *Figures) Rung() float64 { return ratio(f.Worth, f.Watched) }
+// MeanWorth is the mean worth of the rungs played.
+func (f *Totals) MeanWorth() float64 { return ratio(f.Worth, f.Watched) }
 
 // Loss is the share of the due service that was not delivered: playbacks that did not start in time, and stalls of
 // those that did.
-func (f *Figures) Loss() float64 {
-	if f.Due == 0 {
-		return f.Stalls()
+func (f *Totals) Loss() float64 {
+	if f.RevenueDue == 0 {
+		return f.StallRatio()
 	}
-	return 1 - f.Service()*(1-f.Stalls())
+	return 1 - f.Service()*(1-f.StallRatio())
 }
 
 func ratio(value, total float64) float64 {
@@ -97,33 +97,33 @@
 	Title string
 }
 
-// Other is the title under which all titles without figures of their own are counted.
-const Other = "other"
+// OtherTitles is the title under which all titles without figures of their own are counted.
+const OtherTitles = "other"
 
 // series holds the figures of a group in a ring of time buckets.
 type series struct {
-	buckets     []Figures
-	unblamed    []Figures // for a title without its playbacks on outlier racks, for a rack without those of outlier titles
-	latest      Time      // number of the latest bucket
+	buckets     []Totals
+	unblamed    []Totals // for a title without its playbacks on outlier racks, for a rack without those of outlier titles
+	latest      Time     // number of the latest bucket
 	outlier     bool
 	clearChecks int // consecutive checks at which it was no outlier
 }
 
 // Types of players' reports.
 const (
-	Startup = iota + 1 // the first picture came after the reported duration
-	Stall              // the playback stalled for the reported duration from the time of the event on
-	Rung               // the player changed to the reported rung at the time of the event
+	StartupReport = iota + 1 // the first picture came after the reported duration
+	StallReport              // the playback stalled for the reported duration from the time of the event on
+	RungReport               // the player changed to the reported rung at the time of the event
 )
 
 // Report is a report of a player, with times by the player's clock.
 type Report struct {
-	Seq   uint32 // starts at 1; a retransmission has the same number
-	What  int
-	Clock Time // time of sending
-	At    Time // time of the event
-	Span  Time
-	Rung  int
+	Seq        uint32 // starts at 1; a retransmission has the same number
+	Type       int
+	SentAt     Time // time of sending
+	OccurredAt Time // time of the event
+	Duration   Time
+	Rung       int
 }
 
 type interval struct{ from, to Time }
@@ -167,9 +167,9 @@
 	seqWindow  = 64 // how far the sequence number of a report may be behind the latest
 )
 
-// Core holds the records of playbacks and the figures of groups. It is not safe for concurrent use.
-type Core struct {
-	Terms
+// Collector holds the records of playbacks and the figures of groups. It is not safe for concurrent use.
+type Collector struct {
+	Config
 	Counts     Counts
 	now        Time
 	open       map[string]*playbackRecord
@@ -181,20 +181,20 @@
 }
 
 // New returns an empty collector. It keeps at least two buckets.
-func New(config Terms, now Time) *Core {
-	config.Buckets, config.Width = max(config.Buckets, 2), max(config.Width, 1)
-	return &Core{Terms: config, now: now, open: map[string]*playbackRecord{}, groups: map[Group]*series{}, lastCheck: now / config.Width}
+func New(config Config, now Time) *Collector {
+	config.BucketCount, config.BucketWidth = max(config.BucketCount, 2), max(config.BucketWidth, 1)
+	return &Collector{Config: config, now: now, open: map[string]*playbackRecord{}, groups: map[Group]*series{}, lastCheck: now / config.BucketWidth}
 }
 
-// At starts a turn at the given time.
-func (c *Core) At(now Time) { c.now = max(c.now, now) }
+// Advance starts a turn at the given time.
+func (c *Collector) Advance(now Time) { c.now = max(c.now, now) }
 
-// Taken starts the record of a playback. If there is no space, it closes the playbacks that ended first.
-func (c *Core) Taken(id string, plan int, title string, requestedAt Time) {
+// Begin starts the record of a playback. If there is no space, it closes the playbacks that ended first.
+func (c *Collector) Begin(id string, plan int, title string, requestedAt Time) {
 	if c.open[id] != nil || plan < 0 || plan >= len(c.Plans) {
 		return
 	}
-	for len(c.open) >= max(c.Playbacks, 1) {
+	for len(c.open) >= max(c.MaxPlaybacks, 1) {
 		if len(c.ended) == 0 {
 			c.Counts.Early++
 			return
@@ -206,8 +206,8 @@
 	c.open[id] = &playbackRecord{id: id, plan: plan, startRack: -1, title: title, requestedAt: requestedAt, reportedStartup: -1}
 }
 
-// Name changes the id of a playback.
-func (c *Core) Name(oldID, newID string) {
+// Rename changes the id of a playback.
+func (c *Collector) Rename(oldID, newID string) {
 	if record := c.open[oldID]; record != nil && c.open[newID] == nil {
 		delete(c.open, oldID)
 		record.id = newID
@@ -215,14 +215,14 @@
 	}
 }
 
-// Known reports whether a playback accepts reports.
-func (c *Core) Known(id string) bool { return c.open[id] != nil }
+// IsOpen reports whether a playback accepts reports.
+func (c *Collector) IsOpen(id string) bool { return c.open[id] != nil }
 
-// Open returns the number of records held.
-func (c *Core) Open() int { return len(c.open) }
+// OpenCount returns the number of records held.
+func (c *Collector) OpenCount() int { return len(c.open) }
 
-// Plays records the rack and rung of a playback at its start, after a move, and after a rung change.
-func (c *Core) Plays(id string, rack, rung int, startedAt Time) {
+// Playing records the rack and rung of a playback at its start, after a move, and after a rung change.
+func (c *Collector) Playing(id string, rack, rung int, startedAt Time) {
 	record := c.open[id]
 	if record == nil || record.endedAt > 0 {
 		return
@@ -239,14 +239,14 @@
 }
 
 // Failed records the rack on which a playback failed to start, if one is known.
-func (c *Core) Failed(id string, rack int) {
+func (c *Collector) Failed(id string, rack int) {
 	if record := c.open[id]; record != nil && record.startedAt == 0 {
 		record.startRack = rack
 	}
 }
 
-// Ended records the end of a playback. Reports are still accepted for the grace period after it.
-func (c *Core) Ended(id string, endedAt Time) {
+// End records the end of a playback. Reports are still accepted for the grace period after it.
+func (c *Collector) End(id string, endedAt Time) {
 	if record := c.open[id]; record != nil && record.endedAt == 0 {
 		record.endedAt = max(endedAt, record.requestedAt+1)
 		c.ended = append(c.ended, record)
@@ -254,14 +254,14 @@
 }
 
 // Report records a player's report received now.
-func (c *Core) Report(id string, report Report) {
+func (c *Collector) Report(id string, report Report) {
 	record := c.open[id]
 	c.Counts.Reports++
 	switch {
 	case record == nil:
 		c.Counts.Late++
 		return
-	case report.Seq == 0 || report.Span < 0 || report.What < Startup || report.What > Rung || report.What == Rung && (report.Rung < 0 || report.Rung >= len(c.Worth)):
+	case report.Seq == 0 || report.Duration < 0 || report.Type < StartupReport || report.Type > RungReport || report.Type == RungReport && (report.Rung < 0 || report.Rung >= len(c.RungWorth)):
 		c.Counts.Strange++
 		return
 	case !record.markSeen(report.Seq):
@@ -270,19 +270,19 @@
 	}
 	// The player's clock may be an hour off, so only the age of the event by that clock is used. An event before the
 	// playback or in the future means that the clock was set between the event and the report.
-	age := report.Clock - report.At
+	age := report.SentAt - report.OccurredAt
 	occurredAt := c.now - age
-	if age < 0 || occurredAt < record.requestedAt-c.Width {
+	if age < 0 || occurredAt < record.requestedAt-c.BucketWidth {
 		c.Counts.Clocks++
-		occurredAt = c.now - report.Span // the latest time possible
+		occurredAt = c.now - report.Duration // the latest time possible
 	}
 	occurredAt = max(occurredAt, record.requestedAt)
-	switch report.What {
-	case Startup:
-		record.reportedStartup = report.Span
-	case Stall:
-		record.addStall(interval{occurredAt, occurredAt + report.Span})
-	case Rung:
+	switch report.Type {
+	case StartupReport:
+		record.reportedStartup = report.Duration
+	case StallReport:
+		record.addStall(interval{occurredAt, occurredAt + report.Duration})
+	case RungReport:
 		if len(record.reportedRungs) < maxChanges {
 			record.reportedRungs = append(record.reportedRungs, change{occurredAt, report.Rung})
 		}
@@ -340,12 +340,12 @@
 
 // credit adds the figures of a playback up to a time, by rack and bucket. The revenue due belongs to the rack that
 // started the playback, and the time played to the rack that it played on.
-func (c *Core) credit(record *playbackRecord, until Time, add func(rack int, at Time, figures Figures)) {
+func (c *Collector) credit(record *playbackRecord, until Time, add func(rack int, at Time, figures Totals)) {
 	plan := &c.Plans[record.plan]
-	startup := Figures{Due: plan.Revenue, RevenueSquares: plan.Revenue * plan.Revenue, Count: 1}
+	startup := Totals{RevenueDue: plan.Revenue, RevenueSquares: plan.Revenue * plan.Revenue, Playbacks: 1}
 	startedAt, started := record.started()
 	if started && startedAt-record.requestedAt <= plan.Startup {
-		startup.OnTime = plan.Revenue
+		startup.RevenueOnTime = plan.Revenue
 	}
 	if !started && record.endedAt == 0 && until-record.requestedAt <= plan.Startup {
 		return // it may still start in time
@@ -376,39 +376,39 @@
 	}
 	slices.Sort(cuts)
 	for i := 1; i < len(cuts); i++ {
-		worth := c.Worth[min(max(valueAt(rungs, cuts[i-1]), 0), len(c.Worth)-1)]
+		worth := c.RungWorth[min(max(valueAt(rungs, cuts[i-1]), 0), len(c.RungWorth)-1)]
 		rack := valueAt(record.rackChanges, cuts[i-1])
 		c.splitByBucket(cuts[i-1], cuts[i], func(at Time, seconds float64) {
-			add(rack, at, Figures{Watched: plan.Revenue * seconds, Worth: plan.Revenue * seconds * worth})
+			add(rack, at, Totals{Watched: plan.Revenue * seconds, Worth: plan.Revenue * seconds * worth})
 		})
 	}
 	for i := 1; i < len(rungs); i++ {
 		if entry := rungs[i]; entry.value != rungs[i-1].value && entry.at <= end {
-			add(valueAt(record.rackChanges, entry.at), entry.at, Figures{Changes: plan.Revenue})
+			add(valueAt(record.rackChanges, entry.at), entry.at, Totals{Changes: plan.Revenue})
 		}
 	}
 	for _, stall := range record.stalls {
 		rack := valueAt(record.rackChanges, stall.from)
-		c.splitByBucket(max(stall.from, startedAt), min(stall.to, end), func(at Time, seconds float64) { add(rack, at, Figures{Stalled: plan.Revenue * seconds}) })
+		c.splitByBucket(max(stall.from, startedAt), min(stall.to, end), func(at Time, seconds float64) { add(rack, at, Totals{Stalled: plan.Revenue * seconds}) })
 	}
 }
 
 // splitByBucket calls visit for each bucket that an interval overlaps, with the seconds in that bucket.
-func (c *Core) splitByBucket(from, to Time, visit func(at Time, seconds float64)) {
+func (c *Collector) splitByBucket(from, to Time, visit func(at Time, seconds float64)) {
 	for from < to {
-		bucketEnd := min((from/c.Width+1)*c.Width, to)
+		bucketEnd := min((from/c.BucketWidth+1)*c.BucketWidth, to)
 		visit(from, float64(bucketEnd-from)/1e6)
 		from = bucketEnd
 	}
 }
 
 // close credits a playback finally and removes its record.
-func (c *Core) close(record *playbackRecord) {
+func (c *Collector) close(record *playbackRecord) {
 	delete(c.open, record.id)
 	c.Counts.Closed++
 	title := c.series(Group{Kind: Title, Title: record.title})
-	c.credit(record, record.endedAt, func(rackNumber int, at Time, figures Figures) {
-		bucket := at / c.Width
+	c.credit(record, record.endedAt, func(rackNumber int, at Time, figures Totals) {
+		bucket := at / c.BucketWidth
 		title.add(title.buckets, bucket, &figures)
 		if rackNumber < 0 || rackNumber >= c.Racks {
 			title.add(title.unblamed, bucket, &figures)
@@ -427,35 +427,35 @@
 
 // series returns the series of a group, creating it if needed; a title beyond the limit shares one series
 // with the other such titles.
-func (c *Core) series(group Group) *series {
+func (c *Collector) series(group Group) *series {
 	s := c.groups[group]
-	if s == nil && group.Kind == Title && group.Title != Other {
-		if c.titleCount >= max(c.Titles, 1) {
+	if s == nil && group.Kind == Title && group.Title != OtherTitles {
+		if c.titleCount >= max(c.MaxTitles, 1) {
 			c.evictEmptyTitles()
 		}
-		if c.titleCount >= max(c.Titles, 1) {
-			group.Title = Other
+		if c.titleCount >= max(c.MaxTitles, 1) {
+			group.Title = OtherTitles
 			s = c.groups[group]
 		} else {
 			c.titleCount++
 		}
 	}
 	if s == nil {
-		s = &series{buckets: make([]Figures, c.Buckets), unblamed: make([]Figures, c.Buckets)}
+		s = &series{buckets: make([]Totals, c.BucketCount), unblamed: make([]Totals, c.BucketCount)}
 		c.groups[group] = s
 	}
-	s.advance(c.now / c.Width)
+	s.advance(c.now / c.BucketWidth)
 	return s
 }
 
 // evictEmptyTitles removes titles without any figures left.
-func (c *Core) evictEmptyTitles() {
+func (c *Collector) evictEmptyTitles() {
 	for group, s := range c.groups {
-		if group.Kind != Title || group.Title == Other || s.outlier {
+		if group.Kind != Title || group.Title == OtherTitles || s.outlier {
 			continue
 		}
-		s.advance(c.now / c.Width)
-		if sum := s.sum(s.buckets); sum.Due == 0 && sum.Watched == 0 {
+		s.advance(c.now / c.BucketWidth)
+		if sum := s.sum(s.buckets); sum.RevenueDue == 0 && sum.Watched == 0 {
 			delete(c.groups, group)
 			c.titleCount--
 		}
@@ -466,19 +466,19 @@
 func (s *series) advance(bucket Time) {
 	size := Time(len(s.buckets))
 	for skipped := max(s.latest+1, bucket-size+1); skipped <= bucket; skipped++ {
-		s.buckets[skipped%size], s.unblamed[skipped%size] = Figures{}, Figures{}
+		s.buckets[skipped%size], s.unblamed[skipped%size] = Totals{}, Totals{}
 	}
 	s.latest = max(s.latest, bucket)
 }
 
-func (s *series) add(buckets []Figures, bucket Time, figures *Figures) {
+func (s *series) add(buckets []Totals, bucket Time, figures *Totals) {
 	if size := Time(len(buckets)); bucket > s.latest-size && bucket <= s.latest {
 		buckets[bucket%size].add(figures)
 	}
 }
 
 // recent returns the sum of the latest count buckets.
-func (s *series) recent(buckets []Figures, count int) (total Figures) {
+func (s *series) recent(buckets []Totals, count int) (total Totals) {
 	size := Time(len(buckets))
 	for bucket := max(s.latest-Time(count)+1, 0); bucket <= s.latest; bucket++ {
 		total.add(&buckets[bucket%size])
@@ -486,32 +486,32 @@
 	return total
 }
 
-func (s *series) sum(buckets []Figures) (total Figures) {
+func (s *series) sum(buckets []Totals) (total Totals) {
 	for i := range buckets {
 		total.add(&buckets[i])
 	}
 	return total
 }
 
-// Figures returns the sums over all buckets by group, including playbacks that are still open.
-func (c *Core) Figures() map[Group]Figures {
-	all := map[Group]Figures{}
+// Totals returns the sums over all buckets by group, including playbacks that are still open.
+func (c *Collector) Totals() map[Group]Totals {
+	all := map[Group]Totals{}
 	for group, s := range c.groups {
-		s.advance(c.now / c.Width)
+		s.advance(c.now / c.BucketWidth)
 		all[group] = s.sum(s.buckets)
 	}
-	oldest := (c.now/c.Width - Time(c.Buckets) + 1) * c.Width
-	add := func(group Group, figures *Figures) {
+	oldest := (c.now/c.BucketWidth - Time(c.BucketCount) + 1) * c.BucketWidth
+	add := func(group Group, figures *Totals) {
 		total := all[group]
 		total.add(figures)
 		all[group] = total
 	}
 	for _, record := range c.open {
 		title := Group{Kind: Title, Title: record.title}
-		if _, ok := c.groups[title]; !ok && c.titleCount >= max(c.Titles, 1) {
-			title.Title = Other
+		if _, ok := c.groups[title]; !ok && c.titleCount >= max(c.MaxTitles, 1) {
+			title.Title = OtherTitles
 		}
-		c.credit(record, c.now, func(rack int, at Time, figures Figures) {
+		c.credit(record, c.now, func(rack int, at Time, figures Totals) {
 			if at < oldest {
 				return
 			}
--- a/internal/registry/boxes.go
+++ b/internal/registry/boxes.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// Boxes derives changes of boxes from changes of keys. It remembers the last valid value of each box: a value that
+// BoxTracker derives changes of boxes from changes of keys. It remembers the last valid value of each box: a value that
 // cannot be decoded, or has an unknown version, leaves the box unchanged.
-type Boxes struct {
+type BoxTracker struct {
 	lastValid map[string]Box
 	reported  map[string]int64 // revision of the invalid value last reported, by box
 	Malformed int64            // invalid values seen
 }
 
-// Named is a box with its name, or the name of a box that was removed.
-type Named struct {
+// NamedBox is a box with its name, or the name of a box that was removed.
+type NamedBox struct {
 	Name string
 	Box
-	Gone bool
+	Removed bool
 }
 
-// Take returns the boxes that an update concerns (all boxes if it is a complete view) and an error for each
+// Apply returns the boxes that an update concerns (all boxes if it is a complete view) and an error for each
 // invalid value, reported once per revision.
-func (b *Boxes) Take(update News) (boxes []Named, problems []error) {
+func (b *BoxTracker) Apply(update Update) (boxes []NamedBox, problems []error) {
 	if b.lastValid == nil {
 		b.lastValid, b.reported = map[string]Box{}, map[string]int64{}
 	}
 	previous := b.lastValid
-	if update.Whole {
+	if update.Snapshot {
 		b.lastValid = map[string]Box{}
 	}
 	for _, change := range update.Changes {
@@ -39,10 +39,10 @@
 		if change.Deleted {
 			delete(b.lastValid, name)
 			delete(b.reported, name)
-			boxes = append(boxes, Named{Name: name, Gone: true})
+			boxes = append(boxes, NamedBox{Name: name, Removed: true})
 			continue
 		}
-		box, err := ReadBox(change.Value)
+		box, err := DecodeBox(change.Value)
 		if err != nil {
 			if b.reported[name] != change.Mod {
 				b.reported[name] = change.Mod
@@ -54,9 +54,9 @@
 			}
 		}
 		b.lastValid[name] = box
-		boxes = append(boxes, Named{Name: name, Box: box})
+		boxes = append(boxes, NamedBox{Name: name, Box: box})
 	}
-	if update.Whole {
+	if update.Snapshot {
 		for name := range b.reported {
 			if !slices.ContainsFunc(update.Changes, func(change Change) bool { return change.Key == BoxesPrefix+name }) {
 				delete(b.reported, name)
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -20,11 +20,11 @@
 	updates int
 }
 
-func (v *recorder) take(update registry.News, _ registry.Mark) {
+func (v *recorder) take(update registry.Update, _ registry.HistoryID) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.updates++
-	if update.Whole || v.keys == nil {
+	if update.Snapshot || v.keys == nil {
 		v.keys = map[string]string{}
 	}
 	for _, change := range update.Changes {
@@ -57,7 +57,7 @@
 // Checks that a client follows changes, recovers from a broken connection and from a compaction, and starts from the
 // stored view while the registry is down; one of its endpoints hangs throughout.
 func TestFollowsRegistry(t *testing.T) {
-	store := standin.NewStore(1, "h", registry.MarkKey)
+	store := standin.NewStore(1, "h", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 	hanging.Hang(true)
 	defer hanging.Stop()
 	box := registry.BoxesPrefix + "a"
-	config := client.Place{Endpoints: []string{addr, hanging.Addr()}, Kept: filepath.Join(t.TempDir(), "view"),
-		Bounds: registry.Bounds{Grace: 200_000, Timeout: 200_000, Held: 1000}}
+	config := client.Config{Endpoints: []string{addr, hanging.Addr()}, ViewPath: filepath.Join(t.TempDir(), "view"),
+		Core: registry.Config{GracePeriod: 200_000, Timeout: 200_000, MaxBufferedChanges: 1000}}
 	store.Put(map[string][]byte{box: []byte("1")})
 	view := &recorder{}
 	c, err := client.New(config, zap.NewNop(), view.take)
@@ -81,7 +81,7 @@
 	view.until(t, "first list", has(box, "1"))
 	store.Put(map[string][]byte{box: []byte("2")})
 	view.until(t, "a change", has(box, "2"))
-	server.Cut()
+	server.CloseConnections()
 	store.Put(map[string][]byte{box: []byte("3")})
 	view.until(t, "a change during a broken connection", has(box, "3"))
 	server.Stop()
@@ -106,14 +106,14 @@
 	store.Put(map[string][]byte{box: []byte("5")})
 	restored.until(t, "a change after the stored view", has(box, "5"))
 	c.Close()
-	if restored.keys[registry.MarkKey] != "h" {
+	if restored.keys[registry.HistoryKey] != "h" {
 		t.Error("the view lacks the history identifier")
 	}
 }
 
 // Guards against a member that still answers but no longer receives changes: the client must switch to another.
 func TestLeavesStaleMember(t *testing.T) {
-	store := standin.NewStore(1, "h", registry.MarkKey)
+	store := standin.NewStore(1, "h", registry.HistoryKey)
 	var endpoints []string
 	var members []*standin.Server
 	for range 2 {
@@ -127,7 +127,7 @@
 	box := registry.BoxesPrefix + "a"
 	store.Put(map[string][]byte{box: []byte("1")})
 	view := &recorder{}
-	c, err := client.New(client.Place{Endpoints: endpoints, Bounds: registry.Bounds{Grace: 200_000, Timeout: 100_000, Held: 1000}}, zap.NewNop(), view.take)
+	c, err := client.New(client.Config{Endpoints: endpoints, Core: registry.Config{GracePeriod: 200_000, Timeout: 100_000, MaxBufferedChanges: 1000}}, zap.NewNop(), view.take)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/client/register.go
+++ b/internal/registry/client/register.go
@@ -12,8 +12,8 @@
 // lease is then revoked, which deletes the key at once; if the process dies, the key expires with the lease. A lease
 // that is lost while the process runs is replaced. value is called each time the key is written: at first, and for
 // each receive from rewrite (nil for never).
-func Register(ctx context.Context, config Place, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, log *zap.Logger) {
-	timeout := time.Duration(config.Bounds.Timeout) * time.Microsecond
+func Register(ctx context.Context, config Config, key string, value func() []byte, rewrite <-chan struct{}, ttlSeconds int64, log *zap.Logger) {
+	timeout := time.Duration(config.Core.Timeout) * time.Microsecond
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		etcd, err := clientv3.New(clientv3.Config{Endpoints: []string{config.Endpoints[attempt%len(config.Endpoints)]}, TLS: config.TLS, Logger: zap.NewNop(),
 			DialTimeout: timeout, DialKeepAliveTime: timeout, DialKeepAliveTimeout: timeout, DialOptions: dialOptions(timeout)})
@@ -27,7 +27,7 @@
 		log.Warn("registration lost; registering again", zap.String("key", key), zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(config.Bounds.ReregisterDelay()) * time.Microsecond):
+		case <-time.After(time.Duration(config.Core.ReregisterDelay()) * time.Microsecond):
 		}
 	}
 }
--- a/internal/registry/client/stored.go
+++ b/internal/registry/client/stored.go
@@ -6,14 +6,14 @@
 )
 
 // ErrNoView reports that no view is stored.
-var ErrNoView = kept.ErrNone
+var ErrNoView = kept.ErrNotFound
 
 // StoredView is a view as it is stored on disk.
 type StoredView struct {
 	View map[string]registry.Entry
-	Head registry.Head
-	Mark registry.Mark // identifier of the history
-	AsOf registry.Time // when the view was last known to match the registry
+	Head registry.Header
+	Mark registry.HistoryID // identifier of the history
+	AsOf registry.Time      // when the view was last known to match the registry
 }
 
 const viewFormat = "registry view 1"
--- a/internal/registry/client/stored_test.go
+++ b/internal/registry/client/stored_test.go
@@ -16,7 +16,7 @@
 	if _, err := Load(file); !errors.Is(err, ErrNoView) {
 		t.Fatal(err)
 	}
-	view := &StoredView{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Head{Cluster: 3, Revision: 9},
+	view := &StoredView{View: map[string]registry.Entry{"/pierlink/boxes/a": {Value: []byte("v"), Mod: 7}}, Head: registry.Header{Cluster: 3, Revision: 9},
 		Mark: "m", AsOf: 5}
 	if err := view.Save(file); err != nil {
 		t.Fatal(err)
--- a/internal/registry/client/tls_test.go
+++ b/internal/registry/client/tls_test.go
@@ -27,7 +27,7 @@
 
 func keyPair(t *testing.T, ca *authority.Authority) tls.Certificate {
 	t.Helper()
-	c, err := ca.Pair()
+	c, err := ca.IssueKeyPair()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // again for each connection; a client that trusts another authority receives no update.
 func TestTLS(t *testing.T) {
 	ca := newAuthority(t)
-	store := standin.NewStore(1, "h", registry.MarkKey)
+	store := standin.NewStore(1, "h", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{keyPair(t, ca)},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: ca.Pool()})))
 	if err != nil {
@@ -49,7 +49,7 @@
 	store.Put(map[string][]byte{box: []byte("1")})
 	clientKey := keyPair(t, ca)
 	var asked atomic.Int32
-	config := client.Place{Endpoints: []string{server.Addr()}, Bounds: registry.Bounds{Grace: 200_000, Timeout: 500_000, Held: 100},
+	config := client.Config{Endpoints: []string{server.Addr()}, Core: registry.Config{GracePeriod: 200_000, Timeout: 500_000, MaxBufferedChanges: 100},
 		TLS: &tls.Config{RootCAs: ca.Pool(), GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			asked.Add(1)
 			return &clientKey, nil
@@ -62,7 +62,7 @@
 	defer c.Close()
 	view.until(t, "first list", has(box, "1"))
 	before := asked.Load()
-	server.Cut()
+	server.CloseConnections()
 	store.Put(map[string][]byte{box: []byte("2")})
 	view.until(t, "a change after a broken connection", has(box, "2"))
 	if asked.Load() == before {
