--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -30,16 +30,16 @@
 	Deleted bool
 }
 
-// Head holds the fields of the API's ResponseHeader that every response carries.
-type Head struct {
+// Header holds the fields of the API's ResponseHeader that every response carries.
+type Header struct {
 	Cluster  uint64 // cluster_id
 	Revision int64  // revision of the store
 }
 
-// Mark identifies a history of the registry: the value of a key that is written once in the registry's lifetime.
+// HistoryID identifies a history of the registry: the value of a key that is written once in the registry's lifetime.
 // Cluster ids are derived from settings, so a registry that is set up anew may have the same one; the identifier
 // of its history differs.
-type Mark string
+type HistoryID string
 
 // Operation is a kind of request that the core makes.
 type Operation int
@@ -51,22 +51,22 @@
 	Watch           // watch from a revision on, once the history identifier has been read and matches
 )
 
-// Want is one request of the core.
-type Want struct {
-	Act        Operation
-	NextMember bool  // ask another member than the last time
-	Try        int   // number of the attempt; results under any other number are outdated
-	From       int64 // of Watch: the first revision to deliver
-	Mark       Mark  // of Watch: the history that the registry must have
+// Request is one request of the core.
+type Request struct {
+	Op            Operation
+	NextMember    bool      // ask another member than the last time
+	Attempt       int       // number of the attempt; results under any other number are outdated
+	StartRevision int64     // of Watch: the first revision to deliver
+	History       HistoryID // of Watch: the history that the registry must have
 }
 
-// News is an update of the view: the complete view after a list, single changes otherwise.
-type News struct {
-	Whole    bool     // Changes is the complete view
+// Update is an update of the view: the complete view after a list, single changes otherwise.
+type Update struct {
+	Snapshot bool     // Changes is the complete view
 	Changes  []Change // of a complete view: all keys, sorted by name
 	Revision int64
-	Kept     bool // loaded from the view that an earlier process stored
-	Guarded  bool // a list that lacked many keys was held back for confirmation first
+	Restored bool // loaded from the view that an earlier process stored
+	Deferred bool // a list that lacked many keys was held back for confirmation first
 }
 
 // Failure is the reason why an attempt ended.
@@ -74,18 +74,18 @@
 
 // The reasons.
 const (
-	Lost           Failure = iota // connection lost, timeout, or server unavailable
+	ConnectionLost Failure = iota // connection lost, timeout, or server unavailable
 	Compacted                     // the requested revision has been compacted: a list is required
-	Foreign                       // the history identifier differs from the requested one
+	HistoryChanged                // the history identifier differs from the requested one
 	WatcherDropped                // the registry cancelled a slow watcher; the watch may be resumed
 )
 
-// Bounds configures a core.
-type Bounds struct {
-	Seed    uint64 // of the backoff jitter and of the first member to ask
-	Grace   Time   // removed boxes must be out of use within this time
-	Timeout Time   // of one attempt
-	Held    int    // most changes buffered of a fragmented response; 0 for no limit
+// Config configures a core.
+type Config struct {
+	Seed               uint64 // of the backoff jitter and of the first member to ask
+	GracePeriod        Time   // removed boxes must be out of use within this time
+	Timeout            Time   // of one attempt
+	MaxBufferedChanges int    // most changes buffered of a fragmented response; 0 for no limit
 }
 
 const (
@@ -109,13 +109,13 @@
 
 // Core holds the view of the registry and decides what to request next.
 type Core struct {
-	Bounds
+	Config
 	Counts     Counts
 	now        Time
 	view       map[string]Entry
 	revision   int64
 	cluster    uint64
-	history    Mark
+	history    HistoryID
 	synced     bool // a list or a stored view has been installed
 	verifiedAt Time // when the view was last known to match the registry
 
@@ -128,7 +128,7 @@
 	fragments     []Change    // of a response that is not complete yet
 	pendingList   *listResult // lacks many keys and awaits confirmation
 	pendingUntil  Time
-	updates       []News
+	updates       []Update
 	jitterDraws   uint32
 	aheadRevision int64 // revision that another member reported
 	aheadSince    Time
@@ -137,30 +137,30 @@
 }
 
 type listResult struct {
-	header  Head
-	history Mark
+	header  Header
+	history HistoryID
 	keys    map[string]Entry
 }
 
 // New returns a core with an empty view.
-func New(config Bounds, now Time) *Core {
-	return &Core{Bounds: config, now: now, view: map[string]Entry{}}
+func New(config Config, now Time) *Core {
+	return &Core{Config: config, now: now, view: map[string]Entry{}}
 }
 
 // Restore installs a stored view, which is served until the registry answers.
-func (c *Core) Restore(view map[string]Entry, header Head, history Mark, asOf Time) {
+func (c *Core) Restore(view map[string]Entry, header Header, history HistoryID, asOf Time) {
 	c.view, c.revision, c.cluster, c.history = maps.Clone(view), header.Revision, header.Cluster, history
 	c.synced, c.verifiedAt = true, asOf
 	update := c.snapshot()
-	update.Kept = true
+	update.Restored = true
 	c.queueUpdate(update)
 }
 
-// At sets the current time; it is called before each batch of events.
-func (c *Core) At(now Time) { c.now = max(c.now, now) }
+// SetTime sets the current time; it is called before each batch of events.
+func (c *Core) SetTime(now Time) { c.now = max(c.now, now) }
 
 // Revision returns the revision of the view and its history; 0 before the first list.
-func (c *Core) Revision() (int64, Mark) { return c.revision, c.history }
+func (c *Core) Revision() (int64, HistoryID) { return c.revision, c.history }
 
 // Age returns the time since the view was last known to match the registry.
 func (c *Core) Age() Time { return c.now - c.verifiedAt }
@@ -169,10 +169,10 @@
 func (c *Core) View() map[string]Entry { return c.view }
 
 // Header returns the cluster id and the revision of the view.
-func (c *Core) Header() Head { return Head{c.cluster, c.revision} }
+func (c *Core) Header() Header { return Header{c.cluster, c.revision} }
 
-// Listed handles the response to a List.
-func (c *Core) Listed(attempt int, header Head, history Mark, entries map[string]Entry) {
+// HandleList handles the response to a List.
+func (c *Core) HandleList(attempt int, header Header, history HistoryID, entries map[string]Entry) {
 	if attempt != c.attempt || c.op != List {
 		return
 	}
@@ -202,12 +202,12 @@
 		}
 		c.pendingList = nil
 		c.install(list, true)
-	case c.synced && c.Grace > 0 && c.losesMany(list):
+	case c.synced && c.GracePeriod > 0 && c.losesMany(list):
 		// The fault may lie with the registry or with the member rather than with the boxes, so another member
 		// is asked if there is one. The list takes effect within the grace period even without that response,
 		// as this manager has been notified of the removals.
 		c.Counts.Guarded++
-		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = list, c.now+c.Grace/confirmDivisor, true, true
+		c.pendingList, c.pendingUntil, c.needsList, c.switchMember = list, c.now+c.GracePeriod/confirmDivisor, true, true
 	default:
 		c.install(list, false)
 	}
@@ -241,23 +241,23 @@
 	c.needsList, c.synced, c.verifiedAt, c.olderSince = false, true, c.now, 0
 	c.view, c.revision, c.cluster, c.history = list.keys, list.header.Revision, list.header.Cluster, list.history
 	update := c.snapshot()
-	update.Guarded = deferred
+	update.Deferred = deferred
 	c.queueUpdate(update)
 }
 
-func (c *Core) snapshot() News {
-	update := News{Whole: true, Revision: c.revision}
+func (c *Core) snapshot() Update {
+	update := Update{Snapshot: true, Revision: c.revision}
 	for _, key := range slices.Sorted(maps.Keys(c.view)) {
 		update.Changes = append(update.Changes, Change{Key: key, Value: c.view[key].Value, Mod: c.view[key].Mod})
 	}
 	return update
 }
 
-func (c *Core) queueUpdate(update News) { c.updates = append(c.updates, update) }
+func (c *Core) queueUpdate(update Update) { c.updates = append(c.updates, update) }
 
-// Watched handles a response of a watch. If fragment is set, more fragments of the same response follow. A
+// HandleWatch handles a response of a watch. If fragment is set, more fragments of the same response follow. A
 // response without changes is a progress notification, or, with created set, confirms that the watch exists.
-func (c *Core) Watched(attempt int, header Head, changes []Change, fragment, created bool) {
+func (c *Core) HandleWatch(attempt int, header Header, changes []Change, fragment, created bool) {
 	if attempt != c.attempt || c.op != Watch {
 		return
 	}
@@ -274,7 +274,7 @@
 		return
 	}
 	c.fragments = append(c.fragments, changes...)
-	if c.Held > 0 && len(c.fragments) > c.Held {
+	if c.MaxBufferedChanges > 0 && len(c.fragments) > c.MaxBufferedChanges {
 		c.Counts.Overfull++
 		c.restart(true)
 		return
@@ -295,7 +295,7 @@
 // HandleMemberRevision records the revision of a history that another member reports. It guards against a member
 // that answers every request but no longer receives changes: a watch on it that does not reach the reported
 // revision within memberLagTimeouts timeouts is moved to the next member. The cost is one small read per timeout.
-func (c *Core) HandleMemberRevision(header Head, history Mark) {
+func (c *Core) HandleMemberRevision(header Header, history HistoryID) {
 	if c.op == Watch && history == c.history && header.Cluster == c.cluster && header.Revision > c.revision && c.aheadRevision <= c.revision {
 		c.aheadRevision, c.aheadSince = header.Revision, c.now
 	}
@@ -303,7 +303,7 @@
 
 // apply adds complete transactions to the view, in order; changes that it already contains are skipped.
 func (c *Core) apply(changes []Change) {
-	update := News{}
+	update := Update{}
 	lastRevision := c.revision
 	for _, change := range changes {
 		if change.Mod <= c.revision {
@@ -330,8 +330,8 @@
 	}
 }
 
-// Ended handles the end of an attempt.
-func (c *Core) Ended(attempt int, failure Failure) {
+// HandleFailure handles the end of an attempt.
+func (c *Core) HandleFailure(attempt int, failure Failure) {
 	if attempt != c.attempt || c.op == None {
 		return
 	}
@@ -340,7 +340,7 @@
 	case Compacted:
 		c.Counts.Compactions++
 		c.restart(true)
-	case Foreign:
+	case HistoryChanged:
 		c.restart(true)
 	case WatcherDropped:
 		c.restart(false)
@@ -369,14 +369,14 @@
 }
 
 // StreamIdleTimeout returns how long a watch stream may be silent; its progress is requested once per timeout.
-func (b *Bounds) StreamIdleTimeout() Time { return streamIdleTimeouts * b.Timeout }
+func (b *Config) StreamIdleTimeout() Time { return streamIdleTimeouts * b.Timeout }
 
 // ReregisterDelay returns the delay before a lost registration is renewed.
-func (b *Bounds) ReregisterDelay() Time { return b.Timeout / reregisterDivisor }
+func (b *Config) ReregisterDelay() Time { return b.Timeout / reregisterDivisor }
 
-// Settle emits the next request, if one is due, and the updates since the last call. It returns the time by which
+// Process emits the next request, if one is due, and the updates since the last call. It returns the time by which
 // it must be called again.
-func (c *Core) Settle(request func(Want), publish func(News)) Time {
+func (c *Core) Process(request func(Request), publish func(Update)) Time {
 	if c.pendingList != nil && c.now >= c.pendingUntil { // not confirmed in time; this manager has been notified, so the list takes effect
 		list := c.pendingList
 		c.pendingList = nil
@@ -403,7 +403,7 @@
 		} else {
 			c.Counts.Watches++
 		}
-		request(Want{Act: c.op, Try: c.attempt, From: c.revision + 1, Mark: c.history, NextMember: c.switchMember})
+		request(Request{Op: c.op, Attempt: c.attempt, StartRevision: c.revision + 1, History: c.history, NextMember: c.switchMember})
 		c.switchMember = false
 	}
 	for _, update := range c.updates {
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -12,17 +12,17 @@
 // model is a model of a registry: a history of transactions that may be compacted or replaced by a new history.
 type model struct {
 	cluster      uint64
-	historyID    Mark
+	historyID    HistoryID
 	revision     int64
 	compacted    int64
 	state        map[string]Entry
-	history      map[Mark]map[int64]map[string]Entry
+	history      map[HistoryID]map[int64]map[string]Entry
 	log          []Change
 	historyCount int
 }
 
 func newModel() *model {
-	registry := &model{cluster: 7, history: map[Mark]map[int64]map[string]Entry{}}
+	registry := &model{cluster: 7, history: map[HistoryID]map[int64]map[string]Entry{}}
 	registry.startHistory(1, false)
 	return registry
 }
@@ -30,7 +30,7 @@
 // startHistory replaces the history, possibly under the same cluster id.
 func (m *model) startHistory(revision int64, newCluster bool) {
 	m.historyCount++
-	m.historyID, m.revision, m.compacted = Mark(fmt.Sprint("history ", m.historyCount)), revision, revision
+	m.historyID, m.revision, m.compacted = HistoryID(fmt.Sprint("history ", m.historyCount)), revision, revision
 	if newCluster {
 		m.cluster++
 	}
@@ -62,13 +62,13 @@
 	model            *model
 	core             *Core
 	now              Time
-	request          Want
-	open             bool // the watch is open
-	watchHistory     Mark // history in which the watch was opened
+	request          Request
+	open             bool      // the watch is open
+	watchHistory     HistoryID // history in which the watch was opened
 	sentRevision     int64
 	view             map[string]Entry // built from the updates alone
 	revision         int64
-	history          Mark
+	history          HistoryID
 	violation        string
 	lists            int
 	revisionShift    int64 // added to the start revision of a watch, to simulate a faulty core
@@ -76,20 +76,20 @@
 }
 
 func (r *reader) process() {
-	r.core.At(r.now)
-	r.core.Settle(func(request Want) {
+	r.core.SetTime(r.now)
+	r.core.Process(func(request Request) {
 		r.request, r.open = request, false
-		r.request.From += r.revisionShift
-	}, func(update News) {
+		r.request.StartRevision += r.revisionShift
+	}, func(update Update) {
 		revision, history := r.core.Revision()
-		if !update.Whole && r.history == history && update.Revision < r.revision {
+		if !update.Snapshot && r.history == history && update.Revision < r.revision {
 			r.violation = "the revision decreased within a history"
 		}
-		if update.Whole {
+		if update.Snapshot {
 			r.view = map[string]Entry{}
 		}
 		for _, change := range update.Changes {
-			if old, ok := r.view[change.Key]; ok && !update.Whole && old.Mod >= change.Mod {
+			if old, ok := r.view[change.Key]; ok && !update.Snapshot && old.Mod >= change.Mod {
 				r.violation = "a change was delivered twice"
 			}
 			if change.Deleted {
@@ -108,27 +108,27 @@
 // step answers the pending request, or lets it fail.
 func (r *reader) step(t *rapid.T) {
 	m := r.model
-	header := Head{m.cluster, m.revision}
-	switch r.request.Act {
+	header := Header{m.cluster, m.revision}
+	switch r.request.Op {
 	case List:
 		if rapid.IntRange(0, 3).Draw(t, "list") == 0 {
-			r.core.Ended(r.request.Try, Lost)
+			r.core.HandleFailure(r.request.Attempt, ConnectionLost)
 			break
 		}
 		r.lists++
-		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
+		r.core.HandleList(r.request.Attempt, header, m.historyID, maps.Clone(m.state))
 	case Watch:
 		switch {
-		case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
-			r.core.Ended(r.request.Try, Foreign)
-		case !r.open && r.request.From <= m.compacted:
-			r.core.Ended(r.request.Try, Compacted)
+		case !r.open && r.request.History != m.historyID && !r.skipHistoryCheck:
+			r.core.HandleFailure(r.request.Attempt, HistoryChanged)
+		case !r.open && r.request.StartRevision <= m.compacted:
+			r.core.HandleFailure(r.request.Attempt, Compacted)
 		case !r.open:
-			r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
-			r.core.Watched(r.request.Try, header, nil, false, true)
+			r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.StartRevision-1
+			r.core.HandleWatch(r.request.Attempt, header, nil, false, true)
 		case r.watchHistory != m.historyID || rapid.IntRange(0, 9).Draw(t, "cut") == 0:
 			r.open = false
-			r.core.Ended(r.request.Try, Failure(rapid.SampledFrom([]int{int(Lost), int(WatcherDropped)}).Draw(t, "why")))
+			r.core.HandleFailure(r.request.Attempt, Failure(rapid.SampledFrom([]int{int(ConnectionLost), int(WatcherDropped)}).Draw(t, "why")))
 		default:
 			r.send(t, header)
 		}
@@ -136,7 +136,7 @@
 }
 
 // send delivers the changes of whole revisions, possibly in fragments, interrupted, or twice.
-func (r *reader) send(t *rapid.T, header Head) {
+func (r *reader) send(t *rapid.T, header Header) {
 	var pending []Change
 	for _, change := range r.model.log {
 		if change.Mod > r.sentRevision {
@@ -144,7 +144,7 @@
 		}
 	}
 	if len(pending) == 0 {
-		r.core.Watched(r.request.Try, header, nil, false, false) // progress notification
+		r.core.HandleWatch(r.request.Attempt, header, nil, false, false) // progress notification
 		return
 	}
 	upTo := pending[rapid.IntRange(0, len(pending)-1).Draw(t, "upto")].Mod
@@ -154,27 +154,27 @@
 			batch = append(batch, change)
 		}
 	}
-	head := Head{header.Cluster, upTo}
+	head := Header{header.Cluster, upTo}
 	if n := rapid.IntRange(0, len(batch)-1).Draw(t, "fragment"); n > 0 {
-		r.core.Watched(r.request.Try, head, batch[:n], true, false)
+		r.core.HandleWatch(r.request.Attempt, head, batch[:n], true, false)
 		if rapid.IntRange(0, 3).Draw(t, "cut within") == 0 {
 			r.open = false
-			r.core.Ended(r.request.Try, Lost)
+			r.core.HandleFailure(r.request.Attempt, ConnectionLost)
 			return
 		}
 		batch = batch[n:]
 	}
-	r.core.Watched(r.request.Try, head, batch, false, false)
+	r.core.HandleWatch(r.request.Attempt, head, batch, false, false)
 	r.sentRevision = upTo
 	if rapid.IntRange(0, 4).Draw(t, "twice") == 0 {
-		r.core.Watched(r.request.Try, head, batch, false, false)
-		r.core.Watched(r.request.Try-1, head, batch, false, false) // from an outdated attempt
+		r.core.HandleWatch(r.request.Attempt, head, batch, false, false)
+		r.core.HandleWatch(r.request.Attempt-1, head, batch, false, false) // from an outdated attempt
 	}
 }
 
 func simulate(t *rapid.T, revisionShift int64, skipHistoryCheck bool) string {
 	registry := newModel()
-	r := &reader{model: registry, core: New(Bounds{Seed: 3, Grace: 250_000, Timeout: 1_000_000, Held: 1000}, 1), now: 1, revisionShift: revisionShift, skipHistoryCheck: skipHistoryCheck,
+	r := &reader{model: registry, core: New(Config{Seed: 3, GracePeriod: 250_000, Timeout: 1_000_000, MaxBufferedChanges: 1000}, 1), now: 1, revisionShift: revisionShift, skipHistoryCheck: skipHistoryCheck,
 		view: map[string]Entry{}}
 	for range rapid.IntRange(1, 80).Draw(t, "steps") {
 		r.now += Time(rapid.IntRange(0, 400_000).Draw(t, "dt"))
@@ -225,21 +225,21 @@
 // answerAll answers the pending request without faults.
 func (r *reader) answerAll() {
 	m := r.model
-	header := Head{m.cluster, m.revision}
+	header := Header{m.cluster, m.revision}
 	switch {
-	case r.request.Act == List:
-		r.core.Listed(r.request.Try, header, m.historyID, maps.Clone(m.state))
-	case r.request.Act != Watch:
-	case !r.open && r.request.Mark != m.historyID && !r.skipHistoryCheck:
-		r.core.Ended(r.request.Try, Foreign)
-	case !r.open && r.request.From <= m.compacted:
-		r.core.Ended(r.request.Try, Compacted)
+	case r.request.Op == List:
+		r.core.HandleList(r.request.Attempt, header, m.historyID, maps.Clone(m.state))
+	case r.request.Op != Watch:
+	case !r.open && r.request.History != m.historyID && !r.skipHistoryCheck:
+		r.core.HandleFailure(r.request.Attempt, HistoryChanged)
+	case !r.open && r.request.StartRevision <= m.compacted:
+		r.core.HandleFailure(r.request.Attempt, Compacted)
 	case !r.open:
-		r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.From-1
-		r.core.Watched(r.request.Try, header, nil, false, true)
+		r.open, r.watchHistory, r.sentRevision = true, m.historyID, r.request.StartRevision-1
+		r.core.HandleWatch(r.request.Attempt, header, nil, false, true)
 	case r.watchHistory != m.historyID:
 		r.open = false
-		r.core.Ended(r.request.Try, Lost)
+		r.core.HandleFailure(r.request.Attempt, ConnectionLost)
 	default:
 		var pending []Change
 		for _, change := range m.log {
@@ -247,7 +247,7 @@
 				pending = append(pending, change)
 			}
 		}
-		r.core.Watched(r.request.Try, header, pending, false, false)
+		r.core.HandleWatch(r.request.Attempt, header, pending, false, false)
 		r.sentRevision = m.revision
 	}
 }
@@ -293,25 +293,25 @@
 		updates int              // updates emitted
 		left    int
 	}{"confirmed": {map[string]Entry{}, 2, 0}, "refuted": {keys, 2, 10}, "unanswered": {nil, 2, 0}} {
-		core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-		var request Want
+		core := New(Config{GracePeriod: 200_000, Timeout: 1_000_000}, 1)
+		var request Request
 		updates := 0
 		process := func() Time {
-			return core.Settle(func(w Want) { request = w }, func(n News) { updates++ })
+			return core.Process(func(w Request) { request = w }, func(n Update) { updates++ })
 		}
 		process()
-		core.Listed(request.Try, Head{1, 5}, "m", maps.Clone(keys))
+		core.HandleList(request.Attempt, Header{1, 5}, "m", maps.Clone(keys))
 		process()
-		core.Ended(request.Try, Compacted)
+		core.HandleFailure(request.Attempt, Compacted)
 		process()
-		core.Listed(request.Try, Head{1, 9}, "m", map[string]Entry{})
-		if process(); request.Act != List || len(core.View()) != 10 {
+		core.HandleList(request.Attempt, Header{1, 9}, "m", map[string]Entry{})
+		if process(); request.Op != List || len(core.View()) != 10 {
 			t.Fatalf("%s: no confirmation requested (%v)", name, request)
 		}
 		if test.second != nil {
-			core.Listed(request.Try, Head{1, 10}, "m", maps.Clone(test.second))
+			core.HandleList(request.Attempt, Header{1, 10}, "m", maps.Clone(test.second))
 		} else {
-			core.At(1 + core.Grace/confirmDivisor)
+			core.SetTime(1 + core.GracePeriod/confirmDivisor)
 		}
 		process()
 		if updates != test.updates || len(core.View()) != test.left {
@@ -323,48 +323,48 @@
 // Checks that a watch on a member that lags behind another moves to the next member, and that a list of an earlier
 // state of the same history is requested again before it is accepted.
 func TestStaleMembers(t *testing.T) {
-	core := New(Bounds{Grace: 200_000, Timeout: 1_000_000}, 1)
-	var request Want
-	process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+	core := New(Config{GracePeriod: 200_000, Timeout: 1_000_000}, 1)
+	var request Request
+	process := func() { core.Process(func(w Request) { request = w }, func(Update) {}) }
 	process()
-	core.Listed(request.Try, Head{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
+	core.HandleList(request.Attempt, Header{1, 5}, "m", map[string]Entry{"a": {Mod: 5}})
 	process()
-	core.HandleMemberRevision(Head{1, 9}, "m")
-	core.At(1 + core.Timeout)
-	core.Watched(request.Try, Head{1, 5}, nil, false, false) // the member answers without any change
+	core.HandleMemberRevision(Header{1, 9}, "m")
+	core.SetTime(1 + core.Timeout)
+	core.HandleWatch(request.Attempt, Header{1, 5}, nil, false, false) // the member answers without any change
 	if process(); request.NextMember {
 		t.Fatal("left the member before the allowed timeouts had passed")
 	}
-	core.At(2 + 3*core.Timeout)
-	if process(); !request.NextMember || request.Act != Watch || request.From != 6 {
+	core.SetTime(2 + 3*core.Timeout)
+	if process(); !request.NextMember || request.Op != Watch || request.StartRevision != 6 {
 		t.Fatalf("did not leave the lagging member: %+v", request)
 	}
 	request.NextMember = false
-	core.HandleMemberRevision(Head{1, 7}, "m")
-	core.Watched(request.Try, Head{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
-	core.At(2 + 9*core.Timeout/2)
+	core.HandleMemberRevision(Header{1, 7}, "m")
+	core.HandleWatch(request.Attempt, Header{1, 7}, []Change{{Key: "b", Mod: 7}}, false, false)
+	core.SetTime(2 + 9*core.Timeout/2)
 	if process(); request.NextMember {
 		t.Fatal("left a member that had caught up")
 	}
-	core.Ended(request.Try, Compacted)
-	core.At(2 + 10*core.Timeout)
+	core.HandleFailure(request.Attempt, Compacted)
+	core.SetTime(2 + 10*core.Timeout)
 	process()
-	core.Listed(request.Try, Head{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
-	core.At(2 + 11*core.Timeout)
-	if process(); request.Act != List || !request.NextMember {
+	core.HandleList(request.Attempt, Header{1, 6}, "m", map[string]Entry{"a": {Mod: 5}})
+	core.SetTime(2 + 11*core.Timeout)
+	if process(); request.Op != List || !request.NextMember {
 		t.Fatalf("accepted an older list: %+v", request)
 	}
-	core.Listed(request.Try, Head{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
+	core.HandleList(request.Attempt, Header{1, 8}, "m", map[string]Entry{"a": {Mod: 8}})
 	process()
 	if revision, _ := core.Revision(); revision != 8 || core.Counts.Refuted != 1 {
 		t.Error(revision, core.Counts)
 	}
-	core.Ended(request.Try, Compacted) // a registry restored from a backup stays older
+	core.HandleFailure(request.Attempt, Compacted) // a registry restored from a backup stays older
 	for at := Time(12); at < 40; at++ {
-		core.At(2 + at*core.Timeout)
+		core.SetTime(2 + at*core.Timeout)
 		process()
 		revision, _ := core.Revision()
-		if core.Listed(request.Try, Head{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); revision == 4 {
+		if core.HandleList(request.Attempt, Header{1, 4}, "m", map[string]Entry{"a": {Mod: 4}}); revision == 4 {
 			if at < 12+olderListTimeouts {
 				t.Error("accepted the older state too early, after timeouts:", at-12)
 			}
@@ -376,12 +376,12 @@
 
 func TestValues(t *testing.T) {
 	valid := Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
-	if box, err := ReadBox(valid.Value()); err != nil || box.Address != valid.Address {
+	if box, err := DecodeBox(valid.Encode()); err != nil || box.Address != valid.Address {
 		t.Error(box, err)
 	}
 	for _, v := range []string{"", "{}", "[]", `{"version":2}`, `{"version":1,"state":"off","address":"a:1"}`,
 		`{"version":1,"state":"ready","address":"a"}`, `{"version":1,"state":"ready","address":"a:1","cell":-1}`} {
-		if _, err := ReadBox([]byte(v)); err == nil {
+		if _, err := DecodeBox([]byte(v)); err == nil {
 			t.Errorf("accepted the invalid value %q", v)
 		}
 	}
@@ -394,23 +394,23 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			core := New(Bounds{Grace: 1, Timeout: 1_000_000, Held: 1 << 20}, 1)
-			var request Want
-			process := func() { core.Settle(func(w Want) { request = w }, func(News) {}) }
+			core := New(Config{GracePeriod: 1, Timeout: 1_000_000, MaxBufferedChanges: 1 << 20}, 1)
+			var request Request
+			process := func() { core.Process(func(w Request) { request = w }, func(Update) {}) }
 			process()
 			keys := map[string]Entry{}
 			for i := range n {
-				keys[fmt.Sprint(BoxesPrefix, "box-", i)] = Entry{Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Value(), 1}
+				keys[fmt.Sprint(BoxesPrefix, "box-", i)] = Entry{Box{Address: "127.0.0.1:1", Zone: "z", Kind: "std", State: "ready"}.Encode(), 1}
 			}
-			core.Listed(request.Try, Head{1, 1}, "m", keys)
+			core.HandleList(request.Attempt, Header{1, 1}, "m", keys)
 			process()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			value := Box{Address: "127.0.0.1:2", Zone: "z", Kind: "std", State: "draining"}.Value()
+			value := Box{Address: "127.0.0.1:2", Zone: "z", Kind: "std", State: "draining"}.Encode()
 			revision := int64(1)
 			for b.Loop() {
 				revision++
-				core.Watched(request.Try, Head{1, revision}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", revision%int64(n)), Value: value, Mod: revision}}, false, false)
+				core.HandleWatch(request.Attempt, Header{1, revision}, []Change{{Key: fmt.Sprint(BoxesPrefix, "box-", revision%int64(n)), Value: value, Mod: revision}}, false, false)
 				process()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/box")
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Fleet tracks how many session managers there are and the number of this one among them. Managers use both to
+// ManagerSet tracks how many session managers there are and the number of this one among them. Managers use both to
 // share the rate at which boxes that have just started may be loaded. While their views differ the sum of the shares
 // must not exceed one:
 //   - a manager counts from the moment that its key is seen, and for holdLeases lease times after the key has
@@ -16,12 +16,12 @@
 //     covers that time; afterwards the others have seen the new manager.
 //
 // Managers are numbered in the order of their names, so all that see the same names agree on the numbers.
-type Fleet struct {
-	Own      string              // name of this manager
-	Lease    Time                // TTL of the leases of the managers
-	lastSeen map[string]Time     // by name; the value present while the key exists
-	ready    map[string][]string // addresses of the ready managers by name, in the form that life.Others accepts
-	Lost     bool                // the key of this manager was deleted while it runs
+type ManagerSet struct {
+	OwnName   string              // name of this manager
+	LeaseTime Time                // TTL of the leases of the managers
+	lastSeen  map[string]Time     // by name; the value present while the key exists
+	ready     map[string][]string // addresses of the ready managers by name, in the form that life.Others accepts
+	LeaseLost bool                // the key of this manager was deleted while it runs
 }
 
 const (
@@ -29,8 +29,8 @@
 	present    = Time(1) << 62
 )
 
-// Take applies an update of the managers' keys.
-func (f *Fleet) Take(update News, now Time) {
+// Apply applies an update of the managers' keys.
+func (f *ManagerSet) Apply(update Update, now Time) {
 	if f.lastSeen == nil {
 		f.lastSeen, f.ready = map[string]Time{}, map[string][]string{}
 	}
@@ -40,7 +40,7 @@
 			f.lastSeen[name] = now
 		}
 	}
-	if update.Whole {
+	if update.Snapshot {
 		for name := range f.lastSeen {
 			markGone(name)
 		}
@@ -51,14 +51,14 @@
 		case !ok:
 		case change.Deleted:
 			markGone(name)
-			f.Lost = f.Lost || name == f.Own
+			f.LeaseLost = f.LeaseLost || name == f.OwnName
 		default:
 			f.lastSeen[name] = present
 			delete(f.ready, name)
 			if manager, err := DecodeManager(change.Value); err == nil && manager.State == "ready" && manager.Address != "" {
 				f.ready[name] = []string{manager.Address}
-				if manager.Secure != "" {
-					f.ready[name] = append(f.ready[name], "rtsps://"+manager.Secure)
+				if manager.TLSAddress != "" {
+					f.ready[name] = append(f.ready[name], "rtsps://"+manager.TLSAddress)
 				}
 			}
 		}
@@ -66,24 +66,24 @@
 }
 
 // Count returns the number of managers, and the number of this one, counted from 0.
-func (f *Fleet) Count(now Time) (managers, number int) {
-	names := []string{f.Own}
+func (f *ManagerSet) Count(now Time) (managers, number int) {
+	names := []string{f.OwnName}
 	for name, seen := range f.lastSeen {
 		switch {
-		case seen != present && now-seen > holdLeases*f.Lease:
+		case seen != present && now-seen > holdLeases*f.LeaseTime:
 			delete(f.lastSeen, name)
-		case name != f.Own:
+		case name != f.OwnName:
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	return len(names), slices.Index(names, f.Own)
+	return len(names), slices.Index(names, f.OwnName)
 }
 
 // Others returns the addresses of the other managers that are ready, sorted by name.
-func (f *Fleet) Others() (addresses []string) {
+func (f *ManagerSet) Others() (addresses []string) {
 	for _, name := range slices.Sorted(maps.Keys(f.ready)) {
-		if name != f.Own {
+		if name != f.OwnName {
 			addresses = append(addresses, f.ready[name]...)
 		}
 	}
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -14,19 +14,19 @@
 // Checks that a manager that lost its lease still counts for the hold time, a new one counts at once, and each has a
 // number of its own.
 func TestManagerCount(t *testing.T) {
-	managers := &Fleet{Own: "b", Lease: 1000}
+	managers := &ManagerSet{OwnName: "b", LeaseTime: 1000}
 	if n, i := managers.Count(0); n != 1 || i != 0 {
 		t.Error(n, i)
 	}
-	managers.Take(News{Whole: true, Changes: []Change{putManager("a"), putManager("b"), putManager("c"), {Key: BoxesPrefix + "x"}}}, 1)
+	managers.Apply(Update{Snapshot: true, Changes: []Change{putManager("a"), putManager("b"), putManager("c"), {Key: BoxesPrefix + "x"}}}, 1)
 	if n, i := managers.Count(1); n != 3 || i != 1 {
 		t.Error(n, i)
 	}
-	managers.Take(News{Changes: []Change{deleteManager("a"), putManager("d")}}, 10)
+	managers.Apply(Update{Changes: []Change{deleteManager("a"), putManager("d")}}, 10)
 	if n, i := managers.Count(11); n != 4 || i != 1 {
 		t.Error(n, i)
 	}
-	managers.Take(News{Whole: true}, 20) // the registry lost all keys
+	managers.Apply(Update{Snapshot: true}, 20) // the registry lost all keys
 	if n, _ := managers.Count(21); n != 4 {
 		t.Error(n)
 	}
@@ -42,14 +42,14 @@
 	checked := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		type manager struct {
-			set   *Fleet
+			set   *ManagerSet
 			since Time
 		}
 		live := map[string]*manager{}
 		type message struct {
 			at   Time
 			to   *manager // a message to a manager that died does not reach its successor of the same name
-			news News
+			news Update
 		}
 		var inTransit []message
 		keys, latest := map[string]bool{}, map[*manager]Time{}
@@ -59,12 +59,12 @@
 			switch {
 			case rapid.IntRange(0, 2).Draw(rt, "quiet") > 0:
 			case live[name] == nil:
-				live[name] = &manager{&Fleet{Own: name, Lease: lease}, now}
+				live[name] = &manager{&ManagerSet{OwnName: name, LeaseTime: lease}, now}
 				var managers []Change
 				for _, k := range slices.Sorted(maps.Keys(keys)) {
 					managers = append(managers, putManager(k))
 				}
-				live[name].set.Take(News{Whole: true, Changes: managers}, now)
+				live[name].set.Apply(Update{Snapshot: true, Changes: managers}, now)
 				keys[name] = true
 				change = putManager(name)
 			case rapid.Bool().Draw(rt, "lease only"): // lease lost by a running manager; it returns well within the hold time
@@ -84,14 +84,14 @@
 				}
 				receiver := live[n]
 				latest[receiver] = max(latest[receiver], now+Time(rapid.IntRange(0, delay).Draw(rt, "delay"))) // each receives its messages in order
-				inTransit = append(inTransit, message{latest[receiver], receiver, News{Changes: []Change{change}}})
+				inTransit = append(inTransit, message{latest[receiver], receiver, Update{Changes: []Change{change}}})
 			}
 			var undelivered []message
 			for _, msg := range inTransit {
 				if msg.at > now {
 					undelivered = append(undelivered, msg)
 				} else {
-					msg.to.set.Take(msg.news, now)
+					msg.to.set.Apply(msg.news, now)
 				}
 			}
 			inTransit = undelivered
--- a/internal/registry/value.go
+++ b/internal/registry/value.go
@@ -15,7 +15,7 @@
 const (
 	BoxesPrefix    = "/pierlink/boxes/"
 	ManagersPrefix = "/pierlink/managers/"
-	MarkKey        = "/pierlink/history" // identifies the history of the registry
+	HistoryKey     = "/pierlink/history" // identifies the history of the registry
 )
 
 // Box is the value stored under the key of a box.
@@ -31,8 +31,8 @@
 	State   string    `json:"state"` // ready or draining
 }
 
-// Value encodes a box as JSON, with the current version.
-func (b Box) Value() []byte {
+// Encode encodes a box as JSON, with the current version.
+func (b Box) Encode() []byte {
 	b.Version = Version
 	encoded, err := json.Marshal(b)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return encoded
 }
 
-// ReadBox decodes and validates the value of a box. The error states what was expected.
-func ReadBox(value []byte) (box Box, err error) {
+// DecodeBox decodes and validates the value of a box. The error states what was expected.
+func DecodeBox(value []byte) (box Box, err error) {
 	decoder := json.NewDecoder(strings.NewReader(string(value)))
 	if err := decoder.Decode(&box); err != nil {
 		return box, fmt.Errorf("invalid value of a box: %w", err)
@@ -63,14 +63,14 @@
 
 // Manager is the value stored under the key of a session manager.
 type Manager struct {
-	Version int    `json:"version"`
-	Address string `json:"address"`          // host:port for players; empty while it does not listen
-	Secure  string `json:"secure,omitempty"` // host:port for players over TLS, if enabled
-	State   string `json:"state"`            // starting, ready, draining
+	Version    int    `json:"version"`
+	Address    string `json:"address"`          // host:port for players; empty while it does not listen
+	TLSAddress string `json:"secure,omitempty"` // host:port for players over TLS, if enabled
+	State      string `json:"state"`            // starting, ready, draining
 }
 
-// Value encodes a manager as JSON, with the current version.
-func (m Manager) Value() []byte {
+// Encode encodes a manager as JSON, with the current version.
+func (m Manager) Encode() []byte {
 	m.Version = Version
 	encoded, err := json.Marshal(m)
 	if err != nil {
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -13,8 +13,8 @@
 	RTP, RTCP   byte   // the interleaved channels
 }
 
-// TCP reports whether the profile is RTP interleaved on the RTSP connection.
-func (t Transport) TCP() bool { return strings.EqualFold(t.Profile, "RTP/AVP/TCP") }
+// IsTCP reports whether the profile is RTP interleaved on the RTSP connection.
+func (t Transport) IsTCP() bool { return strings.EqualFold(t.Profile, "RTP/AVP/TCP") }
 
 // String returns the specification as a header value.
 func (t Transport) String() string {
@@ -25,9 +25,9 @@
 	return s
 }
 
-// Transports parses a Transport header into its specifications, in the client's order. It leaves out multicast
+// ParseTransports parses a Transport header into its specifications, in the client's order. It leaves out multicast
 // ones and those with malformed channels.
-func Transports(value string) (choices []Transport) {
+func ParseTransports(value string) (choices []Transport) {
 	for spec := range strings.SplitSeq(value, ",") {
 		parts := strings.Split(spec, ";")
 		transport := Transport{Profile: strings.TrimSpace(parts[0])}
@@ -55,8 +55,8 @@
 	return choices
 }
 
-// SessionID parses a Session header (RFC 2326 section 12.37) into the id and the timeout in seconds, 60 by default.
-func SessionID(value string) (id string, timeout int) {
+// ParseSession parses a Session header (RFC 2326 section 12.37) into the id and the timeout in seconds, 60 by default.
+func ParseSession(value string) (id string, timeout int) {
 	id, rest, _ := strings.Cut(value, ";")
 	timeout = 60
 	for parameter := range strings.SplitSeq(rest, ";") {
@@ -69,9 +69,9 @@
 	return strings.TrimSpace(id), timeout
 }
 
-// Parameters parses a text/parameters body: one `name: value` per line (RFC 2326 section 10.8). A line without a
+// ParseParameters parses a text/parameters body: one `name: value` per line (RFC 2326 section 10.8). A line without a
 // colon names a requested parameter; its value is empty.
-func Parameters(body []byte) (fields []Field) {
+func ParseParameters(body []byte) (fields []Field) {
 	for line := range strings.SplitSeq(string(body), "\n") {
 		if line = strings.TrimSpace(line); line != "" {
 			k, v, _ := strings.Cut(line, ":")
@@ -89,8 +89,8 @@
 	return dst
 }
 
-// Pairs parses a header value of the form k=v;k=v. Keys are converted to lower case.
-func Pairs(value string) (pairs []Field) {
+// ParsePairs parses a header value of the form k=v;k=v. Keys are converted to lower case.
+func ParsePairs(value string) (pairs []Field) {
 	for pair := range strings.SplitSeq(value, ";") {
 		if k, v, _ := strings.Cut(strings.TrimSpace(pair), "="); k != "" {
 			pairs = append(pairs, Field{strings.ToLower(k), v})
@@ -99,5 +99,5 @@
 	return pairs
 }
 
-// Supported returns the value of a Public header that lists the methods (RFC 2326 section 12.28).
-func Supported(methods ...string) string { return strings.Join(slices.Clip(methods), ", ") }
+// JoinMethods returns the value of a Public header that lists the methods (RFC 2326 section 12.28).
+func JoinMethods(methods ...string) string { return strings.Join(slices.Clip(methods), ", ") }
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -93,13 +93,13 @@
 	return m
 }
 
-// Request returns a request without header fields.
-func Request(method, uri string, cseq int) *Message {
+// NewRequest returns a request without header fields.
+func NewRequest(method, uri string, cseq int) *Message {
 	return &Message{Method: method, URI: uri, CSeq: cseq}
 }
 
-// Answer returns a response without header fields.
-func Answer(status, cseq int) *Message {
+// NewResponse returns a response without header fields.
+func NewResponse(status, cseq int) *Message {
 	return &Message{Status: status, Reason: reasonPhrases[status], CSeq: cseq}
 }
 
--- a/internal/rtsp/parser.go
+++ b/internal/rtsp/parser.go
@@ -9,33 +9,33 @@
 
 // Bounds limits the memory that the peer of a connection can make a parser use.
 type Bounds struct {
-	Line, Head    int  // bytes of one line, and of a message without its body
-	Fields, Body  int  // number of header fields, bytes of a body
-	RetainedBytes int  // capacity above which an emptied buffer is released
-	NoFrames      bool // treat interleaved frames as malformed
+	LineBytes, HeadBytes    int  // bytes of one line, and of a message without its body
+	HeaderFields, BodyBytes int  // number of header fields, bytes of a body
+	RetainedBytes           int  // capacity above which an emptied buffer is released
+	NoFrames                bool // treat interleaved frames as malformed
 }
 
-// Usual is a set of bounds that leaves ample room: RTSP messages are usually a fraction of them.
-var Usual = Bounds{Line: 2048, Head: 8192, Fields: 48, Body: 32768, RetainedBytes: 4096}
+// DefaultBounds is a set of bounds that leaves ample room: RTSP messages are usually a fraction of them.
+var DefaultBounds = Bounds{LineBytes: 2048, HeadBytes: 8192, HeaderFields: 48, BodyBytes: 32768, RetainedBytes: 4096}
 
 // Handler receives the messages and frames that a parser finds, in order. The parser owns their memory: a frame's
 // payload and a message's body are valid until the call returns.
 type Handler interface {
 	Message(m *Message)
 	Frame(channel byte, payload []byte)
-	// Bad receives a malformed message whose end is known, so that the connection can continue.
-	Bad(e *Malformed)
+	// Malformed receives a malformed message whose end is known, so that the connection can continue.
+	Malformed(e *MalformedError)
 }
 
-// Malformed is the error for a malformed message.
-type Malformed struct {
+// MalformedError is the error for a malformed message.
+type MalformedError struct {
 	Status, CSeq int    // status for the response; CSeq is -1 if it could not be read
 	Request      bool   // the message is a request, so a response is due
 	Problem      string // description, for logs
 }
 
 // Error describes the problem together with the status for the response.
-func (e *Malformed) Error() string {
+func (e *MalformedError) Error() string {
 	return fmt.Sprintf("malformed message (%d): %s", e.Status, e.Problem)
 }
 
@@ -48,11 +48,11 @@
 	stopped   bool
 }
 
-// Held returns the number of buffered bytes of an incomplete message or frame.
-func (p *Parser) Held() int { return len(p.pending) }
+// BufferedBytes returns the number of buffered bytes of an incomplete message or frame.
+func (p *Parser) BufferedBytes() int { return len(p.pending) }
 
-// Waiting reports whether a message or frame is incomplete.
-func (p *Parser) Waiting() bool { return len(p.pending) > 0 || p.skipBytes > 0 }
+// Incomplete reports whether a message or frame is incomplete.
+func (p *Parser) Incomplete() bool { return len(p.pending) > 0 || p.skipBytes > 0 }
 
 // Stop makes the parser discard all further input; a handler may call it.
 func (p *Parser) Stop() { p.stopped = true }
@@ -121,7 +121,7 @@
 		switch b[done] {
 		case '$':
 			if p.Bounds.NoFrames {
-				return done, &Malformed{StatusBadRequest, -1, true, "interleaved frame not allowed"}
+				return done, &MalformedError{StatusBadRequest, -1, true, "interleaved frame not allowed"}
 			}
 			frame := b[done:]
 			if len(frame) < 4 {
@@ -148,12 +148,12 @@
 
 // parseMessage parses one message and returns its size, or 0 if more input is needed.
 func (p *Parser) parseMessage(b []byte, handler Handler) (int, error) {
-	if first := bytes.IndexByte(b, '\n'); first > p.Bounds.Line || first < 0 && len(b) > p.Bounds.Line {
-		return 0, &Malformed{StatusURITooLong, -1, !isResponse(b), "start line too long"}
+	if first := bytes.IndexByte(b, '\n'); first > p.Bounds.LineBytes || first < 0 && len(b) > p.Bounds.LineBytes {
+		return 0, &MalformedError{StatusURITooLong, -1, !isResponse(b), "start line too long"}
 	}
 	end, next := findHeadEnd(b, p.scanned)
-	if end > p.Bounds.Head || end < 0 && len(b) > p.Bounds.Head+3 {
-		return 0, &Malformed{StatusBadRequest, -1, !isResponse(b), "message head too long"}
+	if end > p.Bounds.HeadBytes || end < 0 && len(b) > p.Bounds.HeadBytes+3 {
+		return 0, &MalformedError{StatusBadRequest, -1, !isResponse(b), "message head too long"}
 	}
 	if end < 0 {
 		p.scanned = max(len(b)-3, 0)
@@ -163,9 +163,9 @@
 	if size < 0 { // the start of the next message is unknown
 		return 0, malformed
 	}
-	if size > p.Bounds.Body {
-		malformed = &Malformed{StatusEntityTooLarge, malformed.cseq(message), !isResponse(b), "message body too long"}
-		if size > 16*p.Bounds.Body {
+	if size > p.Bounds.BodyBytes {
+		malformed = &MalformedError{StatusEntityTooLarge, malformed.cseq(message), !isResponse(b), "message body too long"}
+		if size > 16*p.Bounds.BodyBytes {
 			return 0, malformed
 		}
 		p.skipBytes = size
@@ -180,7 +180,7 @@
 	}
 	p.scanned = 0
 	if malformed != nil {
-		handler.Bad(malformed)
+		handler.Malformed(malformed)
 	} else {
 		handler.Message(message)
 	}
@@ -188,7 +188,7 @@
 }
 
 // cseq returns the CSeq of the malformed message, or of m if e is nil.
-func (e *Malformed) cseq(m *Message) int {
+func (e *MalformedError) cseq(m *Message) int {
 	if e != nil {
 		return e.CSeq
 	}
@@ -217,12 +217,12 @@
 }
 
 // parseHead parses the start line and header of a message. The size of its body is -1 if it is unknown.
-func (p *Parser) parseHead(b []byte) (message *Message, size int, malformed *Malformed) {
+func (p *Parser) parseHead(b []byte) (message *Message, size int, malformed *MalformedError) {
 	message = &Message{CSeq: -1}
 	request := !isResponse(b)
 	fail := func(status int, problem string) {
 		if malformed == nil {
-			malformed = &Malformed{Status: status, Request: request, Problem: problem}
+			malformed = &MalformedError{Status: status, Request: request, Problem: problem}
 		}
 	}
 	text := string(b)
@@ -239,7 +239,7 @@
 		var line string
 		line, rest, _ = strings.Cut(rest, "\n")
 		line = strings.TrimSuffix(line, "\r")
-		if len(line) > p.Bounds.Line {
+		if len(line) > p.Bounds.LineBytes {
 			fail(StatusBadRequest, "header line too long")
 			continue
 		}
@@ -268,10 +268,10 @@
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
 			if contentLengths++; err != nil || contentLengths > 1 && int(n) != size {
-				return message, -1, &Malformed{StatusBadRequest, message.CSeq, request, "Content-Length is not a single valid number"}
+				return message, -1, &MalformedError{StatusBadRequest, message.CSeq, request, "Content-Length is not a single valid number"}
 			}
 			size = int(n)
-		case len(message.Header) == p.Bounds.Fields:
+		case len(message.Header) == p.Bounds.HeaderFields:
 			fail(StatusBadRequest, "too many header fields")
 		default:
 			message.Header = append(message.Header, Field{name, value})
--- a/internal/rtsp/parser_test.go
+++ b/internal/rtsp/parser_test.go
@@ -17,16 +17,16 @@
 func (r *recorder) Frame(channel byte, payload []byte) {
 	r.lines = append(r.lines, fmt.Sprintf("frame %d %x", channel, payload))
 }
-func (r *recorder) Bad(malformed *Malformed) {
+func (r *recorder) Malformed(malformed *MalformedError) {
 	r.lines = append(r.lines, fmt.Sprintf("bad %d %d %t", malformed.Status, malformed.CSeq, malformed.Request))
 }
 
 // feed parses the chunks in order and returns what the parser found.
 func feed(chunks ...[]byte) string {
-	parser, rec := &Parser{Bounds: Usual}, &recorder{}
+	parser, rec := &Parser{Bounds: DefaultBounds}, &recorder{}
 	for _, c := range chunks {
 		if err := parser.Feed(c, rec); err != nil {
-			rec.lines = append(rec.lines, fmt.Sprintf("end %d", err.(*Malformed).Status))
+			rec.lines = append(rec.lines, fmt.Sprintf("end %d", err.(*MalformedError).Status))
 			break
 		}
 	}
@@ -36,10 +36,10 @@
 // mixedMessages returns requests, a response and frames, with several kinds of line ends.
 func mixedMessages() []byte {
 	var b []byte
-	b = Request(Setup, "rtsp://a/live/t/track0?top=2", 7).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(b)
+	b = NewRequest(Setup, "rtsp://a/live/t/track0?top=2", 7).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(b)
 	b = AppendFrame(b, 3, []byte("\r\n\r\n$$"))
 	b = append(b, "\r\n"...)
-	message := Answer(200, 7).With("Session", "abc;timeout=30")
+	message := NewResponse(200, 7).With("Session", "abc;timeout=30")
 	message.Body = []byte("delivered: 0.9\r\n")
 	b = message.Append(b)
 	b = AppendFrame(b, 0, nil)
@@ -71,7 +71,7 @@
 // those listed with end it cannot, as the end of the message is unknown or too far.
 func TestMalformedMessages(t *testing.T) {
 	ok := "\r\nOPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n"
-	long := strings.Repeat("x", Usual.Line+1)
+	long := strings.Repeat("x", DefaultBounds.LineBytes+1)
 	for in, want := range map[string]string{
 		"SETUP rtsp://a RTSP/2.0\r\nCSeq: 1\r\n\r\n":                                                       "bad 505 1 true",
 		"SETUP rtsp://a\r\nCSeq: 1\r\n\r\n":                                                                "bad 400 1 true",
@@ -102,13 +102,13 @@
 // A sender that never completes a message must not make the parser buffer more than its bounds.
 func TestParserMemoryBounded(t *testing.T) {
 	for _, unit := range []string{"x", "A: b\r\n", "$\x00\xff\xff", "\r\n", "RTSP/1.0 200 OK\r\n"} {
-		parser, rec := &Parser{Bounds: Usual}, &recorder{}
+		parser, rec := &Parser{Bounds: DefaultBounds}, &recorder{}
 		for i := range 100_000 {
 			if parser.Feed([]byte(unit), rec) != nil {
 				break
 			}
-			if parser.Held() > 1<<16+4+len(unit) {
-				t.Fatalf("%q: %d bytes held after %d", unit, parser.Held(), i)
+			if parser.BufferedBytes() > 1<<16+4+len(unit) {
+				t.Fatalf("%q: %d bytes held after %d", unit, parser.BufferedBytes(), i)
 			}
 		}
 	}
@@ -116,18 +116,18 @@
 
 // A line break in a header value must not add a header field.
 func TestHeaderInjectionPrevented(t *testing.T) {
-	b := Answer(200, 1).With("X", "a\r\nSession: stolen").Append(nil)
+	b := NewResponse(200, 1).With("X", "a\r\nSession: stolen").Append(nil)
 	if got := feed(b); strings.Contains(got, "{Session") {
 		t.Error(got)
 	}
 }
 
 func TestTransports(t *testing.T) {
-	got := Transports("RTP/AVP;unicast;client_port=5-6, RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=1,RTP/AVP/TCP;interleaved=9-300")
-	if len(got) != 2 || got[0].TCP() || !got[1].TCP() || got[1].RTP != 4 || got[1].RTCP != 5 {
+	got := ParseTransports("RTP/AVP;unicast;client_port=5-6, RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=1,RTP/AVP/TCP;interleaved=9-300")
+	if len(got) != 2 || got[0].IsTCP() || !got[1].IsTCP() || got[1].RTP != 4 || got[1].RTCP != 5 {
 		t.Error(got)
 	}
-	if id, n := SessionID("q12; timeout=5"); id != "q12" || n != 5 {
+	if id, n := ParseSession("q12; timeout=5"); id != "q12" || n != 5 {
 		t.Error(id, n)
 	}
 }
@@ -153,7 +153,9 @@
 }
 
 func FuzzRequests(f *testing.F) {
-	fuzzSplits(f, Request(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
+	fuzzSplits(f, NewRequest(Play, "rtsp://a/b", 3).With("Range", "npt=0-").Append(nil), []byte("A B RTSP/1.0\nCSeq:1\n\n"))
 }
-func FuzzAnswers(f *testing.F) { fuzzSplits(f, Answer(453, 2).With("Retry-After", "2").Append(nil)) }
-func FuzzMixed(f *testing.F)   { fuzzSplits(f, mixedMessages()) }
+func FuzzAnswers(f *testing.F) {
+	fuzzSplits(f, NewResponse(453, 2).With("Retry-After", "2").Append(nil))
+}
+func FuzzMixed(f *testing.F) { fuzzSplits(f, mixedMessages()) }
--- a/internal/settings/servers.go
+++ b/internal/settings/servers.go
@@ -34,21 +34,21 @@
 	Span int    `toml:"span" validate:"gte=0"`
 }
 
-// ReadServers reads a server list and validates it against the settings. The list is complete: servers that it
+// ReadServerList reads a server list and validates it against the settings. The list is complete: servers that it
 // does not contain are removed.
-func ReadServers(path string, config *Site) (front.List, error) {
+func ReadServerList(path string, config *Config) (front.ListUpdate, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return front.List{}, err
+		return front.ListUpdate{}, err
 	}
-	return ParseServers(text, config)
+	return ParseServerList(text, config)
 }
 
-// ParseServers parses and validates the text of a server list.
-func ParseServers(text []byte, config *Site) (front.List, error) {
+// ParseServerList parses and validates the text of a server list.
+func ParseServerList(text []byte, config *Config) (front.ListUpdate, error) {
 	var parsed serverList
 	problems := decode(text, &parsed)
-	list := front.List{Whole: true}
+	list := front.ListUpdate{Complete: true}
 	kinds := make([]string, len(config.Fleet.Kinds))
 	for i, kind := range config.Fleet.Kinds {
 		kinds[i] = kind.Name
@@ -74,10 +74,10 @@
 		list.Servers = append(list.Servers, server)
 	}
 	for _, entry := range parsed.Titles {
-		list.Titles = append(list.Titles, front.Title{Name: entry.Name, Base: entry.Base, Span: entry.Span})
+		list.Titles = append(list.Titles, front.Title{Name: entry.Name, FirstCell: entry.Base, CellCount: entry.Span})
 	}
 	if len(problems) > 0 {
-		return front.List{}, problems
+		return front.ListUpdate{}, problems
 	}
 	return list, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Site holds the contents of a settings file. docs/operate.md explains each key.
-type Site struct {
+// Config holds the contents of a settings file. docs/operate.md explains each key.
+type Config struct {
 	Listen  string `toml:"listen" validate:"required,address"`
 	Name    string `toml:"name" validate:"required,max=64,printascii"`
 	Front   int    `toml:"front" validate:"gte=0,ltfield=Fronts"`
@@ -111,40 +111,40 @@
 
 // TLS configures a second listener with TLS. Without it players connect without encryption only.
 type TLS struct {
-	Listen  string `toml:"listen" validate:"required,address"`
-	Cert    string `toml:"cert" validate:"required"`
-	Key     string `toml:"key" validate:"required"`
-	Address string `toml:"address" validate:"omitempty,address"`
-	Basic   bool   `toml:"basic"` // Basic authentication is accepted too
+	Listen     string `toml:"listen" validate:"required,address"`
+	Cert       string `toml:"cert" validate:"required"`
+	Key        string `toml:"key" validate:"required"`
+	Address    string `toml:"address" validate:"omitempty,address"`
+	AllowBasic bool   `toml:"basic"` // Basic authentication is accepted too
 }
 
 // Directory configures the directory of tenants and their members. Without it accounts are accepted without
 // authentication.
 type Directory struct {
-	Endpoints []string `toml:"endpoints" validate:"min=1,dive,address"`
-	Base      string   `toml:"base" validate:"required"`
-	Bind      string   `toml:"bind"`
-	Password  string   `toml:"password_file"` // a file, to keep the password out of the settings
-	CA        string   `toml:"ca"`            // certificate authority; TLS is not used if empty
-	Page      int      `toml:"page" validate:"gte=1,lte=10000"`
-	Longest   Duration `toml:"longest" validate:"gt=0"`
-	Renew     Duration `toml:"renew" validate:"gt=0,ltefield=Longest"`
-	Timeout   Duration `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
-	Negative  Duration `toml:"negative" validate:"gte=0"`
-	Waiting   int      `toml:"waiting" validate:"gte=1"`
-	Lookups   int      `toml:"lookups" validate:"gte=1,lte=64"`
-	Entries   int      `toml:"entries" validate:"gte=1"`
-	Quotas    int      `toml:"quotas" validate:"gte=0,lte=65536"` // maximum number of tenants with a quota that are not in the settings
-	Stale     string   `toml:"stale" validate:"oneof=refuse admit"`
-	Realm     string   `toml:"realm" validate:"omitempty,printascii,excludesall=\""`
-	Kept      string   `toml:"kept"`
-	Key       string   `toml:"key_file" validate:"required_with=Kept"`
+	Endpoints    []string `toml:"endpoints" validate:"min=1,dive,address"`
+	Base         string   `toml:"base" validate:"required"`
+	Bind         string   `toml:"bind"`
+	PasswordFile string   `toml:"password_file"` // a file, to keep the password out of the settings
+	CA           string   `toml:"ca"`            // certificate authority; TLS is not used if empty
+	Page         int      `toml:"page" validate:"gte=1,lte=10000"`
+	Longest      Duration `toml:"longest" validate:"gt=0"`
+	Renew        Duration `toml:"renew" validate:"gt=0,ltefield=Longest"`
+	Timeout      Duration `toml:"timeout" validate:"gte=10000,ltefield=Renew"`
+	Negative     Duration `toml:"negative" validate:"gte=0"`
+	Waiting      int      `toml:"waiting" validate:"gte=1"`
+	Lookups      int      `toml:"lookups" validate:"gte=1,lte=64"`
+	Entries      int      `toml:"entries" validate:"gte=1"`
+	Quotas       int      `toml:"quotas" validate:"gte=0,lte=65536"` // maximum number of tenants with a quota that are not in the settings
+	Stale        string   `toml:"stale" validate:"oneof=refuse admit"`
+	Realm        string   `toml:"realm" validate:"omitempty,printascii,excludesall=\""`
+	Kept         string   `toml:"kept"`
+	Key          string   `toml:"key_file" validate:"required_with=Kept"`
 }
 
 // Trace configures the file for traces of playbacks and the share of playbacks traced.
 type Trace struct {
-	File string  `toml:"file" validate:"required"`
-	Part float64 `toml:"part" validate:"gt=0,lte=1"`
+	File         string  `toml:"file" validate:"required"`
+	SampledShare float64 `toml:"part" validate:"gt=0,lte=1"`
 }
 
 // Registry configures the registry that supplies the server list in place of a file.
@@ -244,10 +244,10 @@
 	WorstPlan float64 `toml:"worst_plan" validate:"gte=0,lt=1"`
 }
 
-// Mistakes lists all errors of a file, one line each, with the path of the key.
-type Mistakes []string
+// ValidationErrors lists all errors of a file, one line each, with the path of the key.
+type ValidationErrors []string
 
-func (m Mistakes) Error() string { return strings.Join(m, "\n") }
+func (m ValidationErrors) Error() string { return strings.Join(m, "\n") }
 
 // validate checks the rules of struct tags and names fields by their TOML keys.
 var validate = func() *validator.Validate {
@@ -263,13 +263,13 @@
 	}
 	_ = rules.RegisterValidation("address", func(f validator.FieldLevel) bool { return address(f.Field().String()) })
 	_ = rules.RegisterValidation("other", func(f validator.FieldLevel) bool {
-		return address(strings.TrimPrefix(f.Field().String(), life.SecureMark))
+		return address(strings.TrimPrefix(f.Field().String(), life.SecureScheme))
 	})
 	return rules
 }()
 
 // decode parses and validates TOML strictly: unknown keys are errors too.
-func decode(text []byte, target any) (problems Mistakes) {
+func decode(text []byte, target any) (problems ValidationErrors) {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(target)
 	var strict *toml.StrictMissingError
@@ -355,12 +355,12 @@
 
 // Read reads and validates a settings file. If the file can be read but is invalid, the error
 // lists all problems.
-func Read(path string) (*Site, error) {
+func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	config := &Site{}
+	config := &Config{}
 	problems := decode(text, config)
 	if len(problems) == 0 {
 		problems = config.checkCombinations()
@@ -372,7 +372,7 @@
 }
 
 // checkCombinations checks rules that involve several keys.
-func (c *Site) checkCombinations() (problems Mistakes) {
+func (c *Config) checkCombinations() (problems ValidationErrors) {
 	if (c.Servers == "") == (c.Registry == nil) {
 		problems = append(problems, "servers: either a file or the section registry is expected")
 	}
@@ -385,7 +385,7 @@
 	if !slices.Contains(c.Zones, c.Zone) {
 		problems = append(problems, "zone: one of "+strings.Join(c.Zones, ", ")+" is expected")
 	}
-	if c.TLS != nil && c.TLS.Basic && (c.Directory == nil || c.Directory.Realm == "") {
+	if c.TLS != nil && c.TLS.AllowBasic && (c.Directory == nil || c.Directory.Realm == "") {
 		problems = append(problems, "tls.basic: directory.realm is expected with it, as passwords are checked against the directory")
 	}
 	for i, plan := range c.Plans {
@@ -400,10 +400,10 @@
 }
 
 // withholdRetryTime reports whether rejections must not carry a retry time.
-func (c *Site) withholdRetryTime() bool { return c.Terms.Advice != nil && !*c.Terms.Advice }
+func (c *Config) withholdRetryTime() bool { return c.Terms.Advice != nil && !*c.Terms.Advice }
 
 // checkConflicts reports keys that have no effect or contradict others in this kind of deployment.
-func (c *Site) checkConflicts() (problems Mistakes) {
+func (c *Config) checkConflicts() (problems ValidationErrors) {
 	terms, fleet := &c.Terms, &c.Fleet
 	rejectKey := func(conflict bool, key string, found any, reason string) {
 		if conflict {
@@ -431,44 +431,44 @@
 
 // QueueConfig returns the configuration of the admission queue, nil if there is none, and the limits on connections and
 // requests. The given secret signs retry tokens unless the settings contain one.
-func (c *Site) QueueConfig(secret []byte) (*fair.Terms, fair.Limits) {
+func (c *Config) QueueConfig(secret []byte) (*fair.Config, fair.Limits) {
 	door := c.Door
 	if door == nil {
 		return nil, fair.Limits{}
 	}
-	terms := &fair.Terms{Waiting: door.Waiting, Bytes: door.Bytes, Tenants: door.Tenants, Clients: door.Clients, Secret: secret,
-		Longest: core.Time(c.Terms.MaxComeAgain), Silent: c.withholdRetryTime(), Weights: map[string]float64{}}
+	terms := &fair.Config{MaxWaiting: door.Waiting, MaxBytes: door.Bytes, MaxTenants: door.Tenants, MaxIdleClients: door.Clients, TokenSecret: secret,
+		MaxRetryAfter: core.Time(c.Terms.MaxComeAgain), WithholdRetryTime: c.withholdRetryTime(), Weights: map[string]float64{}}
 	if door.Secret != "" {
-		terms.Secret = []byte(door.Secret)
+		terms.TokenSecret = []byte(door.Secret)
 	}
 	for _, plan := range c.Plans {
-		terms.Startup = max(terms.Startup, core.Time(plan.Startup))
+		terms.StartupTarget = max(terms.StartupTarget, core.Time(plan.Startup))
 	}
 	for _, tenant := range c.Tenants {
 		if tenant.Weight > 0 {
 			terms.Weights[tenant.Name] = tenant.Weight
 		}
 	}
-	return terms, fair.Limits{ConnectionsPerAddress: door.PerAddress, PerConnection: door.PerConnection, HalfOpen: door.HalfOpen}
+	return terms, fair.Limits{ConnectionsPerAddress: door.PerAddress, RequestsPerConnection: door.PerConnection, MaxHalfOpen: door.HalfOpen}
 }
 
 // LongestAbandon returns the longest abandon time of the plans.
-func (c *Site) LongestAbandon() (longest core.Time) {
+func (c *Config) LongestAbandon() (longest core.Time) {
 	for _, plan := range c.Plans {
 		longest = max(longest, core.Time(plan.Abandon))
 	}
 	return longest
 }
 
-// Lifetimes returns the times for draining and ending a process.
-func (c *Site) Lifetimes() life.Terms {
-	return life.Terms{Drain: core.Time(c.Life.Drain), Finish: c.LongestAbandon()}
+// LifeConfig returns the times for draining and ending a process.
+func (c *Config) LifeConfig() life.Timeouts {
+	return life.Timeouts{Drain: core.Time(c.Life.Drain), MaxAbandonTime: c.LongestAbandon()}
 }
 
-// Next returns the values that a reload replaces in a running front.
-func (c *Site) Next(secret []byte) *front.Next {
-	service := c.Service(secret)
-	next := &front.Next{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: c.Lifetimes()}
+// Reload returns the values that a reload replaces in a running front.
+func (c *Config) Reload(secret []byte) *front.ReloadConfig {
+	service := c.FrontConfig(secret)
+	next := &front.ReloadConfig{Bounds: service.Bounds, SessionTimeout: service.SessionTimeout, Queue: service.Queue, Limits: service.Limits, Life: c.LifeConfig()}
 	for _, plan := range service.Plans {
 		next.Abandon = append(next.Abandon, plan.Abandon)
 	}
@@ -478,8 +478,8 @@
 	return next
 }
 
-// Fixed returns the keys that differ in next and cannot change while the session manager runs.
-func (c *Site) Fixed(next *Site) (keys []string) {
+// RestartKeys returns the keys that differ in next and cannot change while the session manager runs.
+func (c *Config) RestartKeys(next *Config) (keys []string) {
 	current, updated := *c, *next
 	if (current.Door == nil) != (updated.Door == nil) {
 		keys = append(keys, "door")
@@ -511,45 +511,45 @@
 	return keys
 }
 
-// Service returns the configuration of a front. The secret is used for its session ids.
-func (c *Site) Service(secret []byte) *front.Service {
-	service := &front.Service{Name: c.Name, Zones: c.Zones, Silent: c.withholdRetryTime(), SessionTimeout: core.Time(c.SessionTimeout), Secret: secret,
+// FrontConfig returns the configuration of a front. The secret is used for its session ids.
+func (c *Config) FrontConfig(secret []byte) *front.Config {
+	service := &front.Config{Name: c.Name, Zones: c.Zones, OmitRetryAfter: c.withholdRetryTime(), SessionTimeout: core.Time(c.SessionTimeout), Secret: secret,
 		Bounds: front.Bounds{Connections: c.Bounds.Connections, Playbacks: c.Bounds.Playbacks,
 			Pipelined: c.Bounds.Pipelined, PlayerBytes: c.Bounds.PlayerBytes}}
 	service.Queue, service.Limits = c.QueueConfig(secret)
 	terms, fleet := &c.Terms, &c.Fleet
 	service.Site = session.Site{Fronts: c.Fronts, Front: c.Front, Zone: slices.Index(c.Zones, c.Zone),
-		Ladder: session.Ladder{RateKB: c.Ladder.RatesKB, Worth: c.Ladder.Worth, Join: c.Ladder.Join,
-			Change: core.Time(c.Ladder.Change)},
-		Fleet: session.Fleet{Cells: fleet.Cells, Racks: fleet.Racks, LinksKB: fleet.LinksKB, UplinkKB: fleet.UplinkKB,
-			KBPerWeight: fleet.KBPerWeight, WeightsTold: fleet.KBPerWeight > 0, FullFrom: fleet.FullFrom,
-			NoteDelay: core.Time(fleet.NoteDelay), NoteEvery: core.Time(fleet.NoteEvery), LoadInAnswers: fleet.Load == "answers",
-			LoadInProbes: fleet.Load != "none", UplinkUntold: fleet.Uplinks == "untold"},
-		Terms: session.Terms{ColdFrom: terms.ColdFrom, WarmUp: core.Time(terms.WarmUp), FallMultiple: terms.FallMultiple,
-			FallSpan: core.Time(terms.FallSpan), MaxTries: terms.MaxTries, Rationed: terms.Rationed, FreeTries: terms.FreeTries,
-			TryShare: terms.TryShare, TrySpan: core.Time(terms.TrySpan), Probes: terms.Probes,
-			MaxComeAgain: core.Time(terms.MaxComeAgain)},
+		Ladder: session.Ladder{RateKB: c.Ladder.RatesKB, RevenueShare: c.Ladder.Worth, Join: c.Ladder.Join,
+			RungChangeCost: core.Time(c.Ladder.Change)},
+		Fleet: session.Fleet{Cells: fleet.Cells, Racks: fleet.Racks, TotalLinkKB: fleet.LinksKB, UplinkKB: fleet.UplinkKB,
+			KBPerWeight: fleet.KBPerWeight, WeightsListed: fleet.KBPerWeight > 0, RefusalFill: fleet.FullFrom,
+			NoteDelay: core.Time(fleet.NoteDelay), NoteInterval: core.Time(fleet.NoteEvery), LoadInAnswers: fleet.Load == "answers",
+			LoadInProbes: fleet.Load != "none", UplinkUnreported: fleet.Uplinks == "untold"},
+		Terms: session.Terms{ColdShare: terms.ColdFrom, WarmUp: core.Time(terms.WarmUp), ColdMultiple: terms.FallMultiple,
+			ColdSpan: core.Time(terms.FallSpan), MaxTries: terms.MaxTries, RetriesLimited: terms.Rationed, FreeRetries: terms.FreeTries,
+			RetryShare: terms.TryShare, RetrySpan: core.Time(terms.TrySpan), Probes: terms.Probes,
+			MaxRetryAfter: core.Time(terms.MaxComeAgain)},
 		Prices: session.Prices{CrossZone: c.Prices.CrossZone, Move: c.Prices.Move, Probe: c.Prices.Probe,
-			OverShare: c.Prices.OverShare, WorstPlan: c.Prices.WorstPlan}}
+			OverQuota: c.Prices.OverShare, WorstPlan: c.Prices.WorstPlan}}
 	for _, kind := range fleet.Kinds {
 		service.Kinds = append(service.Kinds, kind.Name)
-		service.Site.Fleet.Places = append(service.Site.Fleet.Places, kind.Places)
+		service.Site.Fleet.MaxStreams = append(service.Site.Fleet.MaxStreams, kind.Places)
 	}
 	repeats := map[string]session.Repeat{"harmless": session.Harmless, "keyed": session.Keyed, "unsafe": session.Unsafe}
 	scopes := map[string]session.Scope{"zone": session.SameZone, "cell": session.SameCell}
 	for _, plan := range c.Plans {
 		service.Site.Plans = append(service.Site.Plans, session.Plan{Repeat: repeats[plan.Repeat], Scope: scopes[plan.Scope],
-			Window: core.Time(plan.Window), Startup: core.Time(plan.Startup), Revenue: plan.Revenue, Live: plan.Live,
+			KeyWindow: core.Time(plan.Window), StartupTarget: core.Time(plan.Startup), Revenue: plan.Revenue, Live: plan.Live,
 			RateFactor: plan.RateFactor, Floor: plan.Floor, Top: plan.Top, Seats: plan.Seats})
-		face := front.Face{Name: plan.Name, Abandon: core.Time(plan.Abandon)}
+		face := front.PlanProfile{Name: plan.Name, Abandon: core.Time(plan.Abandon)}
 		for _, track := range plan.Tracks {
 			face.Tracks = append(face.Tracks, front.Track{Media: track.Media, Encoding: track.Encoding, Payload: track.Payload})
 		}
 		service.Plans = append(service.Plans, face)
 	}
 	if qualityKeys := c.Quality; qualityKeys != nil {
-		config := quality.Terms{Worth: c.Ladder.Worth, Racks: fleet.Racks, Titles: qualityKeys.Titles, Playbacks: 2 * c.Bounds.Playbacks, Width: core.Time(qualityKeys.Width),
-			Buckets: qualityKeys.Buckets, Late: core.Time(qualityKeys.Late)}
+		config := quality.Config{RungWorth: c.Ladder.Worth, Racks: fleet.Racks, MaxTitles: qualityKeys.Titles, MaxPlaybacks: 2 * c.Bounds.Playbacks, BucketWidth: core.Time(qualityKeys.Width),
+			BucketCount: qualityKeys.Buckets, ReportGrace: core.Time(qualityKeys.Late)}
 		for _, plan := range c.Plans {
 			config.Plans = append(config.Plans, quality.Plan{Startup: core.Time(plan.Startup), Revenue: plan.Revenue})
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := config.Service(nil)
-	if len(service.Plans) != len(service.Site.Plans) || service.Site.Plans[0].Startup != 1_500_000 || service.Site.Zone != 0 || service.Site.Fleet.Places[0] != 100 {
+	service := config.FrontConfig(nil)
+	if len(service.Plans) != len(service.Site.Plans) || service.Site.Plans[0].StartupTarget != 1_500_000 || service.Site.Zone != 0 || service.Site.Fleet.MaxStreams[0] != 100 {
 		t.Errorf("unexpected configuration of the sample file: %+v", service)
 	}
-	list, err := ReadServers("../../deploy/servers.toml", config)
-	if err != nil || len(list.Servers) != 2 || !list.Whole {
+	list, err := ReadServerList("../../deploy/servers.toml", config)
+	if err != nil || len(list.Servers) != 2 || !list.Complete {
 		t.Error(err, list)
 	}
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-func read(t *testing.T, text string) (*Site, error) {
+func read(t *testing.T, text string) (*Config, error) {
 	file := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if service := unchanged.Service(nil); service.Silent || service.Queue.Silent || service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0 || service.Site.Terms.Rationed {
+	if service := unchanged.FrontConfig(nil); service.OmitRetryAfter || service.Queue.WithholdRetryTime || service.Site.Fleet.UplinkUnreported || service.Site.Prices.WorstPlan != 0 || service.Site.Terms.RetriesLimited {
 		t.Errorf("sample file: %+v", service)
 	}
 	changed := strings.NewReplacer("max_come_again = \"2s\"", "advice = false\nrationed = true\nfree_tries = 5\ntry_share = 0.2\ntry_span = \"10s\"",
@@ -105,10 +105,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := config.Service(nil)
+	service := config.FrontConfig(nil)
 	terms := service.Site.Terms
-	if !service.Silent || !service.Queue.Silent || !service.Site.Fleet.UplinkUntold || service.Site.Prices.WorstPlan != 0.2 || terms.Probes || terms.MaxComeAgain != 0 ||
-		!terms.Rationed || terms.FreeTries != 5 || terms.TrySpan != 10_000_000 || service.Site.Plans[0].Seats != 3 || service.Site.Plans[0].Repeat != session.Unsafe {
+	if !service.OmitRetryAfter || !service.Queue.WithholdRetryTime || !service.Site.Fleet.UplinkUnreported || service.Site.Prices.WorstPlan != 0.2 || terms.Probes || terms.MaxRetryAfter != 0 ||
+		!terms.RetriesLimited || terms.FreeRetries != 5 || terms.RetrySpan != 10_000_000 || service.Site.Plans[0].Seats != 3 || service.Site.Plans[0].Repeat != session.Unsafe {
 		t.Errorf("with optional keys: %+v", service)
 	}
 }
@@ -129,7 +129,7 @@
 		good + "started = \"now\"":                       "started",
 		"[[server]":                                      "file: line",
 	} {
-		if _, err := ParseServers([]byte(text), config); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+		if _, err := ParseServerList([]byte(text), config); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -38,8 +38,8 @@
 		t.Fatalf("%+v, %v", b, err)
 	}
 	r := b.Events[0].Request
-	if b.Events[0].ID != 0x5d3a91c4 || r.Abandon != 8652250 || r.Top != 2 || r.Span != 3 ||
-		r.Show != 0x2b8e6401d9f37c10 {
+	if b.Events[0].ID != 0x5d3a91c4 || r.AbandonAt != 8652250 || r.Top != 2 || r.CellCount != 3 ||
+		r.TitleID != 0x2b8e6401d9f37c10 {
 		t.Errorf("unexpected request: %+v", b.Events[0])
 	}
 	e := b.Events[1].Entries
@@ -49,7 +49,7 @@
 	if v := b.Events[2].LoadValues; !b.Events[2].Final || len(v) != 3 || v[2] != 1.25 {
 		t.Errorf("unexpected result: %+v", b.Events[2])
 	}
-	if n := b.Events[3].Note; n.Kind != session.Delivered || n.Value != 0.5 {
+	if n := b.Events[3].Note; n.Kind != session.DeliveredShare || n.Value != 0.5 {
 		t.Errorf("unexpected note: %+v", n)
 	}
 	if b.Events[4].Token != 0x4d {
--- a/internal/standin/authority/authority.go
+++ b/internal/standin/authority/authority.go
@@ -60,8 +60,8 @@
 	return p
 }
 
-// Pair issues a certificate for servers and clients, with its key.
-func (a *Authority) Pair() (tls.Certificate, error) {
+// IssueKeyPair issues a certificate for servers and clients, with its key.
+func (a *Authority) IssueKeyPair() (tls.Certificate, error) {
 	cert, key, err := a.issue(false)
 	if err != nil {
 		return tls.Certificate{}, err
@@ -69,8 +69,8 @@
 	return tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key, Leaf: cert}, nil
 }
 
-// Write writes a certificate and its key to files in PEM format.
-func Write(certificate tls.Certificate, certFile, keyFile string) error {
+// WriteKeyPair writes a certificate and its key to files in PEM format.
+func WriteKeyPair(certificate tls.Certificate, certFile, keyFile string) error {
 	der, err := x509.MarshalPKCS8PrivateKey(certificate.PrivateKey)
 	if err != nil {
 		return err
--- a/internal/standin/directory/server.go
+++ b/internal/standin/directory/server.go
@@ -14,17 +14,17 @@
 	ber "github.com/go-asn1-ber/asn1-ber"
 )
 
-// Trouble holds the faults that are currently injected into a server.
-type Trouble struct {
+// Faults holds the faults that are currently injected into a server.
+type Faults struct {
 	Stall             bool          // requests are not answered
-	Slow              time.Duration // delay before each response
-	Truncate          int           // a search closes its connection after this many entries; 0 disables
+	ResponseDelay     time.Duration // delay before each response
+	TruncateAfter     int           // a search closes its connection after this many entries; 0 disables
 	Busy              bool          // every search returns busy (51)
-	Silent            bool          // synchronization streams deliver no changes and stay open
+	SilentSync        bool          // synchronization streams deliver no changes and stay open
 	NoSync            bool          // content synchronization is unsupported (12)
 	RejectPageCookies bool          // cookies of paged searches are rejected (53)
-	Refer             string        // LDAP URL that every search returns as a referral (RFC 4511 section 4.1.10)
-	Part              string        // LDAP URL that every search returns as a continuation reference (section 4.5.3)
+	Referral          string        // LDAP URL that every search returns as a referral (RFC 4511 section 4.1.10)
+	ContinuationRef   string        // LDAP URL that every search returns as a continuation reference (section 4.5.3)
 }
 
 // Protocol operation tags and result codes of RFC 4511 and RFC 4533, and the object identifiers of the controls.
@@ -48,7 +48,7 @@
 	store    *Store
 	listener net.Listener
 	mu       sync.Mutex
-	faults   Trouble
+	faults   Faults
 	conns    map[net.Conn]struct{}
 	pages    map[string][]*Entry // remaining entries by cookie of a paged search
 	lastPage int
@@ -92,21 +92,21 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Upset replaces the injected faults.
-func (s *Server) Upset(faults Trouble) {
+// SetFaults replaces the injected faults.
+func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-func (s *Server) currentFaults() Trouble {
+func (s *Server) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Cut closes all connections.
-func (s *Server) Cut() {
+// CloseConnections closes all connections.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -117,8 +117,8 @@
 // Stop closes the listener and all connections, and waits for their handlers.
 func (s *Server) Stop() {
 	_ = s.listener.Close()
-	s.Upset(Trouble{})
-	s.Cut()
+	s.SetFaults(Faults{})
+	s.CloseConnections()
 	s.handlers.Wait()
 }
 
@@ -155,7 +155,7 @@
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
-		time.Sleep(s.currentFaults().Slow)
+		time.Sleep(s.currentFaults().ResponseDelay)
 		switch op.Tag {
 		case tagBind:
 			code := codeSuccess
@@ -268,8 +268,8 @@
 	return packet
 }
 
-// UUID formats a UUID in its text form (RFC 4122).
-func UUID(uuid [16]byte) string {
+// FormatUUID formats a UUID in its text form (RFC 4122).
+func FormatUUID(uuid [16]byte) string {
 	const hex = "0123456789abcdef"
 	var b strings.Builder
 	for i, x := range uuid {
@@ -314,22 +314,22 @@
 	for _, a := range op.Children[7].Children {
 		requestedNames = append(requestedNames, a.Data.String())
 	}
-	if faults.Refer != "" {
+	if faults.Referral != "" {
 		response := newResult(tagSearchResultDone, codeReferral)
 		referral := ber.Encode(ber.ClassContext, ber.TypeConstructed, 3, nil, "")
-		referral.AppendChild(octetString(faults.Refer))
+		referral.AppendChild(octetString(faults.Referral))
 		response.AppendChild(referral)
 		conn.send(id, response, nil)
 		return
 	}
-	if faults.Part != "" {
+	if faults.ContinuationRef != "" {
 		response := ber.Encode(ber.ClassApplication, ber.TypeConstructed, tagSearchResultReference, nil, "")
-		response.AppendChild(octetString(faults.Part))
+		response.AppendChild(octetString(faults.ContinuationRef))
 		conn.send(id, response, nil)
 	}
 	sent := 0
 	sendEntry := func(e *Entry, controls ...*ber.Packet) bool {
-		if faults.Truncate > 0 && sent >= faults.Truncate {
+		if faults.TruncateAfter > 0 && sent >= faults.TruncateAfter {
 			_ = conn.netConn.Close()
 			return false
 		}
@@ -506,7 +506,7 @@
 			case <-conn.closed:
 				return
 			}
-			if !server.currentFaults().Silent {
+			if !server.currentFaults().SilentSync {
 				break
 			}
 		}
--- a/internal/standin/directory/store.go
+++ b/internal/standin/directory/store.go
@@ -26,7 +26,7 @@
 func (e *Entry) values(name string) []string {
 	switch name = strings.ToLower(name); name {
 	case "entryuuid":
-		return []string{UUID(e.UUID)}
+		return []string{FormatUUID(e.UUID)}
 	case "modifytimestamp":
 		return []string{e.ChangedAt.UTC().Format("20060102150405Z")}
 	}
@@ -43,7 +43,7 @@
 	created        uint64 // entries created so far
 	listeners      map[chan struct{}]struct{}
 	deletedAt      map[[16]byte]time.Time // time of deletion by entry UUID
-	Skew           time.Duration          // offset of the directory's clock; set before use
+	ClockSkew      time.Duration          // offset of the directory's clock; set before use
 }
 
 type deletion struct {
@@ -83,7 +83,7 @@
 		s.byDN[normalizeDN(dn)] = entry
 	}
 	updated := *entry // searches in progress keep the old version
-	updated.Attrs, updated.Seq, updated.ChangedAt = map[string][]string{}, s.seq, time.Now().Add(s.Skew)
+	updated.Attrs, updated.Seq, updated.ChangedAt = map[string][]string{}, s.seq, time.Now().Add(s.ClockSkew)
 	for k, v := range attrs {
 		updated.Attrs[strings.ToLower(k)] = slices.Clone(v)
 	}
@@ -125,15 +125,15 @@
 	}
 	s.seq++
 	renamed := *entry
-	renamed.DN, renamed.Seq, renamed.ChangedAt = newDN, s.seq, time.Now().Add(s.Skew)
+	renamed.DN, renamed.Seq, renamed.ChangedAt = newDN, s.seq, time.Now().Add(s.ClockSkew)
 	delete(s.byDN, normalizeDN(dn))
 	s.byDN[normalizeDN(newDN)] = &renamed
 	s.notifyListeners()
 	return true
 }
 
-// Forget discards the log of deletions, which invalidates the synchronization cookies issued before the latest change.
-func (s *Store) Forget() {
+// ForgetDeletions discards the log of deletions, which invalidates the synchronization cookies issued before the latest change.
+func (s *Store) ForgetDeletions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deleted, s.deletionsSince = nil, s.seq
--- a/internal/standin/mediabox/mediabox.go
+++ b/internal/standin/mediabox/mediabox.go
@@ -43,38 +43,38 @@
 	r.mu.Unlock()
 }
 
-// Fill returns the requested rate as a share of the uplink's capacity; it exceeds 1 under overload.
-func (r *Rack) Fill() float64 {
+// Load returns the requested rate as a share of the uplink's capacity; it exceeds 1 under overload.
+func (r *Rack) Load() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(r.requestedKB, 0) / r.UplinkKB
 }
 
-// Frame holds the configuration of a box.
-type Frame struct {
-	Name                string
-	Plans               []Plan
-	LadderKB            []float64 // kB per second of each rung
-	Join                float64   // share of the rate that a further viewer of a live stream costs
-	LinkKB              float64   // capacity of the link, kB per second
-	Rack                *Rack
-	Places              int     // maximum number of sessions
-	FullFrom            float64 // link load from which SETUP requests are rejected; 0 disables
-	SetupTime           [2]Time // shortest and longest processing time of a SETUP
-	Tick                Time    // interval at which a session sends packets
-	PacketBytes         int     // payload size of an RTP packet
-	NoteDelay, NoteAll  Time    // delay of a note; interval of load notes, 0 disables them
-	LoadInAnswers       bool    // responses and notes carry the load
-	UplinkUntold        bool    // the reported load omits the uplink
-	Started             Time    // time of the start; 0 if the box is already warm
-	WarmUp              Time    // duration of the warm-up
-	ColdFrom            float64 // share of the link capacity available at the start
-	FallMultiple        float64 // the box crashes above this multiple of its warm-up setup rate; 0 disables
-	FallSpan            Time    // window over which cold setups are counted
-	TitleLength         Time    // duration of a recorded title; 0 for endless
-	Seed                uint64
-	SessionTimeout      Time
-	KeepsAfterConnClose bool // sessions outlive their connection until the session timeout, as RTSP allows
+// Config holds the configuration of a box.
+type Config struct {
+	Name                    string
+	Plans                   []Plan
+	LadderKB                []float64 // kB per second of each rung
+	Join                    float64   // share of the rate that a further viewer of a live stream costs
+	LinkKB                  float64   // capacity of the link, kB per second
+	Rack                    *Rack
+	MaxSessions             int     // maximum number of sessions
+	RejectFromLoad          float64 // link load from which SETUP requests are rejected; 0 disables
+	SetupTime               [2]Time // shortest and longest processing time of a SETUP
+	SendInterval            Time    // interval at which a session sends packets
+	PacketBytes             int     // payload size of an RTP packet
+	NoteDelay, NoteInterval Time    // delay of a note; interval of load notes, 0 disables them
+	LoadInAnswers           bool    // responses and notes carry the load
+	OmitUplinkLoad          bool    // the reported load omits the uplink
+	StartedAt               Time    // time of the start; 0 if the box is already warm
+	WarmUp                  Time    // duration of the warm-up
+	ColdCapacity            float64 // share of the link capacity available at the start
+	CrashMultiple           float64 // the box crashes above this multiple of its warm-up setup rate; 0 disables
+	CrashWindow             Time    // window over which cold setups are counted
+	TitleLength             Time    // duration of a recorded title; 0 for endless
+	Seed                    uint64
+	SessionTimeout          Time
+	KeepSessionsOnClose     bool // sessions outlive their connection until the session timeout, as RTSP allows
 }
 
 // Fault is a kind of misbehaviour in the handling of a request.
@@ -82,31 +82,31 @@
 
 // The kinds of faults.
 const (
-	None       Fault = iota
-	Error            // responds with status 500 at once
-	LostAnswer       // carries out the request without a response
-	LateAnswer       // carries out the request and responds late
-	Cut              // sends half of the response and closes the connection
-	Stuck            // neither carries out the request nor responds
+	None              Fault = iota
+	Error                   // responds with status 500 at once
+	LostResponse            // carries out the request without a response
+	LateResponse            // carries out the request and responds late
+	TruncatedResponse       // sends half of the response and closes the connection
+	Dropped                 // neither carries out the request nor responds
 )
 
-// Trouble holds the faults that are currently injected into a box.
-type Trouble struct {
-	Deaf      bool             // ignores input and sends nothing
-	Faults    map[string]Fault // by request method
-	Part      float64          // probability that a fault applies to a request
-	Late      Time             // delay of late responses
-	Neighbour float64          // share of the link that other traffic occupies
-	ReportLag Time             // additional delay of notes
-	Slow      float64          // factor on the processing time of a SETUP; 0 counts as 1
-	Overspeed float64          // factor on the sending rate; values below 1 count as 1
-	KeepLoad  bool             // the Load header keeps its last value
+// Faults holds the faults that are currently injected into a box.
+type Faults struct {
+	Unresponsive    bool             // ignores input and sends nothing
+	ByMethod        map[string]Fault // by request method
+	Probability     float64          // probability that a fault applies to a request
+	ResponseDelay   Time             // delay of late responses
+	CompetingShare  float64          // share of the link that other traffic occupies
+	ExtraNoteDelay  Time             // additional delay of notes
+	SetupTimeFactor float64          // factor on the processing time of a SETUP; 0 counts as 1
+	SendRateFactor  float64          // factor on the sending rate; values below 1 count as 1
+	FreezeLoad      bool             // the Load header keeps its last value
 }
 
 // Box is one media server. It implements core.Core.
 type Box struct {
-	Frame
-	Trouble     Trouble
+	Config
+	Faults      Faults
 	net         core.Net
 	now         Time
 	timers      core.Timers
@@ -125,7 +125,7 @@
 
 // Counts are the event counters of a box; Sessions is the number of present sessions.
 type Counts struct {
-	Setups, Rejected, Sessions, Packets, Fell, Timeouts int
+	Setups, Rejected, Sessions, Packets, Crashes, Timeouts int
 }
 
 type streamKey struct {
@@ -165,23 +165,23 @@
 }
 
 // New returns a box that sends through net.
-func New(config Frame, net core.Net, now Time) *Box {
-	b := &Box{Frame: config, net: net, now: now, sessions: map[string]*session{}, streams: map[streamKey]int{},
+func New(config Config, net core.Net, now Time) *Box {
+	b := &Box{Config: config, net: net, now: now, sessions: map[string]*session{}, streams: map[streamKey]int{},
 		rng: rand.New(rand.NewPCG(config.Seed, 0xb0c5))}
-	if config.NoteAll > 0 {
-		b.timers.Set(nil, now+config.NoteAll, b.sendNotes)
+	if config.NoteInterval > 0 {
+		b.timers.Set(nil, now+config.NoteInterval, b.sendNotes)
 	}
 	return b
 }
 
-// At starts a turn of the event loop: it sets the clock and runs the timers that are due.
-func (b *Box) At(now Time) {
+// BeginTurn starts a turn of the event loop: it sets the clock and runs the timers that are due.
+func (b *Box) BeginTurn(now Time) {
 	b.now = now
 	b.timers.Run(now)
 }
 
-// Settle ends a turn: it sends buffered output and returns the time of the next timer.
-func (b *Box) Settle() Time {
+// EndTurn ends a turn: it sends buffered output and returns the time of the next timer.
+func (b *Box) EndTurn() Time {
 	for _, conn := range b.conns {
 		b.flush(conn)
 	}
@@ -201,7 +201,7 @@
 		b.net.Close(netConn)
 		return
 	}
-	conn := &connection{netConn: netConn, parser: rtsp.Parser{Bounds: rtsp.Usual}, pipelined: map[string]*session{}}
+	conn := &connection{netConn: netConn, parser: rtsp.Parser{Bounds: rtsp.DefaultBounds}, pipelined: map[string]*session{}}
 	netConn.Owner = conn
 	b.conns = append(b.conns, conn)
 }
@@ -215,7 +215,7 @@
 // Received parses bytes from a front and serves complete requests.
 func (b *Box) Received(netConn *core.Conn, data []byte) {
 	conn, ok := netConn.Owner.(*connection)
-	if !ok || conn.closed || b.Trouble.Deaf || b.crashed {
+	if !ok || conn.closed || b.Faults.Unresponsive || b.crashed {
 		return
 	}
 	if err := conn.parser.Feed(data, &parserHandler{b, conn}); err != nil && !conn.closed {
@@ -242,7 +242,7 @@
 	conn.closed = true
 	conn.parser.Stop()
 	for _, sess := range slices.Clone(conn.sessions) {
-		if b.KeepsAfterConnClose && b.SessionTimeout > 0 {
+		if b.KeepSessionsOnClose && b.SessionTimeout > 0 {
 			sess.playing = false
 			b.timers.Set(nil, b.now+b.SessionTimeout, func() {
 				b.Counts.Timeouts++
@@ -260,9 +260,9 @@
 	conn *connection
 }
 
-func (handler *parserHandler) Bad(e *rtsp.Malformed) {
+func (handler *parserHandler) Malformed(e *rtsp.MalformedError) {
 	if e.Request {
-		handler.box.send(handler.conn, rtsp.Answer(e.Status, e.CSeq))
+		handler.box.send(handler.conn, rtsp.NewResponse(e.Status, e.CSeq))
 	}
 }
 func (handler *parserHandler) Frame(byte, []byte) { // RTCP from the player keeps the sessions alive
@@ -284,8 +284,8 @@
 	if message.Method == rtsp.Setup {
 		shortest, longest := b.SetupTime[0], b.SetupTime[1]
 		setupTime = shortest + Time(b.rng.Float64()*float64(longest-shortest))
-		if b.Trouble.Slow > 0 {
-			setupTime = Time(float64(setupTime) * b.Trouble.Slow)
+		if b.Faults.SetupTimeFactor > 0 {
+			setupTime = Time(float64(setupTime) * b.Faults.SetupTimeFactor)
 		}
 	}
 	conn.busyUntil = max(conn.busyUntil, b.now) + setupTime
@@ -299,22 +299,22 @@
 }
 
 func (b *Box) serve(conn *connection, request *rtsp.Message) {
-	if conn.closed || b.Trouble.Deaf || b.crashed {
+	if conn.closed || b.Faults.Unresponsive || b.crashed {
 		return
 	}
-	fault := b.Trouble.Faults[request.Method]
-	if fault != None && b.Trouble.Part < 1 && b.rng.Float64() >= b.Trouble.Part {
+	fault := b.Faults.ByMethod[request.Method]
+	if fault != None && b.Faults.Probability < 1 && b.rng.Float64() >= b.Faults.Probability {
 		fault = None
 	}
 	switch fault {
 	case Error:
-		b.send(conn, rtsp.Answer(rtsp.StatusInternal, request.CSeq))
+		b.send(conn, rtsp.NewResponse(rtsp.StatusInternal, request.CSeq))
 		return
-	case Stuck:
+	case Dropped:
 		return
 	}
 	response := b.handle(conn, request)
-	if response == nil || fault == LostAnswer || b.crashed {
+	if response == nil || fault == LostResponse || b.crashed {
 		return
 	}
 	response.CSeq = request.CSeq
@@ -322,9 +322,9 @@
 		response.With("Load", b.loadHeader())
 	}
 	switch fault {
-	case LateAnswer:
-		b.timers.Set(nil, b.now+b.Trouble.Late, func() { b.send(conn, response) })
-	case Cut:
+	case LateResponse:
+		b.timers.Set(nil, b.now+b.Faults.ResponseDelay, func() { b.send(conn, response) })
+	case TruncatedResponse:
 		text := response.Append(nil)
 		conn.out = append(conn.out, text[:len(text)/2]...)
 		b.closeConnection(conn)
@@ -340,9 +340,9 @@
 }
 
 func (b *Box) loadHeader() string {
-	if !b.Trouble.KeepLoad || b.lastLoad == "" {
-		if b.lastLoad = "link=" + formatRatio(b.linkLoad()); !b.UplinkUntold {
-			b.lastLoad += ";uplink=" + formatRatio(b.Rack.Fill())
+	if !b.Faults.FreezeLoad || b.lastLoad == "" {
+		if b.lastLoad = "link=" + formatRatio(b.linkLoad()); !b.OmitUplinkLoad {
+			b.lastLoad += ";uplink=" + formatRatio(b.Rack.Load())
 		}
 	}
 	return b.lastLoad
@@ -352,27 +352,27 @@
 
 // linkCapacity returns the capacity of the link in kB per second, reduced during the warm-up and by competing traffic.
 func (b *Box) linkCapacity() float64 {
-	return b.LinkKB * (1 - b.Trouble.Neighbour) * b.capacityFraction()
+	return b.LinkKB * (1 - b.Faults.CompetingShare) * b.capacityFraction()
 }
 
 // capacityFraction returns the share of its capacity that the box has: it rises linearly during the warm-up.
 func (b *Box) capacityFraction() float64 {
-	if b.Started == 0 || b.WarmUp == 0 || b.now >= b.Started+b.WarmUp {
+	if b.StartedAt == 0 || b.WarmUp == 0 || b.now >= b.StartedAt+b.WarmUp {
 		return 1
 	}
-	return max(b.ColdFrom+(1-b.ColdFrom)*float64(b.now-b.Started)/float64(b.WarmUp), b.ColdFrom)
+	return max(b.ColdCapacity+(1-b.ColdCapacity)*float64(b.now-b.StartedAt)/float64(b.WarmUp), b.ColdCapacity)
 }
 
 func (b *Box) linkLoad() float64 { return max(b.requestedKB, 0) / b.linkCapacity() }
 
 // deliveredShare returns the share of their requested rates that sessions receive.
 func (b *Box) deliveredShare() float64 {
-	return min(1, 1/max(b.linkLoad(), 1e-9), 1/max(b.Rack.Fill(), 1e-9))
+	return min(1, 1/max(b.linkLoad(), 1e-9), 1/max(b.Rack.Load(), 1e-9))
 }
 
 // handle carries out a request and returns its response, or nil if none is due.
 func (b *Box) handle(conn *connection, request *rtsp.Message) *rtsp.Message {
-	id, _ := rtsp.SessionID(request.Get("Session"))
+	id, _ := rtsp.ParseSession(request.Get("Session"))
 	sess := b.sessions[id]
 	if pipelineID := request.Get("Pipelined-Requests"); sess == nil && pipelineID != "" {
 		sess = conn.pipelined[pipelineID]
@@ -387,13 +387,13 @@
 	if sess != nil {
 		sess.lastActive = b.now
 	}
-	response := rtsp.Answer(rtsp.StatusOK, request.CSeq)
+	response := rtsp.NewResponse(rtsp.StatusOK, request.CSeq)
 	if sess != nil {
 		response.With("Session", sess.id+";timeout="+strconv.FormatInt(b.SessionTimeout/core.Second, 10))
 	}
 	switch request.Method {
 	case rtsp.Options:
-		return response.With("Public", rtsp.Supported(rtsp.Options, rtsp.Setup, rtsp.Play, rtsp.Pause, rtsp.Teardown,
+		return response.With("Public", rtsp.JoinMethods(rtsp.Options, rtsp.Setup, rtsp.Play, rtsp.Pause, rtsp.Teardown,
 			rtsp.SetParameter, rtsp.GetParameter))
 	case rtsp.Setup:
 		return b.setup(conn, sess, request)
@@ -401,7 +401,7 @@
 		return response
 	}
 	if sess == nil || sess.ended {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq)
+		return rtsp.NewResponse(rtsp.StatusSessionNotFound, request.CSeq)
 	}
 	switch request.Method {
 	case rtsp.Play:
@@ -412,10 +412,10 @@
 	case rtsp.Pause:
 		sess.playing = false
 	case rtsp.SetParameter:
-		for _, parameter := range rtsp.Parameters(request.Body) {
+		for _, parameter := range rtsp.ParseParameters(request.Body) {
 			rung, err := strconv.Atoi(parameter.Value)
 			if parameter.Name != "rung" || err != nil || rung < 0 || rung >= len(b.LadderKB) {
-				return rtsp.Answer(rtsp.StatusParameterUnknown, request.CSeq)
+				return rtsp.NewResponse(rtsp.StatusParameterUnknown, request.CSeq)
 			}
 			b.updateDemand(sess, -1)
 			sess.key.rung = rung
@@ -423,9 +423,9 @@
 		}
 	case rtsp.Teardown:
 		b.endSession(sess)
-		return rtsp.Answer(rtsp.StatusOK, request.CSeq)
+		return rtsp.NewResponse(rtsp.StatusOK, request.CSeq)
 	default:
-		return rtsp.Answer(rtsp.StatusNotImplemented, request.CSeq)
+		return rtsp.NewResponse(rtsp.StatusNotImplemented, request.CSeq)
 	}
 	return response
 }
@@ -440,35 +440,35 @@
 		plan = slices.IndexFunc(b.Plans, func(p Plan) bool { return p.Name == path[1] })
 	}
 	if plan < 0 {
-		return rtsp.Answer(rtsp.StatusNotFound, request.CSeq)
+		return rtsp.NewResponse(rtsp.StatusNotFound, request.CSeq)
 	}
 	track, err := strconv.Atoi(strings.TrimPrefix(path[3], "track"))
-	transports := rtsp.Transports(request.Get("Transport"))
+	transports := rtsp.ParseTransports(request.Get("Transport"))
 	rung, rungErr := 0, error(nil)
 	if r := request.Get("Rung"); r != "" { // a player that connects directly to the box sends none
 		rung, rungErr = strconv.Atoi(r)
 	}
 	if err != nil || track < 0 || track >= len(b.Plans[plan].Tracks) || rungErr != nil || rung < 0 || rung >= len(b.LadderKB) {
-		return rtsp.Answer(rtsp.StatusBadRequest, request.CSeq)
+		return rtsp.NewResponse(rtsp.StatusBadRequest, request.CSeq)
 	}
-	if len(transports) == 0 || !transports[0].TCP() || !transports[0].Interleaved {
-		return rtsp.Answer(rtsp.StatusUnsupportedTransport, request.CSeq)
+	if len(transports) == 0 || !transports[0].IsTCP() || !transports[0].Interleaved {
+		return rtsp.NewResponse(rtsp.StatusUnsupportedTransport, request.CSeq)
 	}
 	pipelineID := request.Get("Pipelined-Requests")
 	if earlier, ok := conn.pipelined[pipelineID]; ok && pipelineID != "" && earlier == nil {
-		return rtsp.Answer(rtsp.StatusSessionNotFound, request.CSeq) // the first request of the pipeline was rejected
+		return rtsp.NewResponse(rtsp.StatusSessionNotFound, request.CSeq) // the first request of the pipeline was rejected
 	}
 	if sess == nil {
 		b.Counts.Setups++
 		if b.countColdSetup() {
 			return nil
 		}
-		if b.Counts.Sessions >= b.Places || b.FullFrom > 0 && b.linkLoad() >= b.FullFrom {
+		if b.Counts.Sessions >= b.MaxSessions || b.RejectFromLoad > 0 && b.linkLoad() >= b.RejectFromLoad {
 			b.Counts.Rejected++
 			if pipelineID != "" {
 				conn.pipelined[pipelineID] = nil
 			}
-			return rtsp.Answer(rtsp.StatusNotEnoughBandwidth, request.CSeq)
+			return rtsp.NewResponse(rtsp.StatusNotEnoughBandwidth, request.CSeq)
 		}
 		b.lastID++
 		sess = &session{id: b.Name + "-" + strconv.Itoa(b.lastID), conn: conn, key: streamKey{path[2], plan, rung},
@@ -485,22 +485,22 @@
 		}
 	}
 	sess.channels[track] = transports[0].RTP
-	return rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", sess.id).With("Transport", transports[0].String())
+	return rtsp.NewResponse(rtsp.StatusOK, request.CSeq).With("Session", sess.id).With("Transport", transports[0].String())
 }
 
 // countColdSetup counts a setup during the warm-up and reports whether the box has crashed. Above the configured
 // limit the box crashes: it closes its connections and stays down.
 func (b *Box) countColdSetup() bool {
-	if b.Started == 0 || b.now >= b.Started+b.WarmUp || b.FallMultiple == 0 {
+	if b.StartedAt == 0 || b.now >= b.StartedAt+b.WarmUp || b.CrashMultiple == 0 {
 		return false
 	}
 	b.coldSetups = append(b.coldSetups, b.now)
-	for len(b.coldSetups) > 0 && b.coldSetups[0] <= b.now-b.FallSpan {
+	for len(b.coldSetups) > 0 && b.coldSetups[0] <= b.now-b.CrashWindow {
 		b.coldSetups = b.coldSetups[1:]
 	}
-	if float64(len(b.coldSetups)) > max(Allowed(b.Places, b.WarmUp, b.FallSpan, b.FallMultiple, b.capacityFraction()), 1) {
+	if float64(len(b.coldSetups)) > max(MaxColdSetups(b.MaxSessions, b.WarmUp, b.CrashWindow, b.CrashMultiple, b.capacityFraction()), 1) {
 		b.crashed = true
-		b.Counts.Fell++
+		b.Counts.Crashes++
 		b.timers.Set(nil, b.now+1, func() {
 			for _, conn := range slices.Clone(b.conns) {
 				b.closeConnection(conn)
@@ -510,9 +510,9 @@
 	return b.crashed
 }
 
-// Allowed returns the number of setups within the window above which a cold box crashes: the average rate at which
+// MaxColdSetups returns the number of setups within the window above which a cold box crashes: the average rate at which
 // the warm-up would fill all its sessions, times the multiple and its present share of capacity.
-func Allowed(maxSessions int, warmUp, window Time, multiple, capacityFraction float64) float64 {
+func MaxColdSetups(maxSessions int, warmUp, window Time, multiple, capacityFraction float64) float64 {
 	return multiple * float64(maxSessions) / float64(warmUp) * float64(window) * capacityFraction
 }
 
@@ -555,8 +555,8 @@
 	}
 }
 
-// Down removes the box's demand from the rack's uplink, as when the box goes down.
-func (b *Box) Down() { b.Rack.addDemand(-b.requestedKB) }
+// ReleaseUplink removes the box's demand from the rack's uplink, as when the box goes down.
+func (b *Box) ReleaseUplink() { b.Rack.addDemand(-b.requestedKB) }
 
 // Sessions returns the number of sessions on the box.
 func (b *Box) Sessions() int { return b.Counts.Sessions }
@@ -567,14 +567,14 @@
 	if sess.ended || !sess.playing || sess.conn.closed || b.crashed {
 		return
 	}
-	b.timers.Set(nil, b.now+b.Tick, func() { b.sendFrames(sess) })
-	if b.Trouble.Deaf {
+	b.timers.Set(nil, b.now+b.SendInterval, func() { b.sendFrames(sess) })
+	if b.Faults.Unresponsive {
 		sess.lastSent = b.now
 		return
 	}
 	plan := &b.Plans[sess.key.plan]
-	speed := max(b.Trouble.Overspeed, 1)
-	sess.credit += b.LadderKB[sess.key.rung] * plan.RateFactor * 1000 * b.deliveredShare() * speed * float64(max(b.now-sess.lastSent, b.Tick/8)) / 1e6
+	speed := max(b.Faults.SendRateFactor, 1)
+	sess.credit += b.LadderKB[sess.key.rung] * plan.RateFactor * 1000 * b.deliveredShare() * speed * float64(max(b.now-sess.lastSent, b.SendInterval/8)) / 1e6
 	sess.lastSent = b.now
 	first := !sess.firstSent
 	sess.firstSent = true
@@ -609,7 +609,7 @@
 // sendNotes sends each front a note on one of its playing sessions: the load of link and uplink, and the delivered
 // share while it is below 0.98 and once after it has recovered.
 func (b *Box) sendNotes() {
-	b.timers.Set(nil, b.now+b.NoteAll, b.sendNotes)
+	b.timers.Set(nil, b.now+b.NoteInterval, b.sendNotes)
 	share := b.deliveredShare()
 	var notes []rtsp.Field
 	if share < 0.98 || b.throttled {
@@ -619,14 +619,14 @@
 	if b.LoadInAnswers {
 		notes = append(notes, rtsp.Field{Name: "link", Value: formatRatio(b.linkLoad())})
 	}
-	if b.LoadInAnswers && !b.UplinkUntold {
-		notes = append(notes, rtsp.Field{Name: "uplink", Value: formatRatio(b.Rack.Fill())})
+	if b.LoadInAnswers && !b.OmitUplinkLoad {
+		notes = append(notes, rtsp.Field{Name: "uplink", Value: formatRatio(b.Rack.Load())})
 	}
 	if len(notes) == 0 {
 		return
 	}
-	b.timers.Set(nil, b.now+b.NoteDelay+b.Trouble.ReportLag, func() {
-		if b.Trouble.Deaf || b.crashed {
+	b.timers.Set(nil, b.now+b.NoteDelay+b.Faults.ExtraNoteDelay, func() {
+		if b.Faults.Unresponsive || b.crashed {
 			return
 		}
 		notified := map[string]bool{}
@@ -638,7 +638,7 @@
 				if sess.playing {
 					notified[conn.front] = true
 					b.lastID++
-					request := rtsp.Request(rtsp.SetParameter, "*", b.lastID).With("Session", sess.id).With("Content-Type", "text/parameters")
+					request := rtsp.NewRequest(rtsp.SetParameter, "*", b.lastID).With("Session", sess.id).With("Content-Type", "text/parameters")
 					request.Body = rtsp.AppendParameters(nil, notes...)
 					b.send(conn, request)
 					break
@@ -648,9 +648,9 @@
 	})
 }
 
-// Book returns the capacity of the link and the rate requested of it, in kB per second. The error reports a session
+// CheckDemand returns the capacity of the link and the rate requested of it, in kB per second. The error reports a session
 // count that does not match the sessions, or a negative requested rate.
-func (b *Box) Book() (link, requested float64, err error) {
+func (b *Box) CheckDemand() (link, requested float64, err error) {
 	sum, n := 0.0, 0
 	for _, sess := range b.sessions {
 		if !sess.ended {
@@ -669,8 +669,8 @@
 	return b.linkCapacity(), b.requestedKB, err
 }
 
-// Orphaned returns the number of sessions whose connection has closed.
-func (b *Box) Orphaned() (n int) {
+// OrphanedSessions returns the number of sessions whose connection has closed.
+func (b *Box) OrphanedSessions() (n int) {
 	for _, sess := range b.sessions {
 		if !sess.ended && sess.conn.closed {
 			n++
--- a/internal/standin/player/auth.go
+++ b/internal/standin/player/auth.go
@@ -20,11 +20,11 @@
 // authorization returns the Authorization header of a request: Digest (RFC 7616), or Basic (RFC 7617) if the profile
 // selects it and the front offers it. It is empty before a challenge.
 func (a *playAttempt) authorization(method, uri string) string {
-	return Proof(a.challenge, a.profile.Account, a.profile.Password, method, uri)
+	return Authorization(a.challenge, a.profile.Account, a.profile.Password, method, uri)
 }
 
-// Proof returns the Authorization header that answers a challenge; it is empty without a challenge or an account.
-func Proof(challenge, account, password, method, uri string) string {
+// Authorization returns the Authorization header that answers a challenge; it is empty without a challenge or an account.
+func Authorization(challenge, account, password, method, uri string) string {
 	if challenge == "" || account == "" {
 		return ""
 	}
@@ -59,7 +59,7 @@
 
 // retryWithAuth handles status 401: with an account configured, it repeats the SETUP requests with credentials. It
 // reports whether the response has been dealt with.
-func (g *Crowd) retryWithAuth(attempt *playAttempt, response *rtsp.Message) bool {
+func (g *Group) retryWithAuth(attempt *playAttempt, response *rtsp.Message) bool {
 	if response.Status != rtsp.StatusUnauthorized || attempt.profile.Account == "" || attempt.authAttempts >= maxAuthAttempts {
 		return false
 	}
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -17,29 +17,29 @@
 // Time is a point in time or a duration in microseconds.
 type Time = core.Time
 
-// Want describes what one viewer requests and how it behaves.
-type Want struct {
-	ID       string   // Request-Id of the first attempt; later attempts append a suffix
-	Fronts   []string // addresses, tried in turn
-	Plan     string
-	Title    string
-	Tenant   string
-	Top      int    // highest rung requested
-	Tracks   int    // number of tracks to set up
-	Watch    Time   // playing time
-	Abandon  Time   // how long it waits for the responses to its requests
-	Returns  int    // maximum number of retries after a rejection, a failure or a loss
-	Break    Time   // delay before a retry if Retry-After is absent or ignored
-	Ask      bool   // sends DESCRIBE before SETUP
-	Repeat   bool   // sends its SETUP requests twice, as retransmission on a bad link would
-	Leaves   Time   // closes the connection after this time if the setup is still pending; 0 disables
-	KeepsTo  bool   // retries after the time in Retry-After, not after the default delay
-	Early    bool   // retries after half the time in Retry-After
-	Address  string // source address, where the network supports it
-	Secure   bool   // connects with TLS
-	Account  string // user name for authentication; empty for none
-	Password string
-	Basic    bool // uses Basic instead of Digest authentication
+// Profile describes what one viewer requests and how it behaves.
+type Profile struct {
+	ID               string   // Request-Id of the first attempt; later attempts append a suffix
+	Fronts           []string // addresses, tried in turn
+	Plan             string
+	Title            string
+	Tenant           string
+	TopRung          int    // highest rung requested
+	Tracks           int    // number of tracks to set up
+	WatchTime        Time   // playing time
+	AbandonTime      Time   // how long it waits for the responses to its requests
+	MaxRetries       int    // maximum number of retries after a rejection, a failure or a loss
+	RetryDelay       Time   // delay before a retry if Retry-After is absent or ignored
+	DescribeFirst    bool   // sends DESCRIBE before SETUP
+	DuplicateSetups  bool   // sends its SETUP requests twice, as retransmission on a bad link would
+	LeaveAfter       Time   // closes the connection after this time if the setup is still pending; 0 disables
+	HonorsRetryAfter bool   // retries after the time in Retry-After, not after the default delay
+	RetriesEarly     bool   // retries after half the time in Retry-After
+	SourceAddr       string // source address, where the network supports it
+	Secure           bool   // connects with TLS
+	Account          string // user name for authentication; empty for none
+	Password         string
+	Basic            bool // uses Basic instead of Digest authentication
 }
 
 // State is the state of one attempt to play.
@@ -51,60 +51,60 @@
 	Requested
 	Ready
 	Playing
-	Refused   // rejected with status 453 or 503
-	Failed    // another error status, or connection lost before the session was ready
-	Abandoned // not set up within the abandon time, or closed by the viewer during setup
-	Lost      // the connection or the stream ended while it was playing
-	Done      // played for the requested time
-	Moved     // redirected to another front before it played
+	Rejected   // rejected with status 453 or 503
+	Failed     // another error status, or connection lost before the session was ready
+	Abandoned  // not set up within the abandon time, or closed by the viewer during setup
+	Lost       // the connection or the stream ended while it was playing
+	Done       // played for the requested time
+	Redirected // redirected to another front before it played
 )
 
-// Seen is the result of one attempt.
-type Seen struct {
+// Result is the result of one attempt.
+type Result struct {
 	ID                         string
 	State                      State
-	Began, Answered            Time
-	FirstPacket                Time   // time from the SETUP requests to the first packet; 0 if none arrived
+	StartedAt, AnsweredAt      Time
+	StartupTime                Time   // time from the SETUP requests to the first packet; 0 if none arrived
 	Status                     int    // RTSP status of the rejection or failure
 	RetryAfter                 Time   // 0 if absent
-	Token                      string // token of the Come-Again header, to present on the retry
-	Brought                    bool   // this attempt presented a token, and not ahead of its time
+	RetryToken                 string // token of the Come-Again header, to present on the retry
+	BroughtToken               bool   // this attempt presented a token, and not ahead of its time
 	Attempt                    int    // 0 for the first, then the number of the retry
 	Packets, Gaps              int
 	Bytes                      int64
-	Answers, Unasked           int // responses received; messages that match no request or are malformed
+	Responses, Unsolicited     int // responses received; messages that match no request or are malformed
 	Requests                   int
 	LongestSilence, lastPacket Time
 	Front                      string // address of the front
-	SentOn                     bool   // this attempt follows a redirect from another front
-	Reached                    bool   // the connection was established
-	Ended                      Time
-	Told                       bool // received a REDIRECT request while it was playing
+	FromRedirect               bool   // this attempt follows a redirect from another front
+	Connected                  bool   // the connection was established
+	EndedAt                    Time
+	RedirectReceived           bool // received a REDIRECT request while it was playing
 }
 
-// Crowd is a group of players that share a clock and a network. It implements core.Core.
-type Crowd struct {
-	net     core.Net
-	now     Time
-	timers  core.Timers
-	open    int                // attempts in progress, and viewers that wait to retry
-	waiting int                // viewers that wait to retry
-	Began   int                // attempts started
-	Bytes   int64              // RTP bytes received in total
-	Plays   int                // attempts in progress that have received a packet
-	Report  func(*Want, *Seen) // called once for each attempt, when it has ended
+// Group is a group of players that share a clock and a network. It implements core.Core.
+type Group struct {
+	net      core.Net
+	now      Time
+	timers   core.Timers
+	open     int                     // attempts in progress, and viewers that wait to retry
+	waiting  int                     // viewers that wait to retry
+	Attempts int                     // attempts started
+	Bytes    int64                   // RTP bytes received in total
+	Playing  int                     // attempts in progress that have received a packet
+	Report   func(*Profile, *Result) // called once for each attempt, when it has ended
 }
 
 // New returns a group without players, which connects through net.
-func New(net core.Net, now Time) *Crowd { return &Crowd{net: net, now: now} }
+func New(net core.Net, now Time) *Group { return &Group{net: net, now: now} }
 
 // playAttempt is one attempt of a viewer to play, on a connection of its own.
 type playAttempt struct {
-	profile        *Want
+	profile        *Profile
 	number         int // 0 for the first, then the number of the retry
 	conn           *core.Conn
 	parser         rtsp.Parser
-	result         Seen
+	result         Result
 	cseq           int
 	pending        map[int]string // methods of the requests without a response, by CSeq
 	setupsDone     int            // successful SETUP responses
@@ -127,40 +127,40 @@
 
 const maxRedirects = 4 // in a row, per viewer
 
-// At starts a turn of the event loop: it sets the clock and runs the timers that are due.
-func (g *Crowd) At(now Time) {
+// BeginTurn starts a turn of the event loop: it sets the clock and runs the timers that are due.
+func (g *Group) BeginTurn(now Time) {
 	g.now = now
 	g.timers.Run(now)
 }
 
-// Settle ends a turn and returns the time of the next timer.
-func (g *Crowd) Settle() Time { return g.timers.Next() }
+// EndTurn ends a turn and returns the time of the next timer.
+func (g *Group) EndTurn() Time { return g.timers.Next() }
 
 // Accepted closes the connection, as players do not accept any.
-func (g *Crowd) Accepted(c *core.Conn, _ string) { g.net.Close(c) }
+func (g *Group) Accepted(c *core.Conn, _ string) { g.net.Close(c) }
 
 // Drained does nothing, as players do not wait for buffer space.
-func (g *Crowd) Drained(*core.Conn) {}
+func (g *Group) Drained(*core.Conn) {}
 
 // Open returns the number of attempts in progress, including viewers that wait to retry.
-func (g *Crowd) Open() int { return g.open }
+func (g *Group) Open() int { return g.open }
 
-// Resting returns the number of viewers that wait to retry.
-func (g *Crowd) Resting() int { return g.waiting }
+// Waiting returns the number of viewers that wait to retry.
+func (g *Group) Waiting() int { return g.waiting }
 
 // Start starts the first attempt of a viewer.
-func (g *Crowd) Start(profile *Want) { g.startAttempt(profile, 0, "") }
+func (g *Group) Start(profile *Profile) { g.startAttempt(profile, 0, "") }
 
-func (g *Crowd) startAttempt(profile *Want, number int, token string) {
+func (g *Group) startAttempt(profile *Profile, number int, token string) {
 	g.startAttemptAt(profile, number, token, profile.Fronts[number%len(profile.Fronts)], 0)
 }
 
-func (g *Crowd) startAttemptAt(profile *Want, number int, token, front string, redirects int) *playAttempt {
+func (g *Group) startAttemptAt(profile *Profile, number int, token, front string, redirects int) *playAttempt {
 	attempt := &playAttempt{profile: profile, number: number, pending: map[int]string{}, lastSeq: map[byte]uint16{},
-		parser: rtsp.Parser{Bounds: rtsp.Usual}, conn: &core.Conn{Secure: profile.Secure}}
-	attempt.result = Seen{ID: profile.ID, Began: g.now, Attempt: number, Brought: token != "" && !profile.Early}
-	attempt.token, attempt.conn.From, attempt.front, attempt.redirects = token, profile.Address, front, redirects
-	attempt.result.Front, attempt.result.SentOn = front, redirects > 0
+		parser: rtsp.Parser{Bounds: rtsp.DefaultBounds}, conn: &core.Conn{Secure: profile.Secure}}
+	attempt.result = Result{ID: profile.ID, StartedAt: g.now, Attempt: number, BroughtToken: token != "" && !profile.RetriesEarly}
+	attempt.token, attempt.conn.SourceAddr, attempt.front, attempt.redirects = token, profile.SourceAddr, front, redirects
+	attempt.result.Front, attempt.result.FromRedirect = front, redirects > 0
 	if number > 0 {
 		attempt.result.ID += "." + strconv.Itoa(number)
 	}
@@ -169,14 +169,14 @@
 	}
 	attempt.conn.Owner = attempt
 	g.open++
-	g.Began++
+	g.Attempts++
 	g.net.Dial(attempt.conn, front)
-	attempt.timer = g.timers.Set(nil, g.now+profile.Abandon, func() { g.end(attempt, Abandoned) })
+	attempt.timer = g.timers.Set(nil, g.now+profile.AbandonTime, func() { g.end(attempt, Abandoned) })
 	return attempt
 }
 
 // Dialed sends the first requests once the connection is established.
-func (g *Crowd) Dialed(conn *core.Conn, err error) {
+func (g *Group) Dialed(conn *core.Conn, err error) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
 		return
@@ -185,9 +185,9 @@
 		g.end(attempt, Failed)
 		return
 	}
-	attempt.result.Reached = true
-	if attempt.profile.Ask {
-		g.send(attempt, rtsp.Request(rtsp.Describe, attempt.uri(-1), 0).With("Accept", "application/sdp"))
+	attempt.result.Connected = true
+	if attempt.profile.DescribeFirst {
+		g.send(attempt, rtsp.NewRequest(rtsp.Describe, attempt.uri(-1), 0).With("Accept", "application/sdp"))
 		g.flush(attempt)
 		return
 	}
@@ -207,7 +207,7 @@
 	if track >= 0 {
 		uri += "/track" + strconv.Itoa(track)
 	}
-	uri += "?top=" + strconv.Itoa(a.profile.Top)
+	uri += "?top=" + strconv.Itoa(a.profile.TopRung)
 	if a.profile.Tenant != "" {
 		uri += "&tenant=" + a.profile.Tenant
 	}
@@ -215,21 +215,21 @@
 }
 
 // sendSetups sends the SETUP requests of all tracks at once.
-func (g *Crowd) sendSetups(attempt *playAttempt) {
-	attempt.result.State, attempt.result.Began = Requested, g.now
-	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Abandoned) })
+func (g *Group) sendSetups(attempt *playAttempt) {
+	attempt.result.State, attempt.result.StartedAt = Requested, g.now
+	g.timers.Set(attempt.timer, g.now+attempt.profile.AbandonTime, func() { g.end(attempt, Abandoned) })
 	for i := range attempt.profile.Tracks {
 		transport := rtsp.Transport{Profile: "RTP/AVP/TCP", Interleaved: true, RTP: byte(2 * i), RTCP: byte(2*i + 1)}
-		request := rtsp.Request(rtsp.Setup, attempt.uri(i), 0).With("Transport", transport.String()).With("Request-Id", attempt.result.ID).With("Come-Again", attempt.token).
+		request := rtsp.NewRequest(rtsp.Setup, attempt.uri(i), 0).With("Transport", transport.String()).With("Request-Id", attempt.result.ID).With("Come-Again", attempt.token).
 			With("Authorization", attempt.authorization(rtsp.Setup, attempt.uri(i)))
 		g.send(attempt, request)
 	}
-	if attempt.profile.Repeat {
+	if attempt.profile.DuplicateSetups {
 		attempt.out = append(attempt.out, attempt.out...) // byte for byte, with the same CSeq values
 	}
 	g.flush(attempt)
-	if attempt.profile.Leaves > 0 {
-		g.timers.Set(nil, g.now+attempt.profile.Leaves, func() {
+	if attempt.profile.LeaveAfter > 0 {
+		g.timers.Set(nil, g.now+attempt.profile.LeaveAfter, func() {
 			if attempt.result.State == Requested {
 				g.end(attempt, Abandoned)
 			}
@@ -237,7 +237,7 @@
 	}
 }
 
-func (g *Crowd) send(attempt *playAttempt, request *rtsp.Message) {
+func (g *Group) send(attempt *playAttempt, request *rtsp.Message) {
 	attempt.cseq++
 	request.CSeq = attempt.cseq
 	attempt.pending[request.CSeq] = request.Method
@@ -245,7 +245,7 @@
 	attempt.out = request.With("User-Agent", "standin-player").Append(attempt.out)
 }
 
-func (g *Crowd) flush(attempt *playAttempt) {
+func (g *Group) flush(attempt *playAttempt) {
 	if len(attempt.out) > 0 && !attempt.ended {
 		g.net.Send(attempt.conn, attempt.out)
 		attempt.out = attempt.out[:0]
@@ -253,7 +253,7 @@
 }
 
 // Received parses bytes from the front.
-func (g *Crowd) Received(conn *core.Conn, data []byte) {
+func (g *Group) Received(conn *core.Conn, data []byte) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
 		return
@@ -264,7 +264,7 @@
 }
 
 // Closed ends the attempt whose connection has closed.
-func (g *Crowd) Closed(conn *core.Conn, _ error) {
+func (g *Group) Closed(conn *core.Conn, _ error) {
 	attempt := conn.Owner.(*playAttempt)
 	if attempt.ended {
 		return
@@ -277,11 +277,11 @@
 }
 
 type parserHandler struct {
-	group   *Crowd
+	group   *Group
 	attempt *playAttempt
 }
 
-func (handler *parserHandler) Bad(*rtsp.Malformed) { handler.attempt.result.Unasked++ }
+func (handler *parserHandler) Malformed(*rtsp.MalformedError) { handler.attempt.result.Unsolicited++ }
 
 func (handler *parserHandler) Frame(channel byte, payload []byte) {
 	g, attempt := handler.group, handler.attempt
@@ -293,12 +293,12 @@
 	}
 	var header rtp.Header
 	if _, err := header.Unmarshal(payload); err != nil {
-		attempt.result.Unasked++
+		attempt.result.Unsolicited++
 		return
 	}
-	if attempt.result.FirstPacket == 0 {
-		attempt.result.FirstPacket = max(g.now-attempt.result.Began, 1)
-		g.Plays++
+	if attempt.result.StartupTime == 0 {
+		attempt.result.StartupTime = max(g.now-attempt.result.StartedAt, 1)
+		g.Playing++
 		if previous := attempt.previous; previous != nil { // playing has moved here: end the previous session
 			attempt.previous, previous.next = nil, nil
 			if !previous.ended {
@@ -328,11 +328,11 @@
 	}
 	method, ok := attempt.pending[message.CSeq]
 	if !ok {
-		attempt.result.Unasked++
+		attempt.result.Unsolicited++
 		return
 	}
 	delete(attempt.pending, message.CSeq)
-	attempt.result.Answers++
+	attempt.result.Responses++
 	switch method {
 	case rtsp.Describe:
 		if message.Status == rtsp.StatusOK {
@@ -345,16 +345,16 @@
 			g.rejected(attempt, message)
 			return
 		}
-		id, timeout := rtsp.SessionID(message.Get("Session"))
+		id, timeout := rtsp.ParseSession(message.Get("Session"))
 		attempt.sessionID, attempt.sessionTimeout = id, Time(timeout)*core.Second
 		if attempt.setupsDone++; attempt.setupsDone < attempt.profile.Tracks {
 			return
 		}
-		attempt.result.State, attempt.result.Answered = Ready, g.now
-		g.send(attempt, rtsp.Request(rtsp.Play, attempt.uri(-1), 0).With("Session", attempt.sessionID).With("Range", "npt=0-"))
+		attempt.result.State, attempt.result.AnsweredAt = Ready, g.now
+		g.send(attempt, rtsp.NewRequest(rtsp.Play, attempt.uri(-1), 0).With("Session", attempt.sessionID).With("Range", "npt=0-"))
 		g.flush(attempt)
 		attempt.playStart = g.now
-		g.timers.Set(attempt.timer, g.now+attempt.profile.Watch, func() { g.teardown(attempt) })
+		g.timers.Set(attempt.timer, g.now+attempt.profile.WatchTime, func() { g.teardown(attempt) })
 		g.keepAlive(attempt)
 	case rtsp.Play:
 		if message.Status == rtsp.StatusOK {
@@ -366,19 +366,19 @@
 }
 
 // keepAlive sends GET_PARAMETER at a third of the session timeout to keep the session alive (RFC 2326 section 10.8).
-func (g *Crowd) keepAlive(attempt *playAttempt) {
+func (g *Group) keepAlive(attempt *playAttempt) {
 	attempt.keepaliveTimer = g.timers.Set(attempt.keepaliveTimer, g.now+attempt.sessionTimeout/3, func() {
-		g.send(attempt, rtsp.Request(rtsp.GetParameter, attempt.uri(-1), 0).With("Session", attempt.sessionID))
+		g.send(attempt, rtsp.NewRequest(rtsp.GetParameter, attempt.uri(-1), 0).With("Session", attempt.sessionID))
 		g.flush(attempt)
 		g.keepAlive(attempt)
 	})
 }
 
 // teardown ends the session; the attempt counts as done even if no response arrives.
-func (g *Crowd) teardown(attempt *playAttempt) {
-	g.send(attempt, rtsp.Request(rtsp.Teardown, attempt.uri(-1), 0).With("Session", attempt.sessionID))
+func (g *Group) teardown(attempt *playAttempt) {
+	g.send(attempt, rtsp.NewRequest(rtsp.Teardown, attempt.uri(-1), 0).With("Session", attempt.sessionID))
 	g.flush(attempt)
-	g.timers.Set(attempt.timer, g.now+attempt.profile.Abandon, func() { g.end(attempt, Done) })
+	g.timers.Set(attempt.timer, g.now+attempt.profile.AbandonTime, func() { g.end(attempt, Done) })
 }
 
 // host returns the host and port of an RTSP URL.
@@ -390,31 +390,31 @@
 
 // redirect continues playing at another front (RFC 2326 section 10.10): the viewer sets up a session there first, and
 // ends the present one once packets arrive from the new front.
-func (g *Crowd) redirect(attempt *playAttempt, request *rtsp.Message) {
-	attempt.out = rtsp.Answer(rtsp.StatusOK, request.CSeq).With("Session", attempt.sessionID).Append(attempt.out)
+func (g *Group) redirect(attempt *playAttempt, request *rtsp.Message) {
+	attempt.out = rtsp.NewResponse(rtsp.StatusOK, request.CSeq).With("Session", attempt.sessionID).Append(attempt.out)
 	g.flush(attempt)
-	attempt.result.Told = true
-	remaining := attempt.profile.Watch - (g.now - attempt.playStart)
+	attempt.result.RedirectReceived = true
+	remaining := attempt.profile.WatchTime - (g.now - attempt.playStart)
 	front := host(request.Get("Location"))
 	if attempt.next != nil || remaining <= 0 || front == "" || attempt.redirects >= maxRedirects {
 		return
 	}
 	profile := *attempt.profile
-	profile.Watch, profile.Repeat, profile.Leaves, profile.Ask = remaining, false, 0, false
+	profile.WatchTime, profile.DuplicateSetups, profile.LeaveAfter, profile.DescribeFirst = remaining, false, 0, false
 	attempt.next = g.startAttemptAt(&profile, attempt.number, "", front, attempt.redirects+1)
 	attempt.next.previous = attempt
 }
 
 // rejected handles an error response to DESCRIBE or SETUP: it authenticates, follows a redirect or ends the attempt.
-func (g *Crowd) rejected(attempt *playAttempt, response *rtsp.Message) {
+func (g *Group) rejected(attempt *playAttempt, response *rtsp.Message) {
 	if g.retryWithAuth(attempt, response) {
 		return
 	}
-	attempt.result.Status, attempt.result.Answered = response.Status, g.now
+	attempt.result.Status, attempt.result.AnsweredAt = response.Status, g.now
 	if seconds, err := strconv.Atoi(response.Get("Retry-After")); err == nil {
 		attempt.result.RetryAfter = Time(seconds) * core.Second
 	}
-	attempt.result.Token = response.Get("Come-Again")
+	attempt.result.RetryToken = response.Get("Come-Again")
 	if len(attempt.pending) > 0 && attempt.number >= 0 {
 		for _, method := range attempt.pending {
 			if method == rtsp.Setup {
@@ -429,37 +429,37 @@
 		if attempt.next.previous = previous; previous != nil {
 			previous.next = attempt.next
 		}
-		g.end(attempt, Moved)
+		g.end(attempt, Redirected)
 		return
 	}
 	if response.Status == rtsp.StatusNotEnoughBandwidth || response.Status == rtsp.StatusUnavailable {
-		g.end(attempt, Refused)
+		g.end(attempt, Rejected)
 	} else {
 		g.end(attempt, Failed)
 	}
 }
 
 // end ends an attempt in a final state, reports it, and schedules a retry where one is due.
-func (g *Crowd) end(attempt *playAttempt, state State) {
+func (g *Group) end(attempt *playAttempt, state State) {
 	if attempt.ended {
 		return
 	}
 	attempt.ended = true
-	if attempt.result.FirstPacket > 0 {
-		g.Plays--
+	if attempt.result.StartupTime > 0 {
+		g.Playing--
 	}
 	attempt.result.State = state
 	attempt.parser.Stop()
 	g.timers.Stop(attempt.timer)
 	g.timers.Stop(attempt.keepaliveTimer)
 	g.net.Close(attempt.conn)
-	attempt.result.Ended = g.now
-	retry := state != Done && state != Moved && attempt.number < attempt.profile.Returns
+	attempt.result.EndedAt = g.now
+	retry := state != Done && state != Redirected && attempt.number < attempt.profile.MaxRetries
 	if previous := attempt.previous; previous != nil { // the viewer continues at the previous front while that session lasts
 		attempt.previous, previous.next = nil, nil
 		retry = retry && previous.ended
 	}
-	if next := attempt.next; next != nil && state != Moved { // the viewer continues at the next front
+	if next := attempt.next; next != nil && state != Redirected { // the viewer continues at the next front
 		attempt.next, next.previous = nil, nil
 		retry = retry && next.ended
 	}
@@ -472,9 +472,9 @@
 	if !retry {
 		return
 	}
-	wait := attempt.profile.Break
-	if attempt.result.RetryAfter > 0 && attempt.profile.KeepsTo {
-		if wait = attempt.result.RetryAfter; attempt.profile.Early {
+	wait := attempt.profile.RetryDelay
+	if attempt.result.RetryAfter > 0 && attempt.profile.HonorsRetryAfter {
+		if wait = attempt.result.RetryAfter; attempt.profile.RetriesEarly {
 			wait /= 2
 		}
 	}
@@ -482,6 +482,6 @@
 	g.timers.Set(nil, g.now+wait, func() {
 		g.waiting--
 		g.open--
-		g.startAttempt(attempt.profile, attempt.number+1, attempt.result.Token)
+		g.startAttempt(attempt.profile, attempt.number+1, attempt.result.RetryToken)
 	})
 }
--- a/internal/standin/registry/server.go
+++ b/internal/standin/registry/server.go
@@ -72,8 +72,8 @@
 	s.grpc.Stop()
 }
 
-// Cut closes all connections abruptly.
-func (s *Server) Cut() {
+// CloseConnections closes all connections abruptly.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -52,13 +52,13 @@
 // NewStore returns a store with a first history, which begins after revision 1; see Begin.
 func NewStore(clusterID uint64, epoch string, markKey string) *Store {
 	s := &Store{checksums: map[string]map[int64]uint64{}, committedAt: map[string]map[int64]time.Time{}}
-	s.Begin(clusterID, epoch, markKey, 1)
+	s.Reset(clusterID, epoch, markKey, 1)
 	return s
 }
 
-// Begin replaces the state with a new history that begins after the given revision. Its first transaction writes the
+// Reset replaces the state with a new history that begins after the given revision. Its first transaction writes the
 // epoch to the key that marks the history. All watchers are dropped.
-func (s *Store) Begin(clusterID uint64, epoch, markKey string, revision int64) {
+func (s *Store) Reset(clusterID uint64, epoch, markKey string, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clusterID, s.epoch, s.revision, s.compacted = clusterID, epoch, revision, revision
@@ -71,8 +71,8 @@
 	s.apply([]*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: &pb.PutRequest{Key: []byte(markKey), Value: []byte(epoch)}}}}, nil)
 }
 
-// Sum returns a hash of one key's state. The checksum of the whole state is the sum over all keys.
-func Sum(key string, value []byte, modRevision int64) uint64 {
+// Checksum returns a hash of one key's state. The checksum of the whole state is the sum over all keys.
+func Checksum(key string, value []byte, modRevision int64) uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(key)
 	_, _ = hash.Write([]byte{0, byte(modRevision >> 32), byte(modRevision >> 24), byte(modRevision >> 16), byte(modRevision >> 8), byte(modRevision)})
@@ -80,30 +80,30 @@
 	return hash.Sum64()
 }
 
-// Was reports whether the state at a revision of an epoch had the checksum; it returns false for an unknown revision.
-func (s *Store) Was(epoch string, revision int64, checksum uint64) bool {
+// HadState reports whether the state at a revision of an epoch had the checksum; it returns false for an unknown revision.
+func (s *Store) HadState(epoch string, revision int64, checksum uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	got, ok := s.checksums[epoch][revision]
 	return ok && got == checksum
 }
 
-// Born returns when a revision was committed, or the zero time for an unknown revision.
-func (s *Store) Born(epoch string, revision int64) time.Time {
+// CommittedAt returns when a revision was committed, or the zero time for an unknown revision.
+func (s *Store) CommittedAt(epoch string, revision int64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.committedAt[epoch][revision]
 }
 
-// Made returns the number of events committed over all histories.
-func (s *Store) Made() int64 {
+// ChangeCount returns the number of events committed over all histories.
+func (s *Store) ChangeCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changes
 }
 
-// Count returns the number of keys with a prefix.
-func (s *Store) Count(prefix string) (n int) {
+// CountPrefix returns the number of keys with a prefix.
+func (s *Store) CountPrefix(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.keys {
@@ -128,9 +128,9 @@
 	return s.header(), s.readRange(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}).Kvs
 }
 
-// Since returns the events from a revision on, with a response header of the present revision. It returns false if the
+// EventsSince returns the events from a revision on, with a response header of the present revision. It returns false if the
 // revision is compacted.
-func (s *Store) Since(revision int64) (*pb.ResponseHeader, []*mvccpb.Event, bool) {
+func (s *Store) EventsSince(revision int64) (*pb.ResponseHeader, []*mvccpb.Event, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first, _ := slices.BinarySearchFunc(s.log, revision, func(e *mvccpb.Event, r int64) int { return int(e.Kv.ModRevision - r) })
@@ -153,11 +153,11 @@
 			kv := &mvccpb.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision, CreateRevision: revision, Version: 1, Lease: put.Lease}
 			if previous := s.keys[string(put.Key)]; previous != nil {
 				kv.CreateRevision, kv.Version = previous.CreateRevision, previous.Version+1
-				s.checksum -= Sum(string(put.Key), previous.Value, previous.ModRevision)
+				s.checksum -= Checksum(string(put.Key), previous.Value, previous.ModRevision)
 				s.detachLease(previous)
 			}
 			s.keys[string(put.Key)] = kv
-			s.checksum += Sum(string(put.Key), put.Value, revision)
+			s.checksum += Checksum(string(put.Key), put.Value, revision)
 			if granted := s.leases[put.Lease]; granted != nil {
 				granted.keys[string(put.Key)] = struct{}{}
 			}
@@ -167,7 +167,7 @@
 			deleted := int64(0)
 			for _, k := range s.matchKeys(request.RequestDeleteRange.Key, request.RequestDeleteRange.RangeEnd) {
 				previous := s.keys[k]
-				s.checksum -= Sum(k, previous.Value, previous.ModRevision)
+				s.checksum -= Checksum(k, previous.Value, previous.ModRevision)
 				s.detachLease(previous)
 				delete(s.keys, k)
 				deleted++
@@ -257,8 +257,8 @@
 	s.log = slices.Clone(s.log[first:])
 }
 
-// Expire revokes the expired leases, or all leases.
-func (s *Store) Expire(all bool) {
+// ExpireLeases revokes the expired leases, or all leases.
+func (s *Store) ExpireLeases(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, held := range s.leases {
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -11,23 +11,23 @@
 	"pierlink/session"
 )
 
-// Told is the decoded object: Site is for the decision module, the rest for its host.
-type Told struct {
-	Site      *session.Site
-	Plans     []string // the names of the plans in the order of their numbers; so are the lists below
-	Tenants   []string
-	Zones     []string
-	Kinds     []string
-	LoadNames []string       // the names of a load report's values
-	Patience  []session.Time // by plan: how long a viewer waits for a setup
-	Connect   session.Time   // timeout for opening a connection
-	Idle      session.Time   // timeout after which an idle connection is closed
-	Tell      session.Time   // interval of the notes on a link's load, 0 for none
-	Shared    int            // limit on concurrent setups on one connection to a server
+// Settings is the decoded object: Site is for the decision module, the rest for its host.
+type Settings struct {
+	Site           *session.Site
+	Plans          []string // the names of the plans in the order of their numbers; so are the lists below
+	Tenants        []string
+	Zones          []string
+	Kinds          []string
+	LoadNames      []string       // the names of a load report's values
+	AbandonAfter   []session.Time // by plan: how long a viewer waits for a setup
+	ConnectTimeout session.Time   // timeout for opening a connection
+	IdleTimeout    session.Time   // timeout after which an idle connection is closed
+	NoteInterval   session.Time   // interval of the notes on a link's load, 0 for none
+	StreamsPerConn int            // limit on concurrent setups on one connection to a server
 }
 
 // Read decodes the settings object.
-func Read(text []byte) (*Told, error) {
+func Read(text []byte) (*Settings, error) {
 	var input object
 	if err := json.Unmarshal(text, &input); err != nil {
 		return nil, fmt.Errorf("start information: %w", err)
@@ -36,12 +36,12 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := &Told{Site: site, Zones: input.Localities, Kinds: input.Kinds, LoadNames: input.LoadReport.Names,
-		Connect: micros(input.Limits.ConnectTimeout), Idle: micros(input.Limits.ConnIdle),
-		Tell: micros(input.Domain.ToldEvery), Shared: input.Limits.StreamsPerConn}
+	settings := &Settings{Site: site, Zones: input.Localities, Kinds: input.Kinds, LoadNames: input.LoadReport.Names,
+		ConnectTimeout: micros(input.Limits.ConnectTimeout), IdleTimeout: micros(input.Limits.ConnIdle),
+		NoteInterval: micros(input.Domain.ToldEvery), StreamsPerConn: input.Limits.StreamsPerConn}
 	for _, class := range input.Classes {
 		settings.Plans = append(settings.Plans, class.Name)
-		settings.Patience = append(settings.Patience, micros(class.GiveUp))
+		settings.AbandonAfter = append(settings.AbandonAfter, micros(class.GiveUp))
 	}
 	for _, customer := range input.Customers {
 		settings.Tenants = append(settings.Tenants, customer.Name)
@@ -126,34 +126,34 @@
 	}
 	site := &session.Site{
 		Fronts: o.Balancers, Front: o.SlotNo, Zone: o.Locality, ListOnRequest: onRequest,
-		Ladder: session.Ladder{RateKB: domain.LadderKb, Worth: domain.LevelWorth, Join: domain.Join,
-			Change: micros(domain.ChangeCostsS)},
+		Ladder: session.Ladder{RateKB: domain.LadderKb, RevenueShare: domain.LevelWorth, Join: domain.Join,
+			RungChangeCost: micros(domain.ChangeCostsS)},
 		Fleet: session.Fleet{Cells: domain.Positions, Racks: domain.Cabinets,
-			LinksKB: domain.LinksKb, UplinkKB: domain.UplinkKb, KBPerWeight: domain.KBPerWeight,
-			WeightsTold: o.WeightKind != "silent", Places: domain.KindSlots, FullFrom: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteEvery: micros(domain.ToldEvery),
+			TotalLinkKB: domain.LinksKb, UplinkKB: domain.UplinkKb, KBPerWeight: domain.KBPerWeight,
+			WeightsListed: o.WeightKind != "silent", MaxStreams: domain.KindSlots, RefusalFill: domain.RefusesFrom, NoteDelay: micros(domain.SeenAfter), NoteInterval: micros(domain.ToldEvery),
 			LoadInAnswers: o.LoadReport.Source == "piggyback", LoadInProbes: o.LoadReport.Source != "silent",
-			UplinkUntold: o.LoadReport.Source == "silent" || !slices.Contains(o.LoadReport.Names, "x1")},
-		Terms: session.Terms{ColdFrom: o.Rules.ColdFrom, WarmUp: micros(o.Rules.WarmUp),
-			FallMultiple: o.Rules.FallMultiple, FallSpan: micros(o.Rules.OverloadFor),
-			AskWithin: micros(o.Rules.AskWithin), MaxTries: o.Limits.MaxAttempts,
+			UplinkUnreported: o.LoadReport.Source == "silent" || !slices.Contains(o.LoadReport.Names, "x1")},
+		Terms: session.Terms{ColdShare: o.Rules.ColdFrom, WarmUp: micros(o.Rules.WarmUp),
+			ColdMultiple: o.Rules.FallMultiple, ColdSpan: micros(o.Rules.OverloadFor),
+			ListDeadline: micros(o.Rules.AskWithin), MaxTries: o.Limits.MaxAttempts,
 			Probes: o.Limits.Probes},
 		Prices: session.Prices{CrossZone: o.Prices.CrossZone, Move: o.Prices.Moves, Probe: o.Prices.Probe,
-			WorstPlan: o.Goal.WorstClass, OverShare: o.OverShareWorth},
+			WorstPlan: o.Goal.WorstClass, OverQuota: o.OverShareWorth},
 	}
 	if o.Limits.RetryAfter {
-		site.Terms.MaxComeAgain = micros(o.Limits.MaxRetryAfter)
+		site.Terms.MaxRetryAfter = micros(o.Limits.MaxRetryAfter)
 	}
 	if rules := o.Rules; rules.RatioSpan != nil {
-		site.Terms.Rationed, site.Terms.TrySpan = true, micros(*rules.RatioSpan)
+		site.Terms.RetriesLimited, site.Terms.RetrySpan = true, micros(*rules.RatioSpan)
 		if rules.MinExtra != nil {
-			site.Terms.FreeTries = *rules.MinExtra
+			site.Terms.FreeRetries = *rules.MinExtra
 		}
 		if rules.RepeatRatio != nil {
-			site.Terms.TryShare = *rules.RepeatRatio
+			site.Terms.RetryShare = *rules.RepeatRatio
 		}
 	}
 	for i, class := range o.Classes {
-		plan := session.Plan{Window: micros(class.Window), Startup: micros(class.Promise), Revenue: class.Worth,
+		plan := session.Plan{KeyWindow: micros(class.Window), StartupTarget: micros(class.Promise), Revenue: class.Worth,
 			Live: domain.IsLive[i], RateFactor: domain.RateFactor[i], Floor: domain.LowestRung[i],
 			Top: min(domain.ClassTop[i], len(domain.LadderKb)-1)}
 		if len(domain.Seats) > 0 {
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -17,8 +17,8 @@
 		t.Fatal(err)
 	}
 	site := settings.Site
-	if len(settings.LoadNames) != 2 || site.Plans[0].Startup != 1500000 || site.Plans[0].Top != 1 ||
-		site.Fleet.NoteDelay != 712078 || site.Terms.Rationed || site.Terms.MaxComeAgain != 500000 {
+	if len(settings.LoadNames) != 2 || site.Plans[0].StartupTarget != 1500000 || site.Plans[0].Top != 1 ||
+		site.Fleet.NoteDelay != 712078 || site.Terms.RetriesLimited || site.Terms.MaxRetryAfter != 500000 {
 		t.Errorf("unexpected settings: %+v", site)
 	}
 	for _, bad := range []string{"{", "[]", "{}", strings.Replace(startInfo, "read_like", "odd", 1),
--- a/internal/tenants/client/client.go
+++ b/internal/tenants/client/client.go
@@ -20,16 +20,16 @@
 	"pierlink/internal/tenants"
 )
 
-// Place configures a client.
-type Place struct {
+// Config configures a client.
+type Config struct {
 	Endpoints []string    // host:port; the core is configured with their number
 	TLS       *tls.Config // nil for plain TCP
-	Bind      string      // DN to bind as; empty for anonymous access
+	BindDN    string      // DN to bind as; empty for anonymous access
 	Password  Secret
 	Base      string // DN of the subtree that is read
 	PageSize  uint32 // entries per page
-	Paged     bool   // never try content synchronisation
-	Terms     tenants.Terms
+	PagedOnly bool   // never try content synchronisation
+	Core      tenants.Config
 }
 
 // Secret is a password that is redacted when it is printed, logged or encoded.
@@ -49,7 +49,7 @@
 // Client executes the requests of a core. Results are passed to post, which must run them in the goroutine that owns
 // the core; Do is called from that goroutine.
 type Client struct {
-	config     Place
+	config     Config
 	post       func(func(*tenants.Core))
 	log        *zap.Logger
 	mu         sync.Mutex
@@ -65,7 +65,7 @@
 const entryFilter = "(|(objectClass=pierlinkTenant)(objectClass=pierlinkMember))"
 
 // New returns a client. It sends nothing before the first call of Do.
-func New(config Place, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
+func New(config Config, post func(func(*tenants.Core)), log *zap.Logger) (*Client, error) {
 	if len(config.Endpoints) == 0 || config.Base == "" {
 		return nil, errors.New("directory configuration: expected an endpoint and a base DN")
 	}
@@ -93,7 +93,7 @@
 }
 
 func (c *Client) timeout() time.Duration {
-	return time.Duration(c.config.Terms.Timeout) * time.Microsecond
+	return time.Duration(c.config.Core.Timeout) * time.Microsecond
 }
 
 // dial connects to an endpoint and binds if credentials are configured.
@@ -112,8 +112,8 @@
 	conn := ldap.NewConn(raw, c.config.TLS != nil)
 	conn.Start()
 	conn.SetTimeout(c.timeout())
-	if c.config.Bind != "" {
-		if err := conn.Bind(c.config.Bind, string(c.config.Password)); err != nil {
+	if c.config.BindDN != "" {
+		if err := conn.Bind(c.config.BindDN, string(c.config.Password)); err != nil {
 			_ = conn.Close()
 			return nil, fmt.Errorf("bind: %w", err)
 		}
@@ -122,14 +122,14 @@
 }
 
 // Do executes a request without waiting for it. A new synchronisation cancels the previous one.
-func (c *Client) Do(request tenants.Want) {
+func (c *Client) Do(request tenants.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	c.pending.Add(1)
-	if request.Act == tenants.Look || request.Act == tenants.LookUpTenant {
+	if request.Op == tenants.LookUpMember || request.Op == tenants.LookUpTenant {
 		go func() { defer c.pending.Done(); c.lookUp(request) }()
 		return
 	}
@@ -176,14 +176,14 @@
 }
 
 // lookUp searches for one account or tenant, on a pooled connection that is returned to the pool afterwards.
-func (c *Client) lookUp(request tenants.Want) {
+func (c *Client) lookUp(request tenants.Request) {
 	fail := func(err error) {
-		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		c.log.Info("directory request failed", zap.Stringer("what", request.Op), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
 		if target, ok := c.referral(err); ok {
-			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
+			c.post(func(core *tenants.Core) { core.HandleReferral(request.Attempt, target) })
 			return
 		}
-		c.post(func(core *tenants.Core) { core.HandleLookupFailure(request.Try) })
+		c.post(func(core *tenants.Core) { core.HandleLookupFailure(request.Attempt) })
 	}
 	c.mu.Lock()
 	var conn *ldap.Conn
@@ -198,9 +198,9 @@
 			return
 		}
 	}
-	filter := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(request.Account) + "))"
-	if request.Act == tenants.LookUpTenant {
-		filter = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(request.Account) + "))"
+	filter := "(&(objectClass=pierlinkMember)(uid=" + ldap.EscapeFilter(request.Name) + "))"
+	if request.Op == tenants.LookUpTenant {
+		filter = "(&(objectClass=pierlinkTenant)(cn=" + ldap.EscapeFilter(request.Name) + "))"
 	}
 	c.Searches.Add(1)
 	result, err := conn.Search(c.searchRequest(filter, 2))
@@ -217,12 +217,12 @@
 		record, err := Read(entry)
 		if err != nil {
 			c.reportUnreadable(entry, err)
-		} else if tenants.Fold(record.Name) == request.Account {
+		} else if tenants.Fold(record.Name) == request.Name {
 			found = &record
 		}
 	}
 	c.mu.Lock()
-	if !c.closed && len(c.idle[request.Endpoint]) < max(c.config.Terms.Lookups, 1) {
+	if !c.closed && len(c.idle[request.Endpoint]) < max(c.config.Core.MaxLookups, 1) {
 		c.idle[request.Endpoint] = append(c.idle[request.Endpoint], conn)
 		conn = nil
 	}
@@ -230,5 +230,5 @@
 	if conn != nil {
 		_ = conn.Close()
 	}
-	c.post(func(core *tenants.Core) { core.Looked(request.Try, found) })
+	c.post(func(core *tenants.Core) { core.HandleLookup(request.Attempt, found) })
 }
--- a/internal/tenants/client/client_test.go
+++ b/internal/tenants/client/client_test.go
@@ -74,15 +74,15 @@
 	out    []tenants.Answer
 }
 
-func newOwner(t *testing.T, config Place) *owner {
+func newOwner(t *testing.T, config Config) *owner {
 	t.Helper()
 	return newOwnerLogged(t, config, zap.NewNop())
 }
 
-func newOwnerLogged(t *testing.T, config Place, log *zap.Logger) *owner {
+func newOwnerLogged(t *testing.T, config Config, log *zap.Logger) *owner {
 	t.Helper()
-	config.Terms.Ends = len(config.Endpoints)
-	o := &owner{core: tenants.New(config.Terms, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
+	config.Core.Endpoints = len(config.Endpoints)
+	o := &owner{core: tenants.New(config.Core, time.Now().UnixMicro()), calls: make(chan func(*tenants.Core), 64), stop: make(chan struct{}), done: make(chan struct{})}
 	var err error
 	o.client, err = New(config, func(f func(*tenants.Core)) {
 		select {
@@ -111,12 +111,12 @@
 		case <-o.stop:
 			return
 		case f := <-o.calls:
-			o.core.At(time.Now().UnixMicro())
+			o.core.SetTime(time.Now().UnixMicro())
 			f(o.core)
 		case <-wait.C:
-			o.core.At(time.Now().UnixMicro())
+			o.core.SetTime(time.Now().UnixMicro())
 		}
-		o.core.Settle(o.client.Do, func(a tenants.Answer) { o.out = append(o.out, a) }, func(tenants.Record) {})
+		o.core.Process(o.client.Do, func(a tenants.Answer) { o.out = append(o.out, a) }, func(tenants.Record) {})
 	}
 }
 
@@ -158,31 +158,31 @@
 	defer server.Stop()
 	server.Password = "pass"
 	for _, paged := range []bool{false, true} {
-		server.Upset(directory.Trouble{NoSync: paged})
-		terms := tenants.Terms{Longest: 3e6, Renew: 300_000, Timeout: 200_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-		o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: "pass", PageSize: 2, Terms: terms})
+		server.SetFaults(directory.Faults{NoSync: paged})
+		terms := tenants.Config{MaxAge: 3e6, SyncInterval: 300_000, Timeout: 200_000, NegativeTTL: 1e6, MaxWaiting: 10, MaxLookups: 2}
+		o := newOwner(t, Config{Endpoints: []string{server.Addr()}, Base: "dc=pier", BindDN: "cn=me", Password: "pass", PageSize: 2, Core: terms})
 		has := func(n int) func(*tenants.Core) bool {
 			return func(c *tenants.Core) bool { complete, entries, _ := c.Status(); return complete && entries == n }
 		}
 		o.until(t, "timed out waiting for the first view", has(6))
-		server.Upset(directory.Trouble{NoSync: paged, Truncate: 1})
-		server.Cut()
+		server.SetFaults(directory.Faults{NoSync: paged, TruncateAfter: 1})
+		server.CloseConnections()
 		time.Sleep(700 * time.Millisecond)
 		o.until(t, "a truncated answer was treated as complete", has(6))
-		server.Upset(directory.Trouble{NoSync: paged})
+		server.SetFaults(directory.Faults{NoSync: paged})
 		store.Delete("cn=e,dc=pier")
 		o.until(t, "timed out waiting for a deletion", has(5))
 		put("e")
 		o.until(t, "timed out waiting for an addition", has(6))
 		var answer tenants.Answer
 		o.do(func(c *tenants.Core) {
-			answer = c.Ask(tenants.Question{ID: 1, Account: oddName, Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Query{ID: 1, Account: oddName, Plan: "p", Deadline: time.Now().UnixMicro() + 2e6})
 		})
 		if answer.Verdict != tenants.Allowed {
 			t.Error(answer)
 		}
 		o.do(func(c *tenants.Core) {
-			answer = c.Ask(tenants.Question{ID: 2, Account: "*", Plan: "p", Until: time.Now().UnixMicro() + 2e6})
+			answer = c.Ask(tenants.Query{ID: 2, Account: "*", Plan: "p", Deadline: time.Now().UnixMicro() + 2e6})
 		})
 		o.until(t, "no answer to a lookup", func(*tenants.Core) bool { return len(o.out) > 0 })
 		if o.out[0].Verdict != tenants.Unknown {
@@ -196,7 +196,7 @@
 // a lagging replica received with an old stamp; all of it without another full search.
 func TestPolledChanges(t *testing.T) {
 	store := directory.NewStore()
-	store.Skew = -3 * time.Hour
+	store.ClockSkew = -3 * time.Hour
 	for i := range 50 {
 		n := fmt.Sprint("t", i)
 		store.Put("cn="+n+",dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {n}, "pierlinkWeight": {"1"}})
@@ -206,9 +206,9 @@
 		t.Fatal(err)
 	}
 	defer server.Stop()
-	server.Upset(directory.Trouble{NoSync: true})
-	terms := tenants.Terms{Longest: 2e6, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", PageSize: 20, Terms: terms})
+	server.SetFaults(directory.Faults{NoSync: true})
+	terms := tenants.Config{MaxAge: 2e6, SyncInterval: 100_000, Timeout: 500_000, NegativeTTL: 1e6, MaxWaiting: 10, MaxLookups: 2}
+	o := newOwner(t, Config{Endpoints: []string{server.Addr()}, Base: "dc=pier", PageSize: 20, Core: terms})
 	defer o.close()
 	weights := func(want map[string]float64, n int) func(*tenants.Core) bool {
 		return func(counts *tenants.Core) bool {
@@ -252,7 +252,7 @@
 	if err := conn.Del(ldap.NewDelRequest("cn=t3,dc=pier", nil)); !ldap.IsErrorWithCode(err, ldap.LDAPResultNoSuchObject) {
 		t.Error("second deletion of an entry:", err)
 	}
-	store.Skew = -5 * time.Hour
+	store.ClockSkew = -5 * time.Hour
 	store.Put("cn=late,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"late"}, "pierlinkWeight": {"9"}})
 	o.until(t, "timed out waiting for an entry that arrived late with an old stamp", weights(map[string]float64{"late": 9}, 51))
 	store.Put("cn=t5,dc=pier", map[string][]string{"objectClass": {"pierlinkTenant"}, "cn": {"t5", "two"}, "pierlinkWeight": {"8"}})
@@ -296,17 +296,17 @@
 		servers[i] = s
 	}
 	unknown := servers[2]
-	servers[0].Upset(directory.Trouble{Refer: "ldap://" + servers[1].Addr() + "/dc=pier"})
-	terms := tenants.Terms{Longest: 400_000, Renew: 100_000, Timeout: 500_000, Negative: 1e6, Waiting: 10, Lookups: 2}
-	o := newOwner(t, Place{Endpoints: []string{servers[0].Addr(), servers[1].Addr()}, Base: "dc=pier", PageSize: 2, Paged: paged, Terms: terms})
+	servers[0].SetFaults(directory.Faults{Referral: "ldap://" + servers[1].Addr() + "/dc=pier"})
+	terms := tenants.Config{MaxAge: 400_000, SyncInterval: 100_000, Timeout: 500_000, NegativeTTL: 1e6, MaxWaiting: 10, MaxLookups: 2}
+	o := newOwner(t, Config{Endpoints: []string{servers[0].Addr(), servers[1].Addr()}, Base: "dc=pier", PageSize: 2, PagedOnly: paged, Core: terms})
 	defer o.close()
 	complete := func(c *tenants.Core) bool { w, n, _ := c.Status(); return w && n == 2 }
 	o.until(t, "timed out waiting for a view after a referral", complete)
 	var sentOn, broken int64
 	o.do(func(c *tenants.Core) { sentOn = c.Counts.Referred })
-	servers[0].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
-	servers[1].Upset(directory.Trouble{Refer: "ldap://" + unknown.Addr() + "/dc=pier"})
-	servers[1].Cut()
+	servers[0].SetFaults(directory.Faults{Referral: "ldap://" + unknown.Addr() + "/dc=pier"})
+	servers[1].SetFaults(directory.Faults{Referral: "ldap://" + unknown.Addr() + "/dc=pier"})
+	servers[1].CloseConnections()
 	o.until(t, "timed out waiting for failures after referrals to an unknown server", func(c *tenants.Core) bool { broken = c.Counts.Broken; return broken > 2 })
 	if o.do(func(c *tenants.Core) { broken = c.Counts.Referred }); broken != sentOn {
 		t.Error("a referral to an unknown server led to a configured endpoint")
@@ -315,7 +315,7 @@
 		t.Errorf("an unknown server received %d searches", n)
 	}
 	for _, s := range servers[:2] {
-		s.Upset(directory.Trouble{NoSync: true, Part: "ldap://" + unknown.Addr() + "/ou=x,dc=pier"})
+		s.SetFaults(directory.Faults{NoSync: true, ContinuationRef: "ldap://" + unknown.Addr() + "/ou=x,dc=pier"})
 	}
 	store.Delete("uid=ann,dc=pier")
 	asked := func() int64 { return servers[0].Searches.Load() + servers[1].Searches.Load() }
@@ -342,8 +342,8 @@
 	defer server.Stop()
 	server.Password = "another"
 	logged, logs := observer.New(zap.DebugLevel)
-	terms := tenants.Terms{Longest: 3e6, Renew: 100_000, Timeout: 200_000, Waiting: 10, Lookups: 1}
-	config := Place{Endpoints: []string{server.Addr()}, Base: "dc=pier", Bind: "cn=me", Password: password, PageSize: 2, Terms: terms}
+	terms := tenants.Config{MaxAge: 3e6, SyncInterval: 100_000, Timeout: 200_000, MaxWaiting: 10, MaxLookups: 1}
+	config := Config{Endpoints: []string{server.Addr()}, Base: "dc=pier", BindDN: "cn=me", Password: password, PageSize: 2, Core: terms}
 	o := newOwnerLogged(t, config, zap.New(logged))
 	o.until(t, "timed out waiting for refused binds", func(c *tenants.Core) bool { return c.Counts.Broken > 1 })
 	server.Password = password
--- a/internal/tenants/client/sync.go
+++ b/internal/tenants/client/sync.go
@@ -17,19 +17,19 @@
 
 // synchronise runs a synchronisation: a content synchronisation, which continues with changes until it is cancelled,
 // or a paged search.
-func (c *Client) synchronise(ctx context.Context, request tenants.Want) {
+func (c *Client) synchronise(ctx context.Context, request tenants.Request) {
 	fail := func(reason tenants.SyncFailure, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Info("directory request failed", zap.Stringer("what", request.Act), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
+		c.log.Info("directory request failed", zap.Stringer("what", request.Op), zap.String("endpoint", c.config.Endpoints[request.Endpoint]), zap.Error(err))
 		if target, ok := c.referral(err); ok {
-			c.post(func(core *tenants.Core) { core.HandleReferral(request.Try, target) })
+			c.post(func(core *tenants.Core) { core.HandleReferral(request.Attempt, target) })
 			return
 		}
-		c.post(func(core *tenants.Core) { core.HandleSyncFailure(request.Try, reason) })
+		c.post(func(core *tenants.Core) { core.HandleSyncFailure(request.Attempt, reason) })
 	}
-	if request.Act == tenants.Sync && c.config.Paged {
+	if request.Op == tenants.Sync && c.config.PagedOnly {
 		fail(tenants.SyncUnsupported, errors.New("content synchronisation is disabled by the configuration"))
 		return
 	}
@@ -41,7 +41,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if request.Act != tenants.Sync {
+	if request.Op != tenants.Sync {
 		if err := c.searchPages(ctx, conn, request); err != nil {
 			fail(tenants.Interrupted, err)
 		}
@@ -60,10 +60,10 @@
 		batch, present, deleted = nil, nil, nil
 		c.post(func(core *tenants.Core) {
 			for i := range records {
-				core.Entry(request.Try, records[i])
+				core.HandleEntry(request.Attempt, records[i])
 			}
-			core.HandlePresent(request.Try, presentIDs)
-			core.Gone(request.Try, deletedIDs)
+			core.HandlePresent(request.Attempt, presentIDs)
+			core.HandleDeleted(request.Attempt, deletedIDs)
 		})
 	}
 	refreshed := false
@@ -105,7 +105,7 @@
 					flush()
 					refreshed = true
 					copied := slices.Clone(refreshCookie)
-					c.post(func(core *tenants.Core) { core.Refreshed(request.Try, copied, listed, true) })
+					c.post(func(core *tenants.Core) { core.HandleRefreshed(request.Attempt, copied, listed, true) })
 				}
 			}
 		}
@@ -128,7 +128,7 @@
 			flush()
 			if len(cookie) > 0 {
 				copied := slices.Clone(cookie)
-				c.post(func(core *tenants.Core) { core.HandleCookie(request.Try, copied) })
+				c.post(func(core *tenants.Core) { core.HandleCookie(request.Attempt, copied) })
 			}
 		}
 	}
@@ -147,8 +147,8 @@
 }
 
 // requestFilter returns the search filter of a request.
-func requestFilter(request tenants.Want) string {
-	switch request.Act {
+func requestFilter(request tenants.Request) string {
+	switch request.Op {
 	case tenants.Poll:
 		return "(&" + entryFilter + "(modifyTimestamp>=" + generalizedTime(request.Since) + "))"
 	case tenants.Reread:
@@ -163,11 +163,11 @@
 }
 
 // searchPages runs a paged search. If it fails, no conclusion is drawn from entries that are missing.
-func (c *Client) searchPages(ctx context.Context, conn *ldap.Conn, request tenants.Want) error {
+func (c *Client) searchPages(ctx context.Context, conn *ldap.Conn, request tenants.Request) error {
 	paging := ldap.NewControlPaging(max(c.config.PageSize, 1))
 	for ctx.Err() == nil {
 		search := c.searchRequest(requestFilter(request), 0)
-		if search.Controls = []ldap.Control{paging}; request.Act == tenants.List {
+		if search.Controls = []ldap.Control{paging}; request.Op == tenants.List {
 			search.Attributes = []string{"entryUUID", "modifyTimestamp"}
 		}
 		c.Searches.Add(1)
@@ -184,7 +184,7 @@
 		}
 		c.deliverPage(request, result.Entries)
 		if len(next.Cookie) == 0 { // the last page; the control's size estimate is unreliable
-			c.post(func(core *tenants.Core) { core.HandleSearchEnd(request.Try) })
+			c.post(func(core *tenants.Core) { core.HandleSearchEnd(request.Attempt) })
 			return nil
 		}
 		paging.SetCookie(next.Cookie)
@@ -193,11 +193,11 @@
 }
 
 // deliverPage passes the entries of one page to the core.
-func (c *Client) deliverPage(request tenants.Want, entries []*ldap.Entry) {
+func (c *Client) deliverPage(request tenants.Request, entries []*ldap.Entry) {
 	var batch []tenants.Record
 	var listed, unreadable []tenants.ListedEntry
 	for _, entry := range entries {
-		if request.Act == tenants.List {
+		if request.Op == tenants.List {
 			listed = append(listed, tenants.ListedEntry{ID: entryUUID(entry), Stamp: modifyStamp(entry)})
 			continue
 		}
@@ -210,12 +210,12 @@
 	}
 	c.post(func(core *tenants.Core) {
 		for i := range batch {
-			core.Entry(request.Try, batch[i])
+			core.HandleEntry(request.Attempt, batch[i])
 		}
 		for _, listedEntry := range unreadable {
-			core.HandleUnreadable(request.Try, listedEntry)
+			core.HandleUnreadable(request.Attempt, listedEntry)
 		}
-		core.HandleListed(request.Try, listed)
-		core.HandlePageEnd(request.Try)
+		core.HandleListed(request.Attempt, listed)
+		core.HandlePageEnd(request.Attempt)
 	})
 }
--- a/internal/tenants/core.go
+++ b/internal/tenants/core.go
@@ -38,18 +38,18 @@
 	Stamp  Time     // modifyTimestamp (RFC 4512 section 3.4.2) by the directory's clock, 0 for none
 }
 
-// Terms configures a core.
-type Terms struct {
-	Seed     uint64 // of the backoff jitter and of the first endpoint to ask
-	Longest  Time   // an entry older than this is stale
-	Renew    Time   // interval after which a new synchronisation starts, even if a stream is open
-	Timeout  Time   // of one request to the directory
-	Negative Time   // how long the absence of an account is cached
-	Waiting  int    // limit of queries waiting for a lookup
-	Lookups  int    // limit of lookups in flight per endpoint
-	Ends     int    // number of endpoints of the directory
-	Entries  int    // limit of entries in the view, 0 for none
-	Admit    bool   // admit playbacks of stale entries instead of refusing them
+// Config configures a core.
+type Config struct {
+	Seed         uint64 // of the backoff jitter and of the first endpoint to ask
+	MaxAge       Time   // an entry older than this is stale
+	SyncInterval Time   // interval after which a new synchronisation starts, even if a stream is open
+	Timeout      Time   // of one request to the directory
+	NegativeTTL  Time   // how long the absence of an account is cached
+	MaxWaiting   int    // limit of queries waiting for a lookup
+	MaxLookups   int    // limit of lookups in flight per endpoint
+	Endpoints    int    // number of endpoints of the directory
+	MaxEntries   int    // limit of entries in the view, 0 for none
+	AdmitStale   bool   // admit playbacks of stale entries instead of refusing them
 }
 
 // Operation is a kind of request that the core makes.
@@ -62,7 +62,7 @@
 	Poll                              // a paged search of entries modified at Since or later
 	List                              // a paged search of all entries for their ids and stamps only
 	Reread                            // a search of entries by their ids
-	Look                              // a search of one account
+	LookUpMember                      // a search of one account
 	LookUpTenant                      // a search of one tenant
 )
 
@@ -71,20 +71,20 @@
 	return [...]string{"nothing", "synchronisation", "whole search", "poll", "list", "entries by name", "look-up", "look-up of a tenant"}[a]
 }
 
-// Want is one request of the core.
-type Want struct {
-	Act      Operation
-	Try      int      // number of the attempt
+// Request is one request of the core.
+type Request struct {
+	Op       Operation
+	Attempt  int      // number of the attempt
 	Endpoint int      // index of the endpoint to ask
 	Cookie   []byte   // of Sync: where to resume; empty for a full synchronisation
 	Since    Time     // of Poll: the first stamp wanted
 	IDs      []string // of Reread
-	Account  string   // of lookups: the account or the tenant
+	Name     string   // of lookups: the account or the tenant
 	Probe    bool     // the single request that an open circuit lets through
 }
 
-// Mark is the position of a synchronisation. It is valid only for the endpoint that issued it.
-type Mark struct {
+// Checkpoint is the position of a synchronisation. It is valid only for the endpoint that issued it.
+type Checkpoint struct {
 	End    int    // index of the endpoint, less than 0 for none
 	Cookie []byte // of content synchronisation
 	Stamp  Time   // of polling: all earlier modifications have been read
@@ -111,13 +111,13 @@
 
 // The verdicts.
 const (
-	Wait    Verdict = iota // a lookup is in progress; the answer follows later
-	Allowed                // with the age of the entries that it is based on
-	Unknown                // the account or its tenant does not exist
-	NotPlan                // the plan is not among those of the account
-	Stale                  // the entries are too old, and the configuration refuses then
-	NoSeat                 // the tenant has reached its limit of concurrent playbacks
-	Busy                   // too many queries wait, or no endpoint is available: retry later
+	Pending        Verdict = iota // a lookup is in progress; the answer follows later
+	Allowed                       // with the age of the entries that it is based on
+	Unknown                       // the account or its tenant does not exist
+	PlanNotAllowed                // the plan is not among those of the account
+	Stale                         // the entries are too old, and the configuration refuses then
+	NoSeat                        // the tenant has reached its limit of concurrent playbacks
+	Busy                          // too many queries wait, or no endpoint is available: retry later
 )
 
 // String returns the name of a verdict.
@@ -125,13 +125,13 @@
 	return [...]string{"wait", "allowed", "unknown", "not its plan", "stale", "no seat", "busy"}[v]
 }
 
-// Question asks whether an account may play a plan.
-type Question struct {
-	ID      int
-	Account string
-	Plan    string
-	Until   Time // when the answer is due
-	Doubt   bool // look the account up, unless that was done recently: the credentials do not match the known ones
+// Query asks whether an account may play a plan.
+type Query struct {
+	ID          int
+	Account     string
+	Plan        string
+	Deadline    Time // when the answer is due
+	ForceLookup bool // look the account up, unless that was done recently: the credentials do not match the known ones
 }
 
 // Answer is the answer to a query.
@@ -171,7 +171,7 @@
 
 // Core holds the view of the directory and decides what to request next. It is not safe for concurrent use.
 type Core struct {
-	Terms
+	Config
 	Counts        Counts
 	now           Time
 	byID          map[string]*entry
@@ -182,7 +182,7 @@
 	seatsTaken    map[string]int  // by entry id of the tenant, so that a rename keeps its seats
 	verifiedAt    Time            // when the view was last known to match the directory
 	synced        bool            // the view has matched the directory before
-	checkpoint    Mark
+	checkpoint    Checkpoint
 	latestStamp   Time // latest stamp received from the endpoint of the checkpoint
 	latestStampAt Time // when that stamp was first received
 	endpoints     endpointSet
@@ -201,24 +201,24 @@
 }
 
 // New returns a core with an empty view.
-func New(config Terms, now Time) *Core {
-	c := &Core{Terms: config, now: now, checkpoint: Mark{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
+func New(config Config, now Time) *Core {
+	c := &Core{Config: config, now: now, checkpoint: Checkpoint{End: -1}, unreadable: map[string]Time{}, byID: map[string]*entry{}, accounts: map[string]*entry{}, tenants: map[string]*entry{},
 		absentUntil: map[string]Time{}, seatsTaken: map[string]int{}, lookups: map[int]*lookup{}, lookupsByAccount: map[string]*lookup{}}
-	c.endpoints = newEndpointSet(&c.Terms, config.Ends)
+	c.endpoints = newEndpointSet(&c.Config, config.Endpoints)
 	c.sync.preferred = -1
 	return c
 }
 
-// At sets the current time; it is called before each batch of events.
-func (c *Core) At(now Time) { c.now = max(c.now, now) }
+// SetTime sets the current time; it is called before each batch of events.
+func (c *Core) SetTime(now Time) { c.now = max(c.now, now) }
 
 // Fold returns the form in which names are compared: names in a directory do not differ by case or by surrounding
 // space (RFC 4518).
 func Fold(s string) string { return strings.ToLower(strings.TrimSpace(s)) }
 
-// Resume installs a view stored by an earlier process, verified as of asOf. The endpoint of the checkpoint is less
+// Restore installs a view stored by an earlier process, verified as of asOf. The endpoint of the checkpoint is less
 // than 0 if it is no longer configured.
-func (c *Core) Resume(records []Record, checkpoint Mark, asOf Time) {
+func (c *Core) Restore(records []Record, checkpoint Checkpoint, asOf Time) {
 	for i := range records {
 		c.upsert(&records[i], asOf)
 	}
@@ -226,7 +226,7 @@
 }
 
 // Records returns the view, unordered, with its checkpoint and the time at which it was last verified.
-func (c *Core) Records() (records []Record, checkpoint Mark, asOf Time) {
+func (c *Core) Records() (records []Record, checkpoint Checkpoint, asOf Time) {
 	records = make([]Record, 0, len(c.byID))
 	for _, e := range c.byID {
 		records = append(records, e.Record)
@@ -234,11 +234,11 @@
 	return records, c.checkpoint, c.verifiedAt
 }
 
-// Part returns up to limit records below position from, and the position for the next call, less than 0 after the
+// Chunk returns up to limit records below position from, and the position for the next call, less than 0 after the
 // last. Start at Size, with the checkpoint taken beforehand. An entry that stays in the view throughout is returned by
 // one of the calls even if the view changes between them: the position of a removed entry is taken over by an entry
 // that has been returned already.
-func (c *Core) Part(from, limit int) (records []Record, next int) {
+func (c *Core) Chunk(from, limit int) (records []Record, next int) {
 	from = min(from, len(c.entries))
 	next = max(from-limit, 0)
 	for _, e := range c.entries[next:from] {
@@ -250,8 +250,8 @@
 	return records, next
 }
 
-// Mark returns the checkpoint of the view and the time at which the view was last verified.
-func (c *Core) Mark() (Mark, Time) { return c.checkpoint, c.verifiedAt }
+// Checkpoint returns the checkpoint of the view and the time at which the view was last verified.
+func (c *Core) Checkpoint() (Checkpoint, Time) { return c.checkpoint, c.verifiedAt }
 
 // Status reports whether the view was ever complete, its number of entries, and when it was last verified.
 func (c *Core) Status() (whole bool, entries int, asOf Time) {
@@ -266,8 +266,8 @@
 	return ""
 }
 
-// TellAll causes the shares of all tenants to be emitted again.
-func (c *Core) TellAll() {
+// QueueAllTenants causes the shares of all tenants to be emitted again.
+func (c *Core) QueueAllTenants() {
 	for _, e := range c.tenants {
 		c.changedTenants = append(c.changedTenants, e.Record)
 	}
@@ -294,7 +294,7 @@
 func (c *Core) upsert(record *Record, asOf Time) {
 	e := c.byID[record.ID]
 	if e == nil {
-		if c.Entries > 0 && len(c.byID) >= c.Entries {
+		if c.MaxEntries > 0 && len(c.byID) >= c.MaxEntries {
 			c.Counts.Overfull++
 			return
 		}
@@ -358,7 +358,7 @@
 }
 
 // decide answers a query from the view; false if the view does not suffice.
-func (c *Core) decide(query *Question) (Answer, bool) {
+func (c *Core) decide(query *Query) (Answer, bool) {
 	answer := Answer{ID: query.ID, Verdict: Unknown}
 	e := c.accounts[Fold(query.Account)]
 	if e == nil {
@@ -375,15 +375,15 @@
 		plans = tenant.Plans
 	}
 	switch {
-	case answer.Age > c.Longest && !c.Admit:
+	case answer.Age > c.MaxAge && !c.AdmitStale:
 		c.Counts.Stales++
 		answer.Verdict = Stale
 	case !slices.Contains(plans, query.Plan):
-		answer.Verdict = NotPlan
+		answer.Verdict = PlanNotAllowed
 	case tenant.Seats > 0 && c.seatsTaken[tenant.ID] >= tenant.Seats:
 		answer.Verdict = NoSeat
 	default:
-		if answer.Age > c.Longest {
+		if answer.Age > c.MaxAge {
 			c.Counts.Fallbacks++
 		}
 		answer.Verdict = Allowed
@@ -395,15 +395,15 @@
 func (c *Core) Cancel(id int) {
 	for _, pending := range c.lookupsByAccount {
 		before := len(pending.queries)
-		pending.queries = slices.DeleteFunc(pending.queries, func(q Question) bool { return q.ID == id })
+		pending.queries = slices.DeleteFunc(pending.queries, func(q Query) bool { return q.ID == id })
 		c.waiting -= before - len(pending.queries)
 	}
 }
 
-// Plays takes a seat for an allowed playback; the returned id serves to release it. It returns false if all seats are
+// TakeSeat takes a seat for an allowed playback; the returned id serves to release it. It returns false if all seats are
 // taken: several playbacks allowed by one lookup may compete for the last seat. Seats belong to the entry of the
 // tenant, whatever its name.
-func (c *Core) Plays(name string) (id string, ok bool) {
+func (c *Core) TakeSeat(name string) (id string, ok bool) {
 	record := c.tenants[Fold(name)]
 	if record == nil {
 		return "", true
@@ -415,8 +415,8 @@
 	return record.ID, true
 }
 
-// Over releases a seat.
-func (c *Core) Over(id string) {
+// ReleaseSeat releases a seat.
+func (c *Core) ReleaseSeat(id string) {
 	if id == "" {
 		return
 	}
@@ -433,9 +433,9 @@
 	return "", false
 }
 
-// Settle emits the requests that are due, the answers that are ready, and the tenants whose shares have changed. It
+// Process emits the requests that are due, the answers that are ready, and the tenants whose shares have changed. It
 // returns the time by which it must be called again.
-func (c *Core) Settle(request func(Want), answer func(Answer), share func(Record)) Time {
+func (c *Core) Process(request func(Request), answer func(Answer), share func(Record)) Time {
 	next := min(c.processSync(request), c.processLookups(request))
 	c.Counts.Opened, c.Counts.Trials = c.endpoints.opened, c.endpoints.probes
 	for _, ready := range c.answers {
--- a/internal/tenants/core_test.go
+++ b/internal/tenants/core_test.go
@@ -20,14 +20,14 @@
 	const unit = 100_000 // makes the resolution of stamps, whole seconds, relevant
 	rapid.Check(t, func(rt *rapid.T) {
 		now := Time(1_000 * unit)
-		terms := Terms{Longest: 500 * unit, Renew: 100 * unit, Timeout: 40 * unit, Negative: 60 * unit, Waiting: 8, Lookups: 2, Ends: 2}
+		terms := Config{MaxAge: 500 * unit, SyncInterval: 100 * unit, Timeout: 40 * unit, NegativeTTL: 60 * unit, MaxWaiting: 8, MaxLookups: 2, Endpoints: 2}
 		core := New(terms, now)
 		dir := directory{}
 		deleted := map[string]Time{} // by account name
 		known := map[string]bool{}   // delivered by a complete synchronisation and not deleted since
-		var request Want
+		var request Request
 		lookupMeanwhile := false // a lookup found an entry during the synchronisation: it stays until the next one, even if deleted
-		lookups := map[int]Want{}
+		lookups := map[int]Request{}
 		open := map[int]string{}
 		lastID := 0
 		check := func(a Answer) {
@@ -36,18 +36,18 @@
 				rt.Fatal("answer to an unknown or already answered query: ", a)
 			}
 			delete(open, a.ID)
-			if a.Verdict == Allowed && a.Age > terms.Longest {
+			if a.Verdict == Allowed && a.Age > terms.MaxAge {
 				rt.Fatal("allowed on a stale entry: ", a)
 			}
-			if at, gone := deleted[account]; gone && a.Verdict == Allowed && now-at > terms.Longest {
+			if at, gone := deleted[account]; gone && a.Verdict == Allowed && now-at > terms.MaxAge {
 				rt.Fatal(account, " allowed ", now-at, " after its deletion")
 			}
 		}
 		process := func() {
-			core.At(now)
-			core.Settle(func(lookup Want) {
-				if lookup.Act == Look || lookup.Act == LookUpTenant {
-					lookups[lookup.Try] = lookup
+			core.SetTime(now)
+			core.Process(func(lookup Request) {
+				if lookup.Op == LookUpMember || lookup.Op == LookUpTenant {
+					lookups[lookup.Attempt] = lookup
 				} else {
 					request, lookupMeanwhile = lookup, false
 				}
@@ -81,43 +81,43 @@
 		}
 		// complete completes the pending request, and reports whether the view must equal the directory afterwards.
 		complete := func(streaming bool) bool {
-			mustMatch := core.isCurrent(request.Try) && !core.sync.streaming && !lookupMeanwhile
-			switch request.Act {
+			mustMatch := core.isCurrent(request.Attempt) && !core.sync.streaming && !lookupMeanwhile
+			switch request.Op {
 			case Sync:
 				if request.Endpoint == 1 {
-					core.HandleSyncFailure(request.Try, SyncUnsupported)
+					core.HandleSyncFailure(request.Attempt, SyncUnsupported)
 					return false
 				}
 				for _, id := range slices.Sorted(maps.Keys(dir)) {
 					r := dir[id]
-					core.Entry(request.Try, r)
+					core.HandleEntry(request.Attempt, r)
 				}
-				core.Refreshed(request.Try, []byte("x"), true, streaming)
+				core.HandleRefreshed(request.Attempt, []byte("x"), true, streaming)
 				return mustMatch
 			case List:
 				for _, id := range slices.Sorted(maps.Keys(dir)) {
 					r := dir[id]
-					core.HandleListed(request.Try, []ListedEntry{{id, r.Stamp}})
+					core.HandleListed(request.Attempt, []ListedEntry{{id, r.Stamp}})
 				}
-				core.HandleSearchEnd(request.Try)
+				core.HandleSearchEnd(request.Attempt)
 				return false
 			}
 			for _, id := range slices.Sorted(maps.Keys(dir)) {
 				r := dir[id]
-				if request.Act == FullSearch || request.Act == Poll && r.Stamp >= request.Since || request.Act == Reread && slices.Contains(request.IDs, id) {
-					core.Entry(request.Try, r)
+				if request.Op == FullSearch || request.Op == Poll && r.Stamp >= request.Since || request.Op == Reread && slices.Contains(request.IDs, id) {
+					core.HandleEntry(request.Attempt, r)
 					if rapid.Bool().Draw(rt, "page") {
-						core.HandlePageEnd(request.Try)
+						core.HandlePageEnd(request.Attempt)
 					}
 				}
 			}
-			core.HandleSearchEnd(request.Try)
-			return mustMatch && request.Act == FullSearch
+			core.HandleSearchEnd(request.Attempt)
+			return mustMatch && request.Op == FullSearch
 		}
 		process()
 		for range 80 {
 			now += unit * Time(rapid.IntRange(0, 30).Draw(rt, "pass"))
-			core.At(now)
+			core.SetTime(now)
 			i := rapid.IntRange(0, 5).Draw(rt, "who")
 			id := fmt.Sprint("m", i)
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
@@ -134,11 +134,11 @@
 				delete(known, id)
 			case 3, 4: // a synchronisation delivers some entries and is interrupted
 				for _, k := range []string{"t", "m0", "m1", "m2", "m3", "m4", "m5"} {
-					if r, ok := dir[k]; ok && request.Act != List && rapid.Bool().Draw(rt, "brought") {
-						core.Entry(request.Try, r)
+					if r, ok := dir[k]; ok && request.Op != List && rapid.Bool().Draw(rt, "brought") {
+						core.HandleEntry(request.Attempt, r)
 					}
 				}
-				core.HandleSyncFailure(request.Try, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
+				core.HandleSyncFailure(request.Attempt, SyncFailure(rapid.IntRange(0, 1).Draw(rt, "why")))
 			case 5, 6: // a synchronisation completes
 				if complete(rapid.Bool().Draw(rt, "live")) {
 					if !same() {
@@ -154,7 +154,7 @@
 					var found *Record
 					for _, id := range slices.Sorted(maps.Keys(dir)) {
 						r := dir[id]
-						if Fold(r.Name) == lookup.Account && (r.Kind == Member) == (lookup.Act == Look) {
+						if Fold(r.Name) == lookup.Name && (r.Kind == Member) == (lookup.Op == LookUpMember) {
 							found = &r
 						}
 					}
@@ -164,7 +164,7 @@
 					case 1:
 						core.HandleReferral(try, rapid.IntRange(-1, 2).Draw(rt, "to"))
 					default:
-						core.Looked(try, found)
+						core.HandleLookup(try, found)
 						lookupMeanwhile = lookupMeanwhile || found != nil
 					}
 					delete(lookups, try)
@@ -173,8 +173,8 @@
 				lastID++
 				account := fmt.Sprint("acc", i, rapid.IntRange(0, 1).Draw(rt, "name"))
 				open[lastID] = account
-				a := core.Ask(Question{ID: lastID, Account: account, Plan: "p", Until: now + 200*unit, Doubt: rapid.Bool().Draw(rt, "doubt")})
-				if a.Verdict != Wait {
+				a := core.Ask(Query{ID: lastID, Account: account, Plan: "p", Deadline: now + 200*unit, ForceLookup: rapid.Bool().Draw(rt, "doubt")})
+				if a.Verdict != Pending {
 					check(a)
 				}
 			}
@@ -187,7 +187,7 @@
 		}
 		for range 60 { // no more faults: all requests are answered
 			now += 10 * unit
-			core.At(now)
+			core.SetTime(now)
 			complete(false)
 			process()
 		}
@@ -210,56 +210,56 @@
 // Checks that a tenant that is moved or renamed keeps its taken seats, counted once, and that its old name is free for
 // another tenant.
 func TestSeatsFollowRename(t *testing.T) {
-	core := New(Terms{Longest: 1000, Renew: 500, Timeout: 40, Waiting: 8, Lookups: 2}, 1)
+	core := New(Config{MaxAge: 1000, SyncInterval: 500, Timeout: 40, MaxWaiting: 8, MaxLookups: 2}, 1)
 	attempt := 0
-	process := func() { core.Settle(func(w Want) { attempt = w.Try }, func(Answer) {}, func(Record) {}) }
+	process := func() { core.Process(func(w Request) { attempt = w.Attempt }, func(Answer) {}, func(Record) {}) }
 	process()
-	core.Entry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
-	core.Refreshed(attempt, nil, true, true)
-	first, _ := core.Plays("school")
-	second, _ := core.Plays("school")
-	if _, ok := core.Plays("school"); ok || core.Ask(Question{Account: "ann", Plan: "p"}).Verdict != NoSeat {
+	core.HandleEntry(attempt, Record{ID: "1", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	core.HandleEntry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "school"})
+	core.HandleRefreshed(attempt, nil, true, true)
+	first, _ := core.TakeSeat("school")
+	second, _ := core.TakeSeat("school")
+	if _, ok := core.TakeSeat("school"); ok || core.Ask(Query{Account: "ann", Plan: "p"}).Verdict != NoSeat {
 		t.Fatal("more playbacks allowed than the tenant has seats")
 	}
-	core.Entry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
-	core.Entry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
-	if core.Ask(Question{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
+	core.HandleEntry(attempt, Record{ID: "1", DN: "ou=elsewhere", Kind: Tenant, Name: "academy", Seats: 2, Plans: []string{"p"}})
+	core.HandleEntry(attempt, Record{ID: "2", Kind: Member, Name: "ann", Tenant: "academy"})
+	if core.Ask(Query{Account: "ANN ", Plan: "p"}).Verdict != NoSeat {
 		t.Error("taken seats were lost by the rename")
 	}
-	core.Entry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
-	if _, ok := core.Plays("school"); !ok {
+	core.HandleEntry(attempt, Record{ID: "3", Kind: Tenant, Name: "school", Seats: 2, Plans: []string{"p"}})
+	if _, ok := core.TakeSeat("school"); !ok {
 		t.Error("a new tenant under the old name has seats taken")
 	}
-	core.Over(first)
-	if x := core.Ask(Question{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
+	core.ReleaseSeat(first)
+	if x := core.Ask(Query{Account: "ann", Plan: "p"}); x.Verdict != Allowed || x.Tenant != "academy" {
 		t.Error(x)
 	}
-	core.Over(second)
-	core.Over(second)
+	core.ReleaseSeat(second)
+	core.ReleaseSeat(second)
 	if core.seatsTaken["1"] != 0 {
 		t.Error("a seat was released twice")
 	}
 }
 
 func TestFailureLimits(t *testing.T) {
-	limiter := Guesses{Span: 1000, Seed: 7}
+	limiter := FailureLimiter{HalfLife: 1000, Seed: 7}
 	for i := range maxAccountFailures {
-		if !limiter.May("ann", fmt.Sprint("place-", i), 10) {
+		if !limiter.Allow("ann", fmt.Sprint("place-", i), 10) {
 			t.Fatal("rejected too early, after failures:", i)
 		}
-		limiter.Failed("ann", fmt.Sprint("place-", i))
+		limiter.RecordFailure("ann", fmt.Sprint("place-", i))
 	}
-	if limiter.May("ann", "another", 20) || !limiter.May("bob", "another", 20) {
+	if limiter.Allow("ann", "another", 20) || !limiter.Allow("bob", "another", 20) {
 		t.Error("guesses at one account from many addresses are not limited, or affect another account")
 	}
-	if !limiter.May("ann", "another", 1500) {
+	if !limiter.Allow("ann", "another", 1500) {
 		t.Error("still rejected after the half-life")
 	}
 	for i := range maxAddressFailures {
-		limiter.Failed(fmt.Sprint("user-", i), "one place")
+		limiter.RecordFailure(fmt.Sprint("user-", i), "one place")
 	}
-	if limiter.May("zoe", "one place", 1501) {
+	if limiter.Allow("zoe", "one place", 1501) {
 		t.Error("guesses at many accounts from one address are not limited")
 	}
 }
@@ -268,7 +268,7 @@
 // then lets single probes through, and that a lookup that failed at one endpoint is repeated at the other while there
 // is time.
 func TestEndpoints(t *testing.T) {
-	config := Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 100, Lookups: 4, Ends: 2}
+	config := Config{MaxAge: 1e9, SyncInterval: 1e8, Timeout: 1e5, MaxWaiting: 100, MaxLookups: 4, Endpoints: 2}
 	set := newEndpointSet(&config, 2)
 	now := Time(1)
 	asked := [2]int{}
@@ -308,39 +308,39 @@
 	}
 
 	core := New(config, 1)
-	var request Want
+	var request Request
 	looks := 0
 	var answers []Answer
 	process := func() {
-		core.Settle(func(x Want) {
-			if x.Act == Look {
+		core.Process(func(x Request) {
+			if x.Op == LookUpMember {
 				request = x
 				looks++
 			}
 		}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 	}
-	core.Ask(Question{ID: 1, Account: "ann", Plan: "p", Until: 10e6})
+	core.Ask(Query{ID: 1, Account: "ann", Plan: "p", Deadline: 10e6})
 	process()
 	first := request
-	core.HandleLookupFailure(request.Try)
+	core.HandleLookupFailure(request.Attempt)
 	process()
 	if looks != 2 || request.Endpoint == first.Endpoint || len(answers) != 0 {
 		t.Fatal("the other endpoint was not asked:", looks, request, first, answers)
 	}
-	core.HandleLookupFailure(request.Try)
+	core.HandleLookupFailure(request.Attempt)
 	process()
 	if looks != 2 || len(answers) != 1 || answers[0].Verdict != Busy {
 		t.Error("after failures at both endpoints:", looks, answers)
 	}
-	core.Ask(Question{ID: 2, Account: "bob", Plan: "p", Until: 10e6})
+	core.Ask(Query{ID: 2, Account: "bob", Plan: "p", Deadline: 10e6})
 	process()
-	core.HandleReferral(request.Try, 1-request.Endpoint)
+	core.HandleReferral(request.Attempt, 1-request.Endpoint)
 	previous := request.Endpoint
 	process()
 	if request.Endpoint == previous || core.Counts.Referred != 1 {
 		t.Error("the referral was not followed:", request)
 	}
-	core.HandleReferral(request.Try, -1) // to an unknown server
+	core.HandleReferral(request.Attempt, -1) // to an unknown server
 	process()
 	if core.Counts.Referred != 1 {
 		t.Error("a referral to an unknown server was followed")
@@ -350,35 +350,35 @@
 // Checks that a query that forces a lookup waits for exactly one, whether or not the account exists, and that a second
 // such query soon after does not cause another.
 func TestForcedLookup(t *testing.T) {
-	core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Negative: 1e6, Waiting: 10, Lookups: 2}, 1)
-	core.Resume([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Mark{End: -1}, 1)
+	core := New(Config{MaxAge: 1e9, SyncInterval: 1e8, Timeout: 1e5, NegativeTTL: 1e6, MaxWaiting: 10, MaxLookups: 2}, 1)
+	core.Restore([]Record{{ID: "1", Kind: Tenant, Name: "t", Plans: []string{"p"}}, {ID: "2", Kind: Member, Name: "ann", Tenant: "t"}}, Checkpoint{End: -1}, 1)
 	for _, name := range []string{"ann", "bob"} {
-		var looks []Want
+		var looks []Request
 		var answers []Answer
 		process := func() {
-			core.Settle(func(x Want) {
-				if x.Act == Look {
+			core.Process(func(x Request) {
+				if x.Op == LookUpMember {
 					looks = append(looks, x)
 				}
 			}, func(a Answer) { answers = append(answers, a) }, func(Record) {})
 		}
-		if a := core.Ask(Question{ID: 1, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict != Wait {
+		if a := core.Ask(Query{ID: 1, Account: name, Plan: "p", Deadline: 1e6, ForceLookup: true}); a.Verdict != Pending {
 			t.Fatal(name, a)
 		}
 		process()
-		if len(looks) != 1 || looks[0].Account != name {
+		if len(looks) != 1 || looks[0].Name != name {
 			t.Fatal(name, looks)
 		}
 		if name == "ann" {
-			core.Looked(looks[0].Try, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
+			core.HandleLookup(looks[0].Attempt, &Record{ID: "2", Kind: Member, Name: "ann", Tenant: "t", Digest: "new"})
 		} else {
-			core.Looked(looks[0].Try, nil)
+			core.HandleLookup(looks[0].Attempt, nil)
 		}
 		process()
 		if len(answers) != 1 || (answers[0].Verdict == Allowed) != (name == "ann") {
 			t.Error(name, answers)
 		}
-		if a := core.Ask(Question{ID: 2, Account: name, Plan: "p", Until: 1e6, Doubt: true}); a.Verdict == Wait {
+		if a := core.Ask(Query{ID: 2, Account: name, Plan: "p", Deadline: 1e6, ForceLookup: true}); a.Verdict == Pending {
 			t.Error(name, "is looked up again too soon")
 		}
 	}
@@ -390,7 +390,7 @@
 // Checks that the chunks together contain every entry that stays in the view throughout, whatever changes in between.
 func TestChunksCoverView(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		core := New(Terms{Longest: 1e9, Renew: 1e8, Timeout: 1e5, Waiting: 10, Lookups: 2}, 1)
+		core := New(Config{MaxAge: 1e9, SyncInterval: 1e8, Timeout: 1e5, MaxWaiting: 10, MaxLookups: 2}, 1)
 		put := func(i int) {
 			id := fmt.Sprint(i)
 			core.upsert(&Record{ID: id, Kind: Member, Name: id, Tenant: "t"}, 1)
@@ -404,7 +404,7 @@
 		delivered := map[string]bool{}
 		for next := 1 << 40; next >= 0; {
 			var chunk []Record
-			chunk, next = core.Part(next, rapid.IntRange(1, 9).Draw(rt, "part"))
+			chunk, next = core.Chunk(next, rapid.IntRange(1, 9).Draw(rt, "part"))
 			for _, r := range chunk {
 				delivered[r.ID] = true
 			}
@@ -438,37 +438,37 @@
 // that entries that do not fit into the view are not read by id.
 func TestModifiedBetweenPages(t *testing.T) {
 	const second = stampResolution
-	core := New(Terms{Longest: 8 * second, Renew: second, Timeout: 5 * second, Waiting: 10, Lookups: 1, Entries: 2}, 100*second)
-	var request Want
+	core := New(Config{MaxAge: 8 * second, SyncInterval: second, Timeout: 5 * second, MaxWaiting: 10, MaxLookups: 1, MaxEntries: 2}, 100*second)
+	var request Request
 	process := func(now Time) {
-		core.At(now)
-		core.Settle(func(x Want) { request = x }, func(Answer) {}, func(Record) {})
+		core.SetTime(now)
+		core.Process(func(x Request) { request = x }, func(Answer) {}, func(Record) {})
 	}
 	process(100 * second)
-	core.HandleSyncFailure(request.Try, SyncUnsupported)
+	core.HandleSyncFailure(request.Attempt, SyncUnsupported)
 	process(100*second + 1)
-	if request.Act != FullSearch {
+	if request.Op != FullSearch {
 		t.Fatal(request)
 	}
-	core.Entry(request.Try, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
-	core.HandlePageEnd(request.Try)
-	core.At(103 * second) // meanwhile a is modified with stamp 102, and b later
-	core.Entry(request.Try, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
-	core.HandlePageEnd(request.Try)
-	core.HandleSearchEnd(request.Try)
+	core.HandleEntry(request.Attempt, Record{ID: "a", Kind: Member, Name: "a", Stamp: 90 * second})
+	core.HandlePageEnd(request.Attempt)
+	core.SetTime(103 * second) // meanwhile a is modified with stamp 102, and b later
+	core.HandleEntry(request.Attempt, Record{ID: "b", Kind: Member, Name: "b", Stamp: 103 * second})
+	core.HandlePageEnd(request.Attempt)
+	core.HandleSearchEnd(request.Attempt)
 	process(104 * second)
-	if request.Act != Poll || request.Since > 102*second {
-		t.Errorf("%v since %d misses the modification with stamp 102", request.Act, request.Since/second)
+	if request.Op != Poll || request.Since > 102*second {
+		t.Errorf("%v since %d misses the modification with stamp 102", request.Op, request.Since/second)
 	}
-	core.HandleSearchEnd(request.Try)
+	core.HandleSearchEnd(request.Attempt)
 	process(104*second + 1)
-	if request.Act != List {
-		t.Fatal(request.Act)
+	if request.Op != List {
+		t.Fatal(request.Op)
 	}
-	core.HandleListed(request.Try, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
-	core.HandleSearchEnd(request.Try)
+	core.HandleListed(request.Attempt, []ListedEntry{{"a", 90 * second}, {"b", 103 * second}, {"c", 1}, {"d", 2}})
+	core.HandleSearchEnd(request.Attempt)
 	process(104*second + 2)
-	if request.Act == Reread || core.Counts.Overfull != 2 || core.Size() != 2 {
-		t.Error(request.Act, core.Counts.Overfull, core.Size())
+	if request.Op == Reread || core.Counts.Overfull != 2 || core.Size() != 2 {
+		t.Error(request.Op, core.Counts.Overfull, core.Size())
 	}
 }
--- a/internal/tenants/endpoints.go
+++ b/internal/tenants/endpoints.go
@@ -24,7 +24,7 @@
 // endpoint without recent requests counts as fast, so that it is tried again. If there is a single endpoint, unknown
 // accounts have to wait for a probe.
 type endpointSet struct {
-	config      *Terms
+	config      *Config
 	all         []endpoint
 	jitterDraws uint32
 	opened      int64
@@ -41,7 +41,7 @@
 	noSyncUntil         Time
 }
 
-func newEndpointSet(config *Terms, count int) endpointSet {
+func newEndpointSet(config *Config, count int) endpointSet {
 	set := endpointSet{config: config, all: make([]endpoint, max(count, 1))}
 	for i := range set.all {
 		set.all[i].latencies, set.all[i].samples = meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts), meter.NewCount(latencyWindowTimeouts*config.Timeout, latencyWindowParts)
@@ -91,10 +91,10 @@
 	for offset := range e.all {
 		i := (first + offset) % len(e.all)
 		candidate := &e.all[i]
-		if candidate.openUntil > 0 || candidate.inFlight >= max(e.config.Lookups, 1) {
+		if candidate.openUntil > 0 || candidate.inFlight >= max(e.config.MaxLookups, 1) {
 			continue
 		}
-		latency := candidate.latencies.Most(now) / max(candidate.samples.Most(now), 1)
+		latency := candidate.latencies.UpperBound(now) / max(candidate.samples.UpperBound(now), 1)
 		if cost := (latency + 1) * float64(candidate.inFlight+1); index < 0 || cost < bestCost {
 			index, bestCost = i, cost
 		}
@@ -141,7 +141,7 @@
 // markNoSync records that an endpoint does not support content synchronisation. It is asked again after
 // syncRetryIntervals sync intervals, as support may be enabled later.
 func (e *endpointSet) markNoSync(i int, now Time) {
-	e.all[i].noSync, e.all[i].noSyncUntil = true, now+syncRetryIntervals*e.config.Renew
+	e.all[i].noSync, e.all[i].noSyncUntil = true, now+syncRetryIntervals*e.config.SyncInterval
 }
 
 func (e *endpointSet) supportsSync(i int, now Time) bool {
