--- a/internal/tenants/lookups.go
+++ b/internal/tenants/lookups.go
@@ -12,7 +12,7 @@
 	preferred int // endpoint named by a referral, -1 for none
 	failures  int // requests without an answer
 	referrals int // referrals followed
-	queries   []Question
+	queries   []Query
 }
 
 // release ends the request in flight of a lookup.
@@ -23,9 +23,9 @@
 	}
 }
 
-// Looked handles the answer to a lookup of an account or a tenant: the entry, or nil if there is none. A lookup that
+// HandleLookup handles the answer to a lookup of an account or a tenant: the entry, or nil if there is none. A lookup that
 // failed is reported by HandleLookupFailure instead.
-func (c *Core) Looked(attempt int, found *Record) {
+func (c *Core) HandleLookup(attempt int, found *Record) {
 	pending := c.lookups[attempt]
 	if pending == nil {
 		return
@@ -70,7 +70,7 @@
 	if e := c.accounts[pending.account]; e != nil && e.verifiedAt < pending.sentAt { // renamed or deleted; a synchronisation will show which
 		c.removeName(e)
 	}
-	if limit := negativeCacheFactor * max(c.Waiting, 1); len(c.absentUntil) >= limit {
+	if limit := negativeCacheFactor * max(c.MaxWaiting, 1); len(c.absentUntil) >= limit {
 		for account, until := range c.absentUntil {
 			if until <= c.now {
 				delete(c.absentUntil, account)
@@ -83,7 +83,7 @@
 			delete(c.absentUntil, account)
 		}
 	}
-	c.absentUntil[pending.account] = c.now + c.Negative
+	c.absentUntil[pending.account] = c.now + c.NegativeTTL
 	c.Counts.Negatives++
 }
 
@@ -97,7 +97,7 @@
 	c.release(pending)
 	c.endpoints.failed(pending.endpoint, c.now)
 	pending.failures++
-	timeLeft := slices.ContainsFunc(pending.queries, func(q Question) bool { return q.Until-c.Timeout/answerMarginDivisor > c.now })
+	timeLeft := slices.ContainsFunc(pending.queries, func(q Query) bool { return q.Deadline-c.Timeout/answerMarginDivisor > c.now })
 	if pending.failures < len(c.endpoints.all) && timeLeft && c.endpoints.available(c.now) {
 		c.Counts.Retried++
 		pending.preferred = -1
@@ -121,14 +121,14 @@
 // Ask answers the query of a playback: at once if the view suffices, otherwise after a lookup. Queries for the same
 // account share one lookup. A query that forces a lookup waits for it whether or not the account is known, so that the
 // response time does not reveal which accounts exist.
-func (c *Core) Ask(query Question) Answer {
+func (c *Core) Ask(query Query) Answer {
 	available := c.endpoints.available(c.now)
 	key := Fold(query.Account)
-	if answer, ok := c.decide(&query); ok && !query.Doubt {
+	if answer, ok := c.decide(&query); ok && !query.ForceLookup {
 		if answer.Verdict != Stale || !available { // a stale answer is final if no endpoint is available
 			return answer
 		}
-	} else if e := c.accounts[key]; ok && e != nil && e.lookedUpAt > 0 && c.now-e.lookedUpAt <= c.Negative {
+	} else if e := c.accounts[key]; ok && e != nil && e.lookedUpAt > 0 && c.now-e.lookedUpAt <= c.NegativeTTL {
 		return answer
 	}
 	switch until, absent := c.absentUntil[key]; {
@@ -137,11 +137,11 @@
 	case absent && c.now < until:
 		c.Counts.Negatives++
 		return Answer{ID: query.ID, Verdict: Unknown}
-	case !available, c.waiting >= c.Waiting:
+	case !available, c.waiting >= c.MaxWaiting:
 		c.Counts.Refused++
 		return Answer{ID: query.ID, Verdict: Busy}
 	}
-	if query.Doubt {
+	if query.ForceLookup {
 		c.Counts.Doubts++
 	}
 	pending := c.lookupsByAccount[key]
@@ -154,11 +154,11 @@
 	}
 	pending.queries = append(pending.queries, query)
 	c.waiting++
-	return Answer{ID: query.ID, Verdict: Wait}
+	return Answer{ID: query.ID, Verdict: Pending}
 }
 
 // processLookups emits due lookups and answers queries whose time has run out.
-func (c *Core) processLookups(request func(Want)) Time {
+func (c *Core) processLookups(request func(Request)) Time {
 	for len(c.lookupQueue) > 0 {
 		pending := c.lookupQueue[0]
 		if !c.endpoints.available(c.now) {
@@ -174,14 +174,14 @@
 		pending.attempt, pending.sentAt, pending.endpoint = c.attempt, c.now, endpoint
 		c.lookups[c.attempt] = pending
 		c.endpoints.all[endpoint].inFlight++
-		want := Want{Act: Look, Try: c.attempt, Endpoint: endpoint, Account: pending.account, Probe: probe}
+		want := Request{Op: LookUpMember, Attempt: c.attempt, Endpoint: endpoint, Name: pending.account, Probe: probe}
 		if pending.tenant != "" {
-			want.Act, want.Account = LookUpTenant, pending.tenant
+			want.Op, want.Name = LookUpTenant, pending.tenant
 		}
 		c.Counts.Looks++
 		request(want)
 	}
-	next := c.now + c.Renew
+	next := c.now + c.SyncInterval
 	for _, pending := range c.lookups {
 		if c.now-pending.sentAt > c.Timeout {
 			c.HandleLookupFailure(pending.attempt)
@@ -191,14 +191,14 @@
 		next = min(next, pending.sentAt+c.Timeout+1)
 	}
 	for _, pending := range c.lookupsByAccount { // no query waits past its deadline
-		var remaining []Question
+		var remaining []Query
 		for _, query := range pending.queries {
-			if query.Until-c.Timeout/answerMarginDivisor <= c.now {
+			if query.Deadline-c.Timeout/answerMarginDivisor <= c.now {
 				c.waiting--
 				c.answers = append(c.answers, Answer{ID: query.ID, Verdict: Busy})
 				continue
 			}
-			next = min(next, query.Until-c.Timeout/answerMarginDivisor)
+			next = min(next, query.Deadline-c.Timeout/answerMarginDivisor)
 			remaining = append(remaining, query)
 		}
 		pending.queries = remaining
--- a/internal/tenants/rows.go
+++ b/internal/tenants/rows.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Rows assigns tenants that have a quota to rows of the module's table, whose size is fixed at the start. A row
+// QuotaRows assigns tenants that have a quota to rows of the module's table, whose size is fixed at the start. A row
 // belongs to the entry of a tenant, whatever its name. A row that was freed is not reused at once, as its counters
 // are still those of the previous tenant. If there are more tenants with a quota than rows, rows go to the first by
 // entry id; no quota is enforced on the others, and their number is available as a figure.
-type Rows struct {
-	First int  // rows before it belong to tenants named in the settings
-	Size  int  // of the table, including the rows before First
-	Rest  Time // time before a freed row is assigned again
+type QuotaRows struct {
+	First      int  // rows before it belong to tenants named in the settings
+	Size       int  // of the table, including the rows before First
+	ReuseDelay Time // time before a freed row is assigned again
 
 	quotas  map[string]float64 // by entry id of the tenant
 	rows    []row
@@ -26,8 +26,8 @@
 	freedAt Time
 }
 
-// Want sets the quota of a tenant, 0 for none.
-func (r *Rows) Want(id string, quota float64) {
+// SetQuota sets the quota of a tenant, 0 for none.
+func (r *QuotaRows) SetQuota(id string, quota float64) {
 	if r.quotas == nil {
 		r.quotas, r.byID, r.rows = map[string]float64{}, map[string]int{}, make([]row, max(r.Size-r.First, 0))
 	}
@@ -36,22 +36,22 @@
 	}
 }
 
-// Again causes all quotas to be written again, after something else has written the table.
-func (r *Rows) Again() { r.written = false }
+// Invalidate causes all quotas to be written again, after something else has written the table.
+func (r *QuotaRows) Invalidate() { r.written = false }
 
 // Row returns the row of a tenant, or the size of the table if it has none.
-func (r *Rows) Row(id string) int {
+func (r *QuotaRows) Row(id string) int {
 	if i, ok := r.byID[id]; ok {
 		return r.First + i
 	}
 	return r.Size
 }
 
-// Without returns the number of tenants that have a quota but no row.
-func (r *Rows) Without() int { return len(r.quotas) - len(r.byID) }
+// Unassigned returns the number of tenants that have a quota but no row.
+func (r *QuotaRows) Unassigned() int { return len(r.quotas) - len(r.byID) }
 
-// Settle emits the changes of the table. It returns when it must be called again, 0 for never.
-func (r *Rows) Settle(now Time, set func(row int, quota float64)) (next Time) {
+// Process emits the changes of the table. It returns when it must be called again, 0 for never.
+func (r *QuotaRows) Process(now Time, set func(row int, quota float64)) (next Time) {
 	for i := range r.rows {
 		slot := &r.rows[i]
 		quota := r.quotas[slot.id]
@@ -65,7 +65,7 @@
 		}
 	}
 	r.written = true
-	if r.Without() == 0 || len(r.byID) == len(r.rows) {
+	if r.Unassigned() == 0 || len(r.byID) == len(r.rows) {
 		return 0
 	}
 	ids := slices.Sorted(maps.Keys(r.quotas))
@@ -75,9 +75,9 @@
 		if slot.id != "" {
 			continue
 		}
-		if slot.freedAt > 0 && now-slot.freedAt < r.Rest {
-			if next == 0 || slot.freedAt+r.Rest < next {
-				next = slot.freedAt + r.Rest
+		if slot.freedAt > 0 && now-slot.freedAt < r.ReuseDelay {
+			if next == 0 || slot.freedAt+r.ReuseDelay < next {
+				next = slot.freedAt + r.ReuseDelay
 			}
 			continue
 		}
@@ -91,13 +91,13 @@
 		r.byID[slot.id] = i
 		set(r.First+i, slot.quota)
 	}
-	if r.Without() == 0 {
+	if r.Unassigned() == 0 {
 		return 0
 	}
 	return next
 }
 
-func (r *Rows) hasRow(id string) bool {
+func (r *QuotaRows) hasRow(id string) bool {
 	_, ok := r.byID[id]
 	return ok
 }
--- a/internal/tenants/rows_test.go
+++ b/internal/tenants/rows_test.go
@@ -11,7 +11,7 @@
 // freed row is not reused too soon, no two tenants share a row, and no tenant lacks one while a row is available.
 func TestQuotaRows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		table := Rows{First: 2, Size: 2 + rapid.IntRange(0, 4).Draw(rt, "rows"), Rest: 10}
+		table := QuotaRows{First: 2, Size: 2 + rapid.IntRange(0, 4).Draw(rt, "rows"), ReuseDelay: 10}
 		quotas, written := map[string]float64{}, map[int]float64{}
 		last := map[int]struct {
 			id string
@@ -19,15 +19,15 @@
 		}{}
 		for now := Time(1); now < 80; now += Time(rapid.IntRange(1, 5).Draw(rt, "pass")) {
 			id, quota := fmt.Sprint("t", rapid.IntRange(0, 6).Draw(rt, "who")), float64(rapid.IntRange(0, 3).Draw(rt, "quota"))
-			table.Want(id, quota)
+			table.SetQuota(id, quota)
 			if quotas[id] = quota; quota == 0 {
 				delete(quotas, id)
 			}
 			if rapid.IntRange(0, 9).Draw(rt, "reload") == 0 {
 				clear(written)
-				table.Again()
+				table.Invalidate()
 			}
-			next := table.Settle(now, func(i int, quota float64) {
+			next := table.Process(now, func(i int, quota float64) {
 				if i < table.First || i >= table.Size {
 					rt.Fatal("row out of range: ", i)
 				}
@@ -43,7 +43,7 @@
 					rt.Fatalf("%s: row %d has %v, want %v, shared %v", id, i, written[i], quota, seen[i])
 				}
 				seen[i] = true
-				if previous := last[i]; previous.id != id && previous.id != "" && now-previous.at < table.Rest {
+				if previous := last[i]; previous.id != id && previous.id != "" && now-previous.at < table.ReuseDelay {
 					rt.Fatalf("row %d was reassigned from %s to %s after only %d", i, previous.id, id, now-previous.at)
 				}
 				last[i] = struct {
@@ -56,10 +56,10 @@
 					rt.Fatal("quota without a tenant at row ", i)
 				}
 			}
-			if table.Without() != len(quotas)-len(seen) {
-				rt.Fatal(table.Without(), " tenants without a row")
+			if table.Unassigned() != len(quotas)-len(seen) {
+				rt.Fatal(table.Unassigned(), " tenants without a row")
 			}
-			if table.Without() > 0 && len(seen) < table.Size-table.First && next <= now {
+			if table.Unassigned() > 0 && len(seen) < table.Size-table.First && next <= now {
 				rt.Fatal("a freed row will become available and no call is scheduled for it")
 			}
 		}
--- a/internal/tenants/sync.go
+++ b/internal/tenants/sync.go
@@ -25,9 +25,9 @@
 // isCurrent reports whether a result belongs to the synchronisation in progress.
 func (c *Core) isCurrent(attempt int) bool { return attempt == c.sync.attempt && c.sync.active }
 
-// Entry handles an entry of a synchronisation. It is verified as of the start of the synchronisation during the
+// HandleEntry handles an entry of a synchronisation. It is verified as of the start of the synchronisation during the
 // refresh stage, and as of now once the stream delivers changes.
-func (c *Core) Entry(attempt int, record Record) {
+func (c *Core) HandleEntry(attempt int, record Record) {
 	if !c.isCurrent(attempt) {
 		return
 	}
@@ -67,7 +67,7 @@
 		e.Stamp = listed.Stamp
 		return
 	}
-	if len(c.unreadable) >= max(c.Waiting, 1) {
+	if len(c.unreadable) >= max(c.MaxWaiting, 1) {
 		clear(c.unreadable)
 	}
 	c.unreadable[listed.ID] = listed.Stamp
@@ -88,7 +88,7 @@
 			e.syncRound = c.syncRound
 			c.restoreName(e)
 		case e == nil && unreadable && stamp == item.Stamp:
-		case e == nil && c.Entries > 0 && len(c.byID) >= c.Entries: // the view is full; reading it would be repeated with each list
+		case e == nil && c.MaxEntries > 0 && len(c.byID) >= c.MaxEntries: // the view is full; reading it would be repeated with each list
 			c.Counts.Overfull++
 		default:
 			if e != nil {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Gone handles entries that the directory reports as deleted: they are removed at once.
-func (c *Core) Gone(attempt int, ids []string) {
+// HandleDeleted handles entries that the directory reports as deleted: they are removed at once.
+func (c *Core) HandleDeleted(attempt int, ids []string) {
 	if !c.isCurrent(attempt) {
 		return
 	}
@@ -119,21 +119,21 @@
 	}
 }
 
-// Refreshed handles the end of the refresh stage of a synchronisation. With removesUnlisted set it has listed the
+// HandleRefreshed handles the end of the refresh stage of a synchronisation. With removesUnlisted set it has listed the
 // existing entries (rather than the deleted ones), and all others are removed. With streaming set the stream
 // continues with changes.
-func (c *Core) Refreshed(attempt int, cookie []byte, removesUnlisted, streaming bool) {
+func (c *Core) HandleRefreshed(attempt int, cookie []byte, removesUnlisted, streaming bool) {
 	if !c.isCurrent(attempt) {
 		return
 	}
 	s := &c.sync
 	s.lastHeard, s.streaming = c.now, streaming
 	s.removesUnlisted = removesUnlisted
-	c.checkpoint = Mark{End: s.endpoint, Cookie: cookie}
+	c.checkpoint = Checkpoint{End: s.endpoint, Cookie: cookie}
 	c.completeSync()
 	if s.referrals = 0; !streaming {
 		s.active = false
-		c.nextSyncAt = s.startedAt + c.Renew
+		c.nextSyncAt = s.startedAt + c.SyncInterval
 	}
 }
 
@@ -162,7 +162,7 @@
 	s := &c.sync
 	s.lastHeard = c.now
 	if c.checkpoint.End != s.endpoint {
-		c.checkpoint, c.latestStamp = Mark{End: s.endpoint}, 0
+		c.checkpoint, c.latestStamp = Checkpoint{End: s.endpoint}, 0
 	}
 	if s.latestStamp > c.latestStamp {
 		c.latestStamp, c.latestStampAt = s.latestStamp, c.now
@@ -184,7 +184,7 @@
 		c.completeSync()
 	}
 	s.referrals = 0
-	c.nextSyncAt = s.startedAt + c.Renew
+	c.nextSyncAt = s.startedAt + c.SyncInterval
 }
 
 // HandleCookie records the cookie up to which a stream has delivered changes.
@@ -204,13 +204,13 @@
 	c.Counts.Broken++
 	switch {
 	case reason == CookieExpired && len(c.checkpoint.Cookie) > 0: // counts as an answer; a full synchronisation follows
-		c.checkpoint = Mark{End: s.endpoint}
+		c.checkpoint = Checkpoint{End: s.endpoint}
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
 		c.nextSyncAt = c.now
 	case reason == SyncUnsupported && c.endpoints.supportsSync(s.endpoint, c.now):
 		c.endpoints.markNoSync(s.endpoint, c.now)
 		if c.checkpoint.End != s.endpoint {
-			c.checkpoint = Mark{End: s.endpoint}
+			c.checkpoint = Checkpoint{End: s.endpoint}
 		}
 		c.checkpoint.Cookie = nil
 		c.endpoints.succeeded(s.endpoint, c.now, 0)
@@ -253,19 +253,19 @@
 }
 
 // processSync emits the next step of the synchronisation.
-func (c *Core) processSync(request func(Want)) Time {
+func (c *Core) processSync(request func(Request)) Time {
 	s := &c.sync
 	switch {
 	case s.active && !s.streaming && c.now-s.lastHeard > c.Timeout:
 		c.HandleSyncFailure(s.attempt, Interrupted)
-	case s.active && s.streaming && c.now-s.startedAt >= c.Renew: // the stream may have stalled: it is reopened from its cookie
+	case s.active && s.streaming && c.now-s.startedAt >= c.SyncInterval: // the stream may have stalled: it is reopened from its cookie
 		s.active = false
 		c.nextSyncAt = c.now
 	}
 	if !s.active && s.nextOp != 0 {
 		c.attempt++
 		s.op, s.nextOp, s.attempt, s.active, s.lastHeard = s.nextOp, 0, c.attempt, true, c.now
-		want := Want{Act: s.op, Try: c.attempt, Endpoint: s.endpoint}
+		want := Request{Op: s.op, Attempt: c.attempt, Endpoint: s.endpoint}
 		if s.op == List {
 			c.Counts.Lists++
 		} else {
@@ -286,7 +286,7 @@
 	}
 	switch {
 	case s.active && s.streaming:
-		return s.startedAt + c.Renew
+		return s.startedAt + c.SyncInterval
 	case s.active:
 		return s.lastHeard + c.Timeout + 1
 	case !c.endpoints.available(c.now):
@@ -297,13 +297,13 @@
 
 // startSync starts a synchronisation at an endpoint: content synchronisation if it is supported, otherwise a poll, or a
 // full search if there is no checkpoint for the endpoint.
-func (c *Core) startSync(endpoint int, probe bool, request func(Want)) {
+func (c *Core) startSync(endpoint int, probe bool, request func(Request)) {
 	s := &c.sync
 	c.attempt++
 	c.syncRound++
 	referrals := s.referrals
 	*s = syncState{attempt: c.attempt, endpoint: endpoint, active: true, startedAt: c.now, lastHeard: c.now, preferred: -1, referrals: referrals}
-	want := Want{Try: c.attempt, Endpoint: endpoint, Probe: probe}
+	want := Request{Attempt: c.attempt, Endpoint: endpoint, Probe: probe}
 	known := c.checkpoint.End == endpoint
 	if s.completeBefore = c.latestStamp; !known {
 		s.completeBefore = 0
@@ -313,20 +313,20 @@
 	c.Counts.Syncs++
 	switch {
 	case c.endpoints.supportsSync(endpoint, c.now):
-		if want.Act = Sync; known {
+		if want.Op = Sync; known {
 			want.Cookie = c.checkpoint.Cookie
 		}
 		if len(want.Cookie) == 0 {
 			c.Counts.Full++
 		}
 	case !known || c.checkpoint.Stamp == 0 || !c.synced:
-		want.Act, s.removesUnlisted = FullSearch, true
+		want.Op, s.removesUnlisted = FullSearch, true
 		c.Counts.Full++
 	default:
-		want.Act, want.Since = Poll, c.checkpoint.Stamp
-		s.removesUnlisted = c.now+c.Renew-c.verifiedAt >= c.Longest/listAgeDivisor // it would be overdue by the next synchronisation
+		want.Op, want.Since = Poll, c.checkpoint.Stamp
+		s.removesUnlisted = c.now+c.SyncInterval-c.verifiedAt >= c.MaxAge/listAgeDivisor // it would be overdue by the next synchronisation
 		c.Counts.Polls++
 	}
-	s.op = want.Act
+	s.op = want.Op
 	request(want)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -35,7 +35,7 @@
 // for decisions and for each try.
 type Writer struct {
 	ratio    float64
-	queue    chan *front.Story
+	queue    chan *front.PlaybackTrace
 	done     chan struct{}
 	file     *os.File
 	provider *sdk.TracerProvider
@@ -43,9 +43,9 @@
 	closing  sync.Once
 }
 
-// NewFile returns a Writer that appends the traces of a share of the playbacks to a file. The request ids select
+// NewWriter returns a Writer that appends the traces of a share of the playbacks to a file. The request ids select
 // the playbacks, so that all session managers keep the same ones.
-func NewFile(path string, ratio float64) (*Writer, error) {
+func NewWriter(path string, ratio float64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
-	writer := &Writer{ratio: ratio, queue: make(chan *front.Story, queueCapacity), done: make(chan struct{}), file: file,
+	writer := &Writer{ratio: ratio, queue: make(chan *front.PlaybackTrace, queueCapacity), done: make(chan struct{}), file: file,
 		provider: sdk.NewTracerProvider(sdk.WithSyncer(exporter), sdk.WithSampler(sdk.AlwaysSample()))}
 	go writer.run()
 	return writer, nil
@@ -65,9 +65,9 @@
 	return float64(xxhash.Sum64String(requestID)>>11)/(1<<53) < ratio
 }
 
-// Tell queues a trace for writing, without waiting for the file.
-func (w *Writer) Tell(playback *front.Story) {
-	if !Sampled(playback.Name, w.ratio) {
+// Record queues a trace for writing, without waiting for the file.
+func (w *Writer) Record(playback *front.PlaybackTrace) {
+	if !Sampled(playback.RequestID, w.ratio) {
 		return
 	}
 	select {
@@ -94,7 +94,7 @@
 	timestamp := func(t front.Time) time.Time { return time.UnixMicro(t) }
 	for playback := range w.queue {
 		ctx, root := tracer.Start(context.Background(), "playback", trace.WithTimestamp(timestamp(playback.ReceivedAt)), trace.WithAttributes(
-			attribute.String("request", playback.Name), attribute.String("front", playback.Front), attribute.String("plan", playback.Plan),
+			attribute.String("request", playback.RequestID), attribute.String("front", playback.Front), attribute.String("plan", playback.Plan),
 			attribute.String("title", playback.Title), attribute.String("tenant", playback.Tenant), attribute.Int("status", playback.Status),
 			attribute.Int("rung", playback.Rung), attribute.Int("top", playback.TopRung), attribute.Int64("startup_us", playback.StartupTarget),
 			attribute.Int64("abandon_us", playback.AbandonTime)))
@@ -150,11 +150,11 @@
 	return ""
 }
 
-// ErrNone is returned if the file holds no trace of the playback.
-var ErrNone = errors.New("no trace of this playback; it may not have been sampled, or not answered yet")
+// ErrNotFound is returned if the file holds no trace of the playback.
+var ErrNotFound = errors.New("no trace of this playback; it may not have been sampled, or not answered yet")
 
 // Read finds the traces of a request id in a file of spans: one for each playback requested under that id.
-func Read(r io.Reader, requestID string) (playbacks []*front.Story, err error) {
+func Read(r io.Reader, requestID string) (playbacks []*front.PlaybackTrace, err error) {
 	spans := map[string][]*span{}
 	roots := []*span{}
 	rows := bufio.NewReader(r)
@@ -173,7 +173,7 @@
 	}
 	for _, root := range roots {
 		number := func(key string) int { x, _ := strconv.Atoi(root.attribute(key)); return x }
-		playback := &front.Story{Front: root.attribute("front"), Name: requestID, Plan: root.attribute("plan"),
+		playback := &front.PlaybackTrace{Front: root.attribute("front"), RequestID: requestID, Plan: root.attribute("plan"),
 			Title: root.attribute("title"), Tenant: root.attribute("tenant"),
 			ReceivedAt: root.StartTime.UnixMicro(), AnsweredAt: root.EndTime.UnixMicro(),
 			Status: number("status"), Rung: number("rung"), TopRung: number("top"),
@@ -199,7 +199,7 @@
 		playbacks = append(playbacks, playback)
 	}
 	if len(playbacks) == 0 {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	return playbacks, nil
 }
@@ -211,8 +211,8 @@
 	return fmt.Sprintf("%.1f ms", float64(duration)/1e3)
 }
 
-// Words describes a trace in sentences.
-func Words(playback *front.Story) string {
+// Describe describes a trace in sentences.
+func Describe(playback *front.PlaybackTrace) string {
 	var text strings.Builder
 	writeLine := func(format string, a ...any) { fmt.Fprintf(&text, format+"\n", a...) }
 	tenant := ""
@@ -220,7 +220,7 @@
 		tenant = " of tenant " + playback.Tenant
 	}
 	writeLine("%s%s was requested from %s for %s/%s, up to rung %d, with a startup target of %s and an abandon time of %s.",
-		playback.Name, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
+		playback.RequestID, tenant, playback.Front, playback.Plan, playback.Title, playback.TopRung,
 		formatDuration(playback.StartupTarget), formatDuration(playback.AbandonTime))
 	if playback.AdmittedAt == 0 {
 		writeLine("It was not admitted: after %s it was answered with status %d.", formatDuration(playback.AnsweredAt-playback.ReceivedAt), playback.Status)
@@ -260,7 +260,7 @@
 }
 
 // longestPhase names the phase that took most of a playback's time.
-func longestPhase(playback *front.Story) string {
+func longestPhase(playback *front.PlaybackTrace) string {
 	admission, tries, failed := playback.AdmittedAt-playback.ReceivedAt, front.Time(0), front.Time(0)
 	for _, attempt := range playback.Attempts {
 		tries += attempt.Duration
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -14,26 +14,26 @@
 // most of the time.
 func TestWriterRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans")
-	writer, err := NewFile(path, 1)
+	writer, err := NewWriter(path, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	playback := &front.Story{Front: "f", Name: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, TopRung: 3,
+	playback := &front.PlaybackTrace{Front: "f", RequestID: "pb7", Plan: "p", Title: "t", Tenant: "x", Rung: 2, TopRung: 3,
 		ReceivedAt: 1_000_000, AdmittedAt: 1_300_000,
 		AnsweredAt: 4_000_000, Status: 200, StartupTarget: 1_000_000, AbandonTime: 4_000_000, Attempts: []front.Attempt{
 			{Box: "box-1", Rung: 2, StartedAt: 1_310_000, Duration: 2_000_000, Outcome: session.TimedOut},
 			{Box: "box-2", Rung: 1, StartedAt: 3_400_000, Duration: 600_000, Outcome: -1}}}
 	for _, name := range []string{"pb6", "pb8"} {
 		other := *playback
-		other.Name = name
-		writer.Tell(&other)
+		other.RequestID = name
+		writer.Record(&other)
 	}
-	writer.Tell(playback)
-	writer.Tell(&front.Story{Name: "pb9", Front: "f", ReceivedAt: 1, AnsweredAt: 500_001, Status: 503})
+	writer.Record(playback)
+	writer.Record(&front.PlaybackTrace{RequestID: "pb9", Front: "f", ReceivedAt: 1, AnsweredAt: 500_001, Status: 503})
 	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	read := func(name string) (*front.Story, error) {
+	read := func(name string) (*front.PlaybackTrace, error) {
 		f, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
@@ -54,10 +54,10 @@
 	if _, err := read("pb1"); err == nil {
 		t.Error("read a trace that was never written")
 	}
-	if text := Words(got); !strings.Contains(text, "2.00 s past its startup target. Most of the time was spent on failed tries") {
+	if text := Describe(got); !strings.Contains(text, "2.00 s past its startup target. Most of the time was spent on failed tries") {
 		t.Error(text)
 	}
-	if got, err := read("pb9"); err != nil || !strings.Contains(Words(got), "It was not admitted") {
+	if got, err := read("pb9"); err != nil || !strings.Contains(Describe(got), "It was not admitted") {
 		t.Error(got, err)
 	}
 	kept := 0
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -35,18 +35,18 @@
 	for _, places := range []float64{24, 90, 600, 3000} {
 		for seed := range uint64(3) {
 			site := scenarioSite()
-			site.Fronts, site.StartsTold, site.Fleet.Places = fronts, true, []float64{places}
-			site.Fleet.LinksKB, site.Fleet.KBPerWeight, site.Fleet.UplinkKB = 1e9, 1e9, 1e9 // capacity is not the limit
+			site.Fronts, site.StartsListed, site.Fleet.MaxStreams = fronts, true, []float64{places}
+			site.Fleet.TotalLinkKB, site.Fleet.KBPerWeight, site.Fleet.UplinkKB = 1e9, 1e9, 1e9 // capacity is not the limit
 			random := rand.New(rand.NewPCG(seed, uint64(places)))
 			begin := 1000 * session.Second
-			list := session.List{Whole: true,
+			list := session.List{Complete: true,
 				Entries: []session.Entry{{Server: 0, State: session.Ready, Weight: 1, Started: begin}}}
 			hosts := make([]*testHost, fronts)
 			startFront := func(i int, now Time) {
 				ownSite := site
 				ownSite.Front = i
 				hosts[i] = &testHost{manager: New(&ownSite, random.Uint64(), now)}
-				hosts[i].manager.At(now)
+				hosts[i].manager.BeginTurn(now)
 				hosts[i].manager.Listed(list)
 				hosts[i].manager.Settle(hosts[i])
 			}
@@ -61,7 +61,7 @@
 						startFront(i, now)
 						host = hosts[i]
 					}
-					host.manager.At(now)
+					host.manager.BeginTurn(now)
 					if host.wakeAt > 0 && now >= host.wakeAt {
 						host.manager.Woken(0)
 					}
@@ -73,7 +73,7 @@
 							host.playbackCount++
 						}
 						host.manager.Requested(session.Request{Playback: pb, Plan: 1,
-							Abandon: now + 4*session.Second, Top: 3, Base: 0, Span: 1})
+							AbandonAt: now + 4*session.Second, Top: 3, FirstCell: 0, CellCount: 1})
 					}
 					host.manager.Settle(host)
 					for _, pb := range host.newTries {
@@ -85,13 +85,13 @@
 					host.manager.Settle(host)
 				}
 				recent := 0
-				for k := len(tryTimes) - 1; k >= 0 && tryTimes[k] > now-site.Terms.FallSpan; k-- {
+				for k := len(tryTimes) - 1; k >= 0 && tryTimes[k] > now-site.Terms.ColdSpan; k-- {
 					recent++
 				}
-				capacityShare := 1 - (1-site.Terms.ColdFrom)*
+				capacityShare := 1 - (1-site.Terms.ColdShare)*
 					float64(begin+site.Terms.WarmUp-now)/float64(site.Terms.WarmUp)
-				budget := places / float64(site.Terms.WarmUp) * float64(site.Terms.FallSpan) *
-					site.Terms.FallMultiple * capacityShare
+				budget := places / float64(site.Terms.WarmUp) * float64(site.Terms.ColdSpan) *
+					site.Terms.ColdMultiple * capacityShare
 				maxUse = max(maxUse, float64(recent)/(budget+2*math.Sqrt(budget)+2))
 			}
 			if maxUse > 1 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -53,7 +53,7 @@
 	f := newFront(site, seed, now)
 	for i, plan := range site.Plans {
 		f.maxFloorDensity = max(f.maxFloorDensity, plan.Revenue*f.rungRevenue(plan.Floor)/f.rateKB(i, plan.Floor))
-		f.capacityPrice, f.longestStartup = f.maxFloorDensity, max(f.longestStartup, plan.Startup)
+		f.capacityPrice, f.longestStartup = f.maxFloorDensity, max(f.longestStartup, plan.StartupTarget)
 	}
 	f.meanPlaybackTime, f.watchAt = 2*float64(site.Terms.WarmUp), never
 	if site.ListOnRequest {
@@ -73,7 +73,7 @@
 // typicalOthers returns the fill that the other fronts usually cause. For an uplink that no report covers it is
 // derived from the demand on the links behind it.
 func (e *loadEstimate) typicalOthers(f *front) float64 {
-	if !f.Fleet.UplinkUntold || e.typical != &f.typicalUplinks {
+	if !f.Fleet.UplinkUnreported || e.typical != &f.typicalUplinks {
 		return e.typical.fill(f)
 	}
 	kb := -e.ownKB
@@ -94,7 +94,7 @@
 // widenUplink raises the estimated capacity of an unreported uplink while none of this front's playbacks behind it
 // is reported short.
 func (f *front) widenUplink(uplink *loadEstimate, tick Time) {
-	if !f.Fleet.UplinkUntold || uplink.ownKB == 0 ||
+	if !f.Fleet.UplinkUnreported || uplink.ownKB == 0 ||
 		f.now-uplink.shortageAt < feedbackNoteDelays*f.Fleet.NoteDelay+session.Second {
 		return
 	}
@@ -137,11 +137,11 @@
 
 // maxReadingAge returns how old the last reading of a link may become before the next one arrives.
 func (f *front) maxReadingAge() Time {
-	return f.Fleet.NoteDelay + max(f.Fleet.NoteEvery, feedbackNoteDelays*f.Fleet.NoteDelay)
+	return f.Fleet.NoteDelay + max(f.Fleet.NoteInterval, feedbackNoteDelays*f.Fleet.NoteDelay)
 }
 
-// At begins a turn. Readings that reach a late turn are older than usual by the delay.
-func (f *front) At(now Time) {
+// BeginTurn begins a turn. Readings that reach a late turn are older than usual by the delay.
+func (f *front) BeginTurn(now Time) {
 	f.now, f.turnDelay = now, max(now-f.wakeAt, 0)
 	// A surge of requests reaches all fronts at once, whatever its cause, and before any reading shows it. This
 	// front's recent setups beyond the playbacks that ended, less a margin for chance, are therefore assumed for
@@ -149,21 +149,21 @@
 	rungKB := f.Ladder.RateKB[len(f.Ladder.RateKB)/2]
 	expected := f.typicalLinks.ownKB / rungKB * float64(f.maxReadingAge()) / f.meanPlaybackTime
 	excess := f.recentSetupKB.LowerBound(now)/rungKB - expected - surgeDeviations*math.Sqrt(expected+1)
-	f.unreportedFill = max(excess, 0) * rungKB * float64(f.Fronts-1) / f.Fleet.LinksKB
+	f.unreportedFill = max(excess, 0) * rungKB * float64(f.Fronts-1) / f.Fleet.TotalLinkKB
 }
 
 // Listed applies an update of the server list.
 func (f *front) Listed(list session.List) {
 	if list.Failed {
 		if f.ListOnRequest {
-			f.watchAt = f.now + f.Terms.AskWithin/4
+			f.watchAt = f.now + f.Terms.ListDeadline/4
 		}
 		return
 	}
-	if list.Whole && f.StartsTold { // the list shows which servers are cold
+	if list.Complete && f.StartsListed { // the list shows which servers are cold
 		f.assumeColdUntil = min(f.assumeColdUntil, f.now)
 	}
-	for i := 0; list.Whole && i < len(f.servers); i++ {
+	for i := 0; list.Complete && i < len(f.servers); i++ {
 		f.servers[i].entry.State = session.Gone
 	}
 	for _, entry := range list.Entries {
@@ -175,19 +175,19 @@
 			server.coldUntil, server.coldListed = entry.Started+f.Terms.WarmUp, true
 			server.suspendedUntil, server.suspensions, server.halfOpen = 0, 0, false
 			server.link.othersFill, server.link.measured, server.link.readAt = 0, true, f.now // it restarts without playbacks
-			if f.now-f.startedAt < f.Terms.FallSpan {
+			if f.now-f.startedAt < f.Terms.ColdSpan {
 				server.recentTries.Add(f.now, f.coldBudget(server)) // this front has restarted too and lost the count of what it sent
 			}
 		}
 	}
 	totalPlaces := 0.0
 	for i := range f.servers {
-		totalPlaces += f.Fleet.Places[f.servers[i].entry.Kind]
+		totalPlaces += f.Fleet.MaxStreams[f.servers[i].entry.Kind]
 	}
 	for i := range f.servers {
 		server := &f.servers[i]
-		server.link.capacityKB = f.Fleet.LinksKB * f.Fleet.Places[server.entry.Kind] / totalPlaces
-		if listedKB := server.entry.Weight * f.Fleet.KBPerWeight; f.Fleet.WeightsTold && listedKB > 0 {
+		server.link.capacityKB = f.Fleet.TotalLinkKB * f.Fleet.MaxStreams[server.entry.Kind] / totalPlaces
+		if listedKB := server.entry.Weight * f.Fleet.KBPerWeight; f.Fleet.WeightsListed && listedKB > 0 {
 			server.link.capacityKB = listedKB
 		}
 	}
@@ -198,16 +198,16 @@
 // that no span sees more setups than allowed.
 func (f *front) coldBudget(server *serverState) float64 {
 	terms := &f.Terms
-	capacityShare := 1 - (1-terms.ColdFrom)*
+	capacityShare := 1 - (1-terms.ColdShare)*
 		float64(max(server.coldUntil, f.assumeColdUntil)-f.now)/float64(terms.WarmUp)
-	fleetBudget := coldBudgetShare * f.Fleet.Places[server.entry.Kind] / float64(terms.WarmUp) *
-		float64(terms.FallSpan) * terms.FallMultiple
-	budget := fleetBudget * min(max(capacityShare, terms.ColdFrom), 1) / float64(f.Fronts)
+	fleetBudget := coldBudgetShare * f.Fleet.MaxStreams[server.entry.Kind] / float64(terms.WarmUp) *
+		float64(terms.ColdSpan) * terms.ColdMultiple
+	budget := fleetBudget * min(max(capacityShare, terms.ColdShare), 1) / float64(f.Fronts)
 	if budget >= 1 || !server.coldListed {
 		return max(budget, 1)
 	}
-	turn := float64(f.now-server.entry.Started) / float64(terms.FallSpan) *
-		(max(math.Floor(fleetBudget*terms.ColdFrom), 1) - 0.5)
+	turn := float64(f.now-server.entry.Started) / float64(terms.ColdSpan) *
+		(max(math.Floor(fleetBudget*terms.ColdShare), 1) - 0.5)
 	if turnNumber := int(turn); turn-float64(turnNumber) < 0.5 && (turnNumber+server.entry.Cell)%f.Fronts == f.Front {
 		return 1
 	}
@@ -221,14 +221,14 @@
 		return false
 	}
 	// After a restart a manager does not know which servers are cold, unless it took over playbacks.
-	return f.now >= max(server.coldUntil, f.assumeColdUntil) || server.recentTries.Most(f.now)+1 <= f.coldBudget(server)
+	return f.now >= max(server.coldUntil, f.assumeColdUntil) || server.recentTries.UpperBound(f.now)+1 <= f.coldBudget(server)
 }
 
 // fillWith returns the fill of the link or of the uplink, whichever is higher, with kb of additional demand.
 func (f *front) fillWith(server *serverState, kb float64) float64 {
 	uplink, link := &f.uplinks[server.rack], server.link.capacityKB
 	if f.now < server.coldUntil {
-		link *= f.Terms.ColdFrom
+		link *= f.Terms.ColdShare
 	}
 	unreportedShare := min(float64(f.now-server.link.readAt)/float64(f.maxReadingAge()), 1)
 	return max(server.link.fill(f)+kb/link, uplink.fill(f)+kb/uplink.capacityKB) + f.unreportedFill*unreportedShare
@@ -248,7 +248,7 @@
 		seconds := float64(max(min(tenantRateSpan, f.now-f.startedAt), session.Second)) / float64(session.Second)
 		requestRate := requests.LowerBound(f.now) / seconds * float64(f.Fronts)
 		if quota := f.Site.Tenants[pb.Tenant].QuotaPerS; requestRate > quota && quota > 0 {
-			revenue *= quota/requestRate + (1-quota/requestRate)*f.Prices.OverShare
+			revenue *= quota/requestRate + (1-quota/requestRate)*f.Prices.OverQuota
 		}
 	}
 	return revenue
@@ -350,7 +350,7 @@
 		}
 		fill := f.fillWith(server, f.rateKB(pb.Plan, f.Plans[pb.Plan].Floor))
 		if f.Plans[pb.Plan].Live { // all fronts prefer the same servers, where their viewers share streams
-			fill += titleJitter * titleCellHash(pb.Show, server.entry.Cell)
+			fill += titleJitter * titleCellHash(pb.TitleID, server.entry.Cell)
 		} else {
 			fill += fillJitter * f.random()
 		}
@@ -372,7 +372,7 @@
 		return true
 	}
 	ranEntry, entry := &f.servers[pb.mayHaveRunOn].entry, &f.servers[srv].entry
-	return plan.Repeat == session.Keyed && f.now-pb.mayHaveRunSince < plan.Window &&
+	return plan.Repeat == session.Keyed && f.now-pb.mayHaveRunSince < plan.KeyWindow &&
 		(plan.Scope == session.Everywhere || plan.Scope == session.SameZone && ranEntry.Zone == entry.Zone ||
 			plan.Scope == session.SameCell && ranEntry.Cell == entry.Cell)
 }
@@ -392,7 +392,7 @@
 	f.markDirty(pb)
 	plan := &f.Plans[pb.Plan]
 	seatKey := [2]int{pb.Plan, pb.Title}
-	timeLeft := pb.Abandon - f.now
+	timeLeft := pb.AbandonAt - f.now
 	seatFree := plan.Seats == 0 || f.seats[seatKey] < plan.Seats
 	triesLeft := pb.tries == 0 || pb.tries < f.Terms.MaxTries && f.retryBudgetLeft()
 	if pb.Top >= plan.Floor && seatFree && triesLeft && float64(timeLeft) > 2*f.meanSetupTime && timeLeft > 0 {
@@ -428,7 +428,7 @@
 // is not known well enough. It reports whether it did so.
 func (f *front) delayForProbe(pb *playback, srv int) bool {
 	server := &f.servers[srv]
-	if f.loadIsRecent(server) || pb.probeAwaited || !f.mayProbe() || f.now+f.longestStartup > pb.Abandon {
+	if f.loadIsRecent(server) || pb.probeAwaited || !f.mayProbe() || f.now+f.longestStartup > pb.AbandonAt {
 		return false
 	}
 	pb.probeAwaited = true
@@ -471,17 +471,17 @@
 // retryBudgetLeft reports whether the limit on retries allows another one now.
 func (f *front) retryBudgetLeft() bool {
 	terms := &f.Terms
-	return !terms.Rationed ||
-		f.recentRetries.Most(f.now)+1 <= terms.FreeTries+terms.TryShare*f.recentRequests.LowerBound(f.now)
+	return !terms.RetriesLimited ||
+		f.recentRetries.UpperBound(f.now)+1 <= terms.FreeRetries+terms.RetryShare*f.recentRequests.LowerBound(f.now)
 }
 
 // tryTimeout returns the time limit of the next try. It leaves time for another try within the startup target, or
 // before the abandon time once the target is too close, as long as another try is allowed.
 func (f *front) tryTimeout(pb *playback) Time {
 	if plan := &f.Plans[pb.Plan]; plan.Repeat == session.Unsafe {
-		return plan.Startup // its only try; when it times out, the viewer gets an answer
+		return plan.StartupTarget // its only try; when it times out, the viewer gets an answer
 	}
-	timeout := pb.Abandon - f.now
+	timeout := pb.AbandonAt - f.now
 	if untilDeadline := pb.startupDeadline - f.now; float64(untilDeadline) > 4*f.meanSetupTime && untilDeadline > 0 {
 		timeout = untilDeadline
 	}
@@ -564,7 +564,7 @@
 	case session.TimedOut, session.NoConnection, session.Reset:
 		f.suspend(result.Server, result.Outcome)
 	case session.Full: // at least as full as estimated, whether or not its refusal threshold is known
-		f.server(result.Server).link.addReading(f, max(f.Fleet.FullFrom, f.server(result.Server).link.fill(f)), f.now)
+		f.server(result.Server).link.addReading(f, max(f.Fleet.RefusalFill, f.server(result.Server).link.fill(f)), f.now)
 	}
 	if !pb.playing {
 		f.tryFinished(result.Server, false)
@@ -635,13 +635,13 @@
 	}
 	asOf := f.now - f.Fleet.NoteDelay - f.turnDelay
 	switch note.Kind {
-	case session.RungNow:
+	case session.CurrentRung:
 		f.setKnownRung(pb, int(note.Value))
-	case session.LinkAsked:
+	case session.LinkDemand:
 		f.recordLoad(note.Server, session.Load{Link: note.Value, HasLink: true}, asOf)
-	case session.UplinkAsked:
+	case session.UplinkDemand:
 		f.recordLoad(note.Server, session.Load{Uplink: note.Value, HasUplink: true}, asOf)
-	case session.Delivered:
+	case session.DeliveredShare:
 		f.recordDelivery(note.Server, note.Value, asOf)
 	}
 }
@@ -658,11 +658,11 @@
 	if share >= fullDelivery && (currentFill <= 1 || !f.Fleet.LoadInAnswers) {
 		return // the end of a shortage would count as a fill of 1 for long where no load reports follow
 	}
-	if estimate != &server.link && f.Fleet.UplinkUntold {
+	if estimate != &server.link && f.Fleet.UplinkUnreported {
 		estimate.fitCapacity(f, impliedFill)
 	} else {
 		// The delivered share is smoothed, so that a recent reading is closer unless the difference is large.
-		currentIsCloser := f.now-estimate.readAt < f.Fleet.NoteEvery && currentFill > impliedFill-surpriseFill
+		currentIsCloser := f.now-estimate.readAt < f.Fleet.NoteInterval && currentFill > impliedFill-surpriseFill
 		if currentIsCloser || share < fullDelivery && currentFill >= impliedFill {
 			return
 		}
@@ -742,7 +742,7 @@
 			if gain/kb <= bestDensity || f.fillWith(server, kb*fronts) > f.fillMark(gain/kb)-stepUpMargin {
 				continue
 			}
-			payback := stepUpPayback * float64(f.Ladder.Change) / (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
+			payback := stepUpPayback * float64(f.Ladder.RungChangeCost) / (f.rungRevenue(stream.rung+1) - f.rungRevenue(stream.rung))
 			if float64(f.now-stream.rungChangedAt) >= payback { // the last change has earned its cost
 				best, bestDensity = stream, gain/kb
 			}
@@ -823,7 +823,7 @@
 		pb.dirty = false
 		switch pb.wantAnswer {
 		case answerReject:
-			actions.Reject(pb.Playback, f.Terms.MaxComeAgain)
+			actions.Reject(pb.Playback, f.Terms.MaxRetryAfter)
 		case answerAbort:
 			actions.Abort(pb.Playback)
 		}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -73,16 +73,16 @@
 func (s *scenario) Forget(pb int)          { s.record("forget %d", pb) }
 
 func scenarioSite() session.Site {
-	plan := session.Plan{Window: 5e6, Startup: 1e6, Revenue: 1, RateFactor: 1, Top: 3}
+	plan := session.Plan{KeyWindow: 5e6, StartupTarget: 1e6, Revenue: 1, RateFactor: 1, Top: 3}
 	live := plan
 	live.Live = true
 	return session.Site{Fronts: 2, Plans: []session.Plan{live, plan},
-		Ladder: session.Ladder{RateKB: []float64{100, 200, 400, 800}, Worth: []float64{.25, .5, .75, 1},
-			Join: .2, Change: 5e5},
-		Fleet: session.Fleet{Cells: 4, Racks: 2, LinksKB: 8000, UplinkKB: 8000, KBPerWeight: 2000, WeightsTold: true,
-			Places: []float64{24}, NoteDelay: 1e6, NoteEvery: 3e6, LoadInAnswers: true, LoadInProbes: true},
-		Terms: session.Terms{ColdFrom: .5, WarmUp: 12e6, FallMultiple: 2, FallSpan: 2e6, AskWithin: 10e6, MaxTries: 3,
-			MaxComeAgain: 2e6},
+		Ladder: session.Ladder{RateKB: []float64{100, 200, 400, 800}, RevenueShare: []float64{.25, .5, .75, 1},
+			Join: .2, RungChangeCost: 5e5},
+		Fleet: session.Fleet{Cells: 4, Racks: 2, TotalLinkKB: 8000, UplinkKB: 8000, KBPerWeight: 2000, WeightsListed: true,
+			MaxStreams: []float64{24}, NoteDelay: 1e6, NoteInterval: 3e6, LoadInAnswers: true, LoadInProbes: true},
+		Terms: session.Terms{ColdShare: .5, WarmUp: 12e6, ColdMultiple: 2, ColdSpan: 2e6, ListDeadline: 10e6, MaxTries: 3,
+			MaxRetryAfter: 2e6},
 		Prices: session.Prices{Move: .05, Probe: .01}}
 }
 
@@ -93,20 +93,22 @@
 	for name, apply := range map[string]func(){
 		"fronts": func() { s.site.Fronts = int(number) }, "crossing": func() { s.site.Prices.CrossZone = number },
 		"moving": func() { s.site.Prices.Move = number }, "floor": func() { plan.Floor = int(number) },
-		"seats": func() { plan.Seats = int(number) }, "places": func() { s.site.Fleet.Places[0] = number },
+		"seats": func() { plan.Seats = int(number) }, "places": func() { s.site.Fleet.MaxStreams[0] = number },
 		"unsafe": func() { plan.Repeat = session.Unsafe }, "onrequest": func() { s.site.ListOnRequest = true },
 		"keyed":    func() { plan.Repeat, plan.Scope = session.Keyed, session.Scope(number) },
 		"uplink":   func() { s.site.Fleet.UplinkKB = number },
 		"paidlive": func() { s.site.Plans[0].Repeat = session.Unsafe },
 		"warmup":   func() { s.site.Terms.WarmUp = Time(number * 1e6) },
-		"nonotes":  func() { s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteEvery = false, 0 },
-		"untold":   func() { s.site.Fleet.UplinkUntold = true },
-		"silent":   func() { s.site.Terms.MaxComeAgain = 0 },
+		"nonotes":  func() { s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteInterval = false, 0 },
+		"untold":   func() { s.site.Fleet.UplinkUnreported = true },
+		"silent":   func() { s.site.Terms.MaxRetryAfter = 0 },
 		"worst":    func() { s.site.Prices.WorstPlan = number },
-		"inprobe":  func() { s.site.Terms.Probes, s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteEvery = true, false, 0 },
+		"inprobe":  func() { s.site.Terms.Probes, s.site.Fleet.LoadInAnswers, s.site.Fleet.NoteInterval = true, false, 0 },
 		"looks":    func() { s.site.Terms.Probes = true },
-		"ration":   func() { s.site.Terms.Rationed, s.site.Terms.TrySpan, s.site.Terms.FreeTries = true, 10e6, number },
-		"quota":    func() { s.site.Tenants = []session.Tenant{{QuotaPerS: number}, {QuotaPerS: 100}} },
+		"ration": func() {
+			s.site.Terms.RetriesLimited, s.site.Terms.RetrySpan, s.site.Terms.FreeRetries = true, 10e6, number
+		},
+		"quota": func() { s.site.Tenants = []session.Tenant{{QuotaPerS: number}, {QuotaPerS: 100}} },
 	} {
 		if name == key {
 			apply()
@@ -142,12 +144,12 @@
 	load.Uplink, load.HasUplink = named["uplink"]
 	request := func(pb int) session.Request {
 		return session.Request{Playback: pb, Plan: int(get("plan", 0)), Title: int(get("title", float64(pb))),
-			Show: uint64(get("title", float64(pb))), Top: int(get("top", 3)), Tenant: int(named["tenant"]),
-			Abandon: s.now + Time(get("abandon", 4)*1e6), Base: int(named["base"]), Span: int(named["span"])}
+			TitleID: uint64(get("title", float64(pb))), Top: int(get("top", 3)), Tenant: int(named["tenant"]),
+			AbandonAt: s.now + Time(get("abandon", 4)*1e6), FirstCell: int(named["base"]), CellCount: int(named["span"])}
 	}
 	switch words[0] {
 	case "all":
-		s.manager.Listed(session.List{Entries: s.entries, Whole: true})
+		s.manager.Listed(session.List{Entries: s.entries, Complete: true})
 	case "listfails":
 		s.manager.Listed(session.List{Failed: true})
 	case "drains", "gone", "restarts":
@@ -165,7 +167,7 @@
 	case "open": // open PB SERVER RUNG
 		s.tryServer[numbers[0]], s.tryNumber[numbers[0]], s.pending[numbers[0]] = numbers[1], 0, false
 		s.manager.Opened(request(numbers[0]), numbers[1])
-		s.manager.Noted(session.Note{Playback: numbers[0], Server: numbers[1], Kind: session.RungNow,
+		s.manager.Noted(session.Note{Playback: numbers[0], Server: numbers[1], Kind: session.CurrentRung,
 			Value: float64(numbers[2])})
 	case "plays":
 		for pb := numbers[0]; pb <= numbers[len(numbers)-1]; pb++ {
@@ -186,8 +188,8 @@
 		s.answered[numbers[0]] = true
 		s.manager.Left(numbers[0])
 	case "note": // note PB delivered|link|uplink=X
-		for k, kind := range map[string]session.NoteKind{"delivered": session.Delivered,
-			"link": session.LinkAsked, "uplink": session.UplinkAsked} {
+		for k, kind := range map[string]session.NoteKind{"delivered": session.DeliveredShare,
+			"link": session.LinkDemand, "uplink": session.UplinkDemand} {
 			if v, ok := named[k]; ok {
 				s.manager.Noted(session.Note{Playback: numbers[0], Server: s.tryServer[numbers[0]], Kind: kind, Value: v})
 			}
@@ -220,12 +222,12 @@
 		}
 		s.now = max(s.now, s.timers[next])
 		s.timers = append(s.timers[:next], s.timers[next+1:]...)
-		s.manager.At(s.now)
+		s.manager.BeginTurn(s.now)
 		s.manager.Woken(0)
 		s.manager.Settle(s)
 	}
 	s.now = until
-	s.manager.At(until)
+	s.manager.BeginTurn(until)
 }
 
 // runLine runs one entry of the scenario file.
@@ -283,7 +285,7 @@
 		s.actions = nil
 		if words[1] == "late" { // the turn is late: timers that are due have not fired yet
 			s.now, words = moment, words[1:]
-			s.manager.At(moment)
+			s.manager.BeginTurn(moment)
 		} else {
 			s.advance(moment)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -125,7 +125,7 @@
 		planStats: slices.Repeat([]planStats{{weight: 1}}, len(site.Plans))}
 	f.typicalLinks.readAt, f.typicalUplinks.readAt = now, now
 	f.typicalLinks.capacityKB, f.typicalUplinks.capacityKB =
-		site.Fleet.LinksKB, site.Fleet.UplinkKB*float64(site.Fleet.Racks)
+		site.Fleet.TotalLinkKB, site.Fleet.UplinkKB*float64(site.Fleet.Racks)
 	for i := range f.uplinks {
 		f.uplinks[i] = f.newLoadEstimate(site.Fleet.UplinkKB, &f.typicalUplinks)
 	}
@@ -133,8 +133,8 @@
 		f.tenantRequests[i] = meter.NewCount(tenantRateSpan, bucketsPerSpan)
 	}
 	f.recentSetupKB = meter.NewCount(f.maxReadingAge(), bucketsPerSpan)
-	f.recentRequests = meter.NewCount(site.Terms.TrySpan, bucketsPerSpan)
-	f.recentRetries = meter.NewCount(site.Terms.TrySpan, bucketsPerSpan)
+	f.recentRequests = meter.NewCount(site.Terms.RetrySpan, bucketsPerSpan)
+	f.recentRetries = meter.NewCount(site.Terms.RetrySpan, bucketsPerSpan)
 	return f
 }
 
@@ -143,7 +143,7 @@
 	return loadEstimate{capacityKB: kb, typical: typical, shortageAt: never, steppedAt: never, ownHistory: ownHistory}
 }
 
-func (f *front) rungRevenue(rung int) float64 { return f.Ladder.Worth[rung] }
+func (f *front) rungRevenue(rung int) float64 { return f.Ladder.RevenueShare[rung] }
 
 func (f *front) rateKB(plan, rung int) float64 {
 	return f.Ladder.RateKB[rung] * f.Plans[plan].RateFactor
@@ -174,8 +174,8 @@
 // server returns the state of a server and creates it if the number is new.
 func (f *front) server(i int) *serverState {
 	for len(f.servers) <= i {
-		f.servers = append(f.servers, serverState{recentTries: meter.NewCount(f.Terms.FallSpan, bucketsPerSpan),
-			link: f.newLoadEstimate(f.Fleet.LinksKB/float64(f.Fleet.Cells), &f.typicalLinks)})
+		f.servers = append(f.servers, serverState{recentTries: meter.NewCount(f.Terms.ColdSpan, bucketsPerSpan),
+			link: f.newLoadEstimate(f.Fleet.TotalLinkKB/float64(f.Fleet.Cells), &f.typicalLinks)})
 	}
 	return &f.servers[i]
 }
@@ -183,7 +183,7 @@
 // holdsTitle reports whether the playback's title is stored in the server's cell.
 func (f *front) holdsTitle(pb *playback, server *serverState) bool {
 	cells := f.Fleet.Cells
-	return pb.Span <= 0 || pb.Span >= cells || ((server.entry.Cell-pb.Base)%cells+cells)%cells < pb.Span
+	return pb.CellCount <= 0 || pb.CellCount >= cells || ((server.entry.Cell-pb.FirstCell)%cells+cells)%cells < pb.CellCount
 }
 
 // markDirty marks a playback for the next Settle.
@@ -266,7 +266,7 @@
 	floor := f.Plans[request.Plan].Floor
 	pb := &playback{Request: request, wantServer: -1, mayHaveRunOn: -1, requestedAt: f.now, currentRung: floor, wantRung: floor}
 	pb.Top = min(pb.Top, f.Plans[request.Plan].Top)
-	pb.startupDeadline = f.now + f.Plans[request.Plan].Startup
+	pb.startupDeadline = f.now + f.Plans[request.Plan].StartupTarget
 	for len(f.playbacks) <= request.Playback {
 		f.playbacks = append(f.playbacks, nil)
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -15,7 +15,7 @@
 // Manager is the decision module of one front. In each turn the host calls At with the clock time, then one event
 // method for each event in their order, and then Settle once.
 type Manager interface {
-	At(now Time)
+	BeginTurn(now Time)
 	Listed(list List)
 	Opened(request Request, server int)     // already running when the front starts; a note reports its rung
 	Requested(request Request)              // a new playback
@@ -44,10 +44,10 @@
 // Request is a playback to be set up.
 type Request struct {
 	Playback, Plan, Tenant, Title int
-	Show                          uint64 // the title's identifier, the same at every front
-	Abandon                       Time   // clock time at which the client gives up this request
+	TitleID                       uint64 // the title's identifier, the same at every front
+	AbandonAt                     Time   // clock time at which the client gives up this request
 	Top                           int    // highest rung that the viewer can use
-	Base, Span                    int    // the title is stored in Span cells, from cell Base on
+	FirstCell, CellCount          int    // the title is stored in Span cells, from cell Base on
 }
 
 // Outcome is how a setup try, a playback or a probe ended.
@@ -86,10 +86,10 @@
 
 // The kinds of notes, by what their value is.
 const (
-	Delivered   NoteKind = iota + 1 // share of their rates that the server's playbacks receive
-	RungNow                         // rung at which the playback runs
-	LinkAsked                       // demand on the server's link as a share of its capacity
-	UplinkAsked                     // the same for its rack's uplink
+	DeliveredShare NoteKind = iota + 1 // share of their rates that the server's playbacks receive
+	CurrentRung                        // rung at which the playback runs
+	LinkDemand                         // demand on the server's link as a share of its capacity
+	UplinkDemand                       // the same for its rack's uplink
 )
 
 // Note reports a change of a playback or of its server's load.
@@ -119,9 +119,9 @@
 
 // List is an update of the server list.
 type List struct {
-	Entries []Entry
-	Whole   bool // servers that are not in it are gone
-	Failed  bool // a call or the subscription failed; there are no entries
+	Entries  []Entry
+	Complete bool // servers that are not in it are gone
+	Failed   bool // a call or the subscription failed; there are no entries
 }
 
 // Repeat is the effect of setting up a playback a second time.
@@ -146,15 +146,15 @@
 
 // Plan is a class of playbacks.
 type Plan struct {
-	Repeat     Repeat
-	Scope      Scope
-	Window     Time // validity of an idempotency key
-	Startup    Time // startup target
-	Revenue    float64
-	Live       bool    // viewers of a title can share a stream
-	RateFactor float64 // on the ladder's rates
-	Floor, Top int     // lowest and highest rung
-	Seats      int     // limit on concurrent playbacks of one title, 0 for none
+	Repeat        Repeat
+	Scope         Scope
+	KeyWindow     Time // validity of an idempotency key
+	StartupTarget Time // startup target
+	Revenue       float64
+	Live          bool    // viewers of a title can share a stream
+	RateFactor    float64 // on the ladder's rates
+	Floor, Top    int     // lowest and highest rung
+	Seats         int     // limit on concurrent playbacks of one title, 0 for none
 }
 
 // Tenant is a customer with its quota.
@@ -164,46 +164,46 @@
 
 // Ladder holds the rates and revenues of the rungs.
 type Ladder struct {
-	RateKB, Worth []float64 // per rung: rate in kB/s, revenue as a share of the plan's
-	Join          float64   // demand of each further viewer of a stream, as a share of the stream's rate
-	Change        Time      // cost of a change of rung, as a time without revenue
+	RateKB, RevenueShare []float64 // per rung: rate in kB/s, revenue as a share of the plan's
+	Join                 float64   // demand of each further viewer of a stream, as a share of the stream's rate
+	RungChangeCost       Time      // cost of a change of rung, as a time without revenue
 }
 
 // Fleet is the configuration of servers and racks.
 type Fleet struct {
-	Cells, Racks         int
-	LinksKB, UplinkKB    float64 // capacity of all links together; mean capacity of an uplink
-	KBPerWeight          float64
-	WeightsTold          bool      // the server list has weights
-	Places               []float64 // maximum number of streams of a server, by kind
-	FullFrom             float64   // fill from which a server refuses setups, 0 for never
-	NoteDelay, NoteEvery Time      // delay and interval of notes
-	LoadInAnswers        bool      // answers to setup tries contain the load
-	LoadInProbes         bool      // answers to probes contain the load
-	UplinkUntold         bool      // load reports do not cover uplinks
+	Cells, Racks            int
+	TotalLinkKB, UplinkKB   float64 // capacity of all links together; mean capacity of an uplink
+	KBPerWeight             float64
+	WeightsListed           bool      // the server list has weights
+	MaxStreams              []float64 // maximum number of streams of a server, by kind
+	RefusalFill             float64   // fill from which a server refuses setups, 0 for never
+	NoteDelay, NoteInterval Time      // delay and interval of notes
+	LoadInAnswers           bool      // answers to setup tries contain the load
+	LoadInProbes            bool      // answers to probes contain the load
+	UplinkUnreported        bool      // load reports do not cover uplinks
 }
 
 // Terms are the parameters of the six rules.
 type Terms struct {
-	ColdFrom     float64 // share of its capacity that a server has at its start
-	WarmUp       Time    // time from a server's start to full capacity
-	FallMultiple float64 // a cold server fails above this multiple of Places per WarmUp
-	FallSpan     Time    // span over which its setups are counted
-	AskWithin    Time    // time within which a front must request the server list
-	Rationed     bool    // retries are limited over TrySpan
-	FreeTries    float64 // retries allowed in any case
-	TryShare     float64 // further retries, as a share of the requests
-	TrySpan      Time
-	MaxTries     int  // per playback
-	Probes       bool // probes may be sent
-	MaxComeAgain Time // longest advice in a rejection, 0 where none can be given
+	ColdShare      float64 // share of its capacity that a server has at its start
+	WarmUp         Time    // time from a server's start to full capacity
+	ColdMultiple   float64 // a cold server fails above this multiple of Places per WarmUp
+	ColdSpan       Time    // span over which its setups are counted
+	ListDeadline   Time    // time within which a front must request the server list
+	RetriesLimited bool    // retries are limited over TrySpan
+	FreeRetries    float64 // retries allowed in any case
+	RetryShare     float64 // further retries, as a share of the requests
+	RetrySpan      Time
+	MaxTries       int  // per playback
+	Probes         bool // probes may be sent
+	MaxRetryAfter  Time // longest advice in a rejection, 0 where none can be given
 }
 
 // Prices are shares of the total result.
 type Prices struct {
 	CrossZone, Move, Probe float64
 	WorstPlan              float64 // weight of the worst-served plan in the result, as a share of 1
-	OverShare              float64 // value of traffic beyond a tenant's quota, as a share of its full value
+	OverQuota              float64 // value of traffic beyond a tenant's quota, as a share of its full value
 }
 
 // Site is the configuration that a front gets at its start.
@@ -217,5 +217,5 @@
 	Terms         Terms
 	Prices        Prices
 	ListOnRequest bool // the server list is sent only after Watch
-	StartsTold    bool // a whole list has each server's latest start, also one during a restart of the front
+	StartsListed  bool // a whole list has each server's latest start, also one during a restart of the front
 }
