--- a/internal/standin/registry/store.go
+++ b/internal/standin/registry/store.go
@@ -49,7 +49,7 @@
 	dropped  bool
 }
 
-// NewStore returns a store with a first history, which begins after revision 1; see Begin.
+// NewStore returns a store with a first history that begins after revision 1.
 func NewStore(clusterID uint64, epoch string, markKey string) *Store {
 	s := &Store{checksums: map[string]map[int64]uint64{}, committedAt: map[string]map[int64]time.Time{}}
 	s.Begin(clusterID, epoch, markKey, 1)
