--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,7 +47,7 @@
 }
 
 // Core is a program without its sockets. It is owned by one goroutine, which runs it in turns: a turn starts with the
-// current time, delivers events in the order of their arrival, and ends with Settle, which returns the latest time at
+// current time, delivers events in the order of their arrival, and ends with EndTurn, which returns the latest time at
 // which the next turn has to start.
 type Core interface {
 	BeginTurn(now Time)            // starts a turn
--- a/internal/kept/snapshot.go
+++ b/internal/kept/snapshot.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Load reads a snapshot of the given kind. The error is ErrNone if there is no file, wraps ErrBad if its content is
+// Load reads a snapshot of the given kind. The error is ErrNotFound if there is no file, wraps ErrCorrupt if its content is
 // unusable, or is that of reading the file.
 func Load(path, kind string, value any) error {
 	content, err := os.ReadFile(path)
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -20,7 +20,7 @@
 	OwnName   string              // name of this manager
 	LeaseTime Time                // TTL of the leases of the managers
 	lastSeen  map[string]Time     // by name; the value present while the key exists
-	ready     map[string][]string // addresses of the ready managers by name, in the form that life.Others accepts
+	ready     map[string][]string // addresses of the ready managers by name, in the form that life.Peers accepts
 	LeaseLost bool                // the key of this manager was deleted while it runs
 }
 
--- a/session/session.go
+++ b/session/session.go
@@ -12,7 +12,7 @@
 // Second is one second of Time.
 const Second Time = 1_000_000
 
-// Manager is the decision module of one front. In each turn the host calls At with the clock time, then one event
+// Manager is the decision module of one front. In each turn the host calls BeginTurn with the clock time, then one event
 // method for each event in their order, and then Settle once.
 type Manager interface {
 	BeginTurn(now Time)
@@ -47,7 +47,7 @@
 	TitleID                       uint64 // the title's identifier, the same at every front
 	AbandonAt                     Time   // clock time at which the client gives up this request
 	Top                           int    // highest rung that the viewer can use
-	FirstCell, CellCount          int    // the title is stored in Span cells, from cell Base on
+	FirstCell, CellCount          int    // the title is stored in CellCount cells, from FirstCell on
 }
 
 // Outcome is how a setup try, a playback or a probe ended.
@@ -187,10 +187,10 @@
 type Terms struct {
 	ColdShare      float64 // share of its capacity that a server has at its start
 	WarmUp         Time    // time from a server's start to full capacity
-	ColdMultiple   float64 // a cold server fails above this multiple of Places per WarmUp
+	ColdMultiple   float64 // a cold server fails above this multiple of MaxStreams per WarmUp
 	ColdSpan       Time    // span over which its setups are counted
 	ListDeadline   Time    // time within which a front must request the server list
-	RetriesLimited bool    // retries are limited over TrySpan
+	RetriesLimited bool    // retries are limited over RetrySpan
 	FreeRetries    float64 // retries allowed in any case
 	RetryShare     float64 // further retries, as a share of the requests
 	RetrySpan      Time
