--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -19,33 +19,33 @@
 // Baselines are the names of the simple policies.
 func Baselines() []string { return sortedKeys(baselines) }
 
-type pick func(*baseline, *session.Request) int
+type picker func(*baseline, *session.Request) int
 
 // baseline tries each playback once, at a server that its pick chooses, and gives up on it where that fails.
 type baseline struct {
 	*session.Site
-	rng     *rand.Rand
-	pick    pick
-	rung    int
-	now     session.Time
-	servers []session.Entry
-	own     []int // playbacks of this front at each server
-	pbs     map[int]*basePB
-	todo    []int
-	ended   []int
-	moving  []int
+	rng          *rand.Rand
+	pick         picker
+	rung         int
+	now          session.Time
+	servers      []session.Entry
+	ownPlaybacks []int // playbacks of this front at each server
+	playbacks    map[int]*baselinePlayback
+	pending      []int
+	ended        []int
+	moving       []int
 }
 
-type basePB struct {
+type baselinePlayback struct {
 	session.Request
-	server int
-	tried  bool
-	ok     bool
-	fails  int
+	server   int
+	tried    bool
+	playing  bool
+	failures int
 }
 
-func newBaseline(s *session.Site, seed uint64, p pick, rung int) *baseline {
-	return &baseline{Site: s, rng: rand.New(rand.NewPCG(seed, 0xba5e)), pick: p, rung: rung, pbs: map[int]*basePB{}}
+func newBaseline(s *session.Site, seed uint64, p picker, rung int) *baseline {
+	return &baseline{Site: s, rng: rand.New(rand.NewPCG(seed, 0xba5e)), pick: p, rung: rung, playbacks: map[int]*baselinePlayback{}}
 }
 
 // holders are the servers that hold a title and are ready.
@@ -72,7 +72,7 @@
 	if len(all) == 0 {
 		return -1
 	}
-	return slices.MinFunc(all, func(x, y int) int { return b.own[x] - b.own[y] })
+	return slices.MinFunc(all, func(x, y int) int { return b.ownPlaybacks[x] - b.ownPlaybacks[y] })
 }
 
 func pickLocal(b *baseline, r *session.Request) int {
@@ -87,7 +87,7 @@
 		}
 		return 1 << 20
 	}
-	return slices.MinFunc(all, func(x, y int) int { return b.own[x] + far(x) - b.own[y] - far(y) })
+	return slices.MinFunc(all, func(x, y int) int { return b.ownPlaybacks[x] + far(x) - b.ownPlaybacks[y] - far(y) })
 }
 
 func (b *baseline) BeginTurn(now session.Time) { b.now = now }
@@ -99,40 +99,40 @@
 	}
 	for _, e := range l.Entries {
 		for len(b.servers) <= e.Server {
-			b.servers, b.own = append(b.servers, session.Entry{}), append(b.own, 0)
+			b.servers, b.ownPlaybacks = append(b.servers, session.Entry{}), append(b.ownPlaybacks, 0)
 		}
 		b.servers[e.Server] = e
 	}
 }
 func (b *baseline) Opened(session.Request, int) {}
 func (b *baseline) Requested(r session.Request) {
-	b.pbs[r.Playback] = &basePB{Request: r, server: -1}
-	b.todo = append(b.todo, r.Playback)
+	b.playbacks[r.Playback] = &baselinePlayback{Request: r, server: -1}
+	b.pending = append(b.pending, r.Playback)
 }
-func (b *baseline) Playing(pb, _, _ int, _ session.Time) { b.pbs[pb].ok = true }
+func (b *baseline) Playing(pb, _, _ int, _ session.Time) { b.playbacks[pb].playing = true }
 func (b *baseline) Ended(r session.Result) {
-	p := b.pbs[r.Playback]
+	p := b.playbacks[r.Playback]
 	if p == nil {
 		return
 	}
-	b.leave(p)
+	b.release(p)
 	if r.Final {
 		b.ended = append(b.ended, r.Playback)
 		return
 	}
-	p.fails++
+	p.failures++
 	p.tried = p.tried && r.Outcome != session.Full && r.Outcome != session.NoConnection && r.Outcome != session.NotSent
-	b.todo = append(b.todo, r.Playback)
+	b.pending = append(b.pending, r.Playback)
 }
-func (b *baseline) leave(p *basePB) {
+func (b *baseline) release(p *baselinePlayback) {
 	if p.server >= 0 {
-		b.own[p.server]--
+		b.ownPlaybacks[p.server]--
 		p.server = -1
 	}
 }
 func (b *baseline) Left(pb int) {
-	if p := b.pbs[pb]; p != nil {
-		b.leave(p)
+	if p := b.playbacks[pb]; p != nil {
+		b.release(p)
 		b.ended = append(b.ended, pb)
 	}
 }
@@ -141,29 +141,29 @@
 func (b *baseline) Noted(session.Note)                        {}
 
 func (b *baseline) Settle(a session.Actions) {
-	for len(b.todo)+len(b.ended) > 0 {
-		todo, ended := b.todo, b.ended
-		b.todo, b.ended = nil, nil
+	for len(b.pending)+len(b.ended) > 0 {
+		todo, ended := b.pending, b.ended
+		b.pending, b.ended = nil, nil
 		for _, pb := range ended {
-			if b.pbs[pb] != nil {
-				delete(b.pbs, pb)
+			if b.playbacks[pb] != nil {
+				delete(b.playbacks, pb)
 				a.Forget(pb)
 			}
 		}
 		for _, pb := range todo {
-			p := b.pbs[pb]
+			p := b.playbacks[pb]
 			if p == nil {
 				continue
 			}
 			plan := &b.Plans[p.Plan]
 			s := -1
-			if p.fails == 0 && b.now < p.AbandonAt {
+			if p.failures == 0 && b.now < p.AbandonAt {
 				s = b.pick(b, &p.Request)
 			}
 			switch {
 			case s >= 0:
 				p.server, p.tried = s, true
-				b.own[s]++
+				b.ownPlaybacks[s]++
 				a.SetRung(pb, max(min(b.rung, plan.Top, p.Top), plan.Floor))
 				a.Try(pb, s, 0)
 				continue
@@ -172,7 +172,7 @@
 			default:
 				a.Reject(pb, b.Terms.MaxRetryAfter)
 			}
-			delete(b.pbs, pb)
+			delete(b.playbacks, pb)
 			a.Forget(pb)
 		}
 	}
--- a/internal/lab/broken_test.go
+++ b/internal/lab/broken_test.go
@@ -28,12 +28,12 @@
 `
 
 // dropper is a front's network that loses every tenth answer to a player's SETUP.
-type dropper struct {
+type lossyNet struct {
 	core.Net
 	n int
 }
 
-func (d *dropper) Send(c *core.Conn, b []byte) {
+func (d *lossyNet) Send(c *core.Conn, b []byte) {
 	if len(b) > 12 && string(b[:12]) == "RTSP/1.0 503" || len(b) > 12 && string(b[:12]) == "RTSP/1.0 453" {
 		if d.n++; d.n%10 == 0 {
 			return
@@ -43,12 +43,12 @@
 }
 
 // twice is one that gives every tenth answer to a player's SETUP twice.
-type twice struct {
+type duplicatingNet struct {
 	core.Net
 	n int
 }
 
-func (d *twice) Send(c *core.Conn, b []byte) {
+func (d *duplicatingNet) Send(c *core.Conn, b []byte) {
 	d.Net.Send(c, b)
 	if bytes.HasPrefix(b, []byte("RTSP/1.0 ")) && bytes.Contains(b, []byte("Request-Id")) {
 		if d.n++; d.n%10 == 0 {
@@ -58,9 +58,9 @@
 }
 
 // keeper is one that does not tell boxes of live lessons that it has given a try up.
-type keeper struct{ core.Net }
+type teardownFilter struct{ core.Net }
 
-func (k *keeper) Send(c *core.Conn, b []byte) {
+func (k *teardownFilter) Send(c *core.Conn, b []byte) {
 	if bytes.HasPrefix(b, []byte("TEARDOWN")) && bytes.Contains(b, []byte("/live-lesson/")) {
 		return
 	}
@@ -71,38 +71,38 @@
 func TestCheckersCatchBrokenFronts(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule   int
-		broken *Broken
+		broken *FaultyFront
 	}{
 		"sound":         {0, nil},
-		"loses":         {1, &Broken{Net: func(n core.Net) core.Net { return &dropper{Net: n} }}},
-		"answers twice": {1, &Broken{Net: func(n core.Net) core.Net { return &twice{Net: n} }}},
-		"two at once":   {2, &Broken{Net: func(n core.Net) core.Net { return &keeper{n} }}},
-		"sets up again": {2, &Broken{Site: func(s *session.Site) {
+		"loses":         {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &lossyNet{Net: n} }}},
+		"answers twice": {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &duplicatingNet{Net: n} }}},
+		"two at once":   {2, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &teardownFilter{n} }}},
+		"sets up again": {2, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Repeat = session.Harmless
 			}
 		}}},
-		"deaf to drains": {3, &Broken{List: func(l front.ListUpdate) front.ListUpdate {
+		"deaf to drains": {3, &FaultyFront{List: func(l front.ListUpdate) front.ListUpdate {
 			for i := range l.Servers {
 				l.Servers[i].State = session.Ready
 			}
 			return l
 		}}},
-		"pushes": {4, &Broken{Site: func(s *session.Site) { s.Terms.ColdMultiple *= 100 }}},
-		"terms": {5, &Broken{Site: func(s *session.Site) {
+		"pushes": {4, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.ColdMultiple *= 100 }}},
+		"terms": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Seats = 0
 			}
 		}}},
-		"floors": {5, &Broken{Site: func(s *session.Site) {
+		"floors": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Floor = 0
 			}
 		}}},
-		"spends": {6, &Broken{Site: func(s *session.Site) { s.Terms.RetriesLimited = false }}},
+		"spends": {6, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.RetriesLimited = false }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -12,14 +12,14 @@
 )
 
 // ranges are what a day's seed draws from: 10~30, or 0.5~1.5.
-var ranges = regexp.MustCompile(`([0-9]*\.?[0-9]+)~([0-9]*\.?[0-9]+)`)
+var rangePattern = regexp.MustCompile(`([0-9]*\.?[0-9]+)~([0-9]*\.?[0-9]+)`)
 
 // drawn puts a number of its range in the place of each range, whole numbers where both ends are. What a line
 // gets depends on the seed and the line alone: a line more or less leaves the others as they were.
-func drawn(text string, seed uint64) (string, error) {
+func drawRanges(text string, seed uint64) (string, error) {
 	var all []string
 	for line := range strings.SplitSeq(text, "\n") {
-		x, err := drawnLine(line, seed)
+		x, err := drawLine(line, seed)
 		if err != nil {
 			return "", err
 		}
@@ -28,10 +28,10 @@
 	return strings.Join(all, "\n"), nil
 }
 
-func drawnLine(line string, seed uint64) (string, error) {
+func drawLine(line string, seed uint64) (string, error) {
 	var bad error
 	n, of := uint64(0), xxhash.Sum64String(line)
-	out := ranges.ReplaceAllStringFunc(line, func(s string) string {
+	out := rangePattern.ReplaceAllStringFunc(line, func(s string) string {
 		n++
 		rng := rand.New(rand.NewPCG(seed, of+n))
 		a, b, _ := strings.Cut(s, "~")
@@ -51,7 +51,7 @@
 
 // With is the same day as another seed draws it.
 func (d *Day) With(seed uint64) (*Day, error) {
-	text, err := drawn(d.Text, seed)
+	text, err := drawRanges(d.Text, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
--- a/internal/lab/found_test.go
+++ b/internal/lab/found_test.go
@@ -42,13 +42,13 @@
 }
 
 func TestDraws(t *testing.T) {
-	a, err := drawn("at 1~3 die boxes=10~30 part=0.2~0.6", 7)
-	b, _ := drawn("at 1~3 die boxes=10~30 part=0.2~0.6", 7)
-	c, _ := drawn("at 1~3 die boxes=10~30 part=0.2~0.6", 8)
+	a, err := drawRanges("at 1~3 die boxes=10~30 part=0.2~0.6", 7)
+	b, _ := drawRanges("at 1~3 die boxes=10~30 part=0.2~0.6", 7)
+	c, _ := drawRanges("at 1~3 die boxes=10~30 part=0.2~0.6", 8)
 	if err != nil || a != b || a == c || strings.Contains(a, "~") {
 		t.Error(a, b, c, err)
 	}
-	if _, err := drawn("x=3~1", 1); err == nil {
+	if _, err := drawRanges("x=3~1", 1); err == nil {
 		t.Error("a range from above was taken")
 	}
 	out, err := Set("seed 1\nfleet managers=2 boxes=3 # two\nat 1 die\nat 2 drain boxes=1", map[string]string{"fleet.managers": "9", "at 2.boxes": "4", "load.rate": "5"})
--- a/internal/lab/moved_test.go
+++ b/internal/lab/moved_test.go
@@ -32,7 +32,7 @@
 			retries, probes, refused := 0, 0, 0
 			for _, e := range tape.Entries {
 				switch {
-				case e.Retry:
+				case e.HasRetryAfter:
 					retries++
 				case e.FromFront && !e.Player && e.Method == rtsp.Options:
 					probes++
--- a/internal/lab/notation.go
+++ b/internal/lab/notation.go
@@ -44,8 +44,8 @@
 	Frame                         mediabox.Config // of each box, but for its name, rack and start
 	UplinkKB                      float64
 	NoticeSpread                  Time // the list reaches managers within so long
-	LostNotice                    Time // a death shows in the list after so long
-	ByProbes                      bool
+	LossNoticeDelay               Time // a death shows in the list after so long
+	LoadByProbes                  bool
 	Silent                        bool // no answer says when to come again
 
 	Plans   []DayPlan
@@ -53,18 +53,18 @@
 	Grace   Time
 	Timeout Time
 
-	Rate, Zipf   float64
-	Length       Time
-	Titles       int
-	Returns      int
-	Break        Time
-	SmallScreens float64
+	Rate, ZipfExponent float64
+	Length             Time
+	Titles             int
+	MaxRetries         int
+	RetryDelay         Time
+	SmallScreenShare   float64
 
 	Links    Links
 	Troubles []Trouble
 
 	Tenants []DayTenant // if there are any, they are the load
-	Door    *fair.Config
+	Queue   *fair.Config
 
 	Processes bool         // it has troubles of processes
 	Recover   bool         // managers that come back end what they left at boxes
@@ -79,8 +79,8 @@
 	Rate        float64 // a second, each
 	From, Until Time
 	Addresses   int
-	Exact       float64 // part of the viewers that come again when told
-	Early       float64 // part that come at half of the time; the others don't
+	ExactShare  float64 // part of the viewers that come again when told
+	EarlyShare  float64 // part that come at half of the time; the others don't
 	Flood       bool    // sends beyond its share on purpose
 	Lone        bool    // sends little: its waiting is what counts
 }
@@ -94,10 +94,10 @@
 
 // Trouble is one thing that goes wrong.
 type Trouble struct {
-	At, For         Time
-	Kind            string
-	Boxes, Managers int
-	Part, Size      float64
+	At, For          Time
+	Kind             string
+	Boxes, Managers  int
+	Share, Magnitude float64
 }
 
 // kinds of trouble; docs/lab.md describes each.
@@ -125,23 +125,23 @@
 }
 
 // words are a line's key=value pairs; all must be asked for.
-type words struct {
-	line  string
-	kv    map[string]string
-	plain []string
-	err   error
+type lineWords struct {
+	line       string
+	values     map[string]string
+	positional []string
+	err        error
 }
 
-func (w *words) text(key, or string) string {
-	v, ok := w.kv[key]
+func (w *lineWords) text(key, or string) string {
+	v, ok := w.values[key]
 	if !ok {
 		return or
 	}
-	delete(w.kv, key)
+	delete(w.values, key)
 	return v
 }
 
-func (w *words) number(key string, or float64) float64 {
+func (w *lineWords) number(key string, or float64) float64 {
 	s := w.text(key, "")
 	if s == "" {
 		return or
@@ -154,7 +154,7 @@
 }
 
 // some is how many of all: a number, or a part of them below 1.
-func (w *words) some(key string, of int) int {
+func (w *lineWords) countOrShare(key string, of int) int {
 	x := w.number(key, 1)
 	if x > 0 && x < 1 {
 		x = max(math.Round(x*float64(of)), 1)
@@ -162,12 +162,12 @@
 	return int(x)
 }
 
-func (w *words) count(key string, or int) int { return int(w.number(key, float64(or))) }
-func (w *words) span(key string, or float64) Time {
+func (w *lineWords) count(key string, or int) int { return int(w.number(key, float64(or))) }
+func (w *lineWords) duration(key string, or float64) Time {
 	return Time(w.number(key, or) * 1e6)
 }
 
-func (w *words) pair(key string, lo, hi float64) [2]Time {
+func (w *lineWords) durationRange(key string, lo, hi float64) [2]Time {
 	s := w.text(key, "")
 	if s == "" {
 		return [2]Time{Time(lo * 1e6), Time(hi * 1e6)}
@@ -184,7 +184,7 @@
 	return [2]Time{Time(x * 1e6), Time(y * 1e6)}
 }
 
-func (w *words) list(s string) (all []float64) {
+func (w *lineWords) numbers(s string) (all []float64) {
 	for x := range strings.SplitSeq(s, ",") {
 		v, err := strconv.ParseFloat(x, 64)
 		if err != nil {
@@ -196,19 +196,19 @@
 	return all
 }
 
-func (w *words) fail(format string, a ...any) {
+func (w *lineWords) fail(format string, a ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf("%s: %s", w.line, fmt.Sprintf(format, a...))
 	}
 }
 
-func split(line string) *words {
-	w := &words{line: line, kv: map[string]string{}}
+func splitLine(line string) *lineWords {
+	w := &lineWords{line: line, values: map[string]string{}}
 	for _, x := range strings.Fields(line)[1:] {
 		if k, v, ok := strings.Cut(x, "="); ok {
-			w.kv[k] = v
+			w.values[k] = v
 		} else {
-			w.plain = append(w.plain, x)
+			w.positional = append(w.positional, x)
 		}
 	}
 	return w
@@ -232,20 +232,20 @@
 // parse reads a day whose ranges are drawn.
 func parse(name, text string) (*Day, error) {
 	d := &Day{Name: name, Seed: 1, Managers: 1, Boxes: 1, Zones: 1, Racks: 1, Recover: true, Drain: 5 * core.Second}
-	d.parseFleet(split("fleet"))
-	d.parseTerms(split("terms"))
-	d.parseLoad(split("load"))
-	d.parseNet(split("net"))
+	d.parseFleet(splitLine("fleet"))
+	d.parseTerms(splitLine("terms"))
+	d.parseLoad(splitLine("load"))
+	d.parseNet(splitLine("net"))
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		w := split(line)
+		w := splitLine(line)
 		switch first := strings.Fields(line)[0]; first {
 		case "seed":
-			if len(w.plain) == 1 {
-				d.Seed, w.err = strconv.ParseUint(w.plain[0], 10, 64)
+			if len(w.positional) == 1 {
+				d.Seed, w.err = strconv.ParseUint(w.positional[0], 10, 64)
 			}
 		case "fleet":
 			d.parseFleet(w)
@@ -264,15 +264,15 @@
 		case "door":
 			d.parseDoor(w)
 		case "life":
-			d.Recover, d.Drain = w.count("recover", 1) > 0, w.span("drain", 5)
+			d.Recover, d.Drain = w.count("recover", 1) > 0, w.duration("drain", 5)
 		case "registry":
-			d.Registry = &DayRegistry{Lease: w.span("lease", 2), Timeout: w.span("timeout", 0.5), Way: w.span("way", 0.002)}
+			d.Registry = &DayRegistry{Lease: w.duration("lease", 2), Timeout: w.duration("timeout", 0.5), Way: w.duration("way", 0.002)}
 		case "at":
 			d.parseTrouble(w)
 		default:
 			w.fail("unknown %q: seed, fleet, ladder, plan, terms, load, net, tenant, door, registry, life or at was expected", first)
 		}
-		for k := range w.kv {
+		for k := range w.values {
 			w.fail("unknown word %q", k)
 		}
 		if w.err != nil {
@@ -295,42 +295,42 @@
 	return d, nil
 }
 
-func (d *Day) parseFleet(w *words) {
+func (d *Day) parseFleet(w *lineWords) {
 	d.Managers, d.Boxes = w.count("managers", d.Managers), w.count("boxes", d.Boxes)
 	d.Zones, d.Racks = w.count("zones", d.Zones), w.count("racks", d.Racks)
 	f := &d.Frame
 	f.MaxSessions = w.count("places", 30)
 	f.LinkKB, d.UplinkKB = w.number("link", 1000), w.number("uplink", 3000)
 	f.RejectFromLoad = w.number("fullfrom", 0)
-	f.SetupTime = w.pair("setup", 0.01, 0.04)
-	f.SendInterval, f.PacketBytes = w.span("tick", 0.1), w.count("packet", 1200)
-	f.NoteDelay, f.NoteInterval = w.span("notedelay", 0.5), w.span("noteevery", 2)
-	d.ByProbes = w.text("load", "answers") == "probes"
-	f.LoadInAnswers, f.OmitUplinkLoad = !d.ByProbes, w.text("uplinks", "told") == "untold"
-	d.NoticeSpread, d.LostNotice = w.span("spread", 0.3), w.span("notice", 1.5)
+	f.SetupTime = w.durationRange("setup", 0.01, 0.04)
+	f.SendInterval, f.PacketBytes = w.duration("tick", 0.1), w.count("packet", 1200)
+	f.NoteDelay, f.NoteInterval = w.duration("notedelay", 0.5), w.duration("noteevery", 2)
+	d.LoadByProbes = w.text("load", "answers") == "probes"
+	f.LoadInAnswers, f.OmitUplinkLoad = !d.LoadByProbes, w.text("uplinks", "told") == "untold"
+	d.NoticeSpread, d.LossNoticeDelay = w.duration("spread", 0.3), w.duration("notice", 1.5)
 	f.KeepSessionsOnClose = w.text("keeps", "") != ""
 }
 
-func (d *Day) parseLadder(w *words) {
-	if len(w.plain) != 1 {
+func (d *Day) parseLadder(w *lineWords) {
+	if len(w.positional) != 1 {
 		w.fail("the rates with commas between them were expected")
 		return
 	}
-	d.Frame.LadderKB = w.list(w.plain[0])
-	d.Site.Ladder.RevenueShare = w.list(w.text("worth", ""))
+	d.Frame.LadderKB = w.numbers(w.positional[0])
+	d.Site.Ladder.RevenueShare = w.numbers(w.text("worth", ""))
 	if len(d.Site.Ladder.RevenueShare) != len(d.Frame.LadderKB) {
 		w.fail("worth= needs a number for each rate")
 	}
-	d.Frame.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.span("change", 0.5)
+	d.Frame.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.duration("change", 0.5)
 }
 
-func (d *Day) parsePlan(w *words) {
-	if len(w.plain) != 1 {
+func (d *Day) parsePlan(w *lineWords) {
+	if len(w.positional) != 1 {
 		w.fail("the plan's name was expected")
 		return
 	}
-	p := DayPlan{Share: w.number("share", 1), Watch: w.pair("watch", 3, 8)}
-	p.Name, p.Abandon = w.plain[0], w.span("abandon", 4)
+	p := DayPlan{Share: w.number("share", 1), Watch: w.durationRange("watch", 3, 8)}
+	p.Name, p.Abandon = w.positional[0], w.duration("abandon", 4)
 	for i, m := range strings.Split(w.text("tracks", "video,audio"), ",") {
 		t := front.Track{Media: m, Encoding: "H264/90000", Payload: uint8(96 + i)}
 		if m == "audio" {
@@ -338,9 +338,9 @@
 		}
 		p.Tracks = append(p.Tracks, t)
 	}
-	s := session.Plan{StartupTarget: w.span("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
+	s := session.Plan{StartupTarget: w.duration("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
 		RateFactor: w.number("rate", 1), Floor: w.count("floor", 0), Top: w.count("top", 99),
-		Seats: w.count("seats", 0), KeyWindow: w.span("window", 5)}
+		Seats: w.count("seats", 0), KeyWindow: w.duration("window", 5)}
 	switch r := w.text("repeat", "harmless"); r {
 	case "harmless":
 	case "keyed":
@@ -354,19 +354,19 @@
 	d.Site.Plans = append(d.Site.Plans, s)
 }
 
-func (d *Day) parseTerms(w *words) {
+func (d *Day) parseTerms(w *lineWords) {
 	t, f := &d.Site.Terms, &d.Frame
-	t.ColdShare, t.WarmUp = w.number("coldfrom", 0.3), w.span("warmup", 6)
-	t.ColdMultiple, t.ColdSpan = w.number("fallmultiple", 4), w.span("fallspan", 1)
-	t.ListDeadline, t.MaxTries = w.span("askwithin", 10), w.count("tries", 4)
-	t.MaxRetryAfter = w.span("comeagain", 2)
-	t.RetriesLimited = w.kv["tryshare"] != "" || w.kv["freetries"] != ""
-	t.FreeRetries, t.RetryShare, t.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.span("tryspan", 10)
+	t.ColdShare, t.WarmUp = w.number("coldfrom", 0.3), w.duration("warmup", 6)
+	t.ColdMultiple, t.ColdSpan = w.number("fallmultiple", 4), w.duration("fallspan", 1)
+	t.ListDeadline, t.MaxTries = w.duration("askwithin", 10), w.count("tries", 4)
+	t.MaxRetryAfter = w.duration("comeagain", 2)
+	t.RetriesLimited = w.values["tryshare"] != "" || w.values["freetries"] != ""
+	t.FreeRetries, t.RetryShare, t.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.duration("tryspan", 10)
 	t.Probes = w.count("probes", 1) > 0
 	if d.Silent = w.count("advice", 1) == 0; d.Silent {
 		t.MaxRetryAfter = 0
 	}
-	d.Grace, d.Timeout = w.span("grace", 0.25), w.span("timeout", 20)
+	d.Grace, d.Timeout = w.duration("grace", 0.25), w.duration("timeout", 20)
 	d.Site.Prices = session.Prices{CrossZone: w.number("crosszone", 0.02), Move: w.number("move", 0.05),
 		Probe: w.number("probe", 0.01), OverQuota: 0.1,
 		WorstPlan: w.number("worstplan", 0)}
@@ -374,46 +374,46 @@
 	f.SessionTimeout = d.Timeout
 }
 
-func (d *Day) parseLoad(w *words) {
-	d.Rate, d.Length = w.number("rate", 20), w.span("length", 20)
-	d.Titles, d.Zipf = w.count("titles", 40), w.number("zipf", 0.8)
-	d.Returns, d.Break = w.count("returns", 1), w.span("break", 0.7)
-	d.SmallScreens = w.number("small", 0.2)
+func (d *Day) parseLoad(w *lineWords) {
+	d.Rate, d.Length = w.number("rate", 20), w.duration("length", 20)
+	d.Titles, d.ZipfExponent = w.count("titles", 40), w.number("zipf", 0.8)
+	d.MaxRetries, d.RetryDelay = w.count("returns", 1), w.duration("break", 0.7)
+	d.SmallScreenShare = w.number("small", 0.2)
 }
 
-func (d *Day) parseNet(w *words) {
-	d.Links = Links{Latency: w.span("latency", 0.0005), Jitter: w.span("jitter", 0.0003), Across: w.span("across", 0.002),
-		Split: w.number("split", 0.05), Cut: w.number("cut", 0), Window: w.count("window", 128<<10)}
+func (d *Day) parseNet(w *lineWords) {
+	d.Links = Links{Latency: w.duration("latency", 0.0005), Jitter: w.duration("jitter", 0.0003), CrossZone: w.duration("across", 0.002),
+		SplitChance: w.number("split", 0.05), CutChance: w.number("cut", 0), WindowBytes: w.count("window", 128<<10)}
 }
 
-func (d *Day) parseTrouble(w *words) {
-	if len(w.plain) != 2 {
+func (d *Day) parseTrouble(w *lineWords) {
+	if len(w.positional) != 2 {
 		w.fail("a time and a kind of trouble were expected")
 		return
 	}
-	at, err := strconv.ParseFloat(w.plain[0], 64)
-	if err != nil || at < 0 || !troubleKinds[w.plain[1]] {
-		w.fail("a time and a known kind of trouble were expected, not %q", strings.Join(w.plain, " "))
+	at, err := strconv.ParseFloat(w.positional[0], 64)
+	if err != nil || at < 0 || !troubleKinds[w.positional[1]] {
+		w.fail("a time and a known kind of trouble were expected, not %q", strings.Join(w.positional, " "))
 		return
 	}
-	d.Troubles = append(d.Troubles, Trouble{At: Time(at * 1e6), For: w.span("for", 5), Kind: w.plain[1],
-		Boxes: w.some("boxes", d.Boxes), Managers: w.some("managers", d.Managers), Part: w.number("part", 1),
-		Size: w.number("size", 2)})
+	d.Troubles = append(d.Troubles, Trouble{At: Time(at * 1e6), For: w.duration("for", 5), Kind: w.positional[1],
+		Boxes: w.countOrShare("boxes", d.Boxes), Managers: w.countOrShare("managers", d.Managers), Share: w.number("part", 1),
+		Magnitude: w.number("size", 2)})
 }
 
-func (d *Day) parseTenant(w *words) {
-	if len(w.plain) != 1 {
+func (d *Day) parseTenant(w *lineWords) {
+	if len(w.positional) != 1 {
 		w.fail("the tenant's name was expected")
 		return
 	}
-	d.Tenants = append(d.Tenants, DayTenant{Name: w.plain[0], Count: w.count("count", 1), Rate: w.number("rate", 1), From: w.span("from", 0),
-		Until: w.span("until", 1e6), Addresses: max(w.count("addresses", 1), 1), Exact: w.number("exact", 1), Early: w.number("early", 0),
+	d.Tenants = append(d.Tenants, DayTenant{Name: w.positional[0], Count: w.count("count", 1), Rate: w.number("rate", 1), From: w.duration("from", 0),
+		Until: w.duration("until", 1e6), Addresses: max(w.count("addresses", 1), 1), ExactShare: w.number("exact", 1), EarlyShare: w.number("early", 0),
 		Flood: w.count("flood", 0) > 0, Lone: w.count("lone", 0) > 0})
 }
 
-func (d *Day) parseDoor(w *words) {
+func (d *Day) parseDoor(w *lineWords) {
 	orders := map[string]fair.Discipline{"fair": fair.StartTimeFair, "fifo": fair.FIFO, "buckets": fair.TokenBuckets}
-	t := &fair.Config{MaxWaiting: w.count("waiting", 500), MaxRetryAfter: w.span("longest", 0), BucketRate: w.number("persec", 1)}
+	t := &fair.Config{MaxWaiting: w.count("waiting", 500), MaxRetryAfter: w.duration("longest", 0), BucketRate: w.number("persec", 1)}
 	t.MaxBytes = w.count("bytes", 1000*t.MaxWaiting)
 	t.MaxTenants, t.MaxIdleClients = w.count("tenants", 4*t.MaxWaiting), w.count("clients", t.MaxWaiting)
 	name := w.text("order", "fair")
@@ -422,7 +422,7 @@
 		w.fail("order=%s: fair, fifo or buckets was expected", name)
 	}
 	t.Discipline = order
-	d.Door = t
+	d.Queue = t
 }
 
 // finish fills in what follows from the rest.
@@ -432,8 +432,8 @@
 	d.Site.Fleet = session.Fleet{Cells: d.Boxes, Racks: d.Racks, TotalLinkKB: d.Frame.LinkKB * float64(d.Boxes),
 		UplinkKB: d.UplinkKB, KBPerWeight: d.Frame.LinkKB, WeightsListed: true, MaxStreams: []float64{float64(d.Frame.MaxSessions)},
 		RefusalFill: d.Frame.RejectFromLoad, NoteDelay: d.Frame.NoteDelay, NoteInterval: d.Frame.NoteInterval,
-		LoadInAnswers: !d.ByProbes, LoadInProbes: true, UplinkUnreported: d.Frame.OmitUplinkLoad}
-	if d.ByProbes {
+		LoadInAnswers: !d.LoadByProbes, LoadInProbes: true, UplinkUnreported: d.Frame.OmitUplinkLoad}
+	if d.LoadByProbes {
 		d.Site.Fleet.NoteInterval = 0
 	}
 	for i := range d.Site.Plans {
@@ -449,10 +449,10 @@
 
 // Bounds are the figures that the rules are judged by.
 func (d *Day) Bounds(slack Time) *Bounds {
-	b := &Bounds{Site: d.Site, Grace: d.Grace, Places: d.Frame.MaxSessions, Slack: slack,
-		Travel: 4 * (d.Links.Latency + d.Links.Jitter + d.Links.Across)}
+	b := &Bounds{Site: d.Site, Grace: d.Grace, MaxSessions: d.Frame.MaxSessions, OrderTolerance: slack,
+		MaxTravel: 4 * (d.Links.Latency + d.Links.Jitter + d.Links.CrossZone)}
 	for _, p := range d.Plans {
-		b.Plans, b.Abandon = append(b.Plans, p.Name), append(b.Abandon, p.Abandon)
+		b.Plans, b.AbandonTimes = append(b.Plans, p.Name), append(b.AbandonTimes, p.Abandon)
 	}
 	return b
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -14,10 +14,10 @@
 	addr   string
 }
 
-type pipe struct {
-	mu   sync.Mutex
-	peer *nbio.Conn
-	wait []byte
+type relayPipe struct {
+	mu      sync.Mutex
+	peer    *nbio.Conn
+	pending []byte
 }
 
 // NewRelay listens and takes each connection on to an address.
@@ -34,7 +34,7 @@
 		if c.Session() != nil {
 			return
 		}
-		p := &pipe{}
+		p := &relayPipe{}
 		c.SetSession(p)
 		err := e.DialAsync("tcp", to, func(up *nbio.Conn, err error) {
 			if err != nil {
@@ -42,11 +42,11 @@
 				return
 			}
 			_ = up.SetNoDelay(true)
-			up.SetSession(&pipe{peer: c})
+			up.SetSession(&relayPipe{peer: c})
 			p.mu.Lock()
 			p.peer = up
-			_, _ = up.Write(p.wait)
-			p.wait = nil
+			_, _ = up.Write(p.pending)
+			p.pending = nil
 			p.mu.Unlock()
 		})
 		if err != nil {
@@ -54,20 +54,20 @@
 		}
 	})
 	e.OnData(func(c *nbio.Conn, b []byte) {
-		p, ok := c.Session().(*pipe)
+		p, ok := c.Session().(*relayPipe)
 		if !ok {
 			return
 		}
 		p.mu.Lock()
 		if p.peer == nil {
-			p.wait = append(p.wait, b...)
+			p.pending = append(p.pending, b...)
 		} else {
 			_, _ = p.peer.Write(b)
 		}
 		p.mu.Unlock()
 	})
 	e.OnClose(func(c *nbio.Conn, _ error) {
-		if p, ok := c.Session().(*pipe); ok {
+		if p, ok := c.Session().(*relayPipe); ok {
 			p.mu.Lock()
 			peer := p.peer
 			p.mu.Unlock()
--- a/internal/lab/runs.go
+++ b/internal/lab/runs.go
@@ -74,8 +74,8 @@
 }
 
 // Plants are changes for the worse on purpose: an experiment must find them.
-var Plants = map[string]*Broken{
-	"lower-brim": {Module: func(m session.Manager) session.Manager { return &fuller{m} }}, // links are taken for full too early
+var Plants = map[string]*FaultyFront{
+	"lower-brim": {WrapModule: func(m session.Manager) session.Manager { return &inflatedLoad{m} }}, // links are taken for full too early
 	"deaf-to-drains": {List: func(l front.ListUpdate) front.ListUpdate { // a guard of rule 3 taken out
 		l.Servers = slices.Clone(l.Servers)
 		for i := range l.Servers {
@@ -85,39 +85,39 @@
 		}
 		return l
 	}},
-	"other-chance": {Seed: 0x5eed},
+	"other-chance": {SeedMask: 0x5eed},
 }
 
 // fuller has a module see links and uplinks fuller than they are: what it holds to be full is less, as with a
 // lowered brim.
-type fuller struct{ session.Manager }
+type inflatedLoad struct{ session.Manager }
 
-const seenFuller = 1.5
+const loadInflation = 1.5
 
-func (f *fuller) more(l session.Load) session.Load {
-	l.Link, l.Uplink = l.Link*seenFuller, l.Uplink*seenFuller
+func (f *inflatedLoad) inflate(l session.Load) session.Load {
+	l.Link, l.Uplink = l.Link*loadInflation, l.Uplink*loadInflation
 	return l
 }
 
-func (f *fuller) Ended(r session.Result) {
-	r.Load = f.more(r.Load)
+func (f *inflatedLoad) Ended(r session.Result) {
+	r.Load = f.inflate(r.Load)
 	f.Manager.Ended(r)
 }
 
-func (f *fuller) Probed(server int, o session.Outcome, l session.Load) {
-	f.Manager.Probed(server, o, f.more(l))
+func (f *inflatedLoad) Probed(server int, o session.Outcome, l session.Load) {
+	f.Manager.Probed(server, o, f.inflate(l))
 }
 
-func (f *fuller) Noted(n session.Note) {
+func (f *inflatedLoad) Noted(n session.Note) {
 	if n.Kind == session.LinkDemand || n.Kind == session.UplinkDemand {
-		n.Value *= seenFuller
+		n.Value *= loadInflation
 	}
 	f.Manager.Noted(n)
 }
 
 // Run plays a day on the virtual network and counts it.
 func Run(d *Day, plant string) (*Row, error) {
-	var broken *Broken
+	var broken *FaultyFront
 	if plant != "" {
 		if broken = Plants[plant]; broken == nil {
 			return nil, fmt.Errorf("no plant %q: there are %v", plant, sortedKeys(Plants))
@@ -130,12 +130,12 @@
 	x, t := play.Count(tape), &play.Tally
 	r := &Row{Day: d.Name, Seed: int64(d.Seed), Goal: x.Goal, Whole: x.Whole, Worst: x.Worst, WorstPlan: x.WorstPlan, WorstTenant: x.WorstTenant,
 		Prices: x.Prices, Best: x.Best, Unserved: x.Unserved, Late: x.Late, LowRung: x.LowRung, Short: x.Short, Asked: int64(t.Asked),
-		Played: int64(t.Played), Refused: int64(t.Refused), Failed: int64(t.Failed), Abandoned: int64(t.Abandoned), Lost: int64(t.Lost),
+		Played: int64(t.Played), Refused: int64(t.Rejected), Failed: int64(t.Failed), Abandoned: int64(t.Abandoned), Lost: int64(t.Lost),
 		Tries: t.Fronts.Tries, Moves: int64(x.Moves), Changes: int64(x.Changes), Fell: int64(t.Fell), Odd: int64(play.Odd),
 		Digest: fmt.Sprintf("%016x", w.Digest()), Notes: play.Oddities}
-	slices.Sort(t.Startup)
-	if n := len(t.Startup); n > 0 {
-		r.Startup50, r.Startup99 = seconds(t.Startup[n/2]), seconds(t.Startup[n*99/100])
+	slices.Sort(t.StartupTimes)
+	if n := len(t.StartupTimes); n > 0 {
+		r.Startup50, r.Startup99 = seconds(t.StartupTimes[n/2]), seconds(t.StartupTimes[n*99/100])
 	}
 	for _, v := range Judge(tape, d.Bounds(0)) {
 		r.Broken += int64(len(v.Broken))
@@ -152,8 +152,8 @@
 		return 0
 	}
 	for i := range x.Offered {
-		r.Points = append(r.Points, Point{At: float64(i) * seconds(bucket), Offered: x.Offered[i], Earned: x.Earned[i], Possible: x.Possible[i],
-			Fill: at(play.fills, i), Fullest: at(play.fullest, i), Waiting: at(play.waiting, i), Wait: x.Waits[i], Rung: x.Rungs[i],
+		r.Points = append(r.Points, Point{At: float64(i) * seconds(bucketWidth), Offered: x.Offered[i], Earned: x.Earned[i], Possible: x.Possible[i],
+			Fill: at(play.meanFills, i), Fullest: at(play.maxFills, i), Waiting: at(play.unanswered, i), Wait: x.MeanWaits[i], Rung: x.MeanRungs[i],
 			Playing: x.Playing[i], Tries: x.Tries[i]})
 	}
 	for _, m := range d.Troubles {
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -17,15 +17,15 @@
 // Search looks for days on which the session manager does badly: it changes a day by chance, keeps what is
 // worse, and cuts the worst down to what matters.
 type Search struct {
-	Seed   uint64
-	For    time.Duration
-	Say    io.Writer
-	Rounds int    // so many, whatever the time; 0 for as many as fit
-	What   string // worth, or answers: what came to nothing or came late, whatever room there was
+	Seed      uint64
+	For       time.Duration
+	Say       io.Writer
+	MaxRounds int    // so many, whatever the time; 0 for as many as fit
+	What      string // worth, or answers: what came to nothing or came late, whatever room there was
 }
 
 // Found is a day that a search found.
-type Found struct {
+type FoundDay struct {
 	Text   string
 	Row    *Row
 	Played int
@@ -33,7 +33,7 @@
 
 // bad is how badly a day went: what was lost of what links would have given; a broken rule, or something that
 // does not add up, counts for more than anything else.
-func (s *Search) bad(r *Row) float64 {
+func (s *Search) badness(r *Row) float64 {
 	x := max(r.Best, 0.05) - r.Goal
 	if s.What == "answers" {
 		x = r.Late + float64(r.Failed+r.Abandoned)/float64(max(r.Asked, 1))
@@ -48,13 +48,13 @@
 }
 
 const (
-	enough    = 0.9 // of how bad a day is, that a shorter one must keep
-	fewLines  = 12
-	spreadOut = 0.35 // by how much a figure is changed, at most
+	keptBadness     = 0.9 // of how bad a day is, that a shorter one must keep
+	maxTroubleLines = 12
+	maxChange       = 0.35 // by how much a figure is changed, at most
 )
 
 // words that a search changes, with their bounds.
-var knobs = []struct {
+var searchParameters = []struct {
 	key      string
 	lo, hi   float64
 	integral bool
@@ -67,11 +67,11 @@
 }
 
 // troubles that a search brings in, with the words that they take.
-var broughtIn = []string{"die", "vanish", "drain", "errors", "lost-answers", "late-answers", "stuck", "cut-answers", "slow", "neighbour", "reports-late",
+var searchTroubles = []string{"die", "vanish", "drain", "errors", "lost-answers", "late-answers", "stuck", "cut-answers", "slow", "neighbour", "reports-late",
 	"surge", "crowd", "repeat", "leave", "kill", "stand-still", "zone-cut", "sag", "overspeed"}
 
 // change makes one or a few changes to a day's text.
-func change(text string, rng *rand.Rand) string {
+func mutate(text string, rng *rand.Rand) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	for range 1 + rng.IntN(3) {
 		var at []int
@@ -82,7 +82,7 @@
 		}
 		switch k := rng.IntN(10); {
 		case k < 4: // a figure
-			x := knobs[rng.IntN(len(knobs))]
+			x := searchParameters[rng.IntN(len(searchParameters))]
 			line, word, _ := strings.Cut(x.key, ".")
 			now := (x.lo + x.hi) / 2
 			for _, l := range lines {
@@ -95,7 +95,7 @@
 					}
 				}
 			}
-			v := now * (1 + spreadOut*(2*rng.Float64()-1))
+			v := now * (1 + maxChange*(2*rng.Float64()-1))
 			if rng.IntN(5) == 0 {
 				v = x.lo + (x.hi-x.lo)*rng.Float64()
 			}
@@ -107,8 +107,8 @@
 			if out, err := Set(strings.Join(lines, "\n"), map[string]string{x.key: s}); err == nil {
 				lines = strings.Split(out, "\n")
 			}
-		case k < 8 && len(at) < fewLines: // a trouble more
-			kind := broughtIn[rng.IntN(len(broughtIn))]
+		case k < 8 && len(at) < maxTroubleLines: // a trouble more
+			kind := searchTroubles[rng.IntN(len(searchTroubles))]
 			l := fmt.Sprintf("at %.1f %s for=%.1f", 1+9*rng.Float64(), kind, 0.5+4*rng.Float64())
 			switch kind {
 			case "die", "vanish": // none comes back before it is known to be gone: nobody could keep its pace
@@ -135,7 +135,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func playText(text string, seed uint64) (*Row, error) {
+func runText(text string, seed uint64) (*Row, error) {
 	d, err := Parse("search", text)
 	if err != nil {
 		return nil, err
@@ -147,8 +147,8 @@
 }
 
 // Run searches from a day on.
-func (s *Search) Run(from *Day) (*Found, error) {
-	first, err := playText(from.Text, s.Seed)
+func (s *Search) Run(from *Day) (*FoundDay, error) {
+	first, err := runText(from.Text, s.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	played := 1
 	n := max(runtime.GOMAXPROCS(0), 1)
 	end := time.Now().Add(s.For)
-	for round := 0; s.Rounds > 0 && round < s.Rounds || s.Rounds == 0 && time.Now().Before(end); round++ {
+	for round := 0; s.MaxRounds > 0 && round < s.MaxRounds || s.MaxRounds == 0 && time.Now().Before(end); round++ {
 		next := make([]one, n)
 		var wait sync.WaitGroup
 		for i := range next {
@@ -169,8 +169,8 @@
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				text := change(parent.text, rng)
-				if r, err := playText(text, s.Seed); err == nil {
+				text := mutate(parent.text, rng)
+				if r, err := runText(text, s.Seed); err == nil {
 					next[i] = one{text, r}
 				}
 			}()
@@ -183,7 +183,7 @@
 			}
 		}
 		slices.SortStableFunc(pool, func(a, b one) int {
-			if x, y := s.bad(a.row), s.bad(b.row); x != y {
+			if x, y := s.badness(a.row), s.badness(b.row); x != y {
 				if x > y {
 					return -1
 				}
@@ -199,15 +199,15 @@
 	if s.Say != nil {
 		fmt.Fprintln(s.Say)
 	}
-	text, row, more := s.cut(pool[0].text, pool[0].row)
-	return &Found{Text: text, Row: row, Played: played + more}, nil
+	text, row, more := s.minimize(pool[0].text, pool[0].row)
+	return &FoundDay{Text: text, Row: row, Played: played + more}, nil
 }
 
 // cut takes out what does not matter: lines of trouble, then words that differ from the day's first text.
-func (s *Search) cut(text string, row *Row) (string, *Row, int) {
+func (s *Search) minimize(text string, row *Row) (string, *Row, int) {
 	played := 0
 	keeps := func(r *Row) bool {
-		return s.bad(r) >= enough*s.bad(row) && (r.Broken > 0) == (row.Broken > 0) && (r.Odd > 0) == (row.Odd > 0)
+		return s.badness(r) >= keptBadness*s.badness(row) && (r.Broken > 0) == (row.Broken > 0) && (r.Odd > 0) == (row.Odd > 0)
 	}
 	for again := true; again; {
 		again = false
@@ -217,7 +217,7 @@
 				continue
 			}
 			less := strings.Join(slices.Delete(slices.Clone(lines), i, i+1), "\n") + "\n"
-			r, err := playText(less, s.Seed)
+			r, err := runText(less, s.Seed)
 			if played++; err == nil && keeps(r) {
 				text, lines, again = less, strings.Split(strings.TrimSpace(less), "\n"), true
 			}
@@ -229,14 +229,14 @@
 			if err != nil {
 				continue
 			}
-			r, err := playText(less, s.Seed)
+			r, err := runText(less, s.Seed)
 			if played++; err == nil && keeps(r) {
 				text = less
 				break
 			}
 		}
 	}
-	r, err := playText(text, s.Seed)
+	r, err := runText(text, s.Seed)
 	if err != nil {
 		r = row
 	}
@@ -244,7 +244,7 @@
 }
 
 // Save writes a found day as a file that a test plays: what it was when it was found stands in its first lines.
-func (f *Found) Save(path string, seed uint64) error {
+func (f *FoundDay) Save(path string, seed uint64) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Found by a search with seed %d over %d days: worth %.3f, of at most %.3f by what links give; %d broken rules.\n", seed, f.Played,
 		f.Row.Goal, f.Row.Best, f.Row.Broken)
