--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -19,46 +19,46 @@
 	"pierlink/session"
 )
 
-// Stage is where a day is played: the virtual network, or loopback sockets.
+// Environment is what a day runs on: the virtual network, or loopback sockets.
 type Environment interface {
 	Now() Time
-	At(at Time, call func())
+	At(at Time, run func())
 	Start(name, zone string, build func(core.Net) core.Core)
 	Addr(name string) string
 	Kill(name string, silent bool)
-	Call(name string, call func(core.Core)) // within a turn of the host
-	Stand(name string, span Time)
-	CutZones(a, b string, span Time)
+	Call(name string, run func(core.Core)) // runs it within one of the host's event loop turns
+	Stand(name string, duration Time)
+	CutZones(a, b string, duration Time)
 	Player(name string)
 }
 
-// Tally is how a day went, as players and boxes counted it.
+// Tally holds the totals of a day as players and boxes counted them.
 type Tally struct {
 	Asked, Played, Rejected, Failed, Abandoned, Lost, Completed int
 	Packets, Gaps                                               int
 	Bytes                                                       int64
 	Requests, Responses, Unasked                                int
-	ByKind                                                      map[string]int // troubles played
+	ByKind                                                      map[string]int // troubles applied, by kind
 	StartupTimes                                                []Time
 	Fell, Setups                                                int
 	Redirected                                                  int
-	SentOn                                                      int // told while they played to go elsewhere
+	SentOn                                                      int // redirected while playing
 	Revenue, Offered                                            float64
-	RevenueByTenth                                              []float64   // revenue by tenth of a second since the day began
-	Fronts                                                      front.Stats // added up over all that ran
+	RevenueByTenth                                              []float64   // revenue per tenth of a second since the start of the day
+	Fronts                                                      front.Stats // summed over all front processes
 }
 
-// Broken makes a front that breaks a rule on purpose, to show that its checker catches it: it may change
-// what the module is told, or the network that the front sends by.
+// FaultyFront makes a front break a rule on purpose, to show that the rule's checker reports it: it may change
+// the module's input, or the network that the front sends on.
 type FaultyFront struct {
 	ChangeSite func(*session.Site)
 	List       func(front.ListUpdate) front.ListUpdate
 	WrapNet    func(core.Net) core.Net
-	WrapModule func(session.Manager) session.Manager // changes what the module hears
-	SeedMask   uint64                                // other draws of the module's chance
+	WrapModule func(session.Manager) session.Manager // wraps the module to change its input
+	SeedMask   uint64                                // XORed into the seed of the module's random source
 }
 
-// Play is a day under way.
+// Play is the state of a running day.
 type Play struct {
 	Day                                         *Day
 	Tally                                       Tally
@@ -74,27 +74,27 @@
 	earlyLeaveShare                             float64
 	crowdShare                                  float64
 	viewerCount                                 int
-	slowRack                                    int // of the trouble of that name
+	slowRack                                    int // rack chosen by the slow-rack trouble
 	service                                     map[quality.Group]quality.Totals
 	broken                                      *FaultyFront
 	log                                         *zap.Logger
 	cumulativeZipf                              []float64
-	Log                                         []*TenantViewer // of days with tenants
+	Log                                         []*TenantViewer // only for days with tenants
 	viewerByProfile                             map[*player.Profile]*TenantViewer
-	registry                                    *newsroom  // where the day has a registry
-	processes                                   *Processes // where managers are processes of their own
+	registry                                    *newsroom  // nil if the day has no registry
+	processes                                   *Processes // only where managers are separate processes
 	revenueCounted                              map[*player.Profile]bool
-	Orphans                                     float64 // places that they take, mean over the day
+	Orphans                                     float64 // mean number of sessions without a connection over the day
 	orphanSum, orphanSamples                    float64
-	Seen                                        []player.Result // where managers are processes of their own
+	Seen                                        []player.Result // only where managers are separate processes
 	profiles                                    []*player.Profile
 	requestedAt                                 map[*player.Profile]Time
 	zoneByHost                                  map[string]string
-	capacityKB, meanFills, maxFills, unanswered []float64 // each half second, on the virtual network
-	packetsSent                                 int       // packets, by boxes
-	Odd                                         int       // things that do not add up
+	capacityKB, meanFills, maxFills, unanswered []float64 // sampled each half second, on the virtual network only
+	packetsSent                                 int       // RTP packets sent by boxes
+	Odd                                         int       // failed consistency checks of the emulation
 	Oddities                                    []string
-	mu                                          sync.Mutex // of the tally: on sockets the hosts run side by side
+	mu                                          sync.Mutex // guards Tally: on loopback sockets the hosts run concurrently
 }
 
 type boxState struct {
@@ -102,7 +102,7 @@
 	cell       int
 	state      session.ServerState
 	started    Time
-	inTrouble  bool // some trouble has it
+	inTrouble  bool // a trouble applies to it now
 	starts     int
 }
 
@@ -114,35 +114,35 @@
 	journal    memoryJournal
 }
 
-// memory is a journal that outlives the manager that writes it.
+// memoryJournal is an in-memory journal that outlives the manager process that writes it.
 type memoryJournal map[string]life.Orphan
 
-func (m memoryJournal) Opened(o life.Orphan) { m[o.Name] = o }
-func (m memoryJournal) Ended(name string)    { delete(m, name) }
+func (m memoryJournal) Opened(orphan life.Orphan) { m[orphan.Name] = orphan }
+func (m memoryJournal) Ended(name string)         { delete(m, name) }
 
-// Begin puts a day's fleet on a stage and its script before it.
-func Begin(d *Day, s Environment, tape *Tape, broken *FaultyFront, log *zap.Logger) *Play {
-	return begin(d, s, tape, broken, log, nil)
+// Begin starts a day's fleet in an environment and schedules its load and troubles.
+func Begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger) *Play {
+	return begin(day, env, recording, faulty, log, nil)
 }
 
-func begin(d *Day, s Environment, tape *Tape, broken *FaultyFront, log *zap.Logger, out *Processes) *Play {
-	p := &Play{Day: d, stage: s, tape: tape, rng: rand.New(rand.NewPCG(d.Seed, 0xda1)), began: s.Now(), surgeFactor: 1,
-		broken: broken, log: log, requestedAt: map[*player.Profile]Time{}, zoneByHost: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
-	if p.processes = out; out != nil {
-		out.play = p
+func begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger, processes *Processes) *Play {
+	p := &Play{Day: day, stage: env, tape: recording, rng: rand.New(rand.NewPCG(day.Seed, 0xda1)), began: env.Now(), surgeFactor: 1,
+		broken: faulty, log: log, requestedAt: map[*player.Profile]Time{}, zoneByHost: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
+	if p.processes = processes; processes != nil {
+		processes.play = p
 	}
-	total := 0.0
-	for i := range d.Titles {
-		total += math.Pow(float64(i+1), -d.ZipfExponent)
-		p.cumulativeZipf = append(p.cumulativeZipf, total)
+	totalWeight := 0.0
+	for i := range day.Titles {
+		totalWeight += math.Pow(float64(i+1), -day.ZipfExponent)
+		p.cumulativeZipf = append(p.cumulativeZipf, totalWeight)
 	}
-	for range d.Racks {
-		p.racks = append(p.racks, &mediabox.Rack{UplinkKB: d.UplinkKB})
+	for range day.Racks {
+		p.racks = append(p.racks, &mediabox.Rack{UplinkKB: day.UplinkKB})
 	}
-	if d.Registry != nil {
-		p.registry = newRoom(p, d.Registry)
+	if day.Registry != nil {
+		p.registry = newRoom(p, day.Registry)
 	}
-	for i := range d.Boxes {
+	for i := range day.Boxes {
 		b := &boxState{name: "box-" + strconv.Itoa(i), zone: p.zoneName(i), cell: i, state: session.Ready}
 		p.boxes = append(p.boxes, b)
 		p.zoneByHost[b.name] = b.zone
@@ -154,39 +154,39 @@
 			p.processes.box(b)
 		}
 	}
-	for i := range d.Managers {
+	for i := range day.Managers {
 		f := &frontState{name: "front-" + strconv.Itoa(i), zone: p.zoneName(i), index: i}
 		p.fronts = append(p.fronts, f)
 		p.zoneByHost[f.name] = f.zone
 		p.startFront(f)
 	}
-	s.Player("players")
-	s.Start("players", "", func(n core.Net) core.Core {
-		c := player.New(n, s.Now())
-		c.Report = p.recordResult
-		return c
+	env.Player("players")
+	env.Start("players", "", func(n core.Net) core.Core {
+		group := player.New(n, env.Now())
+		group.Report = p.recordResult
+		return group
 	})
-	if len(d.Tenants) == 0 {
+	if len(day.Tenants) == 0 {
 		p.at(0, p.startViewer)
 	}
-	for i := range d.Tenants {
-		for n := range d.Tenants[i].Count {
-			x := &d.Tenants[i]
-			name := x.Name
-			if x.Count > 1 {
+	for i := range day.Tenants {
+		for n := range day.Tenants[i].Count {
+			tenant := &day.Tenants[i]
+			name := tenant.Name
+			if tenant.Count > 1 {
 				name += "-" + strconv.Itoa(n)
 			}
-			p.at(x.From+Time(p.rng.ExpFloat64()/x.Rate*1e6), func() { p.startTenantViewer(x, name) })
+			p.at(tenant.From+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 		}
 	}
 	p.at(core.Second, p.sampleOrphans)
-	for _, t := range d.Troubles {
-		p.at(t.At, func() { p.applyTrouble(t) })
+	for _, trouble := range day.Troubles {
+		p.at(trouble.At, func() { p.applyTrouble(trouble) })
 	}
 	return p
 }
 
-// lookAtOrphans counts, ten times a second, the places that sessions without a connection take.
+// sampleOrphans counts, ten times a second, the box sessions that have no connection.
 func (p *Play) sampleOrphans() {
 	if p.Day.Frame.KeepSessionsOnClose && p.processes == nil {
 		p.orphanSamples++
@@ -205,7 +205,7 @@
 	}
 }
 
-// Length is how long the day takes until all has been answered and ended.
+// Length returns the time until every request of the day has been answered and every playback has ended.
 func (p *Play) Length() Time {
 	watch, abandon := Time(0), Time(0)
 	for _, x := range p.Day.Plans {
@@ -216,47 +216,47 @@
 
 func (p *Play) zoneName(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
 
-func (p *Play) at(after Time, call func()) { p.stage.At(p.began+after, call) }
+func (p *Play) at(offset Time, run func()) { p.stage.At(p.began+offset, run) }
 
-func (p *Play) startBox(b *boxState, started Time) {
-	f := p.Day.Frame
-	f.Name, f.Rack, f.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], started
+func (p *Play) startBox(b *boxState, startedAt Time) {
+	config := p.Day.Frame
+	config.Name, config.Rack, config.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], startedAt
 	b.starts++
-	f.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
-	p.tape.Began(p.stage.Now(), b.name, started)
-	p.stage.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(f, n, p.stage.Now()) })
+	config.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
+	p.tape.Began(p.stage.Now(), b.name, startedAt)
+	p.stage.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(config, n, p.stage.Now()) })
 }
 
-// Service is what the day's front of a number is told.
+// Service returns the configuration of the day's front with the given index.
 func (d *Day) Service(number int) *front.Config {
-	s := &front.Config{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
+	config := &front.Config{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
 		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(number)},
 		Bounds: front.Bounds{Connections: 20000, Playbacks: 8000, Pipelined: 16, PlayerBytes: 256 << 10}}
 	for i := range d.Zones {
-		s.Zones = append(s.Zones, "zone-"+strconv.Itoa(i))
+		config.Zones = append(config.Zones, "zone-"+strconv.Itoa(i))
 	}
-	for _, x := range d.Plans {
-		s.Plans = append(s.Plans, x.PlanProfile)
+	for _, plan := range d.Plans {
+		config.Plans = append(config.Plans, plan.PlanProfile)
 	}
 	if d.Queue != nil {
-		t := *d.Queue
-		t.TokenSecret, t.WithholdRetryTime = s.Secret, d.Silent
-		for _, p := range d.Site.Plans {
-			t.StartupTarget = max(t.StartupTarget, p.StartupTarget)
+		queue := *d.Queue
+		queue.TokenSecret, queue.WithholdRetryTime = config.Secret, d.Silent
+		for _, sitePlan := range d.Site.Plans {
+			queue.StartupTarget = max(queue.StartupTarget, sitePlan.StartupTarget)
 		}
-		s.Queue = &t
-		s.Bounds.Connections = 200000
+		config.Queue = &queue
+		config.Bounds.Connections = 200000
 	}
-	s.OnAnswered = d.Told
+	config.OnAnswered = d.Told
 	if d.figures {
-		t := quality.Config{RungWorth: s.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
-		for _, x := range s.Site.Plans {
-			t.Plans = append(t.Plans, quality.Plan{Startup: x.StartupTarget, Revenue: x.Revenue})
+		measures := quality.Config{RungWorth: config.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
+		for _, plan := range config.Site.Plans {
+			measures.Plans = append(measures.Plans, quality.Plan{Startup: plan.StartupTarget, Revenue: plan.Revenue})
 		}
-		s.Quality = quality.New(t, 0)
+		config.Quality = quality.New(measures, 0)
 	}
-	s.Site.Front, s.Site.Zone = number, number%d.Zones
-	return s
+	config.Site.Front, config.Site.Zone = number, number%d.Zones
+	return config
 }
 
 func (p *Play) startFront(f *frontState) {
@@ -265,24 +265,24 @@
 		p.processes.start(f)
 		return
 	}
-	s := p.Day.Service(f.index)
-	s.Secret = append(s.Secret, byte(f.starts)) // what it names is not what an earlier process named
-	var left []life.Orphan
+	config := p.Day.Service(f.index)
+	config.Secret = append(config.Secret, byte(f.starts)) // session and playback names differ from those of an earlier process
+	var orphans []life.Orphan
 	if p.Day.Recover {
 		for _, name := range sortedKeys(f.journal) {
-			left = append(left, f.journal[name])
+			orphans = append(orphans, f.journal[name])
 		}
 		f.journal = memoryJournal{}
-		s.Journal = f.journal
+		config.Journal = f.journal
 	}
 	if p.Day.doors != nil {
-		if err := p.Day.doors.equip(s, p.Day.Seed<<8+uint64(f.index)); err != nil {
-			p.log.Error("no gate", zap.Error(err))
+		if err := p.Day.doors.equip(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
+			p.log.Error("front started without its directory and TLS configuration", zap.Error(err))
 		}
 	}
-	told := s.Site
+	changedSite := config.Site
 	if p.broken != nil && p.broken.ChangeSite != nil {
-		p.broken.ChangeSite(&told)
+		p.broken.ChangeSite(&changedSite)
 	}
 	f.starts++
 	p.tape.Began(p.stage.Now(), f.name, 0)
@@ -295,39 +295,39 @@
 			n = p.broken.WrapNet(n)
 		}
 		now := p.stage.Now()
-		site := &told
+		site := &changedSite
 		if p.broken == nil || p.broken.ChangeSite == nil {
-			site = &s.Site
+			site = &config.Site
 		}
 		var module session.Manager = policy.New(site, seed, now)
-		if make := baselines[p.Day.Policy]; make != nil {
-			module = make(site, seed)
+		if newPolicy := baselines[p.Day.Policy]; newPolicy != nil {
+			module = newPolicy(site, seed)
 		}
 		if p.broken != nil && p.broken.WrapModule != nil {
 			module = p.broken.WrapModule(module)
 		}
-		x := front.New(s, module, n, p.log, now)
-		return p.wrapFront(x, f)
+		manager := front.New(config, module, n, p.log, now)
+		return p.wrapFront(manager, f)
 	})
 	f.up = true
 	if p.Day.doors != nil {
 		if err := p.Day.doors.opened(f.name); err != nil {
-			p.log.Error("no door under TLS", zap.Error(err))
+			p.log.Error("front started without its TLS listener", zap.Error(err))
 		}
 	}
-	if len(left) > 0 {
-		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(left, nil) })
+	if len(orphans) > 0 {
+		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(orphans, nil) })
 	}
 	if p.registry != nil {
 		p.registry.manager(f)
 		return
 	}
-	var whole []*boxState
-	whole = append(whole, p.boxes...)
-	p.sendList(f, whole, true)
+	var allBoxes []*boxState
+	allBoxes = append(allBoxes, p.boxes...)
+	p.sendList(f, allBoxes, true)
 }
 
-// made gives a front its ear, where it is to hear of boxes from a registry.
+// wrapFront adds a registry client to a front if the day has a registry.
 func (p *Play) wrapFront(x *front.Front, f *frontState) core.Core {
 	if p.registry != nil {
 		return p.registry.listen(x, f.name)
@@ -335,96 +335,96 @@
 	return x
 }
 
-// tell brings a front the list's lines of some boxes as they stand now.
-func (p *Play) sendList(f *frontState, boxes []*boxState, whole bool) {
-	l := front.ListUpdate{Complete: whole}
+// tell sends a front the current list entries of some boxes.
+func (p *Play) sendList(f *frontState, boxes []*boxState, complete bool) {
+	update := front.ListUpdate{Complete: complete}
 	for _, b := range boxes {
-		l.Servers = append(l.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
+		update.Servers = append(update.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
 			Cell: b.cell, Weight: 1, State: b.state, Started: b.started})
 	}
 	p.stage.Call(f.name, func(c core.Core) {
-		for _, s := range l.Servers {
+		for _, s := range update.Servers {
 			p.tape.Told(p.stage.Now(), f.name, s.Name, s.State, s.Started)
 		}
 		if p.broken != nil && p.broken.List != nil {
-			l = p.broken.List(l)
+			update = p.broken.List(update)
 		}
-		c.(*front.Front).UpdateList(l)
+		c.(*front.Front).UpdateList(update)
 	})
 }
 
-// news brings all fronts a box's line, each a little later than it changed.
-func (p *Play) announceState(b *boxState, state session.ServerState, after Time) {
+// announceState sends all fronts a box's list entry, each after a random delay within the day's NoticeSpread.
+func (p *Play) announceState(b *boxState, state session.ServerState, delay Time) {
 	if p.processes != nil {
-		starts := b.starts
-		p.stage.At(p.stage.Now()+after, func() {
-			if b.state == state && b.starts == starts {
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+delay, func() {
+			if b.state == state && b.starts == startCount {
 				p.processes.box(b)
 			}
 		})
 		return
 	}
 	if p.registry != nil {
-		starts := b.starts
-		p.stage.At(p.stage.Now()+after, func() {
-			if b.state == state && b.starts == starts {
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+delay, func() {
+			if b.state == state && b.starts == startCount {
 				p.registry.box(b)
 			}
 		})
 		return
 	}
 	for _, f := range p.fronts {
-		late := after + Time(p.rng.Float64()*float64(p.Day.NoticeSpread))
-		starts := b.starts
-		p.stage.At(p.stage.Now()+late, func() {
-			if b.state == state && b.starts == starts && f.up {
+		frontDelay := delay + Time(p.rng.Float64()*float64(p.Day.NoticeSpread))
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+frontDelay, func() {
+			if b.state == state && b.starts == startCount && f.up {
 				p.sendList(f, []*boxState{b}, false)
 			}
 		})
 	}
 }
 
-// arrive has the next viewer come.
+// startViewer starts the next viewer and schedules the one after it.
 func (p *Play) startViewer() {
-	d := p.Day
+	day := p.Day
 	now := p.stage.Now() - p.began
-	if now >= d.Length {
+	if now >= day.Length {
 		return
 	}
-	w := p.drawProfile()
+	profile := p.drawProfile()
 	p.viewerCount++
 	p.mu.Lock()
-	p.Tally.Offered += p.planRevenue(w)
+	p.Tally.Offered += p.planRevenue(profile)
 	p.mu.Unlock()
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
-	gap := p.rng.ExpFloat64() / (d.Rate * p.surgeFactor)
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	gap := p.rng.ExpFloat64() / (day.Rate * p.surgeFactor)
 	p.at(now+Time(gap*1e6), p.startViewer)
 }
 
-// arriveOf has a tenant's next viewer come.
-func (p *Play) startTenantViewer(t *DayTenant, name string) {
+// startTenantViewer starts a tenant's next viewer and schedules the one after it.
+func (p *Play) startTenantViewer(tenant *DayTenant, name string) {
 	now := p.stage.Now() - p.began
-	if now >= min(t.Until, p.Day.Length) {
+	if now >= min(tenant.Until, p.Day.Length) {
 		return
 	}
-	w := p.drawProfile()
+	profile := p.drawProfile()
 	p.viewerCount++
-	w.Tenant, w.SourceAddr = name, name+"/"+strconv.Itoa(p.rng.IntN(t.Addresses))
-	x := p.rng.Float64()
-	w.HonorsRetryAfter, w.RetriesEarly = x < t.ExactShare+t.EarlyShare, x >= t.ExactShare && x < t.ExactShare+t.EarlyShare
-	if !w.HonorsRetryAfter {
-		w.MaxRetries = 0
+	profile.Tenant, profile.SourceAddr = name, name+"/"+strconv.Itoa(p.rng.IntN(tenant.Addresses))
+	draw := p.rng.Float64()
+	profile.HonorsRetryAfter, profile.RetriesEarly = draw < tenant.ExactShare+tenant.EarlyShare, draw >= tenant.ExactShare && draw < tenant.ExactShare+tenant.EarlyShare
+	if !profile.HonorsRetryAfter {
+		profile.MaxRetries = 0
 	}
-	p.Log = append(p.Log, &TenantViewer{Tenant: name, Of: t, Profile: w, At: p.stage.Now()})
+	p.Log = append(p.Log, &TenantViewer{Tenant: name, Of: tenant, Profile: profile, At: p.stage.Now()})
 	if p.viewerByProfile == nil {
 		p.viewerByProfile = map[*player.Profile]*TenantViewer{}
 	}
-	p.viewerByProfile[w] = p.Log[len(p.Log)-1]
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
-	p.at(now+Time(p.rng.ExpFloat64()/t.Rate*1e6), func() { p.startTenantViewer(t, name) })
+	p.viewerByProfile[profile] = p.Log[len(p.Log)-1]
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	p.at(now+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 }
 
-// Logged is one viewer of a tenant with all that it saw, in the order of its askings.
+// TenantViewer is one viewer of a tenant with the results of its attempts in order.
 type TenantViewer struct {
 	Tenant  string
 	Of      *DayTenant
@@ -434,119 +434,119 @@
 }
 
 func (p *Play) drawProfile() *player.Profile {
-	d := p.Day
-	x, plan := p.rng.Float64(), 0
-	total := 0.0
-	for _, q := range d.Plans {
-		total += q.Share
+	day := p.Day
+	planDraw, plan := p.rng.Float64(), 0
+	totalShare := 0.0
+	for _, dayPlan := range day.Plans {
+		totalShare += dayPlan.Share
 	}
-	for x *= total; plan < len(d.Plans)-1 && x >= d.Plans[plan].Share; plan++ {
-		x -= d.Plans[plan].Share
+	for planDraw *= totalShare; plan < len(day.Plans)-1 && planDraw >= day.Plans[plan].Share; plan++ {
+		planDraw -= day.Plans[plan].Share
 	}
-	q := &d.Plans[plan]
-	r := p.rng.Float64() * p.cumulativeZipf[len(p.cumulativeZipf)-1]
+	dayPlan := &day.Plans[plan]
+	titleDraw := p.rng.Float64() * p.cumulativeZipf[len(p.cumulativeZipf)-1]
 	title := 0
-	for title < len(p.cumulativeZipf)-1 && p.cumulativeZipf[title] < r {
+	for title < len(p.cumulativeZipf)-1 && p.cumulativeZipf[title] < titleDraw {
 		title++
 	}
 	if p.crowdShare > 0 && p.rng.Float64() < p.crowdShare {
 		title = 0
 	}
-	w := &player.Profile{ID: "pb" + strconv.Itoa(p.viewerCount), Plan: q.Name, Title: q.Name + "-" + strconv.Itoa(title),
-		TopRung: len(d.Frame.LadderKB) - 1, Tracks: len(q.Tracks), AbandonTime: q.Abandon, MaxRetries: d.MaxRetries, RetryDelay: d.RetryDelay,
-		WatchTime: q.Watch[0] + Time(p.rng.Float64()*float64(q.Watch[1]-q.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
+	profile := &player.Profile{ID: "pb" + strconv.Itoa(p.viewerCount), Plan: dayPlan.Name, Title: dayPlan.Name + "-" + strconv.Itoa(title),
+		TopRung: len(day.Frame.LadderKB) - 1, Tracks: len(dayPlan.Tracks), AbandonTime: dayPlan.Abandon, MaxRetries: day.MaxRetries, RetryDelay: day.RetryDelay,
+		WatchTime: dayPlan.Watch[0] + Time(p.rng.Float64()*float64(dayPlan.Watch[1]-dayPlan.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
 		DescribeFirst: p.rng.Float64() < 0.3, DuplicateSetups: p.rng.Float64() < p.duplicateShare}
-	if p.rng.Float64() < d.SmallScreenShare {
-		w.TopRung = max(w.TopRung-2, d.Site.Plans[plan].Floor)
+	if p.rng.Float64() < day.SmallScreenShare {
+		profile.TopRung = max(profile.TopRung-2, day.Site.Plans[plan].Floor)
 	}
 	if p.rng.Float64() < p.earlyLeaveShare {
-		w.LeaveAfter = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
+		profile.LeaveAfter = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
 	}
-	zone := p.rng.IntN(d.Zones)
+	zone := p.rng.IntN(day.Zones)
 	first := p.rng.IntN(len(p.fronts))
 	for i := range p.fronts {
-		if f := p.fronts[(first+i)%len(p.fronts)]; f.index%d.Zones == zone || d.Managers < d.Zones {
-			w.Fronts = append(w.Fronts, p.stage.Addr(f.name))
+		if f := p.fronts[(first+i)%len(p.fronts)]; f.index%day.Zones == zone || day.Managers < day.Zones {
+			profile.Fronts = append(profile.Fronts, p.stage.Addr(f.name))
 		}
 	}
-	if d.doors != nil {
-		d.doors.viewer(w)
+	if day.doors != nil {
+		day.doors.viewer(profile)
 	}
-	p.profiles = append(p.profiles, w)
-	p.requestedAt[w] = p.stage.Now()
-	return w
+	p.profiles = append(p.profiles, profile)
+	p.requestedAt[profile] = p.stage.Now()
+	return profile
 }
 
-func (p *Play) planRevenue(w *player.Profile) float64 {
+func (p *Play) planRevenue(profile *player.Profile) float64 {
 	for i := range p.Day.Plans {
-		if p.Day.Plans[i].Name == w.Plan {
+		if p.Day.Plans[i].Name == profile.Plan {
 			return p.Day.Site.Plans[i].Revenue
 		}
 	}
 	return 0
 }
 
-// report takes the end of one asking.
-func (p *Play) recordResult(w *player.Profile, s *player.Result) {
+// recordResult adds the result of one attempt of a viewer to the tally.
+func (p *Play) recordResult(profile *player.Profile, result *player.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l := p.viewerByProfile[w]; l != nil {
-		l.Seen = append(l.Seen, *s)
+	if viewer := p.viewerByProfile[profile]; viewer != nil {
+		viewer.Seen = append(viewer.Seen, *result)
 	}
 	if p.Day.doors != nil {
-		p.Day.doors.saw(w, s)
-	}
-	t := &p.Tally
-	t.Asked++
-	t.Requests += s.Requests
-	t.Responses += s.Responses
-	t.Unasked += s.Unsolicited
-	t.Packets += s.Packets
-	t.Gaps += s.Gaps
-	if s.RedirectReceived {
-		t.SentOn++
+		p.Day.doors.saw(profile, result)
+	}
+	tally := &p.Tally
+	tally.Asked++
+	tally.Requests += result.Requests
+	tally.Responses += result.Responses
+	tally.Unasked += result.Unsolicited
+	tally.Packets += result.Packets
+	tally.Gaps += result.Gaps
+	if result.RedirectReceived {
+		tally.SentOn++
 	}
 	if p.processes != nil {
-		p.Seen = append(p.Seen, *s)
+		p.Seen = append(p.Seen, *result)
 	}
-	if s.StartupTime > 0 && !s.FromRedirect && !p.revenueCounted[w] {
+	if result.StartupTime > 0 && !result.FromRedirect && !p.revenueCounted[profile] {
 		if p.revenueCounted == nil {
 			p.revenueCounted = map[*player.Profile]bool{}
 		}
-		p.revenueCounted[w] = true
-		t.Revenue += p.planRevenue(w)
-		if n := int((s.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
-			for len(t.RevenueByTenth) <= n {
-				t.RevenueByTenth = append(t.RevenueByTenth, 0)
+		p.revenueCounted[profile] = true
+		tally.Revenue += p.planRevenue(profile)
+		if n := int((result.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
+			for len(tally.RevenueByTenth) <= n {
+				tally.RevenueByTenth = append(tally.RevenueByTenth, 0)
 			}
-			t.RevenueByTenth[n] += p.planRevenue(w)
+			tally.RevenueByTenth[n] += p.planRevenue(profile)
 		}
 	}
-	t.Bytes += s.Bytes
-	if s.StartupTime > 0 {
-		t.Played++
-		t.StartupTimes = append(t.StartupTimes, s.StartupTime)
+	tally.Bytes += result.Bytes
+	if result.StartupTime > 0 {
+		tally.Played++
+		tally.StartupTimes = append(tally.StartupTimes, result.StartupTime)
 	}
-	switch s.State {
+	switch result.State {
 	case player.Rejected:
-		t.Rejected++
+		tally.Rejected++
 	case player.Failed:
-		t.Failed++
+		tally.Failed++
 	case player.Abandoned:
-		t.Abandoned++
+		tally.Abandoned++
 	case player.Lost:
-		t.Lost++
+		tally.Lost++
 	case player.Redirected:
-		t.Redirected++
+		tally.Redirected++
 	case player.Done:
-		t.Completed++
+		tally.Completed++
 	}
 }
 
-// some draws so many boxes that no trouble has yet.
-func (p *Play) pickBoxes(n int) (all []*boxState) {
+// pickBoxes draws up to count ready boxes that no trouble applies to, and marks them.
+func (p *Play) pickBoxes(count int) (all []*boxState) {
 	for _, i := range p.rng.Perm(len(p.boxes)) {
-		if b := p.boxes[i]; len(all) < n && !b.inTrouble && b.state == session.Ready {
+		if b := p.boxes[i]; len(all) < count && !b.inTrouble && b.state == session.Ready {
 			b.inTrouble = true
 			all = append(all, b)
 		}
@@ -554,7 +554,7 @@
 	return all
 }
 
-// upset changes what goes wrong at a box, if it is there.
+// changeFaults changes the faults of a box if it is running.
 func (p *Play) changeFaults(b *boxState, change func(*mediabox.Faults)) {
 	p.stage.Call(b.name, func(c core.Core) {
 		if x, ok := c.(*mediabox.Box); ok {
@@ -563,92 +563,92 @@
 	})
 }
 
-// trouble plays one of the script's lines.
-func (p *Play) applyTrouble(t Trouble) {
-	p.Tally.ByKind[t.Kind]++
-	later := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
-	fault := func(kind mediabox.Fault, methods ...string) {
-		for _, b := range p.pickBoxes(t.Boxes) {
+// applyTrouble applies one trouble of the day's script.
+func (p *Play) applyTrouble(trouble Trouble) {
+	p.Tally.ByKind[trouble.Kind]++
+	runLater := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
+	applyFault := func(kind mediabox.Fault, methods ...string) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
 			p.changeFaults(b, func(x *mediabox.Faults) {
-				x.Probability, x.ResponseDelay, x.ByMethod = t.Share, Time(t.Magnitude*1e6), map[string]mediabox.Fault{}
+				x.Probability, x.ResponseDelay, x.ByMethod = trouble.Share, Time(trouble.Magnitude*1e6), map[string]mediabox.Fault{}
 				for _, m := range methods {
 					x.ByMethod[m] = kind
 				}
 			})
-			later(t.For, func() {
+			runLater(trouble.For, func() {
 				b.inTrouble = false
 				p.changeFaults(b, func(x *mediabox.Faults) { x.ByMethod = nil })
 			})
 		}
 	}
-	state := func(set, unset func(x *mediabox.Faults)) {
-		for _, b := range p.pickBoxes(t.Boxes) {
+	applyState := func(set, unset func(x *mediabox.Faults)) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
 			p.changeFaults(b, set)
-			later(t.For, func() {
+			runLater(trouble.For, func() {
 				b.inTrouble = false
 				p.changeFaults(b, unset)
 			})
 		}
 	}
-	switch t.Kind {
+	switch trouble.Kind {
 	case "die", "vanish":
-		for _, b := range p.pickBoxes(t.Boxes) {
-			p.stopBox(b, t.Kind == "vanish")
-			later(t.For, func() { p.restartBox(b) })
+		for _, b := range p.pickBoxes(trouble.Boxes) {
+			p.stopBox(b, trouble.Kind == "vanish")
+			runLater(trouble.For, func() { p.restartBox(b) })
 		}
 	case "drain":
-		for _, b := range p.pickBoxes(t.Boxes) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
 			b.state = session.Draining
 			p.announceState(b, b.state, 0)
-			later(t.For, func() {
+			runLater(trouble.For, func() {
 				p.stopBox(b, false)
-				later(core.Second, func() { p.restartBox(b) })
+				runLater(core.Second, func() { p.restartBox(b) })
 			})
 		}
 	case "errors":
-		fault(mediabox.Error, "SETUP")
+		applyFault(mediabox.Error, "SETUP")
 	case "lost-answers":
-		fault(mediabox.LostResponse, "SETUP", "PLAY")
+		applyFault(mediabox.LostResponse, "SETUP", "PLAY")
 	case "late-answers":
-		fault(mediabox.LateResponse, "SETUP", "PLAY")
+		applyFault(mediabox.LateResponse, "SETUP", "PLAY")
 	case "stuck":
-		fault(mediabox.Dropped, "SETUP", "PLAY")
+		applyFault(mediabox.Dropped, "SETUP", "PLAY")
 	case "cut-answers":
-		fault(mediabox.TruncatedResponse, "SETUP", "PLAY")
+		applyFault(mediabox.TruncatedResponse, "SETUP", "PLAY")
 	case "slow-rack":
 		p.slowRack = p.rng.IntN(p.Day.Racks)
 		for _, b := range p.boxes {
 			if b.cell%p.Day.Racks == p.slowRack {
-				p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = t.Magnitude })
-				later(t.For, func() { p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
+				p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = trouble.Magnitude })
+				runLater(trouble.For, func() { p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
 			}
 		}
 	case "slow":
-		state(func(x *mediabox.Faults) { x.SetupTimeFactor = t.Magnitude }, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 })
+		applyState(func(x *mediabox.Faults) { x.SetupTimeFactor = trouble.Magnitude }, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 })
 	case "neighbour":
-		state(func(x *mediabox.Faults) { x.CompetingShare = t.Share }, func(x *mediabox.Faults) { x.CompetingShare = 0 })
+		applyState(func(x *mediabox.Faults) { x.CompetingShare = trouble.Share }, func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "overspeed":
-		state(func(x *mediabox.Faults) { x.SendRateFactor = t.Magnitude }, func(x *mediabox.Faults) { x.SendRateFactor = 0 })
+		applyState(func(x *mediabox.Faults) { x.SendRateFactor = trouble.Magnitude }, func(x *mediabox.Faults) { x.SendRateFactor = 0 })
 	case "reports-late":
-		state(func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = Time(t.Magnitude*1e6), true },
+		applyState(func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = Time(trouble.Magnitude*1e6), true },
 			func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = 0, false })
 	case "sag":
-		state(func(x *mediabox.Faults) { x.CompetingShare = 1 - 1/max(t.Magnitude, 1) },
+		applyState(func(x *mediabox.Faults) { x.CompetingShare = 1 - 1/max(trouble.Magnitude, 1) },
 			func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "surge":
-		p.surgeFactor = t.Magnitude
-		later(t.For, func() { p.surgeFactor = 1 })
+		p.surgeFactor = trouble.Magnitude
+		runLater(trouble.For, func() { p.surgeFactor = 1 })
 	case "crowd":
-		p.crowdShare = t.Share
-		later(t.For, func() { p.crowdShare = 0 })
+		p.crowdShare = trouble.Share
+		runLater(trouble.For, func() { p.crowdShare = 0 })
 	case "repeat":
-		p.duplicateShare = t.Share
-		later(t.For, func() { p.duplicateShare = 0 })
+		p.duplicateShare = trouble.Share
+		runLater(trouble.For, func() { p.duplicateShare = 0 })
 	case "leave":
-		p.earlyLeaveShare = t.Share
-		later(t.For, func() { p.earlyLeaveShare = 0 })
+		p.earlyLeaveShare = trouble.Share
+		runLater(trouble.For, func() { p.earlyLeaveShare = 0 })
 	case "kill":
-		for _, i := range p.rng.Perm(len(p.fronts))[:min(t.Managers, len(p.fronts))] {
+		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
 			f := p.fronts[i]
 			if !f.up {
 				continue
@@ -656,7 +656,7 @@
 			f.up = false
 			if p.processes != nil {
 				p.processes.kill(f)
-				later(t.For, func() { p.startFront(f) })
+				runLater(trouble.For, func() { p.startFront(f) })
 				continue
 			}
 			p.tape.Killed(p.stage.Now(), f.name)
@@ -665,29 +665,29 @@
 			if p.registry != nil {
 				p.registry.manager(f)
 			}
-			later(t.For, func() { p.startFront(f) })
+			runLater(trouble.For, func() { p.startFront(f) })
 		}
 	case "stand-still":
-		for range t.Managers {
+		for range trouble.Managers {
 			f := p.fronts[p.rng.IntN(len(p.fronts))]
 			if !f.up {
 				continue
 			}
 			if p.processes != nil {
-				p.processes.stand(f, t.For)
+				p.processes.stand(f, trouble.For)
 				continue
 			}
-			p.tape.Stood(p.stage.Now(), p.stage.Now()+t.For, f.name)
-			p.stage.Stand(f.name, t.For)
+			p.tape.Stood(p.stage.Now(), p.stage.Now()+trouble.For, f.name)
+			p.stage.Stand(f.name, trouble.For)
 		}
-	case "reload", "bad-reload", "halt", "upgrade": // of processes
-		for _, i := range p.rng.Perm(len(p.fronts))[:min(t.Managers, len(p.fronts))] {
-			p.processes.trouble(p.fronts[i], t)
+	case "reload", "bad-reload", "halt", "upgrade": // only with separate processes
+		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
+			p.processes.trouble(p.fronts[i], trouble)
 		}
 	case "registry-cut":
-		p.registry.cut(t.For)
+		p.registry.cut(trouble.For)
 	case "registry-stall":
-		p.registry.stalled = p.stage.Now() + t.For
+		p.registry.stalled = p.stage.Now() + trouble.For
 	case "registry-compact":
 		h, _ := p.registry.store.Keys()
 		p.registry.store.Compact(h.Revision)
@@ -696,11 +696,11 @@
 	case "registry-lose":
 		p.registry.lose()
 	case "zone-cut":
-		p.stage.CutZones("zone-0", p.zoneName(1), t.For)
+		p.stage.CutZones("zone-0", p.zoneName(1), trouble.For)
 	}
 }
 
-// lose ends a box's process; the list tells of it a while later.
+// stopBox ends a box's process; the list reports it after LossNoticeDelay.
 func (p *Play) stopBox(b *boxState, silent bool) {
 	p.tape.Killed(p.stage.Now(), b.name)
 	p.collectBox(b)
@@ -714,7 +714,7 @@
 	p.announceState(b, b.state, p.Day.LossNoticeDelay)
 }
 
-// comeBack starts a box anew, cold; the list tells of it soon.
+// restartBox starts a box's process again, cold, and announces it.
 func (p *Play) restartBox(b *boxState) {
 	p.stage.Kill(b.name, false)
 	b.started, b.state = p.stage.Now(), session.Ready
@@ -731,12 +731,12 @@
 			p.Tally.Fell += x.Counts.Crashes
 			p.Tally.Setups += x.Counts.Setups
 			p.packetsSent += x.Counts.Packets
-			x.Faults.Unresponsive = true // counted: it sends nothing more in this moment
+			x.Faults.Unresponsive = true // its packets are counted already, so it must not send more before it ends
 		}
 	})
 }
 
-// frontOf is the session manager of a host's core, nil where it is none.
+// frontOf returns the session manager of a host's core, or nil if the core is something else.
 func frontOf(c core.Core) *front.Front {
 	switch x := c.(type) {
 	case *front.Front:
@@ -760,7 +760,7 @@
 	})
 }
 
-// End gathers the figures of what still runs, and checks that nothing of the day is left behind.
+// End collects the figures of the boxes and fronts that still run.
 func (p *Play) End() {
 	p.Orphans = p.orphanSum / max(p.orphanSamples, 1)
 	for _, b := range p.boxes {
@@ -771,31 +771,31 @@
 	}
 }
 
-func addStats(t, x *front.Stats) {
-	for _, f := range []struct{ to, from *int64 }{{&t.Requests, &x.Requests}, {&t.Malformed, &x.Malformed},
-		{&t.Repeated, &x.Repeated}, {&t.Taken, &x.Taken}, {&t.Plays, &x.Plays}, {&t.Refused, &x.Refused},
-		{&t.Failed, &x.Failed}, {&t.Left, &x.Left}, {&t.Overdue, &x.Overdue}, {&t.Tries, &x.Tries},
-		{&t.Lapsed, &x.Lapsed}, {&t.LateAnswers, &x.LateAnswers}, {&t.Probes, &x.Probes}, {&t.Packets, &x.Packets},
-		{&t.LostVideo, &x.LostVideo}, {&t.LostAudio, &x.LostAudio}, {&t.Playbacks, &x.Playbacks},
-		{&t.Connections, &x.Connections}, {&t.Dialogues, &x.Dialogues}, {&t.Overflowed, &x.Overflowed}} {
+func addStats(total, stats *front.Stats) {
+	for _, f := range []struct{ to, from *int64 }{{&total.Requests, &stats.Requests}, {&total.Malformed, &stats.Malformed},
+		{&total.Repeated, &stats.Repeated}, {&total.Taken, &stats.Taken}, {&total.Plays, &stats.Plays}, {&total.Refused, &stats.Refused},
+		{&total.Failed, &stats.Failed}, {&total.Left, &stats.Left}, {&total.Overdue, &stats.Overdue}, {&total.Tries, &stats.Tries},
+		{&total.Lapsed, &stats.Lapsed}, {&total.LateAnswers, &stats.LateAnswers}, {&total.Probes, &stats.Probes}, {&total.Packets, &stats.Packets},
+		{&total.LostVideo, &stats.LostVideo}, {&total.LostAudio, &stats.LostAudio}, {&total.Playbacks, &stats.Playbacks},
+		{&total.Connections, &stats.Connections}, {&total.Dialogues, &stats.Dialogues}, {&total.Overflowed, &stats.Overflowed}} {
 		*f.to += *f.from
 	}
 }
 
-// Virtual plays a day on the virtual network.
-func Virtual(d *Day, broken *FaultyFront, log *zap.Logger) (*Play, *Tape, *World) {
-	tape := &Tape{}
-	w := NewWorld(d.Links, d.Seed, tape)
-	p := Begin(d, w, tape, broken, log)
-	w.At(w.now+bucketWidth, func() { p.sample(w) })
-	w.Run(p.began + p.Length())
+// Virtual runs a day on the virtual network until all of its playbacks have ended, and checks the totals.
+func Virtual(day *Day, faulty *FaultyFront, log *zap.Logger) (*Play, *Tape, *World) {
+	recording := &Tape{}
+	network := NewWorld(day.Links, day.Seed, recording)
+	p := Begin(day, network, recording, faulty, log)
+	network.At(network.now+bucketWidth, func() { p.sample(network) })
+	network.Run(p.began + p.Length())
 	p.End()
-	w.Run(w.now + core.Second)
-	p.checkTotals(w)
-	return p, tape, w
+	network.Run(network.now + core.Second)
+	p.checkTotals(network)
+	return p, recording, network
 }
 
-// Summary is a day's tally in a few lines.
+// Summary returns the tally as text of a few lines.
 func (t *Tally) Summary() string {
 	return fmt.Sprintf("asked %d, played %d, refused %d, failed %d, abandoned %d, lost %d; packets %d, gaps %d\n"+
 		"fronts: taken %d, plays %d, refused %d, failed %d, left %d, overdue %d, tries %d, lapsed %d, late answers %d, left over: %d playbacks, %d dialogues",
