--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -10,18 +10,18 @@
 	"pierlink/session"
 )
 
-// Bounds are what the six rules are judged by: the figures that the day states.
+// Bounds are the figures of a day that the six rules are checked against.
 type Bounds struct {
 	Site           session.Site
 	Plans          []string // names, in the site's order
 	AbandonTimes   []Time
 	Grace          Time
 	MaxSessions    int
-	OrderTolerance Time // two entries of different connections may be this much out of order
-	MaxTravel      Time // a request may be so long on its way from a player to its manager
+	OrderTolerance Time // entries of different connections may be out of order by this much
+	MaxTravel      Time // longest time that a request takes from a player to its manager
 }
 
-// Verdict is what a checker found. One that had nothing to judge has not been kept.
+// Verdict is the result of one rule's checker. A rule without cases counts as not kept.
 type Verdict struct {
 	Rule   int
 	Name   string
@@ -29,24 +29,24 @@
 	Broken []string
 }
 
-// Kept tells whether there were cases and none broke the rule.
+// Kept reports whether there were cases and none of them broke the rule.
 func (v *Verdict) Kept() bool { return v.Judged > 0 && len(v.Broken) == 0 }
 
 func (v *Verdict) addViolation(format string, a ...any) {
 	v.Broken = append(v.Broken, fmt.Sprintf(format, a...))
 }
 
-// attempt is one setup try as it showed at a box.
+// attempt is one setup try as seen on a connection to a box.
 type attempt struct {
 	request, front, box, plan, title string
-	tryIndex                         int  // among the tries of its playback
-	connectedAt, from, endedAt       Time // its connection came; its first SETUP; its end
-	rejected                         bool // 453 to its first SETUP: nothing ran
+	tryIndex                         int  // index among the tries of its playback
+	connectedAt, from, endedAt       Time // time that its connection opened; of its first SETUP; of its end
+	rejected                         bool // 453 to its first SETUP, so nothing ran
 	ended                            bool
 	rung                             int
 }
 
-// asked is one playback as it showed at a player.
+// asked is one playback as seen on a player's connection.
 type asked struct {
 	request, front, plan string
 	at                   Time
@@ -54,7 +54,7 @@
 	answeredAt           Time
 }
 
-// Judge holds a tape against the six rules.
+// Judge checks recorded traffic against the six rules and returns a verdict for each.
 func Judge(t *Tape, b *Bounds) []Verdict {
 	entries := slices.Clone(t.Entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
@@ -64,16 +64,16 @@
 		checkPlanTerms(entries, tries, b), checkRetryBudget(entries, tries, players, b)}
 }
 
-// attempts finds the tries: one for each connection to a box on which SETUP was sent.
+// attempts returns the tries: one for each connection to a box on which SETUP was sent.
 func attempts(entries []Entry) []*attempt {
-	byConn, count, down, ups := map[int]*attempt{}, map[string]int{}, map[int]bool{}, map[int]Time{}
-	var all []*attempt
-	firstSetup := map[int]int{}
+	tryByConn, tryCount, closedConns, openedAt := map[int]*attempt{}, map[string]int{}, map[int]bool{}, map[int]Time{}
+	var tries []*attempt
+	firstCSeq := map[int]int{}
 	for _, e := range entries {
-		if e.Kind == ProcessKilled { // what ran there has ended
-			for _, a := range all {
-				if a.box == e.Host && !a.ended {
-					a.endedAt, a.ended = e.At, true
+		if e.Kind == ProcessKilled { // the tries that ran there have ended
+			for _, try := range tries {
+				if try.box == e.Host && !try.ended {
+					try.endedAt, try.ended = e.At, true
 				}
 			}
 		}
@@ -81,56 +81,56 @@
 			continue
 		}
 		if e.Kind == Up {
-			ups[e.ConnID] = e.At
+			openedAt[e.ConnID] = e.At
 		}
-		a := byConn[e.ConnID]
+		try := tryByConn[e.ConnID]
 		if e.Kind == ConnClosed {
-			down[e.ConnID] = true
+			closedConns[e.ConnID] = true
 		}
 		switch {
-		case e.Kind == RequestSent && e.FromFront && e.Method == "SETUP" && a == nil:
-			a = &attempt{request: e.RequestID, front: e.Front, box: e.Host, plan: e.Plan, title: e.Title, from: e.At, connectedAt: e.At,
-				endedAt: never, tryIndex: count[e.RequestID], rung: e.Rung}
-			if at, ok := ups[e.ConnID]; ok {
-				a.connectedAt = at
+		case e.Kind == RequestSent && e.FromFront && e.Method == "SETUP" && try == nil:
+			try = &attempt{request: e.RequestID, front: e.Front, box: e.Host, plan: e.Plan, title: e.Title, from: e.At, connectedAt: e.At,
+				endedAt: never, tryIndex: tryCount[e.RequestID], rung: e.Rung}
+			if at, ok := openedAt[e.ConnID]; ok {
+				try.connectedAt = at
 			}
-			count[e.RequestID]++
-			byConn[e.ConnID], firstSetup[e.ConnID] = a, e.CSeq
-			all = append(all, a)
-			if down[e.ConnID] { // it was on its way to a box that had gone
-				a.endedAt, a.ended = e.At, true
+			tryCount[e.RequestID]++
+			tryByConn[e.ConnID], firstCSeq[e.ConnID] = try, e.CSeq
+			tries = append(tries, try)
+			if closedConns[e.ConnID] { // the SETUP was in flight to a box that had ended
+				try.endedAt, try.ended = e.At, true
 			}
-		case a == nil || a.ended:
+		case try == nil || try.ended:
 		case e.Kind == RequestSent && e.FromFront && e.Method == "TEARDOWN", e.Kind == ConnClosed:
-			a.endedAt, a.ended = e.At, true
-		case e.Kind == ResponseSent && !e.FromFront && e.Status >= 300 && e.CSeq <= firstSetup[e.ConnID]+8:
-			a.endedAt, a.ended = e.At, true
-			a.rejected = e.Status == 453 && e.CSeq == firstSetup[e.ConnID]
+			try.endedAt, try.ended = e.At, true
+		case e.Kind == ResponseSent && !e.FromFront && e.Status >= 300 && e.CSeq <= firstCSeq[e.ConnID]+8:
+			try.endedAt, try.ended = e.At, true
+			try.rejected = e.Status == 453 && e.CSeq == firstCSeq[e.ConnID]
 		}
 	}
-	return all
+	return tries
 }
 
 const never = Time(1) << 60
 
 func askings(entries []Entry) []*asked {
 	byID := map[string]*asked{}
-	var all []*asked
+	var requests []*asked
 	for _, e := range entries {
 		if !e.Player || e.RequestID == "" {
 			continue
 		}
-		a := byID[e.RequestID]
-		if e.Kind == RequestSent && e.Method == "SETUP" && a == nil {
-			a = &asked{request: e.RequestID, front: e.Front, plan: e.Plan, at: e.At}
-			byID[e.RequestID] = a
-			all = append(all, a)
+		request := byID[e.RequestID]
+		if e.Kind == RequestSent && e.Method == "SETUP" && request == nil {
+			request = &asked{request: e.RequestID, front: e.Front, plan: e.Plan, at: e.At}
+			byID[e.RequestID] = request
+			requests = append(requests, request)
 		}
-		if e.Kind == ResponseSent && a != nil && (a.status == 0 || a.status == 401) { // who is asked for proof asks once more
-			a.status, a.answeredAt = e.Status, e.At
+		if e.Kind == ResponseSent && request != nil && (request.status == 0 || request.status == 401) { // after 401 the player repeats its request with credentials
+			request.status, request.answeredAt = e.Status, e.At
 		}
 	}
-	return all
+	return requests
 }
 
 func (b *Bounds) plan(name string) (int, *session.Plan) {
@@ -141,258 +141,260 @@
 	return i, &b.Site.Plans[i]
 }
 
-// answers judges rule 1: each request has exactly one answer, a SETUP's before the abandon time, unless the
-// player went away first or the manager was killed or the network broke the connection.
+// checkAnswers checks rule 1: each request gets exactly one answer, a SETUP before the abandon time, unless the
+// player left first, the manager was killed or the network broke the connection.
 func checkAnswers(entries []Entry, b *Bounds) Verdict {
 	v := Verdict{Rule: 1, Name: "every playback taken gets one answer in time"}
-	type req struct {
+	type pendingRequest struct {
 		Entry
 		n int
 	}
-	type line struct {
-		open  []*req
-		known map[int]*req
+	type playerConn struct {
+		open  []*pendingRequest
+		known map[int]*pendingRequest
 	}
-	lines := map[int]*line{}
-	outs := outages(entries)
-	stood := pauses(entries)
-	// A manager that stood still over the last quarter of the abandon time had nothing that could answer; one that
-	// went on before had.
-	out := func(r *req, to Time) bool {
-		i, _ := b.plan(r.Plan)
-		return slices.ContainsFunc(outs[r.Front], func(o [2]Time) bool { return o[0] <= to+b.OrderTolerance && o[1] >= r.At-b.OrderTolerance }) ||
-			i >= 0 && slices.ContainsFunc(stood[r.Front], func(o [2]Time) bool {
-				return o[0] <= r.At+b.AbandonTimes[i]+b.OrderTolerance && o[1] >= r.At+b.AbandonTimes[i]*3/4-b.OrderTolerance
+	conns := map[int]*playerConn{}
+	outageTimes := outages(entries)
+	pauseTimes := pauses(entries)
+	// A manager that was paused during the last quarter of the abandon time could not answer; one that resumed
+	// before it could.
+	unavailable := func(request *pendingRequest, until Time) bool {
+		i, _ := b.plan(request.Plan)
+		return slices.ContainsFunc(outageTimes[request.Front], func(interval [2]Time) bool {
+			return interval[0] <= until+b.OrderTolerance && interval[1] >= request.At-b.OrderTolerance
+		}) ||
+			i >= 0 && slices.ContainsFunc(pauseTimes[request.Front], func(interval [2]Time) bool {
+				return interval[0] <= request.At+b.AbandonTimes[i]+b.OrderTolerance && interval[1] >= request.At+b.AbandonTimes[i]*3/4-b.OrderTolerance
 			})
 	}
-	late := func(r *req, at Time) bool {
-		i, _ := b.plan(r.Plan)
-		return r.Method == "SETUP" && i >= 0 && at > r.At+b.AbandonTimes[i]
+	isLate := func(request *pendingRequest, at Time) bool {
+		i, _ := b.plan(request.Plan)
+		return request.Method == "SETUP" && i >= 0 && at > request.At+b.AbandonTimes[i]
 	}
 	for _, e := range entries {
 		if !e.Player {
 			continue
 		}
-		l := lines[e.ConnID]
-		if l == nil {
-			l = &line{known: map[int]*req{}}
-			lines[e.ConnID] = l
+		conn := conns[e.ConnID]
+		if conn == nil {
+			conn = &playerConn{known: map[int]*pendingRequest{}}
+			conns[e.ConnID] = conn
 		}
 		switch {
 		case e.Kind == RequestSent && !e.FromFront:
-			if l.known[e.CSeq] == nil {
-				r := &req{Entry: e}
-				l.known[e.CSeq] = r
-				l.open = append(l.open, r)
+			if conn.known[e.CSeq] == nil {
+				request := &pendingRequest{Entry: e}
+				conn.known[e.CSeq] = request
+				conn.open = append(conn.open, request)
 			}
 		case e.Kind == ResponseSent && e.FromFront:
-			r := l.known[e.CSeq]
-			if r == nil {
+			request := conn.known[e.CSeq]
+			if request == nil {
 				v.addViolation("%s: answer %d to nothing that was asked (CSeq %d)", e.RequestID, e.Status, e.CSeq)
 				continue
 			}
-			if r.n++; r.n > 1 {
-				v.addViolation("%s: %s answered %d times", r.RequestID, r.Method, r.n)
+			if request.n++; request.n > 1 {
+				v.addViolation("%s: %s answered %d times", request.RequestID, request.Method, request.n)
 			}
-			if late(r, e.At) && !out(r, e.At) {
-				v.addViolation("%s: answered %.3f s after it was asked", r.RequestID, seconds(e.At-r.At))
+			if isLate(request, e.At) && !unavailable(request, e.At) {
+				v.addViolation("%s: answered %.3f s after it was asked", request.RequestID, seconds(e.At-request.At))
 			}
-			if r.Method == "SETUP" && r.n == 1 {
+			if request.Method == "SETUP" && request.n == 1 {
 				v.Judged++
 			}
 		case e.Kind == ConnClosed:
-			for _, r := range l.open {
-				if r.n > 0 || r.Method != "SETUP" {
+			for _, request := range conn.open {
+				if request.n > 0 || request.Method != "SETUP" {
 					continue
 				}
-				if !e.NetworkBroken && !(e.ClosedLocally && !late(r, e.At+1)) && !out(r, e.At) {
+				if !e.NetworkBroken && !(e.ClosedLocally && !isLate(request, e.At+1)) && !unavailable(request, e.At) {
 					v.Judged++
-					v.addViolation("%s: never answered (%.3f s)", r.RequestID, seconds(e.At-r.At))
+					v.addViolation("%s: never answered (%.3f s)", request.RequestID, seconds(e.At-request.At))
 				}
 			}
-			delete(lines, e.ConnID)
+			delete(conns, e.ConnID)
 		}
 	}
-	for _, l := range lines {
-		for _, r := range l.open {
-			if r.n == 0 && r.Method == "SETUP" {
-				v.addViolation("%s: not answered by the end of the tape", r.RequestID)
+	for _, conn := range conns {
+		for _, request := range conn.open {
+			if request.n == 0 && request.Method == "SETUP" {
+				v.addViolation("%s: not answered by the end of the tape", request.RequestID)
 			}
 		}
 	}
 	return v
 }
 
-// outages are the spans in which each process did not run.
+// outages returns, for each process, the intervals in which it did not run.
 func outages(entries []Entry) map[string][][2]Time {
-	all := map[string][][2]Time{}
+	intervals := map[string][][2]Time{}
 	for _, e := range entries {
-		o := all[e.Host]
+		own := intervals[e.Host]
 		switch {
 		case e.Kind == ProcessKilled:
-			all[e.Host] = append(o, [2]Time{e.At, never})
-		case e.Kind == ProcessStarted && len(o) > 0:
-			o[len(o)-1][1] = e.At
+			intervals[e.Host] = append(own, [2]Time{e.At, never})
+		case e.Kind == ProcessStarted && len(own) > 0:
+			own[len(own)-1][1] = e.At
 		}
 	}
-	return all
+	return intervals
 }
 
 func seconds(t Time) float64 { return float64(t) / 1e6 }
 
-// once judges rule 2: one try at a time, and for plans paid at set-up no further try and no refusal unless
-// no try can have run.
+// checkSingleSetup checks rule 2: one try at a time, and for plans paid at set-up no further try and no rejection
+// unless no earlier try can have run.
 func checkSingleSetup(tries []*attempt, players []*asked, b *Bounds) Verdict {
 	v := Verdict{Rule: 2, Name: "no set-up happens twice"}
-	by := map[string][]*attempt{}
-	for _, a := range tries {
-		by[a.request] = append(by[a.request], a)
+	triesByRequest := map[string][]*attempt{}
+	for _, try := range tries {
+		triesByRequest[try.request] = append(triesByRequest[try.request], try)
 	}
-	answer := map[string]*asked{}
-	for _, p := range players {
-		answer[p.request] = p
+	requestByID := map[string]*asked{}
+	for _, request := range players {
+		requestByID[request.request] = request
 	}
-	for _, a := range tries { // in the order of the tape
-		all := by[a.request]
-		if a.tryIndex > 0 {
+	for _, try := range tries { // in the order of the recording
+		requestTries := triesByRequest[try.request]
+		if try.tryIndex > 0 {
 			v.Judged++
-			if last := all[a.tryIndex-1]; last.endedAt > a.from+b.OrderTolerance {
-				v.addViolation("%s: try %d at %s while one at %s is out for %.3f s more", a.request, a.tryIndex, a.box, last.box, seconds(min(last.endedAt, a.from+1e12)-a.from))
+			if previous := requestTries[try.tryIndex-1]; previous.endedAt > try.from+b.OrderTolerance {
+				v.addViolation("%s: try %d at %s while one at %s is out for %.3f s more", try.request, try.tryIndex, try.box, previous.box, seconds(min(previous.endedAt, try.from+1e12)-try.from))
 			}
 		}
-		_, p := b.plan(a.plan)
-		if p.Repeat != session.Unsafe || a.tryIndex != len(all)-1 {
+		_, plan := b.plan(try.plan)
+		if plan.Repeat != session.Unsafe || try.tryIndex != len(requestTries)-1 {
 			continue
 		}
 		v.Judged++
-		ran := 0
-		got := answer[a.request]
-		for _, x := range all {
-			if !x.rejected && (got == nil || got.status != 200 || x.from <= got.answeredAt) {
-				ran++
+		mayHaveRun := 0
+		playerSide := requestByID[try.request]
+		for _, t := range requestTries {
+			if !t.rejected && (playerSide == nil || playerSide.status != 200 || t.from <= playerSide.answeredAt) {
+				mayHaveRun++
 			}
 		}
-		if ran > 1 {
-			v.addViolation("%s: sent again though a try may have run", a.request)
+		if mayHaveRun > 1 {
+			v.addViolation("%s: sent again though a try may have run", try.request)
 		}
-		if got != nil && ran > 0 && (got.status == 453 || got.status == 503) {
-			v.addViolation("%s: refused though a try may have run", a.request)
+		if playerSide != nil && mayHaveRun > 0 && (playerSide.status == 453 || playerSide.status == 503) {
+			v.addViolation("%s: refused though a try may have run", try.request)
 		}
 	}
 	return v
 }
 
-// drains judges rule 3: nothing new to a box later than the grace after the manager was told that it
+// checkDrains checks rule 3: no new try at a box later than the grace period after the manager was notified that it
 // drains or is gone.
 func checkDrains(entries []Entry, tries []*attempt, b *Bounds) Verdict {
 	v := Verdict{Rule: 3, Name: "drains are kept"}
-	type told struct {
+	type notification struct {
 		at    Time
 		state session.ServerState
 	}
-	news := map[[2]string][]told{}
+	notifications := map[[2]string][]notification{}
 	for _, e := range entries {
 		if e.Kind == StateNotified {
-			k := [2]string{e.Front, e.Host}
-			news[k] = append(news[k], told{e.At, e.State})
+			key := [2]string{e.Front, e.Host}
+			notifications[key] = append(notifications[key], notification{e.At, e.State})
 			if e.State != session.Ready {
 				v.Judged++
 			}
 		}
 	}
-	for _, a := range tries {
-		var off Time = -1 // since when the manager knows
-		for _, n := range news[[2]string{a.front, a.box}] {
+	for _, try := range tries {
+		var drainingSince Time = -1 // time of the notification; -1 if the box is not known to drain
+		for _, notice := range notifications[[2]string{try.front, try.box}] {
 			switch {
-			case n.at > a.from:
-			case n.state == session.Ready:
-				off = -1
-			case off < 0:
-				off = n.at
+			case notice.at > try.from:
+			case notice.state == session.Ready:
+				drainingSince = -1
+			case drainingSince < 0:
+				drainingSince = notice.at
 			}
 		}
-		if off >= 0 && a.from > off+b.Grace+b.OrderTolerance {
-			v.addViolation("%s: try at %s %.3f s after %s was told", a.request, a.box, seconds(a.from-off), a.front)
+		if drainingSince >= 0 && try.from > drainingSince+b.Grace+b.OrderTolerance {
+			v.addViolation("%s: try at %s %.3f s after %s was told", try.request, try.box, seconds(try.from-drainingSince), try.front)
 		}
 	}
 	return v
 }
 
-// cold judges rule 4: the set-ups that all managers together send to a box that has just started stay
-// within the multiple of its rising pace, in every window of the stated length.
+// checkColdStart checks rule 4: the set-ups that all managers together send to a box that has just started stay
+// within ColdMultiple times its growing capacity, in every window of ColdSpan.
 func checkColdStart(entries []Entry, tries []*attempt, b *Bounds) Verdict {
 	v := Verdict{Rule: 4, Name: "a cold box is not pushed over"}
-	t := &b.Site.Terms
-	sent := map[string][]Time{}
-	for _, a := range tries {
-		sent[a.box] = append(sent[a.box], a.from)
+	terms := &b.Site.Terms
+	setupTimes := map[string][]Time{}
+	for _, try := range tries {
+		setupTimes[try.box] = append(setupTimes[try.box], try.from)
 	}
 	for _, e := range entries {
 		if e.Kind != ProcessStarted || e.Started == 0 {
 			continue
 		}
 		var window []Time
-		for _, at := range sent[e.Host] {
-			if at < e.Started || at >= e.Started+t.WarmUp {
+		for _, at := range setupTimes[e.Host] {
+			if at < e.Started || at >= e.Started+terms.WarmUp {
 				continue
 			}
 			v.Judged++
 			window = append(window, at)
-			for window[0] <= at-t.ColdSpan {
+			for window[0] <= at-terms.ColdSpan {
 				window = window[1:]
 			}
-			warmth := t.ColdShare + (1-t.ColdShare)*float64(at-e.Started)/float64(t.WarmUp)
-			if may := max(mediabox.MaxColdSetups(b.MaxSessions, t.WarmUp, t.ColdSpan, t.ColdMultiple, warmth), 1); float64(len(window)) > may {
+			warmth := terms.ColdShare + (1-terms.ColdShare)*float64(at-e.Started)/float64(terms.WarmUp)
+			if allowed := max(mediabox.MaxColdSetups(b.MaxSessions, terms.WarmUp, terms.ColdSpan, terms.ColdMultiple, warmth), 1); float64(len(window)) > allowed {
 				v.addViolation("%s: %d set-ups within %.1f s, %.1f s after its start; %.1f may be", e.Host, len(window),
-					seconds(t.ColdSpan), seconds(at-e.Started), may)
+					seconds(terms.ColdSpan), seconds(at-e.Started), allowed)
 			}
 		}
 	}
 	return v
 }
 
-// terms judges rule 5: no rung under a plan's floor, and at no manager more playbacks of one title and plan
+// checkPlanTerms checks rule 5: no rung below a plan's floor, and at no manager more playbacks of one title and plan
 // than there are seats.
 func checkPlanTerms(entries []Entry, tries []*attempt, b *Bounds) Verdict {
 	v := Verdict{Rule: 5, Name: "floors and seats are kept"}
-	plans := map[int]string{}
+	planByConn := map[int]string{}
 	for _, e := range entries {
 		if e.Player || e.Kind != RequestSent || !e.FromFront || e.Rung < 0 {
 			continue
 		}
 		if e.Plan == "" {
-			e.Plan = plans[e.ConnID]
+			e.Plan = planByConn[e.ConnID]
 		}
-		plans[e.ConnID] = e.Plan
-		if _, p := b.plan(e.Plan); p.Floor > 0 {
+		planByConn[e.ConnID] = e.Plan
+		if _, plan := b.plan(e.Plan); plan.Floor > 0 {
 			v.Judged++
-			if e.Rung < p.Floor {
-				v.addViolation("%s at %s: rung %d under the floor %d of %s", e.RequestID, e.Host, e.Rung, p.Floor, e.Plan)
+			if e.Rung < plan.Floor {
+				v.addViolation("%s at %s: rung %d under the floor %d of %s", e.RequestID, e.Host, e.Rung, plan.Floor, e.Plan)
 			}
 		}
 	}
 	type change struct {
-		at Time
-		by int
-		a  *attempt
+		at  Time
+		by  int
+		try *attempt
 	}
-	held := map[[3]string][]change{}
-	for _, a := range tries {
-		if _, p := b.plan(a.plan); p.Seats > 0 {
-			k := [3]string{a.front, a.plan, a.title}
-			held[k] = append(held[k], change{a.from, 1, a}, change{max(a.endedAt-b.OrderTolerance, a.from), -1, a})
+	seatChanges := map[[3]string][]change{}
+	for _, try := range tries {
+		if _, plan := b.plan(try.plan); plan.Seats > 0 {
+			key := [3]string{try.front, try.plan, try.title}
+			seatChanges[key] = append(seatChanges[key], change{try.from, 1, try}, change{max(try.endedAt-b.OrderTolerance, try.from), -1, try})
 		}
 	}
-	for k, all := range held {
-		slices.SortStableFunc(all, func(x, y change) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.by, y.by)) })
-		_, p := b.plan(k[1])
-		n := 0
-		for _, c := range all {
-			n += c.by
-			if c.by > 0 {
+	for key, changes := range seatChanges {
+		slices.SortStableFunc(changes, func(x, y change) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.by, y.by)) })
+		_, plan := b.plan(key[1])
+		seatsUsed := 0
+		for _, change := range changes {
+			seatsUsed += change.by
+			if change.by > 0 {
 				v.Judged++
-				if n > p.Seats {
-					v.addViolation("%s: %d playbacks of %s at %s, %d seats", c.a.request, n, k[2], k[0], p.Seats)
+				if seatsUsed > plan.Seats {
+					v.addViolation("%s: %d playbacks of %s at %s, %d seats", change.try.request, seatsUsed, key[2], key[0], plan.Seats)
 				}
 			}
 		}
@@ -401,79 +403,79 @@
 	return v
 }
 
-// stands are the times over which each manager stood still, by when they began. A kill ends it.
+// pauses returns the intervals in which each manager was paused, by start time. A kill ends a pause.
 func pauses(entries []Entry) map[string][][2]Time {
-	all := map[string][][2]Time{}
+	intervals := map[string][][2]Time{}
 	for _, e := range entries {
 		switch e.Kind {
 		case ProcessPaused:
-			all[e.Host] = append(all[e.Host], [2]Time{e.At, e.Until})
+			intervals[e.Host] = append(intervals[e.Host], [2]Time{e.At, e.Until})
 		case ProcessKilled:
-			for i := range all[e.Host] {
-				s := &all[e.Host][i]
-				s[1] = min(s[1], max(e.At, s[0]))
+			for i := range intervals[e.Host] {
+				interval := &intervals[e.Host][i]
+				interval[1] = min(interval[1], max(e.At, interval[0]))
 			}
 		}
 	}
-	return all
+	return intervals
 }
 
-// takenAt is when a manager took what reached it at a time: at once, or as it went on after it had stood still.
-func receivedAt(stood [][2]Time, at Time) Time {
-	for _, s := range stood {
-		if s[0] <= at && at < s[1] {
-			at = s[1]
+// receivedAt returns when a manager handled what reached it at a time: at once, or when it resumed after a pause.
+func receivedAt(pauseTimes [][2]Time, at Time) Time {
+	for _, pause := range pauseTimes {
+		if pause[0] <= at && at < pause[1] {
+			at = pause[1]
 		}
 	}
 	return at
 }
 
-// budget judges rule 6: in any window a manager's further tries stay within the stated few and the stated
-// share of the playbacks that it took. One that was killed and came back begins anew: it cannot know. A try counts
-// from its connection's coming on, which is when it was decided: one that stands still then asks later.
+// checkRetryBudget checks rule 6: in any window of RetrySpan a manager's further tries stay within FreeRetries plus
+// RetryShare of the playbacks that it accepted. A manager that was killed restarts its count, as it keeps no state. A try counts
+// from the opening of its connection, which is when it was decided: a manager that is then paused sends SETUP later.
 func checkRetryBudget(entries []Entry, tries []*attempt, players []*asked, b *Bounds) Verdict {
 	v := Verdict{Rule: 6, Name: "further tries stay within their budget"}
-	t := &b.Site.Terms
-	if !t.RetriesLimited {
+	terms := &b.Site.Terms
+	if !terms.RetriesLimited {
 		return v
 	}
-	outs := outages(entries)
-	taken, stood := map[string][]Time{}, pauses(entries)
-	for _, p := range players {
-		taken[p.front] = append(taken[p.front], receivedAt(stood[p.front], p.at))
+	outageTimes := outages(entries)
+	acceptedAt, pauseTimes := map[string][]Time{}, pauses(entries)
+	for _, request := range players {
+		acceptedAt[request.front] = append(acceptedAt[request.front], receivedAt(pauseTimes[request.front], request.at))
 	}
-	further := map[string][]Time{}
-	for _, a := range tries { // a moved playback is taken anew
-		if a.tryIndex == 0 && strings.Contains(a.request, "/m") {
-			taken[a.front] = append(taken[a.front], a.connectedAt)
+	retryTimes := map[string][]Time{}
+	for _, try := range tries { // a moved playback counts as accepted again
+		if try.tryIndex == 0 && strings.Contains(try.request, "/m") {
+			acceptedAt[try.front] = append(acceptedAt[try.front], try.connectedAt)
 		}
 	}
 	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(a, b *attempt) int { return cmp.Compare(a.connectedAt, b.connectedAt) })
-	for _, a := range tries {
-		if a.tryIndex == 0 {
+	slices.SortStableFunc(tries, func(x, y *attempt) int { return cmp.Compare(x.connectedAt, y.connectedAt) })
+	for _, try := range tries {
+		if try.tryIndex == 0 {
 			continue
 		}
 		v.Judged++
-		w := append(further[a.front], a.connectedAt)
-		since := a.connectedAt - t.RetrySpan
-		for _, o := range outs[a.front] {
-			if o[0] <= a.connectedAt {
-				since = max(since, o[0])
+		window := append(retryTimes[try.front], try.connectedAt)
+		since := try.connectedAt - terms.RetrySpan
+		for _, outage := range outageTimes[try.front] {
+			if outage[0] <= try.connectedAt {
+				since = max(since, outage[0])
 			}
 		}
-		for w[0] <= since {
-			w = w[1:]
+		for window[0] <= since {
+			window = window[1:]
 		}
-		further[a.front] = w
-		n := 0
-		for _, at := range taken[a.front] {
-			if at > since-b.OrderTolerance-b.MaxTravel && at <= a.connectedAt {
-				n++
+		retryTimes[try.front] = window
+		accepted := 0
+		for _, at := range acceptedAt[try.front] {
+			if at > since-b.OrderTolerance-b.MaxTravel && at <= try.connectedAt {
+				accepted++
 			}
 		}
-		if may := t.FreeRetries + t.RetryShare*float64(n); float64(len(w)) > may {
-			v.addViolation("%s: %d further tries within %.1f s, %.1f may be", a.front, len(w), seconds(t.RetrySpan), may)
+		if allowed := terms.FreeRetries + terms.RetryShare*float64(accepted); float64(len(window)) > allowed {
+			v.addViolation("%s: %d further tries within %.1f s, %.1f may be", try.front, len(window), seconds(terms.RetrySpan), allowed)
 		}
 	}
 	return v
--- a/internal/lab/virtualnet.go
+++ b/internal/lab/virtualnet.go
@@ -1,6 +1,6 @@
-// Package lab is the project's laboratory: cores of session managers and stand-ins on a virtual network
-// under a virtual clock, or on loopback sockets, the days that are played there, and the checkers that
-// judge the rules from what passed on the connections.
+// Package lab is the project's test bed. It runs the cores of session managers and stand-ins on a virtual network
+// under a virtual clock, or on loopback sockets, plays scripted days of load and faults there, and checks the
+// rules from the traffic on the connections.
 package lab
 
 import (
@@ -16,59 +16,59 @@
 // Time is a clock value or span in microseconds.
 type Time = core.Time
 
-// Links are how the virtual network behaves. Chances are drawn from the world's seed.
+// Links are the delays and faults of the virtual network. Chances are drawn from the network's seed.
 type Links struct {
-	Latency, Jitter Time    // one way: Latency plus up to Jitter
-	CrossZone       Time    // more between zones
-	SplitChance     float64 // chance that what is sent arrives in pieces, cut at any byte
-	CutChance       float64 // chance that a connection breaks at any byte of what is sent
-	WindowBytes     int     // bytes on their way before a sender is held back
+	Latency, Jitter Time    // one way, Latency plus up to Jitter
+	CrossZone       Time    // additional latency between zones
+	SplitChance     float64 // chance that sent bytes arrive in pieces, split at any byte
+	CutChance       float64 // chance per send that the connection breaks, at any byte of what is sent
+	WindowBytes     int     // bytes in flight above which a sender gets backpressure
 }
 
-// World is the virtual network and clock. All of it runs on one goroutine; the same seed and the same
-// calls give the same day, byte for byte.
+// World is the virtual network and its clock. It runs on one goroutine; the same seed and the same
+// calls give the same traffic, byte for byte.
 type World struct {
 	Links
 	now      Time
 	queue    eventQueue
 	sequence uint64
 	rng      *rand.Rand
-	hosts    map[string]*host
+	hosts    map[string]*hostState
 	digest   *xxhash.Digest
-	turnHost *host
+	turnHost *hostState
 	tape     *Tape
-	zoneCuts map[[2]string]Time // zones cut off from each other until
+	zoneCuts map[[2]string]Time // pairs of zones that are partitioned, and until when
 	Cuts     int
 	Splits   int
 
 	Sent, Arrived, Dropped int64 // bytes
 }
 
-// host is one core's place on the network.
-type host struct {
+// hostState is an address on the network that runs one core.
+type hostState struct {
 	net         *World
 	name        string
 	zone        string
 	core        core.Core
-	endpoints   []*endpoint
-	down        bool // refuses
-	silent      bool // drops
-	pausedUntil Time // stands still until
+	endpoints   []*connEnd
+	down        bool // refuses connections
+	silent      bool // drops what is sent to it
+	pausedUntil Time // handles nothing before this time
 	wakeAt      Time
 	generation  int
 	isPlayer    bool
 }
 
-// end is one side of a connection.
-type endpoint struct {
+// connEnd is one side of a connection.
+type connEnd struct {
 	conn        *core.Conn
-	host        *host
+	host        *hostState
 	generation  int
-	peer        *endpoint
+	peer        *connEnd
 	id          int
-	open        bool // for its core
+	open        bool // open as seen by its core
 	closed      bool
-	lastArrival Time // when the latest of what it sent arrives
+	lastArrival Time // arrival time of the last bytes that it sent
 	inFlight    int
 	blocked     bool // its core waits for Drained
 	tap         *tap
@@ -77,10 +77,10 @@
 type netEvent struct {
 	at         Time
 	sequence   uint64
-	host       *host
+	host       *hostState
 	generation int
 	kind       int
-	end        *endpoint
+	end        *connEnd
 	data       []byte
 	err        error
 	call       func()
@@ -113,105 +113,105 @@
 	return x
 }
 
-// NewWorld makes an empty network. The clock starts at a moment that is not zero, as clocks do.
-func NewWorld(l Links, seed uint64, tape *Tape) *World {
-	return &World{Links: l, now: 1_000_000_000, rng: rand.New(rand.NewPCG(seed, 0x10e7)), hosts: map[string]*host{},
-		digest: xxhash.New(), tape: tape, zoneCuts: map[[2]string]Time{}}
+// NewWorld returns an empty network. Its clock starts at a time other than zero, as real clocks do.
+func NewWorld(links Links, seed uint64, recording *Tape) *World {
+	return &World{Links: links, now: 1_000_000_000, rng: rand.New(rand.NewPCG(seed, 0x10e7)), hosts: map[string]*hostState{},
+		digest: xxhash.New(), tape: recording, zoneCuts: map[[2]string]Time{}}
 }
 
-// Now is the clock.
+// Now returns the virtual time.
 func (w *World) Now() Time { return w.now }
 
-// Digest is a hash of all that was delivered so far, with its times.
+// Digest returns a hash of all bytes delivered so far, with their times.
 func (w *World) Digest() uint64 { return w.digest.Sum64() }
 
-func (w *World) enqueue(h *netEvent) {
+func (w *World) enqueue(event *netEvent) {
 	w.sequence++
-	h.sequence = w.sequence
-	heap.Push(&w.queue, h)
+	event.sequence = w.sequence
+	heap.Push(&w.queue, event)
 }
 
-// At has a function run at a moment, outside of any core.
-func (w *World) At(at Time, call func()) {
-	w.enqueue(&netEvent{at: max(at, w.now), kind: eventCall, call: call})
+// At runs a function at a time, outside of any core.
+func (w *World) At(at Time, run func()) {
+	w.enqueue(&netEvent{at: max(at, w.now), kind: eventCall, call: run})
 }
 
-// Start puts a core on the network, in place of one that was killed. Names are addresses.
+// Start runs a core at a host, in place of one that was killed. Host names are addresses.
 func (w *World) Start(name, zone string, build func(core.Net) core.Core) {
-	h := w.host(name, zone)
-	h.generation++
-	h.down, h.silent, h.pausedUntil, h.wakeAt = false, false, 0, core.Never
-	h.core = build(h)
-	w.enqueue(&netEvent{at: w.now, kind: eventWake, host: h, generation: h.generation})
-	h.wakeAt = w.now
+	host := w.host(name, zone)
+	host.generation++
+	host.down, host.silent, host.pausedUntil, host.wakeAt = false, false, 0, core.Never
+	host.core = build(host)
+	w.enqueue(&netEvent{at: w.now, kind: eventWake, host: host, generation: host.generation})
+	host.wakeAt = w.now
 }
 
-// Addr is where a host is reached.
+// Addr returns the address of a host, which is its name.
 func (w *World) Addr(name string) string { return name }
 
-// Core is what runs at a host, nil for nothing.
+// Core returns the core that runs at a host, or nil.
 func (w *World) Core(name string) core.Core {
-	if h := w.hosts[name]; h != nil {
-		return h.core
+	if host := w.hosts[name]; host != nil {
+		return host.core
 	}
 	return nil
 }
 
-// Flying is the bytes that are on their way.
+// InFlight returns the number of bytes in flight.
 func (w *World) InFlight() (n int64) {
-	for _, x := range w.queue {
-		if x.kind == eventData {
-			n += int64(len(x.data))
+	for _, event := range w.queue {
+		if event.kind == eventData {
+			n += int64(len(event.data))
 		}
 	}
 	return n
 }
 
-// Kill ends a host's process. Its peers hear of it, or, if silent, hear nothing any more.
+// Kill ends a host's process. Its peers see their connections close or, if silent, receive nothing more.
 func (w *World) Kill(name string, silent bool) {
-	h := w.hosts[name]
-	h.core, h.generation = nil, h.generation+1
-	h.down, h.silent = true, silent
-	for _, e := range h.endpoints {
-		if !silent && !e.closed {
-			w.notifyPeerClosed(e, w.now)
+	host := w.hosts[name]
+	host.core, host.generation = nil, host.generation+1
+	host.down, host.silent = true, silent
+	for _, endpoint := range host.endpoints {
+		if !silent && !endpoint.closed {
+			w.notifyPeerClosed(endpoint, w.now)
 		}
-		if e.tap != nil {
-			e.tap.closed(w.now, true)
+		if endpoint.tap != nil {
+			endpoint.tap.closed(w.now, true)
 		}
-		e.closed, e.open = true, false
+		endpoint.closed, endpoint.open = true, false
 	}
-	h.endpoints = nil
+	host.endpoints = nil
 }
 
-// Call runs a function within a turn of a host.
-func (w *World) Call(name string, call func(core.Core)) {
-	h := w.hosts[name]
-	w.enqueue(&netEvent{at: w.now, kind: eventCall, host: h, generation: h.generation, call: func() { call(h.core) }})
+// Call runs a function within one of a host's event loop turns.
+func (w *World) Call(name string, run func(core.Core)) {
+	host := w.hosts[name]
+	w.enqueue(&netEvent{at: w.now, kind: eventCall, host: host, generation: host.generation, call: func() { run(host.core) }})
 }
 
-// Stand has a host stand still: what comes to it waits.
-func (w *World) Stand(name string, span Time) { w.hosts[name].pausedUntil = w.now + span }
+// Stand pauses a host: events for it wait until the pause ends.
+func (w *World) Stand(name string, duration Time) { w.hosts[name].pausedUntil = w.now + duration }
 
-// CutZones holds back all that passes between two zones, for a span.
-func (w *World) CutZones(a, b string, span Time) {
-	w.zoneCuts[[2]string{a, b}], w.zoneCuts[[2]string{b, a}] = w.now+span, w.now+span
+// CutZones delays all traffic between two zones until the duration has passed.
+func (w *World) CutZones(a, b string, duration Time) {
+	w.zoneCuts[[2]string{a, b}], w.zoneCuts[[2]string{b, a}] = w.now+duration, w.now+duration
 }
 
-// Run plays until a moment, or until nothing is left to happen.
+// Run handles events up to a time, or until none is left.
 func (w *World) Run(until Time) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		x := heap.Pop(&w.queue).(*netEvent)
-		if h := x.host; h != nil && h.pausedUntil > x.at && x.generation == h.generation {
-			x.at = h.pausedUntil
-			heap.Push(&w.queue, x) // its place among what waits stays
+		event := heap.Pop(&w.queue).(*netEvent)
+		if host := event.host; host != nil && host.pausedUntil > event.at && event.generation == host.generation {
+			event.at = host.pausedUntil
+			heap.Push(&w.queue, event) // keeps its sequence number, so order is kept
 			continue
 		}
-		w.now = max(w.now, x.at)
-		if w.turnHost != nil && w.turnHost != x.host {
+		w.now = max(w.now, event.at)
+		if w.turnHost != nil && w.turnHost != event.host {
 			w.endTurn()
 		}
-		w.dispatch(x)
+		w.dispatch(event)
 		if w.turnHost != nil && (len(w.queue) == 0 || w.queue[0].at != w.now || w.queue[0].host != w.turnHost) {
 			w.endTurn()
 		}
@@ -220,115 +220,115 @@
 }
 
 func (w *World) endTurn() {
-	h := w.turnHost
+	host := w.turnHost
 	w.turnHost = nil
-	if h.core == nil {
+	if host.core == nil {
 		return
 	}
-	if next := max(h.core.EndTurn(), w.now+1); next != core.Never && next != h.wakeAt {
-		h.wakeAt = next
-		w.enqueue(&netEvent{at: next, kind: eventWake, host: h, generation: h.generation})
+	if next := max(host.core.EndTurn(), w.now+1); next != core.Never && next != host.wakeAt {
+		host.wakeAt = next
+		w.enqueue(&netEvent{at: next, kind: eventWake, host: host, generation: host.generation})
 	}
 }
 
-func (w *World) dispatch(x *netEvent) {
-	h := x.host
-	if h == nil {
-		x.call()
+func (w *World) dispatch(event *netEvent) {
+	host := event.host
+	if host == nil {
+		event.call()
 		return
 	}
-	if x.generation != h.generation || h.core == nil {
-		if x.kind == eventData {
-			w.Dropped += int64(len(x.data))
+	if event.generation != host.generation || host.core == nil {
+		if event.kind == eventData {
+			w.Dropped += int64(len(event.data))
 		}
-		if (x.kind == eventData || x.kind == eventAccept) && !h.silent {
-			w.notifyPeerClosed(x.end, w.now) // nobody is there any more
+		if (event.kind == eventData || event.kind == eventAccept) && !host.silent {
+			w.notifyPeerClosed(event.end, w.now) // the process that the connection led to has ended
 		}
 		return
 	}
-	if x.kind == eventWake && h.wakeAt != x.at && x.at != w.now {
+	if event.kind == eventWake && host.wakeAt != event.at && event.at != w.now {
 		return
 	}
 	if w.turnHost == nil {
-		w.turnHost = h
-		h.core.BeginTurn(w.now)
+		w.turnHost = host
+		host.core.BeginTurn(w.now)
 	}
-	e := x.end
-	switch x.kind {
+	endpoint := event.end
+	switch event.kind {
 	case eventWake:
-		if h.wakeAt <= w.now {
-			h.wakeAt = core.Never
+		if host.wakeAt <= w.now {
+			host.wakeAt = core.Never
 		}
 	case eventCall:
-		x.call()
+		event.call()
 	case eventAccept:
-		e.open = true
-		if e.tap != nil {
-			e.tap.opened(w.now, x.from)
+		endpoint.open = true
+		if endpoint.tap != nil {
+			endpoint.tap.opened(w.now, event.from)
 		}
-		h.core.Accepted(e.conn, x.from)
+		host.core.Accepted(endpoint.conn, event.from)
 	case eventDialed:
-		if e.closed {
+		if endpoint.closed {
 			return
 		}
-		e.open = x.err == nil
-		if e.open && e.tap != nil {
-			e.tap.opened(w.now, x.from)
+		endpoint.open = event.err == nil
+		if endpoint.open && endpoint.tap != nil {
+			endpoint.tap.opened(w.now, event.from)
 		}
-		h.core.Dialed(e.conn, x.err)
+		host.core.Dialed(endpoint.conn, event.err)
 	case eventData:
-		if !e.open {
-			w.Dropped += int64(len(x.data))
+		if !endpoint.open {
+			w.Dropped += int64(len(event.data))
 			return
 		}
-		w.Arrived += int64(len(x.data))
-		w.hashDelivery(x)
-		w.delivered(e.peer, len(x.data))
-		if e.tap != nil && h.isPlayer {
-			e.tap.received(w.now, x.data)
+		w.Arrived += int64(len(event.data))
+		w.hashDelivery(event)
+		w.delivered(endpoint.peer, len(event.data))
+		if endpoint.tap != nil && host.isPlayer {
+			endpoint.tap.received(w.now, event.data)
 		}
-		h.core.Received(e.conn, x.data)
+		host.core.Received(endpoint.conn, event.data)
 	case eventDrained:
-		if e.open {
-			h.core.Drained(e.conn)
+		if endpoint.open {
+			host.core.Drained(endpoint.conn)
 		}
 	case eventClosed:
-		if e.closed {
+		if endpoint.closed {
 			return
 		}
-		was := e.open
-		e.open, e.closed = false, true
-		h.removeEndpoint(e)
-		if e.tap != nil {
-			e.tap.closed(w.now, false)
+		wasOpen := endpoint.open
+		endpoint.open, endpoint.closed = false, true
+		host.removeEndpoint(endpoint)
+		if endpoint.tap != nil {
+			endpoint.tap.closed(w.now, false)
 		}
-		if was {
-			h.core.Closed(e.conn, x.err)
+		if wasOpen {
+			host.core.Closed(endpoint.conn, event.err)
 		}
 	}
 }
 
-func (w *World) hashDelivery(x *netEvent) {
-	var b [24]byte
-	binary.BigEndian.PutUint64(b[:], uint64(w.now))
-	binary.BigEndian.PutUint64(b[8:], uint64(x.end.id))
-	binary.BigEndian.PutUint64(b[16:], uint64(len(x.data)))
-	_, _ = w.digest.Write(b[:])
-	_, _ = w.digest.Write(x.data)
+func (w *World) hashDelivery(event *netEvent) {
+	var header [24]byte
+	binary.BigEndian.PutUint64(header[:], uint64(w.now))
+	binary.BigEndian.PutUint64(header[8:], uint64(event.end.id))
+	binary.BigEndian.PutUint64(header[16:], uint64(len(event.data)))
+	_, _ = w.digest.Write(header[:])
+	_, _ = w.digest.Write(event.data)
 }
 
-// landed takes bytes that have arrived out of a sender's window.
-func (w *World) delivered(e *endpoint, n int) {
-	e.inFlight -= n
-	if e.blocked && e.inFlight <= w.WindowBytes && e.host.generation == e.generation {
-		e.blocked = false
-		w.enqueue(&netEvent{at: w.now, kind: eventDrained, host: e.host, generation: e.generation, end: e})
+// delivered takes bytes that have arrived out of their sender's window.
+func (w *World) delivered(endpoint *connEnd, n int) {
+	endpoint.inFlight -= n
+	if endpoint.blocked && endpoint.inFlight <= w.WindowBytes && endpoint.host.generation == endpoint.generation {
+		endpoint.blocked = false
+		w.enqueue(&netEvent{at: w.now, kind: eventDrained, host: endpoint.host, generation: endpoint.generation, end: endpoint})
 	}
 }
 
-func (h *host) removeEndpoint(e *endpoint) {
-	for i, x := range h.endpoints {
-		if x == e {
+func (h *hostState) removeEndpoint(target *connEnd) {
+	for i, end := range h.endpoints {
+		if end == target {
 			h.endpoints[i] = h.endpoints[len(h.endpoints)-1]
 			h.endpoints = h.endpoints[:len(h.endpoints)-1]
 			return
@@ -336,150 +336,150 @@
 	}
 }
 
-// arrival is when something sent now arrives.
-func (w *World) arrivalTime(from, to *host) Time {
-	d := w.Latency
+// arrivalTime returns when something sent now arrives.
+func (w *World) arrivalTime(from, to *hostState) Time {
+	delay := w.Latency
 	if w.Jitter > 0 {
-		d += w.rng.Int64N(w.Jitter)
+		delay += w.rng.Int64N(w.Jitter)
 	}
 	at := w.now
 	if from.zone != to.zone && from.zone != "" && to.zone != "" {
-		d += w.CrossZone
+		delay += w.CrossZone
 		at = max(at, w.zoneCuts[[2]string{from.zone, to.zone}])
 	}
-	return at + d
+	return at + delay
 }
 
-// breakEnd has the peer of an end hear that the connection is gone.
-func (w *World) notifyPeerClosed(e *endpoint, at Time) {
-	p := e.peer
-	if p == nil || p.closed {
+// notifyPeerClosed schedules the close of the connection at the peer of an endpoint.
+func (w *World) notifyPeerClosed(endpoint *connEnd, at Time) {
+	peer := endpoint.peer
+	if peer == nil || peer.closed {
 		return
 	}
-	e.lastArrival = max(e.lastArrival, w.arrivalTime(e.host, p.host), at)
-	w.enqueue(&netEvent{at: e.lastArrival, kind: eventClosed, host: p.host, generation: p.generation, end: p, err: core.ErrClosedByPeer})
+	endpoint.lastArrival = max(endpoint.lastArrival, w.arrivalTime(endpoint.host, peer.host), at)
+	w.enqueue(&netEvent{at: endpoint.lastArrival, kind: eventClosed, host: peer.host, generation: peer.generation, end: peer, err: core.ErrClosedByPeer})
 }
 
-// Dial connects to a host by its name.
-func (h *host) Dial(c *core.Conn, addr string) {
-	w := h.net
-	to := w.hosts[addr]
-	w.sequence++
-	e := &endpoint{conn: c, host: h, generation: h.generation, id: int(w.sequence)}
-	c.Socket = e
-	h.endpoints = append(h.endpoints, e)
-	if to == nil || to.down && !to.silent {
-		w.enqueue(&netEvent{at: w.now + 2*w.Latency + 1, kind: eventDialed, host: h, generation: h.generation, end: e, err: core.ErrRefused})
+// Dial opens a connection to a host by its name.
+func (h *hostState) Dial(c *core.Conn, addr string) {
+	network := h.net
+	target := network.hosts[addr]
+	network.sequence++
+	local := &connEnd{conn: c, host: h, generation: h.generation, id: int(network.sequence)}
+	c.Socket = local
+	h.endpoints = append(h.endpoints, local)
+	if target == nil || target.down && !target.silent {
+		network.enqueue(&netEvent{at: network.now + 2*network.Latency + 1, kind: eventDialed, host: h, generation: h.generation, end: local, err: core.ErrRefused})
 		return
 	}
-	if to.silent {
+	if target.silent {
 		return
 	}
-	there := w.arrivalTime(h, to)
-	p := &endpoint{conn: &core.Conn{}, host: to, generation: to.generation, peer: e, id: -e.id}
-	p.conn.Socket = p
-	e.peer = p
-	to.endpoints = append(to.endpoints, p)
-	if w.tape != nil {
+	acceptedAt := network.arrivalTime(h, target)
+	peer := &connEnd{conn: &core.Conn{}, host: target, generation: target.generation, peer: local, id: -local.id}
+	peer.conn.Socket = peer
+	local.peer = peer
+	target.endpoints = append(target.endpoints, peer)
+	if network.tape != nil {
 		if h.isPlayer {
-			e.tap = w.tape.tap(h.name, addr, true)
+			local.tap = network.tape.tap(h.name, addr, true)
 		} else {
-			p.tap = w.tape.tap(addr, h.name, false)
+			peer.tap = network.tape.tap(addr, h.name, false)
 		}
 	}
-	back := there + w.arrivalTime(to, h) - w.now
-	e.lastArrival, p.lastArrival = there, back
-	from := h.name
+	dialedAt := acceptedAt + network.arrivalTime(target, h) - network.now
+	local.lastArrival, peer.lastArrival = acceptedAt, dialedAt
+	source := h.name
 	if c.SourceAddr != "" {
-		from = c.SourceAddr
+		source = c.SourceAddr
 	}
-	w.enqueue(&netEvent{at: there, kind: eventAccept, host: to, generation: to.generation, end: p, from: from})
-	w.enqueue(&netEvent{at: back, kind: eventDialed, host: h, generation: h.generation, end: e, from: addr})
+	network.enqueue(&netEvent{at: acceptedAt, kind: eventAccept, host: target, generation: target.generation, end: peer, from: source})
+	network.enqueue(&netEvent{at: dialedAt, kind: eventDialed, host: h, generation: h.generation, end: local, from: addr})
 }
 
-// Send has bytes arrive at the other side, in order, whole or in pieces.
-func (h *host) Send(c *core.Conn, b []byte) {
-	w := h.net
-	e, ok := c.Socket.(*endpoint)
-	if !ok || !e.open || len(b) == 0 {
+// Send schedules the arrival of bytes at the peer, in order, whole or in pieces.
+func (h *hostState) Send(c *core.Conn, data []byte) {
+	network := h.net
+	local, ok := c.Socket.(*connEnd)
+	if !ok || !local.open || len(data) == 0 {
 		return
 	}
-	p := e.peer
-	if t := e.tap; t != nil { // a box's or a player's own sending
-		t.sent(w.now, b)
+	peer := local.peer
+	if tap := local.tap; tap != nil { // sent by a box or a player
+		tap.sent(network.now, data)
 	}
-	if t := p.tap; t != nil && !p.host.isPlayer { // what leaves for a box
-		t.received(w.now, b)
+	if tap := peer.tap; tap != nil && !peer.host.isPlayer { // sent to a box
+		tap.received(network.now, data)
 	}
-	b = append([]byte(nil), b...)
-	w.Sent += int64(len(b))
-	e.inFlight += len(b)
+	data = append([]byte(nil), data...)
+	network.Sent += int64(len(data))
+	local.inFlight += len(data)
 	broken := false
-	if w.CutChance > 0 && w.rng.Float64() < w.CutChance {
-		w.Cuts++
+	if network.CutChance > 0 && network.rng.Float64() < network.CutChance {
+		network.Cuts++
 		broken = true
-		n := w.rng.IntN(len(b) + 1)
-		w.Dropped += int64(len(b) - n)
-		b = b[:n]
+		n := network.rng.IntN(len(data) + 1)
+		network.Dropped += int64(len(data) - n)
+		data = data[:n]
 	}
-	for len(b) > 0 {
-		n := len(b)
-		if n > 1 && w.SplitChance > 0 && w.rng.Float64() < w.SplitChance {
-			w.Splits++
-			n = 1 + w.rng.IntN(n-1)
+	for len(data) > 0 {
+		n := len(data)
+		if n > 1 && network.SplitChance > 0 && network.rng.Float64() < network.SplitChance {
+			network.Splits++
+			n = 1 + network.rng.IntN(n-1)
 		}
-		e.lastArrival = max(e.lastArrival, w.arrivalTime(h, p.host))
-		w.enqueue(&netEvent{at: e.lastArrival, kind: eventData, host: p.host, generation: p.generation, end: p, data: b[:n]})
-		b = b[n:]
+		local.lastArrival = max(local.lastArrival, network.arrivalTime(h, peer.host))
+		network.enqueue(&netEvent{at: local.lastArrival, kind: eventData, host: peer.host, generation: peer.generation, end: peer, data: data[:n]})
+		data = data[n:]
 	}
 	if broken {
-		for _, t := range []*tap{e.tap, p.tap} {
-			if t != nil {
-				t.networkBroken = true
+		for _, tap := range []*tap{local.tap, peer.tap} {
+			if tap != nil {
+				tap.networkBroken = true
 			}
 		}
-		w.notifyPeerClosed(e, w.now)
-		w.notifyPeerClosed(p, w.now)
+		network.notifyPeerClosed(local, network.now)
+		network.notifyPeerClosed(peer, network.now)
 	}
 }
 
-// Pending is what does not fit the window.
-func (h *host) Pending(c *core.Conn) int {
-	e, ok := c.Socket.(*endpoint)
-	if !ok || !e.open || e.inFlight <= h.net.WindowBytes {
+// Pending returns the bytes in flight beyond the window.
+func (h *hostState) Pending(c *core.Conn) int {
+	local, ok := c.Socket.(*connEnd)
+	if !ok || !local.open || local.inFlight <= h.net.WindowBytes {
 		return 0
 	}
-	e.blocked = true
-	return e.inFlight - h.net.WindowBytes
+	local.blocked = true
+	return local.inFlight - h.net.WindowBytes
 }
 
-// Close ends a connection; what was sent still arrives.
-func (h *host) Close(c *core.Conn) {
-	e, ok := c.Socket.(*endpoint)
-	if !ok || e.closed {
+// Close closes a connection; what was sent before still arrives.
+func (h *hostState) Close(c *core.Conn) {
+	local, ok := c.Socket.(*connEnd)
+	if !ok || local.closed {
 		return
 	}
-	e.closed, e.open = true, false
-	h.removeEndpoint(e)
-	if e.tap != nil {
-		e.tap.closed(h.net.now, true)
+	local.closed, local.open = true, false
+	h.removeEndpoint(local)
+	if local.tap != nil {
+		local.tap.closed(h.net.now, true)
 	}
-	if p := e.peer; p != nil {
-		if p.tap != nil && !p.host.isPlayer {
-			p.tap.closed(h.net.now, false)
+	if peer := local.peer; peer != nil {
+		if peer.tap != nil && !peer.host.isPlayer {
+			peer.tap.closed(h.net.now, false)
 		}
-		h.net.notifyPeerClosed(e, h.net.now)
+		h.net.notifyPeerClosed(local, h.net.now)
 	}
 }
 
-// Player says that a host is a crowd of players: its connections are taken down as theirs.
+// Player marks a host as players, so that its connections are recorded as players' connections.
 func (w *World) Player(name string) { w.host(name, "").isPlayer = true }
 
-func (w *World) host(name, zone string) *host {
-	h := w.hosts[name]
-	if h == nil {
-		h = &host{net: w, name: name, zone: zone, down: true}
-		w.hosts[name] = h
+func (w *World) host(name, zone string) *hostState {
+	host := w.hosts[name]
+	if host == nil {
+		host = &hostState{net: w, name: name, zone: zone, down: true}
+		w.hosts[name] = host
 	}
-	return h
+	return host
 }
