--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -7,8 +7,8 @@
 	"pierlink/session"
 )
 
-// baselines are simple policies in the module's place, to measure against. They keep no rule on purpose but
-// those that follow from trying each playback once at a server that the list has as ready.
+// baselines are simple policies used in place of the module for comparison. They keep only those rules
+// that follow from trying each playback once, at a server that is listed as ready.
 var baselines = map[string]func(*session.Site, uint64) session.Manager{
 	"random":  func(s *session.Site, seed uint64) session.Manager { return newBaseline(s, seed, pickRandom, 0) },
 	"fewest":  func(s *session.Site, seed uint64) session.Manager { return newBaseline(s, seed, pickFewest, 0) },
@@ -16,12 +16,12 @@
 	"highest": func(s *session.Site, seed uint64) session.Manager { return newBaseline(s, seed, pickFewest, 99) },
 }
 
-// Baselines are the names of the simple policies.
+// Baselines returns the names of the baseline policies.
 func Baselines() []string { return sortedKeys(baselines) }
 
 type picker func(*baseline, *session.Request) int
 
-// baseline tries each playback once, at a server that its pick chooses, and gives up on it where that fails.
+// baseline tries each playback once, at a server that its picker chooses, and rejects or aborts it if that fails.
 type baseline struct {
 	*session.Site
 	rng          *rand.Rand
@@ -29,7 +29,7 @@
 	rung         int
 	now          session.Time
 	servers      []session.Entry
-	ownPlaybacks []int // playbacks of this front at each server
+	ownPlaybacks []int // number of this front's playbacks at each server
 	playbacks    map[int]*baselinePlayback
 	pending      []int
 	ended        []int
@@ -44,136 +44,136 @@
 	failures int
 }
 
-func newBaseline(s *session.Site, seed uint64, p picker, rung int) *baseline {
-	return &baseline{Site: s, rng: rand.New(rand.NewPCG(seed, 0xba5e)), pick: p, rung: rung, playbacks: map[int]*baselinePlayback{}}
+func newBaseline(site *session.Site, seed uint64, pick picker, rung int) *baseline {
+	return &baseline{Site: site, rng: rand.New(rand.NewPCG(seed, 0xba5e)), pick: pick, rung: rung, playbacks: map[int]*baselinePlayback{}}
 }
 
-// holders are the servers that hold a title and are ready.
-func (b *baseline) holders(r *session.Request) (all []int) {
+// holders returns the ready servers that hold a title.
+func (b *baseline) holders(request *session.Request) (servers []int) {
 	for i := range b.servers {
-		if e := &b.servers[i]; e.State == session.Ready && (r.CellCount == 0 || (e.Cell-r.FirstCell+b.Fleet.Cells)%b.Fleet.Cells < r.CellCount) {
-			all = append(all, i)
+		if entry := &b.servers[i]; entry.State == session.Ready && (request.CellCount == 0 || (entry.Cell-request.FirstCell+b.Fleet.Cells)%b.Fleet.Cells < request.CellCount) {
+			servers = append(servers, i)
 		}
 	}
-	return all
+	return servers
 }
 
-func pickRandom(b *baseline, r *session.Request) int {
-	all := b.holders(r)
-	if len(all) == 0 {
+func pickRandom(b *baseline, request *session.Request) int {
+	holders := b.holders(request)
+	if len(holders) == 0 {
 		return -1
 	}
-	return all[b.rng.IntN(len(all))]
+	return holders[b.rng.IntN(len(holders))]
 }
 
-func pickFewest(b *baseline, r *session.Request) int {
-	all := b.holders(r)
-	b.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if len(all) == 0 {
+func pickFewest(b *baseline, request *session.Request) int {
+	holders := b.holders(request)
+	b.rng.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
+	if len(holders) == 0 {
 		return -1
 	}
-	return slices.MinFunc(all, func(x, y int) int { return b.ownPlaybacks[x] - b.ownPlaybacks[y] })
+	return slices.MinFunc(holders, func(x, y int) int { return b.ownPlaybacks[x] - b.ownPlaybacks[y] })
 }
 
-func pickLocal(b *baseline, r *session.Request) int {
-	all := b.holders(r)
-	b.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if len(all) == 0 {
+func pickLocal(b *baseline, request *session.Request) int {
+	holders := b.holders(request)
+	b.rng.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
+	if len(holders) == 0 {
 		return -1
 	}
-	far := func(x int) int {
+	zonePenalty := func(x int) int {
 		if b.servers[x].Zone == b.Zone {
 			return 0
 		}
 		return 1 << 20
 	}
-	return slices.MinFunc(all, func(x, y int) int { return b.ownPlaybacks[x] + far(x) - b.ownPlaybacks[y] - far(y) })
+	return slices.MinFunc(holders, func(x, y int) int { return b.ownPlaybacks[x] + zonePenalty(x) - b.ownPlaybacks[y] - zonePenalty(y) })
 }
 
 func (b *baseline) BeginTurn(now session.Time) { b.now = now }
-func (b *baseline) Listed(l session.List) {
-	if l.Complete {
+func (b *baseline) Listed(list session.List) {
+	if list.Complete {
 		for i := range b.servers {
 			b.servers[i].State = session.Gone
 		}
 	}
-	for _, e := range l.Entries {
-		for len(b.servers) <= e.Server {
+	for _, entry := range list.Entries {
+		for len(b.servers) <= entry.Server {
 			b.servers, b.ownPlaybacks = append(b.servers, session.Entry{}), append(b.ownPlaybacks, 0)
 		}
-		b.servers[e.Server] = e
+		b.servers[entry.Server] = entry
 	}
 }
 func (b *baseline) Opened(session.Request, int) {}
-func (b *baseline) Requested(r session.Request) {
-	b.playbacks[r.Playback] = &baselinePlayback{Request: r, server: -1}
-	b.pending = append(b.pending, r.Playback)
+func (b *baseline) Requested(request session.Request) {
+	b.playbacks[request.Playback] = &baselinePlayback{Request: request, server: -1}
+	b.pending = append(b.pending, request.Playback)
 }
-func (b *baseline) Playing(pb, _, _ int, _ session.Time) { b.playbacks[pb].playing = true }
-func (b *baseline) Ended(r session.Result) {
-	p := b.playbacks[r.Playback]
-	if p == nil {
+func (b *baseline) Playing(playback, _, _ int, _ session.Time) { b.playbacks[playback].playing = true }
+func (b *baseline) Ended(result session.Result) {
+	playback := b.playbacks[result.Playback]
+	if playback == nil {
 		return
 	}
-	b.release(p)
-	if r.Final {
-		b.ended = append(b.ended, r.Playback)
+	b.release(playback)
+	if result.Final {
+		b.ended = append(b.ended, result.Playback)
 		return
 	}
-	p.failures++
-	p.tried = p.tried && r.Outcome != session.Full && r.Outcome != session.NoConnection && r.Outcome != session.NotSent
-	b.pending = append(b.pending, r.Playback)
+	playback.failures++
+	playback.tried = playback.tried && result.Outcome != session.Full && result.Outcome != session.NoConnection && result.Outcome != session.NotSent
+	b.pending = append(b.pending, result.Playback)
 }
-func (b *baseline) release(p *baselinePlayback) {
-	if p.server >= 0 {
-		b.ownPlaybacks[p.server]--
-		p.server = -1
+func (b *baseline) release(playback *baselinePlayback) {
+	if playback.server >= 0 {
+		b.ownPlaybacks[playback.server]--
+		playback.server = -1
 	}
 }
-func (b *baseline) Left(pb int) {
-	if p := b.playbacks[pb]; p != nil {
-		b.release(p)
-		b.ended = append(b.ended, pb)
+func (b *baseline) Left(id int) {
+	if playback := b.playbacks[id]; playback != nil {
+		b.release(playback)
+		b.ended = append(b.ended, id)
 	}
 }
 func (b *baseline) Woken(uint64)                              {}
 func (b *baseline) Probed(int, session.Outcome, session.Load) {}
 func (b *baseline) Noted(session.Note)                        {}
 
-func (b *baseline) Settle(a session.Actions) {
+func (b *baseline) Settle(actions session.Actions) {
 	for len(b.pending)+len(b.ended) > 0 {
-		todo, ended := b.pending, b.ended
+		pending, ended := b.pending, b.ended
 		b.pending, b.ended = nil, nil
-		for _, pb := range ended {
-			if b.playbacks[pb] != nil {
-				delete(b.playbacks, pb)
-				a.Forget(pb)
+		for _, id := range ended {
+			if b.playbacks[id] != nil {
+				delete(b.playbacks, id)
+				actions.Forget(id)
 			}
 		}
-		for _, pb := range todo {
-			p := b.playbacks[pb]
-			if p == nil {
+		for _, id := range pending {
+			playback := b.playbacks[id]
+			if playback == nil {
 				continue
 			}
-			plan := &b.Plans[p.Plan]
-			s := -1
-			if p.failures == 0 && b.now < p.AbandonAt {
-				s = b.pick(b, &p.Request)
+			plan := &b.Plans[playback.Plan]
+			server := -1
+			if playback.failures == 0 && b.now < playback.AbandonAt {
+				server = b.pick(b, &playback.Request)
 			}
 			switch {
-			case s >= 0:
-				p.server, p.tried = s, true
-				b.ownPlaybacks[s]++
-				a.SetRung(pb, max(min(b.rung, plan.Top, p.Top), plan.Floor))
-				a.Try(pb, s, 0)
+			case server >= 0:
+				playback.server, playback.tried = server, true
+				b.ownPlaybacks[server]++
+				actions.SetRung(id, max(min(b.rung, plan.Top, playback.Top), plan.Floor))
+				actions.Try(id, server, 0)
 				continue
-			case p.tried && plan.Repeat == session.Unsafe:
-				a.Abort(pb)
+			case playback.tried && plan.Repeat == session.Unsafe:
+				actions.Abort(id)
 			default:
-				a.Reject(pb, b.Terms.MaxRetryAfter)
+				actions.Reject(id, b.Terms.MaxRetryAfter)
 			}
-			delete(b.playbacks, pb)
-			a.Forget(pb)
+			delete(b.playbacks, id)
+			actions.Forget(id)
 		}
 	}
 }
--- a/internal/lab/consistency.go
+++ b/internal/lab/consistency.go
@@ -10,74 +10,74 @@
 	"pierlink/session"
 )
 
-// ids are the names of a viewer's askings, in their order.
-func (p *Play) requestIDs(w *player.Profile) (all []string) {
-	for round := range p.Day.MaxRetries + 1 {
-		id := w.ID
-		if round > 0 {
-			id += "." + strconv.Itoa(round)
+// requestIDs returns the request identifiers of a viewer's attempts, in order.
+func (p *Play) requestIDs(profile *player.Profile) (ids []string) {
+	for attempt := range p.Day.MaxRetries + 1 {
+		id := profile.ID
+		if attempt > 0 {
+			id += "." + strconv.Itoa(attempt)
 		}
-		all = append(all, id)
+		ids = append(ids, id)
 	}
-	return all
+	return ids
 }
 
-// look is what the ground keeps each half second on the virtual network: what links give, and whether all
-// that was asked, given and taken adds up.
-func (p *Play) sample(w *World) {
-	kb := 0.0
-	uplinks := map[*mediabox.Rack]float64{}
-	asked := map[*mediabox.Rack]float64{}
-	fills, most := 0.0, 0.0
-	boxes := 0
+// sample records the capacity of the links each half second on the virtual network, and checks that the figures
+// of demand, capacity and attempts are consistent.
+func (p *Play) sample(network *World) {
+	capacity := 0.0
+	linkCapacity := map[*mediabox.Rack]float64{}
+	demand := map[*mediabox.Rack]float64{}
+	fillSum, maxFill := 0.0, 0.0
+	runningBoxes := 0
 	for _, b := range p.boxes {
-		x, ok := w.Core(b.name).(*mediabox.Box)
+		box, ok := network.Core(b.name).(*mediabox.Box)
 		if !ok {
 			continue
 		}
-		link, took, err := x.CheckDemand()
+		boxCapacity, boxDemand, err := box.CheckDemand()
 		if err != nil {
-			p.reportInconsistency("%s at %.1f s: %v", b.name, seconds(w.now-p.began), err)
+			p.reportInconsistency("%s at %.1f s: %v", b.name, seconds(network.now-p.began), err)
 		}
-		asked[x.Rack] += took
-		if b.state == session.Ready { // one that drains gives nothing to those who come
-			uplinks[x.Rack] += link
+		demand[box.Rack] += boxDemand
+		if b.state == session.Ready { // a draining box has no capacity for new viewers
+			linkCapacity[box.Rack] += boxCapacity
 		}
-		boxes++
-		fill := took / max(link, 1e-9)
-		fills += fill
-		most = max(most, fill)
+		runningBoxes++
+		fill := boxDemand / max(boxCapacity, 1e-9)
+		fillSum += fill
+		maxFill = max(maxFill, fill)
 	}
-	for _, r := range p.racks {
-		kb += min(uplinks[r], r.UplinkKB)
-		if x := asked[r]; math.Abs(x-r.Load()*r.UplinkKB) > 1e-3*max(x, 1) {
-			p.reportInconsistency("a rack at %.1f s: its boxes ask for %.1f kB a second, it has booked %.1f", seconds(w.now-p.began), x, r.Load()*r.UplinkKB)
+	for _, rack := range p.racks {
+		capacity += min(linkCapacity[rack], rack.UplinkKB)
+		if rackDemand := demand[rack]; math.Abs(rackDemand-rack.Load()*rack.UplinkKB) > 1e-3*max(rackDemand, 1) {
+			p.reportInconsistency("a rack at %.1f s: its boxes ask for %.1f kB a second, it has booked %.1f", seconds(network.now-p.began), rackDemand, rack.Load()*rack.UplinkKB)
 		}
 	}
-	p.capacityKB = append(p.capacityKB, kb)
-	p.meanFills = append(p.meanFills, fills/max(float64(boxes), 1))
-	p.maxFills = append(p.maxFills, most)
+	p.capacityKB = append(p.capacityKB, capacity)
+	p.meanFills = append(p.meanFills, fillSum/max(float64(runningBoxes), 1))
+	p.maxFills = append(p.maxFills, maxFill)
 	waiting := 0
 	for _, f := range p.fronts {
-		if x := frontOf(w.Core(f.name)); x != nil {
-			waiting += x.OpenWork().Unanswered
+		if manager := frontOf(network.Core(f.name)); manager != nil {
+			waiting += manager.OpenWork().Unanswered
 		}
 	}
 	p.unanswered = append(p.unanswered, float64(waiting))
-	if c, ok := w.Core("players").(*player.Group); ok {
+	if group, ok := network.Core("players").(*player.Group); ok {
 		p.mu.Lock()
 		ended := p.Tally.Asked
 		p.mu.Unlock()
-		if c.Attempts != ended+c.Open()-c.Waiting() {
-			p.reportInconsistency("at %.1f s: %d askings began, %d ended, %d are open", seconds(w.now-p.began), c.Attempts, ended, c.Open()-c.Waiting())
+		if group.Attempts != ended+group.Open()-group.Waiting() {
+			p.reportInconsistency("at %.1f s: %d askings began, %d ended, %d are open", seconds(network.now-p.began), group.Attempts, ended, group.Open()-group.Waiting())
 		}
 	}
-	if w.now-p.began < p.Length() {
-		p.stage.At(w.now+bucketWidth, func() { p.sample(w) })
+	if network.now-p.began < p.Length() {
+		p.stage.At(network.now+bucketWidth, func() { p.sample(network) })
 	}
 }
 
-// odd notes something that does not add up: an error of the emulator, not of what it plays.
+// reportInconsistency notes a failed consistency check: a fault of the emulation, not of the system under test.
 func (p *Play) reportInconsistency(format string, a ...any) {
 	p.Odd++
 	if len(p.Oddities) < 5 {
@@ -85,15 +85,15 @@
 	}
 }
 
-// settleUp holds the day's bytes against each other, once all is over.
-func (p *Play) checkTotals(w *World) {
-	if f := w.InFlight(); w.Sent != w.Arrived+w.Dropped+f {
-		p.reportInconsistency("bytes on the network: %d were sent, %d arrived, %d were lost with their connections, %d are on their way", w.Sent, w.Arrived, w.Dropped, f)
+// checkTotals compares the day's totals of bytes, packets and attempts once all has ended.
+func (p *Play) checkTotals(network *World) {
+	if inFlight := network.InFlight(); network.Sent != network.Arrived+network.Dropped+inFlight {
+		p.reportInconsistency("bytes on the network: %d were sent, %d arrived, %d were lost with their connections, %d are on their way", network.Sent, network.Arrived, network.Dropped, inFlight)
 	}
 	if p.Tally.Packets > p.packetsSent {
 		p.reportInconsistency("players got %d packets, boxes sent %d", p.Tally.Packets, p.packetsSent)
 	}
-	if n := p.Tally.Played + p.Tally.Rejected + p.Tally.Failed + p.Tally.Abandoned + p.Tally.Redirected; n < p.Tally.Asked-p.Tally.Lost-p.Tally.Completed {
-		p.reportInconsistency("%d askings, of which %d came to an end that is known", p.Tally.Asked, n)
+	if ended := p.Tally.Played + p.Tally.Rejected + p.Tally.Failed + p.Tally.Abandoned + p.Tally.Redirected; ended < p.Tally.Asked-p.Tally.Lost-p.Tally.Completed {
+		p.reportInconsistency("%d askings, of which %d came to an end that is known", p.Tally.Asked, ended)
 	}
 }
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -11,78 +11,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ranges are what a day's seed draws from: 10~30, or 0.5~1.5.
+// rangePattern matches the ranges that a day's seed draws from: 10~30, or 0.5~1.5.
 var rangePattern = regexp.MustCompile(`([0-9]*\.?[0-9]+)~([0-9]*\.?[0-9]+)`)
 
-// drawn puts a number of its range in the place of each range, whole numbers where both ends are. What a line
-// gets depends on the seed and the line alone: a line more or less leaves the others as they were.
+// drawRanges replaces each range by a number drawn from it, a whole number if both ends are. The numbers of a line
+// depend on the seed and the line alone, so adding or removing a line does not change the others.
 func drawRanges(text string, seed uint64) (string, error) {
-	var all []string
+	var lines []string
 	for line := range strings.SplitSeq(text, "\n") {
-		x, err := drawLine(line, seed)
+		drawn, err := drawLine(line, seed)
 		if err != nil {
 			return "", err
 		}
-		all = append(all, x)
+		lines = append(lines, drawn)
 	}
-	return strings.Join(all, "\n"), nil
+	return strings.Join(lines, "\n"), nil
 }
 
 func drawLine(line string, seed uint64) (string, error) {
-	var bad error
-	n, of := uint64(0), xxhash.Sum64String(line)
-	out := rangePattern.ReplaceAllStringFunc(line, func(s string) string {
-		n++
-		rng := rand.New(rand.NewPCG(seed, of+n))
-		a, b, _ := strings.Cut(s, "~")
-		x, err := strconv.ParseFloat(a, 64)
-		y, err2 := strconv.ParseFloat(b, 64)
-		if err != nil || err2 != nil || x > y {
-			bad = fmt.Errorf("%s: a range such as 10~30 was expected", s)
-			return a
+	var rangeErr error
+	index, lineHash := uint64(0), xxhash.Sum64String(line)
+	out := rangePattern.ReplaceAllStringFunc(line, func(match string) string {
+		index++
+		rng := rand.New(rand.NewPCG(seed, lineHash+index))
+		lowText, highText, _ := strings.Cut(match, "~")
+		low, err := strconv.ParseFloat(lowText, 64)
+		high, highErr := strconv.ParseFloat(highText, 64)
+		if err != nil || highErr != nil || low > high {
+			rangeErr = fmt.Errorf("%s: expected a range such as 10~30, its lower end first", match)
+			return lowText
 		}
-		if !strings.Contains(s, ".") {
-			return strconv.Itoa(int(x) + rng.IntN(int(y)-int(x)+1))
+		if !strings.Contains(match, ".") {
+			return strconv.Itoa(int(low) + rng.IntN(int(high)-int(low)+1))
 		}
-		return strconv.FormatFloat(x+(y-x)*rng.Float64(), 'f', 3, 64)
+		return strconv.FormatFloat(low+(high-low)*rng.Float64(), 'f', 3, 64)
 	})
-	return out, bad
+	return out, rangeErr
 }
 
-// With is the same day as another seed draws it.
+// With returns the same day with its ranges drawn from another seed.
 func (d *Day) With(seed uint64) (*Day, error) {
 	text, err := drawRanges(d.Text, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
-	x, err := parse(d.Name, text)
+	drawn, err := parse(d.Name, text)
 	if err != nil {
 		return nil, err
 	}
-	x.Seed, x.Text, x.Policy = seed, d.Text, d.Policy
-	return x, nil
+	drawn.Seed, drawn.Text, drawn.Policy = seed, d.Text, d.Policy
+	return drawn, nil
 }
 
-// Set changes words of a day's text: "fleet.managers" or "plan live-lesson.rate" to a value. Troubles are told
-// by their place: "at 2.boxes" is of the second. A value of "off" takes the whole line out.
+// Set changes words of a day's text, such as "fleet.managers" or "plan live-lesson.rate", to given values. Troubles are
+// identified by their order: "at 2.boxes" is in the second. The value "off" of the word "line" removes the whole line.
 func Set(text string, words map[string]string) (string, error) {
 	lines := strings.Split(text, "\n")
 	for _, key := range sortedKeys(words) {
 		value := words[key]
-		where, word, ok := strings.Cut(key, ".")
-		first, name, _ := strings.Cut(where, " ")
+		lineName, word, ok := strings.Cut(key, ".")
+		first, name, _ := strings.Cut(lineName, " ")
 		if !ok || first == "" || word == "" {
-			return "", fmt.Errorf("%s: a line and a word of it were expected, such as fleet.managers", key)
+			return "", fmt.Errorf("%s: expected a line and one of its words, such as fleet.managers", key)
 		}
-		place, _ := strconv.Atoi(name)
-		n, found := 0, -1
+		position, _ := strconv.Atoi(name)
+		matches, found := 0, -1
 		for i, line := range lines {
 			code, _, _ := strings.Cut(line, "#")
-			f := strings.Fields(code)
-			if len(f) == 0 || f[0] != first {
+			fields := strings.Fields(code)
+			if len(fields) == 0 || fields[0] != first {
 				continue
 			}
-			if n++; name == "" || first == "at" && n == place || first != "at" && len(f) > 1 && f[1] == name {
+			if matches++; name == "" || first == "at" && matches == position || first != "at" && len(fields) > 1 && fields[1] == name {
 				found = i
 				break
 			}
@@ -94,23 +94,23 @@
 			lines = append(lines, first+" "+word+"="+value)
 			continue
 		}
-		code, note, noted := strings.Cut(lines[found], "#")
-		f := strings.Fields(code)
+		code, comment, hasComment := strings.Cut(lines[found], "#")
+		fields := strings.Fields(code)
 		if value == "off" && word == "line" {
 			lines = slices.Delete(lines, found, found+1)
 			continue
 		}
 		done := false
-		for i := range f {
-			if k, _, ok := strings.Cut(f[i], "="); ok && k == word {
-				f[i], done = word+"="+value, true
+		for i := range fields {
+			if fieldName, _, ok := strings.Cut(fields[i], "="); ok && fieldName == word {
+				fields[i], done = word+"="+value, true
 			}
 		}
 		if !done {
-			f = append(f, word+"="+value)
+			fields = append(fields, word+"="+value)
 		}
-		if lines[found] = strings.Join(f, " "); noted {
-			lines[found] += " #" + note
+		if lines[found] = strings.Join(fields, " "); hasComment {
+			lines[found] += " #" + comment
 		}
 	}
 	return strings.Join(lines, "\n"), nil
--- a/internal/lab/found_test.go
+++ b/internal/lab/found_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// Days that searches found stay kept: no rule broken, nothing that does not add up, worth over the floor that
-// stands in the file.
+// Days on which searches found the module doing badly: no rule may be broken, no consistency check may fail, and the goal
+// must not fall below the floor given in the file.
 func TestFoundDays(t *testing.T) {
 	files, err := filepath.Glob("testdata/found/*.day")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no found days", err)
+		t.Fatal("no days in testdata/found", err)
 	}
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
@@ -26,16 +26,16 @@
 			for line := range strings.SplitSeq(string(text), "\n") {
 				_, _ = fmt.Sscanf(line, "# floor %g", &floor)
 			}
-			d, err := Parse(name, string(text))
+			day, err := Parse(name, string(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Run(d, "")
+			row, err := Run(day, "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Broken > 0 || r.Odd > 0 || r.Goal < floor {
-				t.Errorf("worth %.3f (floor %.3f), %d broken rules, %d odd: %v", r.Goal, floor, r.Broken, r.Odd, r.Notes)
+			if row.Broken > 0 || row.Odd > 0 || row.Goal < floor {
+				t.Errorf("goal %.3f (floor %.3f), %d broken rules, %d inconsistencies: %v", row.Goal, floor, row.Broken, row.Odd, row.Notes)
 			}
 		})
 	}
@@ -49,13 +49,13 @@
 		t.Error(a, b, c, err)
 	}
 	if _, err := drawRanges("x=3~1", 1); err == nil {
-		t.Error("a range from above was taken")
+		t.Error("a range whose lower end is above its upper end was accepted")
 	}
 	out, err := Set("seed 1\nfleet managers=2 boxes=3 # two\nat 1 die\nat 2 drain boxes=1", map[string]string{"fleet.managers": "9", "at 2.boxes": "4", "load.rate": "5"})
 	if err != nil || out != "seed 1\nfleet managers=9 boxes=3 # two\nat 1 die\nat 2 drain boxes=4\nload rate=5" {
 		t.Errorf("%q %v", out, err)
 	}
 	if _, err := Set("seed 1", map[string]string{"at 3.boxes": "4"}); err == nil {
-		t.Error("a trouble that is not there was changed")
+		t.Error("changing a trouble that does not exist gave no error")
 	}
 }
--- a/internal/lab/moved_test.go
+++ b/internal/lab/moved_test.go
@@ -9,40 +9,40 @@
 	"pierlink/internal/rtsp"
 )
 
-// Days of the new shapes keep all six rules on the wire. Where advice is off no answer to a player says when to come
-// again, and where probes are off no box is sent OPTIONS; where they are on, both happen.
+// Days with unsafe plans, seats and a retry budget keep all six rules on the wire. With advice off, no response to a player has
+// Retry-After, and with probes off no box gets OPTIONS; with them on, both occur.
 func TestMovedDays(t *testing.T) {
-	for name, open := range map[string]bool{"moved": false, "moved-probes": true} {
+	for name, expectOpen := range map[string]bool{"moved": false, "moved-probes": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text, err := os.ReadFile("testdata/" + name + ".day")
 			if err != nil {
 				t.Fatal(err)
 			}
-			d, err := Parse(name, string(text))
+			day, err := Parse(name, string(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			play, tape, _ := Virtual(d, nil, zap.NewNop())
-			for _, v := range Judge(tape, d.Bounds(0)) {
-				if !v.Kept() {
-					t.Errorf("rule %d: %d cases, broken: %v", v.Rule, v.Judged, v.Broken)
+			run, recording, _ := Virtual(day, nil, zap.NewNop())
+			for _, verdict := range Judge(recording, day.Bounds(0)) {
+				if !verdict.Kept() {
+					t.Errorf("rule %d: %d cases, violations: %v", verdict.Rule, verdict.Judged, verdict.Broken)
 				}
 			}
-			retries, probes, refused := 0, 0, 0
-			for _, e := range tape.Entries {
+			retries, probes, rejected := 0, 0, 0
+			for _, entry := range recording.Entries {
 				switch {
-				case e.HasRetryAfter:
+				case entry.HasRetryAfter:
 					retries++
-				case e.FromFront && !e.Player && e.Method == rtsp.Options:
+				case entry.FromFront && !entry.Player && entry.Method == rtsp.Options:
 					probes++
-				case e.Player && e.FromFront && e.Status == rtsp.StatusNotEnoughBandwidth:
-					refused++
+				case entry.Player && entry.FromFront && entry.Status == rtsp.StatusNotEnoughBandwidth:
+					rejected++
 				}
 			}
-			if (retries > 0) != open || (probes > 0) != open || (refused > 0) == open || play.Tally.Played == 0 || play.Odd > 0 {
-				t.Errorf("%d answers with a time to come again, %d probes, %d refusals without, %d played, %v", retries, probes, refused,
-					play.Tally.Played, play.Oddities)
+			if (retries > 0) != expectOpen || (probes > 0) != expectOpen || (rejected > 0) == expectOpen || run.Tally.Played == 0 || run.Odd > 0 {
+				t.Errorf("%d responses with Retry-After, %d probes, %d rejections without, %d played, %v", retries, probes, rejected,
+					run.Tally.Played, run.Oddities)
 			}
 		})
 	}
--- a/internal/lab/notation.go
+++ b/internal/lab/notation.go
@@ -19,8 +19,8 @@
 //go:embed days/*.day
 var library embed.FS
 
-// Day is one scripted day: a fleet, its load, and what goes wrong when. The notation is a line for each
-// thing, `key=value` words on it, times in seconds, `#` before a comment:
+// Day is one scripted day: a fleet, its load, and the troubles that occur during it. The notation has a line for each
+// item with `key=value` words, times in seconds, and `#` before a comment:
 //
 //	fleet managers=3 boxes=12 zones=2 racks=3 places=30 link=900 uplink=2400 ...
 //	ladder 6,12,24,48 worth=0.4,0.7,0.9,1 join=0.25 change=0.5
@@ -32,21 +32,21 @@
 //	door waiting=500 order=fair longest=0
 //	at 5 die boxes=2 for=6
 type Day struct {
-	figures bool   // session managers count quality
-	doors   *doors // where who may play is known from a directory
+	figures bool   // session managers collect quality measures
+	doors   *doors // nil if no directory and TLS are used
 	Name    string
-	Text    string                     // as written
-	Told    func(*front.PlaybackTrace) // of playbacks, where somebody wants to know
-	Policy  string                     // a baseline in place of the module; empty for the module
+	Text    string                     // the day's text with its ranges, as read
+	Told    func(*front.PlaybackTrace) // called for each answered playback, if not nil
+	Policy  string                     // name of a baseline used in place of the module; empty for the module
 	Seed    uint64
 
 	Managers, Boxes, Zones, Racks int
-	Frame                         mediabox.Config // of each box, but for its name, rack and start
+	Frame                         mediabox.Config // for each box, except its name, rack and start time
 	UplinkKB                      float64
-	NoticeSpread                  Time // the list reaches managers within so long
-	LossNoticeDelay               Time // a death shows in the list after so long
+	NoticeSpread                  Time // longest delay until a list update reaches a manager
+	LossNoticeDelay               Time // time until the list reports a box that ended
 	LoadByProbes                  bool
-	Silent                        bool // no answer says when to come again
+	Silent                        bool // no response has Retry-After
 
 	Plans   []DayPlan
 	Site    session.Site
@@ -63,36 +63,36 @@
 	Links    Links
 	Troubles []Trouble
 
-	Tenants []DayTenant // if there are any, they are the load
+	Tenants []DayTenant // if there are any, they make up the load
 	Queue   *fair.Config
 
-	Processes bool         // it has troubles of processes
-	Recover   bool         // managers that come back end what they left at boxes
-	Drain     Time         // of processes
-	Registry  *DayRegistry // nil where news come by themselves
+	Processes bool         // some troubles need managers as separate processes
+	Recover   bool         // restarted managers end the sessions that they left at boxes
+	Drain     Time         // of processes that are stopped or upgraded
+	Registry  *DayRegistry // nil if list updates reach managers without a registry
 }
 
-// DayTenant is a tenant, or Count of them, with how its viewers come.
+// DayTenant is a tenant, or Count tenants alike, with the arrivals and behaviour of its viewers.
 type DayTenant struct {
 	Name        string
 	Count       int
-	Rate        float64 // a second, each
+	Rate        float64 // viewers per second, for each tenant
 	From, Until Time
 	Addresses   int
-	ExactShare  float64 // part of the viewers that come again when told
-	EarlyShare  float64 // part that come at half of the time; the others don't
-	Flood       bool    // sends beyond its share on purpose
-	Lone        bool    // sends little: its waiting is what counts
+	ExactShare  float64 // share of the viewers that retry at the time given
+	EarlyShare  float64 // share that retry at half of that time; the others do not retry
+	Flood       bool    // sends more than its share on purpose
+	Lone        bool    // sends little, so that its waiting time is measured
 }
 
-// DayPlan is a plan with how its viewers behave.
+// DayPlan is a plan with its share of the viewers and the range of their watch times.
 type DayPlan struct {
 	front.PlanProfile
 	Share float64
 	Watch [2]Time
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is one scripted fault or change of load.
 type Trouble struct {
 	At, For          Time
 	Kind             string
@@ -100,22 +100,22 @@
 	Share, Magnitude float64
 }
 
-// kinds of trouble; docs/lab.md describes each.
+// troubleKinds are the known kinds of trouble; docs/lab.md describes each.
 var troubleKinds = map[string]bool{"die": true, "vanish": true, "errors": true, "lost-answers": true,
 	"late-answers": true, "stuck": true, "cut-answers": true, "slow": true, "slow-rack": true, "drain": true, "surge": true,
 	"neighbour": true, "reports-late": true, "kill": true, "stand-still": true, "zone-cut": true, "crowd": true,
 	"sag": true, "repeat": true, "leave": true, "overspeed": true, "reload": true, "bad-reload": true, "halt": true, "upgrade": true, "registry-cut": true, "registry-stall": true, "registry-compact": true, "registry-anew": true, "registry-lose": true}
 
-// Library reads a day of the project's own.
+// Library returns a day that is embedded in the program.
 func Library(name string) (*Day, error) {
 	text, err := library.ReadFile("days/" + name + ".day")
 	if err != nil {
-		return nil, fmt.Errorf("no day %q in the library", name)
+		return nil, fmt.Errorf("the library has no day %q", name)
 	}
 	return Parse(name, string(text))
 }
 
-// ReadDay reads a day's file.
+// ReadDay reads a day from a file.
 func ReadDay(path string) (*Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return Parse(path, string(text))
 }
 
-// words are a line's key=value pairs; all must be asked for.
+// lineWords are a line's key=value pairs; the getters remove them, so what remains is unknown.
 type lineWords struct {
 	line       string
 	values     map[string]string
@@ -132,68 +132,68 @@
 	err        error
 }
 
-func (w *lineWords) text(key, or string) string {
-	v, ok := w.values[key]
+func (w *lineWords) text(key, fallback string) string {
+	value, ok := w.values[key]
 	if !ok {
-		return or
+		return fallback
 	}
 	delete(w.values, key)
-	return v
+	return value
 }
 
-func (w *lineWords) number(key string, or float64) float64 {
-	s := w.text(key, "")
-	if s == "" {
-		return or
+func (w *lineWords) number(key string, fallback float64) float64 {
+	text := w.text(key, "")
+	if text == "" {
+		return fallback
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || v < 0 {
-		w.fail("%s=%s: a number of 0 or more was expected", key, s)
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || value < 0 {
+		w.fail("%s=%s: expected a number of 0 or more", key, text)
 	}
-	return v
+	return value
 }
 
-// some is how many of all: a number, or a part of them below 1.
-func (w *lineWords) countOrShare(key string, of int) int {
-	x := w.number(key, 1)
-	if x > 0 && x < 1 {
-		x = max(math.Round(x*float64(of)), 1)
+// countOrShare returns a count out of a total: a whole number, or a share of the total if below 1.
+func (w *lineWords) countOrShare(key string, total int) int {
+	share := w.number(key, 1)
+	if share > 0 && share < 1 {
+		share = max(math.Round(share*float64(total)), 1)
 	}
-	return int(x)
+	return int(share)
 }
 
 func (w *lineWords) count(key string, or int) int { return int(w.number(key, float64(or))) }
-func (w *lineWords) duration(key string, or float64) Time {
-	return Time(w.number(key, or) * 1e6)
+func (w *lineWords) duration(key string, fallback float64) Time {
+	return Time(w.number(key, fallback) * 1e6)
 }
 
-func (w *lineWords) durationRange(key string, lo, hi float64) [2]Time {
-	s := w.text(key, "")
-	if s == "" {
-		return [2]Time{Time(lo * 1e6), Time(hi * 1e6)}
+func (w *lineWords) durationRange(key string, low, high float64) [2]Time {
+	text := w.text(key, "")
+	if text == "" {
+		return [2]Time{Time(low * 1e6), Time(high * 1e6)}
 	}
-	a, b, two := strings.Cut(s, "..")
-	x, err := strconv.ParseFloat(a, 64)
+	lowText, highText, isRange := strings.Cut(text, "..")
+	x, err := strconv.ParseFloat(lowText, 64)
 	y := x
-	if two && err == nil {
-		y, err = strconv.ParseFloat(b, 64)
+	if isRange && err == nil {
+		y, err = strconv.ParseFloat(highText, 64)
 	}
 	if err != nil || x > y || x < 0 {
-		w.fail("%s=%s: a time or a range such as 2..6 was expected", key, s)
+		w.fail("%s=%s: expected a time or a range such as 2..6", key, text)
 	}
 	return [2]Time{Time(x * 1e6), Time(y * 1e6)}
 }
 
-func (w *lineWords) numbers(s string) (all []float64) {
-	for x := range strings.SplitSeq(s, ",") {
-		v, err := strconv.ParseFloat(x, 64)
+func (w *lineWords) numbers(text string) (values []float64) {
+	for x := range strings.SplitSeq(text, ",") {
+		value, err := strconv.ParseFloat(x, 64)
 		if err != nil {
-			w.fail("%q: numbers with commas between them were expected", s)
+			w.fail("%q: expected numbers separated by commas", text)
 			return nil
 		}
-		all = append(all, v)
+		values = append(values, value)
 	}
-	return all
+	return values
 }
 
 func (w *lineWords) fail(format string, a ...any) {
@@ -204,24 +204,24 @@
 
 func splitLine(line string) *lineWords {
 	w := &lineWords{line: line, values: map[string]string{}}
-	for _, x := range strings.Fields(line)[1:] {
-		if k, v, ok := strings.Cut(x, "="); ok {
-			w.values[k] = v
+	for _, word := range strings.Fields(line)[1:] {
+		if key, value, ok := strings.Cut(word, "="); ok {
+			w.values[key] = value
 		} else {
-			w.positional = append(w.positional, x)
+			w.positional = append(w.positional, word)
 		}
 	}
 	return w
 }
 
-// Parse reads a day. Its errors name the line and what was expected.
+// Parse reads a day and draws its ranges from its seed. Errors name the line and what was expected.
 func Parse(name, text string) (*Day, error) {
 	d := &Day{Name: name, Text: text, Seed: 1}
 	for line := range strings.SplitSeq(text, "\n") {
 		if w := strings.Fields(line); len(w) == 2 && w[0] == "seed" {
 			seed, err := strconv.ParseUint(w[1], 10, 64)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %s: a whole number was expected", name, line)
+				return nil, fmt.Errorf("%s: %s: expected a whole number", name, line)
 			}
 			d.Seed = seed
 		}
@@ -229,7 +229,7 @@
 	return d.With(d.Seed)
 }
 
-// parse reads a day whose ranges are drawn.
+// parse reads a day whose ranges are drawn already.
 func parse(name, text string) (*Day, error) {
 	d := &Day{Name: name, Seed: 1, Managers: 1, Boxes: 1, Zones: 1, Racks: 1, Recover: true, Drain: 5 * core.Second}
 	d.parseFleet(splitLine("fleet"))
@@ -270,7 +270,7 @@
 		case "at":
 			d.parseTrouble(w)
 		default:
-			w.fail("unknown %q: seed, fleet, ladder, plan, terms, load, net, tenant, door, registry, life or at was expected", first)
+			w.fail("unknown %q: expected seed, fleet, ladder, plan, terms, load, net, tenant, door, registry, life or at", first)
 		}
 		for k := range w.values {
 			w.fail("unknown word %q", k)
@@ -282,11 +282,11 @@
 	for _, t := range d.Troubles {
 		d.Processes = d.Processes || slices.Contains([]string{"reload", "bad-reload", "halt", "upgrade"}, t.Kind)
 		if d.Registry == nil && strings.HasPrefix(t.Kind, "registry-") {
-			return nil, fmt.Errorf("%s: %s needs a line registry", name, t.Kind)
+			return nil, fmt.Errorf("%s: trouble %s needs a registry line", name, t.Kind)
 		}
 	}
 	if d.Policy != "" && baselines[d.Policy] == nil {
-		return nil, fmt.Errorf("%s: no baseline %q: there are %s", name, d.Policy, strings.Join(Baselines(), ", "))
+		return nil, fmt.Errorf("%s: unknown baseline %q: expected one of %s", name, d.Policy, strings.Join(Baselines(), ", "))
 	}
 	if len(d.Plans) == 0 || len(d.Frame.LadderKB) == 0 || d.Managers < 1 || d.Boxes < 1 || d.Zones < 1 || d.Racks < 1 {
 		return nil, fmt.Errorf("%s: a day needs a ladder, a plan, and at least one manager, box, zone and rack", name)
@@ -298,80 +298,80 @@
 func (d *Day) parseFleet(w *lineWords) {
 	d.Managers, d.Boxes = w.count("managers", d.Managers), w.count("boxes", d.Boxes)
 	d.Zones, d.Racks = w.count("zones", d.Zones), w.count("racks", d.Racks)
-	f := &d.Frame
-	f.MaxSessions = w.count("places", 30)
-	f.LinkKB, d.UplinkKB = w.number("link", 1000), w.number("uplink", 3000)
-	f.RejectFromLoad = w.number("fullfrom", 0)
-	f.SetupTime = w.durationRange("setup", 0.01, 0.04)
-	f.SendInterval, f.PacketBytes = w.duration("tick", 0.1), w.count("packet", 1200)
-	f.NoteDelay, f.NoteInterval = w.duration("notedelay", 0.5), w.duration("noteevery", 2)
+	config := &d.Frame
+	config.MaxSessions = w.count("places", 30)
+	config.LinkKB, d.UplinkKB = w.number("link", 1000), w.number("uplink", 3000)
+	config.RejectFromLoad = w.number("fullfrom", 0)
+	config.SetupTime = w.durationRange("setup", 0.01, 0.04)
+	config.SendInterval, config.PacketBytes = w.duration("tick", 0.1), w.count("packet", 1200)
+	config.NoteDelay, config.NoteInterval = w.duration("notedelay", 0.5), w.duration("noteevery", 2)
 	d.LoadByProbes = w.text("load", "answers") == "probes"
-	f.LoadInAnswers, f.OmitUplinkLoad = !d.LoadByProbes, w.text("uplinks", "told") == "untold"
+	config.LoadInAnswers, config.OmitUplinkLoad = !d.LoadByProbes, w.text("uplinks", "told") == "untold"
 	d.NoticeSpread, d.LossNoticeDelay = w.duration("spread", 0.3), w.duration("notice", 1.5)
-	f.KeepSessionsOnClose = w.text("keeps", "") != ""
+	config.KeepSessionsOnClose = w.text("keeps", "") != ""
 }
 
 func (d *Day) parseLadder(w *lineWords) {
 	if len(w.positional) != 1 {
-		w.fail("the rates with commas between them were expected")
+		w.fail("expected the rates, separated by commas")
 		return
 	}
 	d.Frame.LadderKB = w.numbers(w.positional[0])
 	d.Site.Ladder.RevenueShare = w.numbers(w.text("worth", ""))
 	if len(d.Site.Ladder.RevenueShare) != len(d.Frame.LadderKB) {
-		w.fail("worth= needs a number for each rate")
+		w.fail("worth= needs one number for each rate")
 	}
 	d.Frame.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.duration("change", 0.5)
 }
 
 func (d *Day) parsePlan(w *lineWords) {
 	if len(w.positional) != 1 {
-		w.fail("the plan's name was expected")
+		w.fail("expected the plan's name")
 		return
 	}
-	p := DayPlan{Share: w.number("share", 1), Watch: w.durationRange("watch", 3, 8)}
-	p.Name, p.Abandon = w.positional[0], w.duration("abandon", 4)
-	for i, m := range strings.Split(w.text("tracks", "video,audio"), ",") {
-		t := front.Track{Media: m, Encoding: "H264/90000", Payload: uint8(96 + i)}
-		if m == "audio" {
-			t.Encoding = "opus/48000"
+	dayPlan := DayPlan{Share: w.number("share", 1), Watch: w.durationRange("watch", 3, 8)}
+	dayPlan.Name, dayPlan.Abandon = w.positional[0], w.duration("abandon", 4)
+	for i, media := range strings.Split(w.text("tracks", "video,audio"), ",") {
+		track := front.Track{Media: media, Encoding: "H264/90000", Payload: uint8(96 + i)}
+		if media == "audio" {
+			track.Encoding = "opus/48000"
 		}
-		p.Tracks = append(p.Tracks, t)
+		dayPlan.Tracks = append(dayPlan.Tracks, track)
 	}
-	s := session.Plan{StartupTarget: w.duration("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
+	sitePlan := session.Plan{StartupTarget: w.duration("startup", 1), Revenue: w.number("revenue", 1), Live: w.count("live", 0) > 0,
 		RateFactor: w.number("rate", 1), Floor: w.count("floor", 0), Top: w.count("top", 99),
 		Seats: w.count("seats", 0), KeyWindow: w.duration("window", 5)}
-	switch r := w.text("repeat", "harmless"); r {
+	switch repeat := w.text("repeat", "harmless"); repeat {
 	case "harmless":
 	case "keyed":
-		s.Repeat = session.Keyed
+		sitePlan.Repeat = session.Keyed
 	case "unsafe":
-		s.Repeat = session.Unsafe
+		sitePlan.Repeat = session.Unsafe
 	default:
-		w.fail("repeat=%s: harmless, keyed or unsafe was expected", r)
+		w.fail("repeat=%s: expected harmless, keyed or unsafe", repeat)
 	}
-	d.Plans = append(d.Plans, p)
-	d.Site.Plans = append(d.Site.Plans, s)
+	d.Plans = append(d.Plans, dayPlan)
+	d.Site.Plans = append(d.Site.Plans, sitePlan)
 }
 
 func (d *Day) parseTerms(w *lineWords) {
-	t, f := &d.Site.Terms, &d.Frame
-	t.ColdShare, t.WarmUp = w.number("coldfrom", 0.3), w.duration("warmup", 6)
-	t.ColdMultiple, t.ColdSpan = w.number("fallmultiple", 4), w.duration("fallspan", 1)
-	t.ListDeadline, t.MaxTries = w.duration("askwithin", 10), w.count("tries", 4)
-	t.MaxRetryAfter = w.duration("comeagain", 2)
-	t.RetriesLimited = w.values["tryshare"] != "" || w.values["freetries"] != ""
-	t.FreeRetries, t.RetryShare, t.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.duration("tryspan", 10)
-	t.Probes = w.count("probes", 1) > 0
+	terms, config := &d.Site.Terms, &d.Frame
+	terms.ColdShare, terms.WarmUp = w.number("coldfrom", 0.3), w.duration("warmup", 6)
+	terms.ColdMultiple, terms.ColdSpan = w.number("fallmultiple", 4), w.duration("fallspan", 1)
+	terms.ListDeadline, terms.MaxTries = w.duration("askwithin", 10), w.count("tries", 4)
+	terms.MaxRetryAfter = w.duration("comeagain", 2)
+	terms.RetriesLimited = w.values["tryshare"] != "" || w.values["freetries"] != ""
+	terms.FreeRetries, terms.RetryShare, terms.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.duration("tryspan", 10)
+	terms.Probes = w.count("probes", 1) > 0
 	if d.Silent = w.count("advice", 1) == 0; d.Silent {
-		t.MaxRetryAfter = 0
+		terms.MaxRetryAfter = 0
 	}
 	d.Grace, d.Timeout = w.duration("grace", 0.25), w.duration("timeout", 20)
 	d.Site.Prices = session.Prices{CrossZone: w.number("crosszone", 0.02), Move: w.number("move", 0.05),
 		Probe: w.number("probe", 0.01), OverQuota: 0.1,
 		WorstPlan: w.number("worstplan", 0)}
-	f.ColdCapacity, f.WarmUp, f.CrashMultiple, f.CrashWindow = t.ColdShare, t.WarmUp, t.ColdMultiple, t.ColdSpan
-	f.SessionTimeout = d.Timeout
+	config.ColdCapacity, config.WarmUp, config.CrashMultiple, config.CrashWindow = terms.ColdShare, terms.WarmUp, terms.ColdMultiple, terms.ColdSpan
+	config.SessionTimeout = d.Timeout
 }
 
 func (d *Day) parseLoad(w *lineWords) {
@@ -388,12 +388,12 @@
 
 func (d *Day) parseTrouble(w *lineWords) {
 	if len(w.positional) != 2 {
-		w.fail("a time and a kind of trouble were expected")
+		w.fail("expected a time and a kind of trouble")
 		return
 	}
 	at, err := strconv.ParseFloat(w.positional[0], 64)
 	if err != nil || at < 0 || !troubleKinds[w.positional[1]] {
-		w.fail("a time and a known kind of trouble were expected, not %q", strings.Join(w.positional, " "))
+		w.fail("expected a time and a known kind of trouble, not %q", strings.Join(w.positional, " "))
 		return
 	}
 	d.Troubles = append(d.Troubles, Trouble{At: Time(at * 1e6), For: w.duration("for", 5), Kind: w.positional[1],
@@ -403,7 +403,7 @@
 
 func (d *Day) parseTenant(w *lineWords) {
 	if len(w.positional) != 1 {
-		w.fail("the tenant's name was expected")
+		w.fail("expected the tenant's name")
 		return
 	}
 	d.Tenants = append(d.Tenants, DayTenant{Name: w.positional[0], Count: w.count("count", 1), Rate: w.number("rate", 1), From: w.duration("from", 0),
@@ -413,19 +413,19 @@
 
 func (d *Day) parseDoor(w *lineWords) {
 	orders := map[string]fair.Discipline{"fair": fair.StartTimeFair, "fifo": fair.FIFO, "buckets": fair.TokenBuckets}
-	t := &fair.Config{MaxWaiting: w.count("waiting", 500), MaxRetryAfter: w.duration("longest", 0), BucketRate: w.number("persec", 1)}
-	t.MaxBytes = w.count("bytes", 1000*t.MaxWaiting)
-	t.MaxTenants, t.MaxIdleClients = w.count("tenants", 4*t.MaxWaiting), w.count("clients", t.MaxWaiting)
+	queue := &fair.Config{MaxWaiting: w.count("waiting", 500), MaxRetryAfter: w.duration("longest", 0), BucketRate: w.number("persec", 1)}
+	queue.MaxBytes = w.count("bytes", 1000*queue.MaxWaiting)
+	queue.MaxTenants, queue.MaxIdleClients = w.count("tenants", 4*queue.MaxWaiting), w.count("clients", queue.MaxWaiting)
 	name := w.text("order", "fair")
 	order, ok := orders[name]
 	if !ok {
-		w.fail("order=%s: fair, fifo or buckets was expected", name)
+		w.fail("order=%s: expected fair, fifo or buckets", name)
 	}
-	t.Discipline = order
-	d.Queue = t
+	queue.Discipline = order
+	d.Queue = queue
 }
 
-// finish fills in what follows from the rest.
+// finish fills in the fields that follow from others.
 func (d *Day) finish() {
 	d.Site.Fronts = d.Managers
 	d.Site.Ladder.RateKB, d.Site.Ladder.Join = d.Frame.LadderKB, d.Frame.Join
@@ -437,22 +437,22 @@
 		d.Site.Fleet.NoteInterval = 0
 	}
 	for i := range d.Site.Plans {
-		p := &d.Site.Plans[i]
-		p.Top = min(p.Top, len(d.Frame.LadderKB)-1)
-		f := mediabox.Plan{Name: d.Plans[i].Name, RateFactor: p.RateFactor, Live: p.Live}
-		for _, t := range d.Plans[i].Tracks {
-			f.Tracks = append(f.Tracks, t.Media)
+		sitePlan := &d.Site.Plans[i]
+		sitePlan.Top = min(sitePlan.Top, len(d.Frame.LadderKB)-1)
+		boxPlan := mediabox.Plan{Name: d.Plans[i].Name, RateFactor: sitePlan.RateFactor, Live: sitePlan.Live}
+		for _, track := range d.Plans[i].Tracks {
+			boxPlan.Tracks = append(boxPlan.Tracks, track.Media)
 		}
-		d.Frame.Plans = append(d.Frame.Plans, f)
+		d.Frame.Plans = append(d.Frame.Plans, boxPlan)
 	}
 }
 
-// Bounds are the figures that the rules are judged by.
-func (d *Day) Bounds(slack Time) *Bounds {
-	b := &Bounds{Site: d.Site, Grace: d.Grace, MaxSessions: d.Frame.MaxSessions, OrderTolerance: slack,
+// Bounds returns the figures that the rules are checked against.
+func (d *Day) Bounds(orderTolerance Time) *Bounds {
+	bounds := &Bounds{Site: d.Site, Grace: d.Grace, MaxSessions: d.Frame.MaxSessions, OrderTolerance: orderTolerance,
 		MaxTravel: 4 * (d.Links.Latency + d.Links.Jitter + d.Links.CrossZone)}
-	for _, p := range d.Plans {
-		b.Plans, b.AbandonTimes = append(b.Plans, p.Name), append(b.AbandonTimes, p.Abandon)
+	for _, plan := range d.Plans {
+		bounds.Plans, bounds.AbandonTimes = append(bounds.Plans, plan.Name), append(bounds.AbandonTimes, plan.Abandon)
 	}
-	return b
+	return bounds
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -7,8 +7,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// Relay is the bare TCP relay that the session manager is measured against: the same sockets, one
-// goroutine, bytes through as they come, nothing read or decided.
+// Relay is a plain TCP relay that the session manager is compared with in benchmarks: the same sockets, one
+// goroutine, and bytes forwarded as they arrive without being parsed.
 type Relay struct {
 	engine *nbio.Engine
 	addr   string
@@ -20,71 +20,71 @@
 	pending []byte
 }
 
-// NewRelay listens and takes each connection on to an address.
-func NewRelay(listen, to string) (*Relay, error) {
+// NewRelay listens on an address and forwards each connection to another.
+func NewRelay(listen, target string) (*Relay, error) {
 	r := &Relay{}
-	var ln net.Listener
-	e := nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{listen}, NPoller: 1, ReadBufferSize: 64 << 10,
-		Listen: func(network, a string) (x net.Listener, err error) {
-			ln, err = net.Listen(network, a)
-			return ln, err
+	var listener net.Listener
+	engine := nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{listen}, NPoller: 1, ReadBufferSize: 64 << 10,
+		Listen: func(network, address string) (opened net.Listener, err error) {
+			listener, err = net.Listen(network, address)
+			return listener, err
 		}})
-	r.engine = e
-	e.OnOpen(func(c *nbio.Conn) {
+	r.engine = engine
+	engine.OnOpen(func(c *nbio.Conn) {
 		if c.Session() != nil {
 			return
 		}
-		p := &relayPipe{}
-		c.SetSession(p)
-		err := e.DialAsync("tcp", to, func(up *nbio.Conn, err error) {
+		source := &relayPipe{}
+		c.SetSession(source)
+		err := engine.DialAsync("tcp", target, func(upstream *nbio.Conn, err error) {
 			if err != nil {
 				_ = c.Close()
 				return
 			}
-			_ = up.SetNoDelay(true)
-			up.SetSession(&relayPipe{peer: c})
-			p.mu.Lock()
-			p.peer = up
-			_, _ = up.Write(p.pending)
-			p.pending = nil
-			p.mu.Unlock()
+			_ = upstream.SetNoDelay(true)
+			upstream.SetSession(&relayPipe{peer: c})
+			source.mu.Lock()
+			source.peer = upstream
+			_, _ = upstream.Write(source.pending)
+			source.pending = nil
+			source.mu.Unlock()
 		})
 		if err != nil {
 			_ = c.Close()
 		}
 	})
-	e.OnData(func(c *nbio.Conn, b []byte) {
-		p, ok := c.Session().(*relayPipe)
+	engine.OnData(func(c *nbio.Conn, b []byte) {
+		pipe, ok := c.Session().(*relayPipe)
 		if !ok {
 			return
 		}
-		p.mu.Lock()
-		if p.peer == nil {
-			p.pending = append(p.pending, b...)
+		pipe.mu.Lock()
+		if pipe.peer == nil {
+			pipe.pending = append(pipe.pending, b...)
 		} else {
-			_, _ = p.peer.Write(b)
+			_, _ = pipe.peer.Write(b)
 		}
-		p.mu.Unlock()
+		pipe.mu.Unlock()
 	})
-	e.OnClose(func(c *nbio.Conn, _ error) {
-		if p, ok := c.Session().(*relayPipe); ok {
-			p.mu.Lock()
-			peer := p.peer
-			p.mu.Unlock()
+	engine.OnClose(func(c *nbio.Conn, _ error) {
+		if pipe, ok := c.Session().(*relayPipe); ok {
+			pipe.mu.Lock()
+			peer := pipe.peer
+			pipe.mu.Unlock()
 			if peer != nil {
 				_ = peer.Close()
 			}
 		}
 	})
-	if err := e.Start(); err != nil {
+	if err := engine.Start(); err != nil {
 		return nil, err
 	}
-	r.addr = ln.Addr().String()
+	r.addr = listener.Addr().String()
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.addr }
 
-// Stop ends it.
+// Stop stops the relay.
 func (r *Relay) Stop() { r.engine.Stop() }
--- a/internal/lab/row.go
+++ b/internal/lab/row.go
@@ -10,7 +10,7 @@
 	"pierlink/session"
 )
 
-// Row is one day as it was played, for experiments.
+// Row is the result of one day, for experiments.
 type Row struct {
 	Variant string `parquet:"variant,dict,zstd"`
 	Day     string `parquet:"day,dict,zstd"`
@@ -58,25 +58,25 @@
 	Offered  float64 `parquet:"offered,zstd"`
 	Earned   float64 `parquet:"earned,zstd"`
 	Possible float64 `parquet:"possible,zstd"`
-	Fill     float64 `parquet:"fill,zstd"`    // mean of the links
-	Fullest  float64 `parquet:"fullest,zstd"` // of the fullest link
-	Waiting  float64 `parquet:"waiting,zstd"` // playbacks not answered yet
-	Wait     float64 `parquet:"wait_s,zstd"`  // mean, of those answered then
+	Fill     float64 `parquet:"fill,zstd"`    // mean fill of the links
+	Fullest  float64 `parquet:"fullest,zstd"` // fill of the fullest link
+	Waiting  float64 `parquet:"waiting,zstd"` // requests not answered yet
+	Wait     float64 `parquet:"wait_s,zstd"`  // mean time to the answer, of requests answered in this half second
 	Rung     float64 `parquet:"rung,zstd"`
 	Playing  float64 `parquet:"playing,zstd"`
 	Tries    float64 `parquet:"tries,zstd"`
 }
 
-// Mark is a trouble with its time.
+// Mark is a trouble with its start time and duration in seconds.
 type Mark struct {
 	At, For float64
 	Kind    string
 }
 
-// Plants are changes for the worse on purpose: an experiment must find them.
+// Plants are deliberate regressions, by name: an experiment must detect them.
 var Plants = map[string]*FaultyFront{
-	"lower-brim": {WrapModule: func(m session.Manager) session.Manager { return &inflatedLoad{m} }}, // links are taken for full too early
-	"deaf-to-drains": {List: func(l front.ListUpdate) front.ListUpdate { // a guard of rule 3 taken out
+	"lower-brim": {WrapModule: func(m session.Manager) session.Manager { return &inflatedLoad{m} }}, // treats links as full too early
+	"deaf-to-drains": {List: func(l front.ListUpdate) front.ListUpdate { // removes the check that keeps rule 3
 		l.Servers = slices.Clone(l.Servers)
 		for i := range l.Servers {
 			if l.Servers[i].State == session.Draining {
@@ -88,76 +88,76 @@
 	"other-chance": {SeedMask: 0x5eed},
 }
 
-// fuller has a module see links and uplinks fuller than they are: what it holds to be full is less, as with a
-// lowered brim.
+// inflatedLoad reports links and uplinks to a module as fuller than they are, so that it treats them as full below
+// their true limit.
 type inflatedLoad struct{ session.Manager }
 
 const loadInflation = 1.5
 
-func (f *inflatedLoad) inflate(l session.Load) session.Load {
-	l.Link, l.Uplink = l.Link*loadInflation, l.Uplink*loadInflation
-	return l
+func (f *inflatedLoad) inflate(load session.Load) session.Load {
+	load.Link, load.Uplink = load.Link*loadInflation, load.Uplink*loadInflation
+	return load
 }
 
-func (f *inflatedLoad) Ended(r session.Result) {
-	r.Load = f.inflate(r.Load)
-	f.Manager.Ended(r)
+func (f *inflatedLoad) Ended(result session.Result) {
+	result.Load = f.inflate(result.Load)
+	f.Manager.Ended(result)
 }
 
-func (f *inflatedLoad) Probed(server int, o session.Outcome, l session.Load) {
-	f.Manager.Probed(server, o, f.inflate(l))
+func (f *inflatedLoad) Probed(server int, outcome session.Outcome, load session.Load) {
+	f.Manager.Probed(server, outcome, f.inflate(load))
 }
 
-func (f *inflatedLoad) Noted(n session.Note) {
-	if n.Kind == session.LinkDemand || n.Kind == session.UplinkDemand {
-		n.Value *= loadInflation
+func (f *inflatedLoad) Noted(note session.Note) {
+	if note.Kind == session.LinkDemand || note.Kind == session.UplinkDemand {
+		note.Value *= loadInflation
 	}
-	f.Manager.Noted(n)
+	f.Manager.Noted(note)
 }
 
-// Run plays a day on the virtual network and counts it.
-func Run(d *Day, plant string) (*Row, error) {
-	var broken *FaultyFront
+// Run plays a day on the virtual network and returns its result. A plant other than "" names a regression to apply.
+func Run(day *Day, plant string) (*Row, error) {
+	var faulty *FaultyFront
 	if plant != "" {
-		if broken = Plants[plant]; broken == nil {
-			return nil, fmt.Errorf("no plant %q: there are %v", plant, sortedKeys(Plants))
+		if faulty = Plants[plant]; faulty == nil {
+			return nil, fmt.Errorf("unknown plant %q: expected one of %v", plant, sortedKeys(Plants))
 		}
 	}
-	if d.Processes {
-		return nil, fmt.Errorf("%s: a day with troubles of processes is not played on the virtual network", d.Name)
+	if day.Processes {
+		return nil, fmt.Errorf("%s: a day with troubles of processes cannot run on the virtual network", day.Name)
 	}
-	play, tape, w := Virtual(d, broken, zap.NewNop())
-	x, t := play.Count(tape), &play.Tally
-	r := &Row{Day: d.Name, Seed: int64(d.Seed), Goal: x.Goal, Whole: x.Whole, Worst: x.Worst, WorstPlan: x.WorstPlan, WorstTenant: x.WorstTenant,
-		Prices: x.Prices, Best: x.Best, Unserved: x.Unserved, Late: x.Late, LowRung: x.LowRung, Short: x.Short, Asked: int64(t.Asked),
-		Played: int64(t.Played), Refused: int64(t.Rejected), Failed: int64(t.Failed), Abandoned: int64(t.Abandoned), Lost: int64(t.Lost),
-		Tries: t.Fronts.Tries, Moves: int64(x.Moves), Changes: int64(x.Changes), Fell: int64(t.Fell), Odd: int64(play.Odd),
-		Digest: fmt.Sprintf("%016x", w.Digest()), Notes: play.Oddities}
-	slices.Sort(t.StartupTimes)
-	if n := len(t.StartupTimes); n > 0 {
-		r.Startup50, r.Startup99 = seconds(t.StartupTimes[n/2]), seconds(t.StartupTimes[n*99/100])
+	run, recording, network := Virtual(day, faulty, zap.NewNop())
+	score, tally := run.Count(recording), &run.Tally
+	row := &Row{Day: day.Name, Seed: int64(day.Seed), Goal: score.Goal, Whole: score.Whole, Worst: score.Worst, WorstPlan: score.WorstPlan, WorstTenant: score.WorstTenant,
+		Prices: score.Prices, Best: score.Best, Unserved: score.Unserved, Late: score.Late, LowRung: score.LowRung, Short: score.Short, Asked: int64(tally.Asked),
+		Played: int64(tally.Played), Refused: int64(tally.Rejected), Failed: int64(tally.Failed), Abandoned: int64(tally.Abandoned), Lost: int64(tally.Lost),
+		Tries: tally.Fronts.Tries, Moves: int64(score.Moves), Changes: int64(score.Changes), Fell: int64(tally.Fell), Odd: int64(run.Odd),
+		Digest: fmt.Sprintf("%016x", network.Digest()), Notes: run.Oddities}
+	slices.Sort(tally.StartupTimes)
+	if n := len(tally.StartupTimes); n > 0 {
+		row.Startup50, row.Startup99 = seconds(tally.StartupTimes[n/2]), seconds(tally.StartupTimes[n*99/100])
 	}
-	for _, v := range Judge(tape, d.Bounds(0)) {
-		r.Broken += int64(len(v.Broken))
-		for i, b := range v.Broken {
+	for _, verdict := range Judge(recording, day.Bounds(0)) {
+		row.Broken += int64(len(verdict.Broken))
+		for i, violation := range verdict.Broken {
 			if i < 2 {
-				r.Notes = append(r.Notes, fmt.Sprintf("rule %d: %s", v.Rule, b))
+				row.Notes = append(row.Notes, fmt.Sprintf("rule %d: %s", verdict.Rule, violation))
 			}
 		}
 	}
-	at := func(all []float64, i int) float64 {
+	sampleAt := func(all []float64, i int) float64 {
 		if i < len(all) {
 			return all[i]
 		}
 		return 0
 	}
-	for i := range x.Offered {
-		r.Points = append(r.Points, Point{At: float64(i) * seconds(bucketWidth), Offered: x.Offered[i], Earned: x.Earned[i], Possible: x.Possible[i],
-			Fill: at(play.meanFills, i), Fullest: at(play.maxFills, i), Waiting: at(play.unanswered, i), Wait: x.MeanWaits[i], Rung: x.MeanRungs[i],
-			Playing: x.Playing[i], Tries: x.Tries[i]})
+	for i := range score.Offered {
+		row.Points = append(row.Points, Point{At: float64(i) * seconds(bucketWidth), Offered: score.Offered[i], Earned: score.Earned[i], Possible: score.Possible[i],
+			Fill: sampleAt(run.meanFills, i), Fullest: sampleAt(run.maxFills, i), Waiting: sampleAt(run.unanswered, i), Wait: score.MeanWaits[i], Rung: score.MeanRungs[i],
+			Playing: score.Playing[i], Tries: score.Tries[i]})
 	}
-	for _, m := range d.Troubles {
-		r.Troubles = append(r.Troubles, Mark{seconds(m.At), seconds(m.For), m.Kind})
+	for _, trouble := range day.Troubles {
+		row.Troubles = append(row.Troubles, Mark{seconds(trouble.At), seconds(trouble.For), trouble.Kind})
 	}
-	return r, nil
+	return row, nil
 }
--- a/internal/lab/rules_test.go
+++ b/internal/lab/rules_test.go
@@ -27,37 +27,37 @@
 at 5 die boxes=2 for=3
 `
 
-// dropper is a front's network that loses every tenth answer to a player's SETUP.
+// lossyNet loses every tenth rejection that a front sends to a player.
 type lossyNet struct {
 	core.Net
-	n int
+	responses int
 }
 
 func (d *lossyNet) Send(c *core.Conn, b []byte) {
 	if len(b) > 12 && string(b[:12]) == "RTSP/1.0 503" || len(b) > 12 && string(b[:12]) == "RTSP/1.0 453" {
-		if d.n++; d.n%10 == 0 {
+		if d.responses++; d.responses%10 == 0 {
 			return
 		}
 	}
 	d.Net.Send(c, b)
 }
 
-// twice is one that gives every tenth answer to a player's SETUP twice.
+// duplicatingNet sends every tenth response to a player's SETUP twice.
 type duplicatingNet struct {
 	core.Net
-	n int
+	responses int
 }
 
 func (d *duplicatingNet) Send(c *core.Conn, b []byte) {
 	d.Net.Send(c, b)
 	if bytes.HasPrefix(b, []byte("RTSP/1.0 ")) && bytes.Contains(b, []byte("Request-Id")) {
-		if d.n++; d.n%10 == 0 {
+		if d.responses++; d.responses%10 == 0 {
 			d.Net.Send(c, b)
 		}
 	}
 }
 
-// keeper is one that does not tell boxes of live lessons that it has given a try up.
+// teardownFilter drops the TEARDOWN of live lessons, so that boxes do not learn that a try was given up.
 type teardownFilter struct{ core.Net }
 
 func (k *teardownFilter) Send(c *core.Conn, b []byte) {
@@ -67,63 +67,64 @@
 	k.Net.Send(c, b)
 }
 
-// Each rule's checker reports a front that breaks that rule on purpose, and the sound front passes them all.
+// Each rule's checker must report a front that breaks that rule on purpose and nothing else, and a correct front must
+// pass them all: a checker that reports nothing would hide regressions.
 func TestCheckersCatchBrokenFronts(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		rule   int
-		broken *FaultyFront
+		faulty *FaultyFront
 	}{
-		"sound":         {0, nil},
-		"loses":         {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &lossyNet{Net: n} }}},
-		"answers twice": {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &duplicatingNet{Net: n} }}},
-		"two at once":   {2, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &teardownFilter{n} }}},
-		"sets up again": {2, &FaultyFront{ChangeSite: func(s *session.Site) {
+		"correct":           {0, nil},
+		"loses answers":     {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &lossyNet{Net: n} }}},
+		"answers twice":     {1, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &duplicatingNet{Net: n} }}},
+		"overlapping tries": {2, &FaultyFront{WrapNet: func(n core.Net) core.Net { return &teardownFilter{n} }}},
+		"repeats set-up": {2, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Repeat = session.Harmless
 			}
 		}}},
-		"deaf to drains": {3, &FaultyFront{List: func(l front.ListUpdate) front.ListUpdate {
+		"ignores drains": {3, &FaultyFront{List: func(l front.ListUpdate) front.ListUpdate {
 			for i := range l.Servers {
 				l.Servers[i].State = session.Ready
 			}
 			return l
 		}}},
-		"pushes": {4, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.ColdMultiple *= 100 }}},
-		"terms": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
+		"overloads cold boxes": {4, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.ColdMultiple *= 100 }}},
+		"ignores seats": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Seats = 0
 			}
 		}}},
-		"floors": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
+		"ignores floors": {5, &FaultyFront{ChangeSite: func(s *session.Site) {
 			s.Plans = append([]session.Plan(nil), s.Plans...)
 			for i := range s.Plans {
 				s.Plans[i].Floor = 0
 			}
 		}}},
-		"spends": {6, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.RetriesLimited = false }}},
+		"ignores retry budget": {6, &FaultyFront{ChangeSite: func(s *session.Site) { s.Terms.RetriesLimited = false }}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, err := Parse("test", testDay)
+			day, err := Parse("test", testDay)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p, tape, _ := Virtual(d, c.broken, zap.NewNop())
-			for _, v := range Judge(tape, d.Bounds(0)) {
-				if v.Rule != c.rule && len(v.Broken) > 0 {
-					t.Errorf("rule %d reported: %s", v.Rule, v.Broken[0])
+			run, recording, _ := Virtual(day, test.faulty, zap.NewNop())
+			for _, verdict := range Judge(recording, day.Bounds(0)) {
+				if verdict.Rule != test.rule && len(verdict.Broken) > 0 {
+					t.Errorf("rule %d: unexpected violation: %s", verdict.Rule, verdict.Broken[0])
 				}
-				if v.Rule == c.rule && len(v.Broken) == 0 {
-					t.Errorf("rule %d not reported (%d judged)", v.Rule, v.Judged)
+				if verdict.Rule == test.rule && len(verdict.Broken) == 0 {
+					t.Errorf("rule %d: no violation reported in %d cases", verdict.Rule, verdict.Judged)
 				}
-				if v.Judged == 0 {
-					t.Errorf("rule %d: nothing judged", v.Rule)
+				if verdict.Judged == 0 {
+					t.Errorf("rule %d: no cases checked", verdict.Rule)
 				}
 			}
-			if left := p.Tally.Fronts.Playbacks; left != 0 {
-				t.Errorf("%d playbacks left over", left)
+			if left := run.Tally.Fronts.Playbacks; left != 0 {
+				t.Errorf("%d playbacks still open at the end of the day, expected none", left)
 			}
 		})
 	}
--- a/internal/lab/score.go
+++ b/internal/lab/score.go
@@ -11,30 +11,30 @@
 const (
 	bucketWidth     = core.Second / 2
 	worstWindow     = 10 * core.Second
-	wholeWeight     = 0.7 // of the goal, as the users weigh it
+	wholeWeight     = 0.7 // of the goal; the weights are those of the users
 	worstWeight     = 0.2
 	planWeight      = 0.1
-	minShareDivisor = 40 // offerings that a plan or a tenant needs to be the worst one
+	minShareDivisor = 40 // only plans and tenants with more than 1/40 of the offered revenue count as the worst
 )
 
-// Worth is a day as the users count it: for each half second in which a viewer wants to watch, offered is its
-// plan's revenue at the highest rung that it can use, earned the same at the rung in force, as far as it was
-// delivered, where the playback began within its startup target. All of it is taken from the traffic.
+// Worth is the score of a day as its users value it: for each half second in which a viewer wants to watch, offered is its
+// plan's revenue at the highest rung that it can use, and earned is the revenue at the rung in force, times the share that was
+// delivered, if the playback started within its startup target. All of it is computed from the recorded traffic.
 type Worth struct {
-	Whole, Worst, WorstPlan, WorstTenant float64 // earned over offered; Worst of any 10 s
-	Prices                               float64 // zones crossed, moves, probes, changes of rung, as parts of the whole
+	Whole, Worst, WorstPlan, WorstTenant float64 // earned over offered: of the day, of the worst 10 s, of the worst plan and tenant
+	Prices                               float64 // cost of zone crossings, moves, probes and rung changes, as a share of the offered revenue
 	Goal                                 float64
-	Best                                 float64   // at most, by what links and uplinks give
-	Offered, Earned                      []float64 // of each half second
+	Best                                 float64   // upper bound of Whole, from the capacity of links and uplinks
+	Offered, Earned                      []float64 // for each half second
 	Possible                             []float64
-	MeanRungs                            []float64 // mean of those that play
+	MeanRungs                            []float64 // mean rung of the running playbacks
 	Playing                              []float64
 	Tries                                []float64 // set-ups at boxes
-	MeanWaits                            []float64 // mean seconds from asking to the answer, of those answered
+	MeanWaits                            []float64 // mean seconds from request to answer
 	ByPlan                               []float64
 	Moves, Changes, Crossed              int
-	// what was not earned, as parts of what was offered: nobody served it; it began after its target; it was at a
-	// lower rung than the viewer could use; it was not delivered whole
+	// the shares of the offered revenue that were not earned: not served; started after the startup target; at a
+	// lower rung than the viewer could use; not delivered in full
 	Unserved, Late, LowRung, Short float64
 }
 
@@ -44,7 +44,7 @@
 	box  string
 }
 
-// heard is what a player's connection brought.
+// playerFlow is what a player's connection received.
 type playerFlow struct {
 	requestedAt, firstPacketAt, closedAt Time
 	answered                             bool
@@ -53,285 +53,285 @@
 	bytesFrom                            Time
 }
 
-// Count makes the worth of a day from its tape. ticks are what links and uplinks gave, each half second.
-func (p *Play) Count(t *Tape) *Worth {
-	d := p.Day
-	entries := slices.Clone(t.Entries)
+// Count computes the score of a day from its recorded traffic.
+func (p *Play) Count(recording *Tape) *Worth {
+	day := p.Day
+	entries := slices.Clone(recording.Entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return int(min(max(a.At-b.At, -1), 1)) })
-	n := int(p.Length()/bucketWidth) + 1
-	w := &Worth{Offered: make([]float64, n), Earned: make([]float64, n), Possible: make([]float64, n), MeanRungs: make([]float64, n),
-		Playing: make([]float64, n), Tries: make([]float64, n), MeanWaits: make([]float64, n)}
-	at := func(x Time) int { return min(max(int((x-p.began)/bucketWidth), 0), n-1) }
+	bucketCount := int(p.Length()/bucketWidth) + 1
+	score := &Worth{Offered: make([]float64, bucketCount), Earned: make([]float64, bucketCount), Possible: make([]float64, bucketCount), MeanRungs: make([]float64, bucketCount),
+		Playing: make([]float64, bucketCount), Tries: make([]float64, bucketCount), MeanWaits: make([]float64, bucketCount)}
+	bucketOf := func(t Time) int { return min(max(int((t-p.began)/bucketWidth), 0), bucketCount-1) }
 
 	type upstream struct {
-		req, box, front string
-		rung            int
-		first           bool
+		requestID, box, front string
+		rung                  int
+		first                 bool
 	}
-	ups := map[int]*upstream{}
-	rungs := map[string][]rungSpan{}
-	heards := map[string]*playerFlow{}
-	conns := map[int]*playerFlow{}
-	answered := make([]float64, n)
-	probes := 0
+	upstreams := map[int]*upstream{}
+	rungSpans := map[string][]rungSpan{}
+	flowByRequest := map[string]*playerFlow{}
+	flowByConn := map[int]*playerFlow{}
+	answeredCount := make([]float64, bucketCount)
+	probeCount := 0
 	for _, e := range entries {
 		if !e.Player {
-			u := ups[e.ConnID]
+			up := upstreams[e.ConnID]
 			switch {
 			case e.Kind == RequestSent && e.FromFront && e.Method == "OPTIONS":
-				probes++
-			case e.Kind == RequestSent && e.FromFront && e.Method == "SETUP" && u == nil:
-				req, _, moved := strings.Cut(e.RequestID, "/m")
+				probeCount++
+			case e.Kind == RequestSent && e.FromFront && e.Method == "SETUP" && up == nil:
+				requestID, _, moved := strings.Cut(e.RequestID, "/m")
 				if moved {
-					w.Moves++
+					score.Moves++
 				}
-				ups[e.ConnID] = &upstream{req: req, box: e.Host, front: e.Front, rung: e.Rung}
-				w.Tries[at(e.At)]++
-			case u != nil && e.Kind == RequestSent && e.FromFront && e.Rung >= 0 && e.Rung != u.rung:
-				if u.rung = e.Rung; u.first {
-					rungs[u.req] = append(rungs[u.req], rungSpan{e.At, u.rung, u.box})
-					w.Changes++
+				upstreams[e.ConnID] = &upstream{requestID: requestID, box: e.Host, front: e.Front, rung: e.Rung}
+				score.Tries[bucketOf(e.At)]++
+			case up != nil && e.Kind == RequestSent && e.FromFront && e.Rung >= 0 && e.Rung != up.rung:
+				if up.rung = e.Rung; up.first {
+					rungSpans[up.requestID] = append(rungSpans[up.requestID], rungSpan{e.At, up.rung, up.box})
+					score.Changes++
 				}
-			case u != nil && e.Kind == FirstFrame && !u.first:
-				u.first = true
-				rungs[u.req] = append(rungs[u.req], rungSpan{e.At, u.rung, u.box})
+			case up != nil && e.Kind == FirstFrame && !up.first:
+				up.first = true
+				rungSpans[up.requestID] = append(rungSpans[up.requestID], rungSpan{e.At, up.rung, up.box})
 			}
 			continue
 		}
-		h := conns[e.ConnID]
+		flow := flowByConn[e.ConnID]
 		switch {
-		case e.Kind == RequestSent && !e.FromFront && e.Method == "SETUP" && e.RequestID != "" && h == nil:
-			h = &playerFlow{requestedAt: e.At, front: e.Front, plan: e.Plan, title: e.Title, closedAt: never}
-			conns[e.ConnID], heards[e.RequestID] = h, h
-		case h != nil && e.Kind == ResponseSent && e.FromFront && !h.answered && h.firstPacketAt == 0 && e.RequestID != "":
-			h.answered = true
-			w.MeanWaits[at(e.At)] += seconds(e.At - h.requestedAt)
-			answered[at(e.At)]++
-		case h != nil && e.Kind == FirstFrame:
-			h.firstPacketAt = e.At
-		case h != nil && (e.Kind == ConnClosed || e.Kind == RequestSent && e.Method == "TEARDOWN"):
-			h.closedAt = min(h.closedAt, e.At)
+		case e.Kind == RequestSent && !e.FromFront && e.Method == "SETUP" && e.RequestID != "" && flow == nil:
+			flow = &playerFlow{requestedAt: e.At, front: e.Front, plan: e.Plan, title: e.Title, closedAt: never}
+			flowByConn[e.ConnID], flowByRequest[e.RequestID] = flow, flow
+		case flow != nil && e.Kind == ResponseSent && e.FromFront && !flow.answered && flow.firstPacketAt == 0 && e.RequestID != "":
+			flow.answered = true
+			score.MeanWaits[bucketOf(e.At)] += seconds(e.At - flow.requestedAt)
+			answeredCount[bucketOf(e.At)]++
+		case flow != nil && e.Kind == FirstFrame:
+			flow.firstPacketAt = e.At
+		case flow != nil && (e.Kind == ConnClosed || e.Kind == RequestSent && e.Method == "TEARDOWN"):
+			flow.closedAt = min(flow.closedAt, e.At)
 		}
 	}
-	for _, f := range t.Flows {
-		if h := conns[f.ConnID]; h != nil {
-			h.bytes, h.bytesFrom = f.Bytes, f.From
+	for _, received := range recording.Flows {
+		if flow := flowByConn[received.ConnID]; flow != nil {
+			flow.bytes, flow.bytesFrom = received.Bytes, received.From
 		}
 	}
-	for i := range w.MeanWaits {
-		if answered[i] > 0 {
-			w.MeanWaits[i] /= answered[i]
+	for i := range score.MeanWaits {
+		if answeredCount[i] > 0 {
+			score.MeanWaits[i] /= answeredCount[i]
 		}
 	}
-	plans, offeredBy := make([]float64, len(d.Plans)), make([]float64, len(d.Plans))
-	crossed, revenue := 0.0, 0.0
+	earnedBy, offeredBy := make([]float64, len(day.Plans)), make([]float64, len(day.Plans))
+	crossZoneEarned, startRevenue := 0.0, 0.0
 	tenants := map[string]*[2]float64{}
-	for _, x := range p.profiles {
-		if x.LeaveAfter > 0 { // it goes away before it can be served
+	for _, profile := range p.profiles {
+		if profile.LeaveAfter > 0 { // leaves before it can be served
 			continue
 		}
 		plan := 0
-		for d.Plans[plan].Name != x.Plan {
+		for day.Plans[plan].Name != profile.Plan {
 			plan++
 		}
-		s := &d.Site.Plans[plan]
-		top := min(x.TopRung, s.Top)
-		per := s.Revenue * float64(bucketWidth) / 1e6
+		sitePlan := &day.Site.Plans[plan]
+		topRung := min(profile.TopRung, sitePlan.Top)
+		bucketRevenue := sitePlan.Revenue * float64(bucketWidth) / 1e6
 		watched := Time(0)
-		began := p.requestedAt[x]
-		for b := at(began); b <= at(began+x.WatchTime-1); b++ {
-			part := float64(min(began+x.WatchTime, p.began+Time(b+1)*bucketWidth)-max(began, p.began+Time(b)*bucketWidth)) / float64(bucketWidth)
-			v := per * d.Site.Ladder.RevenueShare[top] * max(part, 0)
-			w.Offered[b] += v
-			offeredBy[plan] += v
-			if len(d.Tenants) > 0 {
-				if tenants[x.Tenant] == nil {
-					tenants[x.Tenant] = &[2]float64{}
+		requestedAt := p.requestedAt[profile]
+		for b := bucketOf(requestedAt); b <= bucketOf(requestedAt+profile.WatchTime-1); b++ {
+			bucketShare := float64(min(requestedAt+profile.WatchTime, p.began+Time(b+1)*bucketWidth)-max(requestedAt, p.began+Time(b)*bucketWidth)) / float64(bucketWidth)
+			value := bucketRevenue * day.Site.Ladder.RevenueShare[topRung] * max(bucketShare, 0)
+			score.Offered[b] += value
+			offeredBy[plan] += value
+			if len(day.Tenants) > 0 {
+				if tenants[profile.Tenant] == nil {
+					tenants[profile.Tenant] = &[2]float64{}
 				}
-				tenants[x.Tenant][0] += v
+				tenants[profile.Tenant][0] += value
 			}
 		}
-		for _, id := range p.requestIDs(x) {
-			h := heards[id]
-			if h == nil || h.firstPacketAt == 0 {
+		for _, id := range p.requestIDs(profile) {
+			flow := flowByRequest[id]
+			if flow == nil || flow.firstPacketAt == 0 {
 				continue
 			}
-			late := h.firstPacketAt-h.requestedAt > s.StartupTarget
-			if !late {
-				revenue += s.Revenue
+			isLate := flow.firstPacketAt-flow.requestedAt > sitePlan.StartupTarget
+			if !isLate {
+				startRevenue += sitePlan.Revenue
 			}
-			all := rungs[id]
-			k := -1
-			for b := at(h.firstPacketAt); b <= at(min(h.closedAt, p.began+Time(n-1)*bucketWidth)); b++ {
-				from, to := max(h.firstPacketAt, p.began+Time(b)*bucketWidth), min(h.closedAt, p.began+Time(b+1)*bucketWidth)
-				for k+1 < len(all) && all[k+1].from <= (from+to)/2 {
-					k++
+			spans := rungSpans[id]
+			spanIndex := -1
+			for b := bucketOf(flow.firstPacketAt); b <= bucketOf(min(flow.closedAt, p.began+Time(bucketCount-1)*bucketWidth)); b++ {
+				from, to := max(flow.firstPacketAt, p.began+Time(b)*bucketWidth), min(flow.closedAt, p.began+Time(b+1)*bucketWidth)
+				for spanIndex+1 < len(spans) && spans[spanIndex+1].from <= (from+to)/2 {
+					spanIndex++
 				}
-				if to <= from || k < 0 || watched >= x.WatchTime {
+				if to <= from || spanIndex < 0 || watched >= profile.WatchTime {
 					continue
 				}
-				r := all[k]
-				part := float64(to-from) / float64(bucketWidth)
+				span := spans[spanIndex]
+				bucketShare := float64(to-from) / float64(bucketWidth)
 				watched += to - from
-				if late {
-					w.Late += per * d.Site.Ladder.RevenueShare[top] * part
+				if isLate {
+					score.Late += bucketRevenue * day.Site.Ladder.RevenueShare[topRung] * bucketShare
 					continue
 				}
-				due := d.Frame.LadderKB[r.rung] * s.RateFactor * 1000 * seconds(bucketWidth) * part
-				share := min(h.delivered(b, p.began)/due, 1)
-				v := per * d.Site.Ladder.RevenueShare[min(r.rung, top)] * part * share
-				w.Earned[b] += v
-				at := per * d.Site.Ladder.RevenueShare[min(r.rung, top)] * part
-				w.LowRung += per*d.Site.Ladder.RevenueShare[top]*part - at
-				w.Short += at - v
-				plans[plan] += v
-				if tenants[x.Tenant] != nil {
-					tenants[x.Tenant][1] += v
+				dueBytes := day.Frame.LadderKB[span.rung] * sitePlan.RateFactor * 1000 * seconds(bucketWidth) * bucketShare
+				deliveredShare := min(flow.delivered(b, p.began)/dueBytes, 1)
+				value := bucketRevenue * day.Site.Ladder.RevenueShare[min(span.rung, topRung)] * bucketShare * deliveredShare
+				score.Earned[b] += value
+				atRung := bucketRevenue * day.Site.Ladder.RevenueShare[min(span.rung, topRung)] * bucketShare
+				score.LowRung += bucketRevenue*day.Site.Ladder.RevenueShare[topRung]*bucketShare - atRung
+				score.Short += atRung - value
+				earnedBy[plan] += value
+				if tenants[profile.Tenant] != nil {
+					tenants[profile.Tenant][1] += value
 				}
-				w.MeanRungs[b] += float64(r.rung) * part
-				w.Playing[b] += part
-				if p.zoneByHost[h.front] != p.zoneByHost[r.box] {
-					crossed += v
-					w.Crossed++
+				score.MeanRungs[b] += float64(span.rung) * bucketShare
+				score.Playing[b] += bucketShare
+				if p.zoneByHost[flow.front] != p.zoneByHost[span.box] {
+					crossZoneEarned += value
+					score.Crossed++
 				}
 			}
 		}
 	}
-	p.estimatePossible(w)
+	p.estimatePossible(score)
 	offered, earned := 0.0, 0.0
-	for i := range w.Offered {
-		offered, earned = offered+w.Offered[i], earned+w.Earned[i]
-		if w.Playing[i] > 0 {
-			w.MeanRungs[i] /= w.Playing[i]
+	for i := range score.Offered {
+		offered, earned = offered+score.Offered[i], earned+score.Earned[i]
+		if score.Playing[i] > 0 {
+			score.MeanRungs[i] /= score.Playing[i]
 		}
 	}
 	if offered == 0 {
-		return w
+		return score
 	}
-	w.Whole, w.Worst, w.WorstPlan, w.WorstTenant = earned/offered, 1, 1, 1
-	w.Late, w.LowRung, w.Short = w.Late/offered, w.LowRung/offered, w.Short/offered
-	w.Unserved = 1 - w.Whole - w.Late - w.LowRung - w.Short
-	m := int(worstWindow / bucketWidth)
-	last := at(p.began + d.Length)
-	for i := 0; i+m <= last; i++ {
-		o, e := 0.0, 0.0
-		for j := i; j < i+m; j++ {
-			o, e = o+w.Offered[j], e+w.Earned[j]
+	score.Whole, score.Worst, score.WorstPlan, score.WorstTenant = earned/offered, 1, 1, 1
+	score.Late, score.LowRung, score.Short = score.Late/offered, score.LowRung/offered, score.Short/offered
+	score.Unserved = 1 - score.Whole - score.Late - score.LowRung - score.Short
+	windowBuckets := int(worstWindow / bucketWidth)
+	lastBucket := bucketOf(p.began + day.Length)
+	for i := 0; i+windowBuckets <= lastBucket; i++ {
+		offeredNow, earnedNow := 0.0, 0.0
+		for j := i; j < i+windowBuckets; j++ {
+			offeredNow, earnedNow = offeredNow+score.Offered[j], earnedNow+score.Earned[j]
 		}
-		if o > 0 {
-			w.Worst = min(w.Worst, e/o)
+		if offeredNow > 0 {
+			score.Worst = min(score.Worst, earnedNow/offeredNow)
 		}
 	}
-	for i := range plans {
+	for i := range earnedBy {
 		if offeredBy[i] > 0 {
-			w.ByPlan = append(w.ByPlan, plans[i]/offeredBy[i])
+			score.ByPlan = append(score.ByPlan, earnedBy[i]/offeredBy[i])
 			if offeredBy[i] > offered/minShareDivisor {
-				w.WorstPlan = min(w.WorstPlan, plans[i]/offeredBy[i])
+				score.WorstPlan = min(score.WorstPlan, earnedBy[i]/offeredBy[i])
 			}
 		}
 	}
-	for _, x := range tenants {
-		if x[0] > offered/minShareDivisor {
-			w.WorstTenant = min(w.WorstTenant, x[1]/x[0])
+	for _, totals := range tenants {
+		if totals[0] > offered/minShareDivisor {
+			score.WorstTenant = min(score.WorstTenant, totals[1]/totals[0])
 		}
 	}
 	best := 0.0
-	for _, x := range w.Possible {
-		best += x
+	for _, possible := range score.Possible {
+		best += possible
 	}
-	w.Best = min(best/offered, 1)
-	pr := &d.Site.Prices
-	asks := float64(max(len(p.profiles), 1))
-	w.Prices = pr.CrossZone*crossed/offered + pr.Move*float64(w.Moves)/asks + pr.Probe*float64(probes)/asks/10 +
-		seconds(d.Site.Ladder.RungChangeCost)*float64(w.Changes)*revenue/asks/offered
-	w.Goal = wholeWeight*w.Whole + worstWeight*w.Worst + planWeight*w.WorstPlan - w.Prices
-	return w
+	score.Best = min(best/offered, 1)
+	prices := &day.Site.Prices
+	viewers := float64(max(len(p.profiles), 1))
+	score.Prices = prices.CrossZone*crossZoneEarned/offered + prices.Move*float64(score.Moves)/viewers + prices.Probe*float64(probeCount)/viewers/10 +
+		seconds(day.Site.Ladder.RungChangeCost)*float64(score.Changes)*startRevenue/viewers/offered
+	score.Goal = wholeWeight*score.Whole + worstWeight*score.Worst + planWeight*score.WorstPlan - score.Prices
+	return score
 }
 
-// delivered is the bytes that came in one of the day's half seconds.
-func (h *playerFlow) delivered(b int, began Time) (sum float64) {
-	from, to := began+Time(b)*bucketWidth, began+Time(b+1)*bucketWidth
-	for i, x := range h.bytes { // the connection's own half seconds do not begin with the day's
-		f := h.bytesFrom + Time(i)*bucketWidth
-		if over := min(f+bucketWidth, to) - max(f, from); over > 0 {
-			sum += float64(x) * float64(over) / float64(bucketWidth)
+// delivered returns the bytes received in one of the day's half seconds.
+func (f *playerFlow) delivered(bucket int, dayStart Time) (sum float64) {
+	from, to := dayStart+Time(bucket)*bucketWidth, dayStart+Time(bucket+1)*bucketWidth
+	for i, received := range f.bytes { // the half seconds of the connection are not aligned with those of the day
+		bucketStart := f.bytesFrom + Time(i)*bucketWidth
+		if overlap := min(bucketStart+bucketWidth, to) - max(bucketStart, from); overlap > 0 {
+			sum += float64(received) * float64(overlap) / float64(bucketWidth)
 		}
 	}
 	return sum
 }
 
-// possible estimates the most that could be earned in each half second: what living links and uplinks give,
-// shared out among those who want to watch, first the lowest rung to each, then step by step where the next
-// one brings most for a kB; a further viewer of a live title counts at its join part. Nobody can do better on
-// links, but for chance in who watches what; set-ups and cold boxes' pace are not counted.
-func (p *Play) estimatePossible(w *Worth) {
-	d := p.Day
-	n := len(w.Offered)
-	type step struct{ kb, worth float64 }
-	viewers := make([][]int, n) // by half second, counts of plan and top
-	width := len(d.Frame.LadderKB)
-	firsts := make([]map[string]bool, n)
-	more := make([][]int, n)
-	for i := range viewers {
-		viewers[i], more[i], firsts[i] = make([]int, len(d.Plans)*width), make([]int, len(d.Plans)*width), map[string]bool{}
+// estimatePossible estimates the most revenue that could be earned in each half second: the capacity of ready boxes' links and uplinks
+// is shared among the viewers, one rung step at a time, the steps with
+// the most revenue per kB first; a further viewer of a live title costs only the join share of its rate. No policy can earn more on
+// these links, except by chance in who watches what; the cost of set-ups and the limits of cold boxes are not counted.
+func (p *Play) estimatePossible(score *Worth) {
+	day := p.Day
+	bucketCount := len(score.Offered)
+	type step struct{ costKB, revenue float64 }
+	firstViewers := make([][]int, bucketCount) // for each half second, the number of viewers by plan and top rung
+	rungCount := len(day.Frame.LadderKB)
+	seenTitles := make([]map[string]bool, bucketCount)
+	joiners := make([][]int, bucketCount)
+	for i := range firstViewers {
+		firstViewers[i], joiners[i], seenTitles[i] = make([]int, len(day.Plans)*rungCount), make([]int, len(day.Plans)*rungCount), map[string]bool{}
 	}
-	for _, x := range p.profiles {
-		if x.LeaveAfter > 0 { // it goes away before it can be served
+	for _, profile := range p.profiles {
+		if profile.LeaveAfter > 0 { // leaves before it can be served
 			continue
 		}
 		plan := 0
-		for d.Plans[plan].Name != x.Plan {
+		for day.Plans[plan].Name != profile.Plan {
 			plan++
 		}
-		s := &d.Site.Plans[plan]
-		began := p.requestedAt[x]
-		k := plan*width + min(x.TopRung, s.Top)
-		for b := int((began - p.began) / bucketWidth); b <= int((began+x.WatchTime-1-p.began)/bucketWidth) && b < n; b++ {
-			if s.Live && firsts[b][x.Title] {
-				more[b][k]++
+		sitePlan := &day.Site.Plans[plan]
+		requestedAt := p.requestedAt[profile]
+		key := plan*rungCount + min(profile.TopRung, sitePlan.Top)
+		for b := int((requestedAt - p.began) / bucketWidth); b <= int((requestedAt+profile.WatchTime-1-p.began)/bucketWidth) && b < bucketCount; b++ {
+			if sitePlan.Live && seenTitles[b][profile.Title] {
+				joiners[b][key]++
 			} else {
-				firsts[b][x.Title] = true
-				viewers[b][k]++
+				seenTitles[b][profile.Title] = true
+				firstViewers[b][key]++
 			}
 		}
 	}
-	for b := range n {
-		kb := 0.0
+	for b := range bucketCount {
+		capacity := 0.0
 		if b < len(p.capacityKB) {
-			kb = p.capacityKB[b]
+			capacity = p.capacityKB[b]
 		} else if len(p.capacityKB) > 0 {
-			kb = p.capacityKB[len(p.capacityKB)-1]
+			capacity = p.capacityKB[len(p.capacityKB)-1]
 		}
 		var steps []step
-		for k := range viewers[b] {
-			for kind, count := range []int{viewers[b][k], more[b][k]} {
+		for key := range firstViewers[b] {
+			for kind, count := range []int{firstViewers[b][key], joiners[b][key]} {
 				if count == 0 {
 					continue
 				}
-				s := &d.Site.Plans[k/width]
-				part := s.RateFactor
+				sitePlan := &day.Site.Plans[key/rungCount]
+				rateShare := sitePlan.RateFactor
 				if kind == 1 {
-					part *= d.Frame.Join
+					rateShare *= day.Frame.Join
 				}
-				lastKB, lastWorth := 0.0, 0.0
-				for r := s.Floor; r <= k%width; r++ {
-					rate, worth := d.Frame.LadderKB[r]*part, d.Site.Ladder.RevenueShare[r]*s.Revenue*seconds(bucketWidth)
-					steps = append(steps, step{float64(count) * (rate - lastKB), float64(count) * (worth - lastWorth)})
-					lastKB, lastWorth = rate, worth
+				lastKB, lastRevenue := 0.0, 0.0
+				for rung := sitePlan.Floor; rung <= key%rungCount; rung++ {
+					rateKB, revenue := day.Frame.LadderKB[rung]*rateShare, day.Site.Ladder.RevenueShare[rung]*sitePlan.Revenue*seconds(bucketWidth)
+					steps = append(steps, step{float64(count) * (rateKB - lastKB), float64(count) * (revenue - lastRevenue)})
+					lastKB, lastRevenue = rateKB, revenue
 				}
 			}
 		}
 		slices.SortStableFunc(steps, func(x, y step) int {
-			if a, b := x.worth/x.kb, y.worth/y.kb; a != b {
+			if a, b := x.revenue/x.costKB, y.revenue/y.costKB; a != b {
 				return int(math.Copysign(1, b-a))
 			}
 			return 0
 		})
-		for _, s := range steps {
-			part := min(kb/s.kb, 1)
-			w.Possible[b] += s.worth * part
-			kb -= s.kb * part
+		for _, step := range steps {
+			share := min(capacity/step.costKB, 1)
+			score.Possible[b] += step.revenue * share
+			capacity -= step.costKB * share
 		}
-		w.Possible[b] = min(w.Possible[b], w.Offered[b])
+		score.Possible[b] = min(score.Possible[b], score.Offered[b])
 	}
 }
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -14,46 +14,46 @@
 	"time"
 )
 
-// Search looks for days on which the session manager does badly: it changes a day by chance, keeps what is
-// worse, and cuts the worst down to what matters.
+// Search looks for days on which the session manager does badly: it mutates a day at random, keeps the worst
+// mutants, and minimizes the worst of them.
 type Search struct {
 	Seed      uint64
 	For       time.Duration
 	Say       io.Writer
-	MaxRounds int    // so many, whatever the time; 0 for as many as fit
-	What      string // worth, or answers: what came to nothing or came late, whatever room there was
+	MaxRounds int    // number of rounds, whatever the time; 0 for as many as fit
+	What      string // "worth" for lost revenue, or "answers" for failed, abandoned and late playbacks, whatever the capacity
 }
 
-// Found is a day that a search found.
+// Found is a day found by a search.
 type FoundDay struct {
 	Text   string
 	Row    *Row
 	Played int
 }
 
-// bad is how badly a day went: what was lost of what links would have given; a broken rule, or something that
-// does not add up, counts for more than anything else.
-func (s *Search) badness(r *Row) float64 {
-	x := max(r.Best, 0.05) - r.Goal
+// badness returns how badly a day went: the goal that was lost compared with the upper bound. A broken rule or a
+// failed consistency check counts for more than anything else.
+func (s *Search) badness(row *Row) float64 {
+	badness := max(row.Best, 0.05) - row.Goal
 	if s.What == "answers" {
-		x = r.Late + float64(r.Failed+r.Abandoned)/float64(max(r.Asked, 1))
+		badness = row.Late + float64(row.Failed+row.Abandoned)/float64(max(row.Asked, 1))
 	}
-	if r.Broken > 0 {
-		x += 10
+	if row.Broken > 0 {
+		badness += 10
 	}
-	if r.Odd > 0 {
-		x += 100
+	if row.Odd > 0 {
+		badness += 100
 	}
-	return x
+	return badness
 }
 
 const (
-	keptBadness     = 0.9 // of how bad a day is, that a shorter one must keep
+	keptBadness     = 0.9 // share of a day's badness that a minimized day must keep
 	maxTroubleLines = 12
-	maxChange       = 0.35 // by how much a figure is changed, at most
+	maxChange       = 0.35 // largest relative change of a parameter
 )
 
-// words that a search changes, with their bounds.
+// searchParameters are the words that a search changes, with their bounds.
 var searchParameters = []struct {
 	key      string
 	lo, hi   float64
@@ -66,123 +66,123 @@
 	{"net.latency", 0.0002, 0.02, false}, {"net.across", 0.001, 0.05, false}, {"net.cut", 0, 0.002, false}, {"net.split", 0, 0.3, false},
 }
 
-// troubles that a search brings in, with the words that they take.
+// searchTroubles are the kinds of trouble that a search adds.
 var searchTroubles = []string{"die", "vanish", "drain", "errors", "lost-answers", "late-answers", "stuck", "cut-answers", "slow", "neighbour", "reports-late",
 	"surge", "crowd", "repeat", "leave", "kill", "stand-still", "zone-cut", "sag", "overspeed"}
 
-// change makes one or a few changes to a day's text.
+// mutate makes one to three random changes to a day's text.
 func mutate(text string, rng *rand.Rand) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	for range 1 + rng.IntN(3) {
-		var at []int
-		for i, l := range lines {
-			if strings.HasPrefix(l, "at ") {
-				at = append(at, i)
+		var troubleLines []int
+		for i, dayLine := range lines {
+			if strings.HasPrefix(dayLine, "at ") {
+				troubleLines = append(troubleLines, i)
 			}
 		}
-		switch k := rng.IntN(10); {
-		case k < 4: // a figure
-			x := searchParameters[rng.IntN(len(searchParameters))]
-			line, word, _ := strings.Cut(x.key, ".")
-			now := (x.lo + x.hi) / 2
-			for _, l := range lines {
-				f := strings.Fields(l)
-				for _, w := range f {
-					if a, b, ok := strings.Cut(w, "="); ok && a == word && f[0] == line {
-						if v, err := strconv.ParseFloat(b, 64); err == nil {
-							now = v
+		switch choice := rng.IntN(10); {
+		case choice < 4: // change a parameter
+			parameter := searchParameters[rng.IntN(len(searchParameters))]
+			line, word, _ := strings.Cut(parameter.key, ".")
+			current := (parameter.lo + parameter.hi) / 2
+			for _, dayLine := range lines {
+				fields := strings.Fields(dayLine)
+				for _, field := range fields {
+					if key, valueText, ok := strings.Cut(field, "="); ok && key == word && fields[0] == line {
+						if value, err := strconv.ParseFloat(valueText, 64); err == nil {
+							current = value
 						}
 					}
 				}
 			}
-			v := now * (1 + maxChange*(2*rng.Float64()-1))
+			value := current * (1 + maxChange*(2*rng.Float64()-1))
 			if rng.IntN(5) == 0 {
-				v = x.lo + (x.hi-x.lo)*rng.Float64()
+				value = parameter.lo + (parameter.hi-parameter.lo)*rng.Float64()
 			}
-			v = min(max(v, x.lo), x.hi)
-			s := strconv.FormatFloat(v, 'g', 4, 64)
-			if x.integral {
-				s = strconv.Itoa(int(v + 0.5))
+			value = min(max(value, parameter.lo), parameter.hi)
+			newText := strconv.FormatFloat(value, 'g', 4, 64)
+			if parameter.integral {
+				newText = strconv.Itoa(int(value + 0.5))
 			}
-			if out, err := Set(strings.Join(lines, "\n"), map[string]string{x.key: s}); err == nil {
+			if out, err := Set(strings.Join(lines, "\n"), map[string]string{parameter.key: newText}); err == nil {
 				lines = strings.Split(out, "\n")
 			}
-		case k < 8 && len(at) < maxTroubleLines: // a trouble more
+		case choice < 8 && len(troubleLines) < maxTroubleLines: // add a trouble
 			kind := searchTroubles[rng.IntN(len(searchTroubles))]
-			l := fmt.Sprintf("at %.1f %s for=%.1f", 1+9*rng.Float64(), kind, 0.5+4*rng.Float64())
+			troubleLine := fmt.Sprintf("at %.1f %s for=%.1f", 1+9*rng.Float64(), kind, 0.5+4*rng.Float64())
 			switch kind {
-			case "die", "vanish": // none comes back before it is known to be gone: nobody could keep its pace
-				l = fmt.Sprintf("at %.1f %s for=%.1f boxes=%d", 1+7*rng.Float64(), kind, 3+2*rng.Float64(), 1+rng.IntN(6))
+			case "die", "vanish": // the box must not restart before the list reports it gone, as no manager could then keep to its cold pace
+				troubleLine = fmt.Sprintf("at %.1f %s for=%.1f boxes=%d", 1+7*rng.Float64(), kind, 3+2*rng.Float64(), 1+rng.IntN(6))
 			case "kill", "stand-still":
-				l += fmt.Sprintf(" managers=%d", 1+rng.IntN(4))
+				troubleLine += fmt.Sprintf(" managers=%d", 1+rng.IntN(4))
 			case "surge", "sag", "slow", "overspeed", "reports-late", "late-answers":
-				l += fmt.Sprintf(" size=%.1f boxes=%d part=%.1f", 1.2+3*rng.Float64(), 1+rng.IntN(6), 0.2+0.8*rng.Float64())
+				troubleLine += fmt.Sprintf(" size=%.1f boxes=%d part=%.1f", 1.2+3*rng.Float64(), 1+rng.IntN(6), 0.2+0.8*rng.Float64())
 			default:
-				l += fmt.Sprintf(" boxes=%d part=%.1f", 1+rng.IntN(6), 0.2+0.8*rng.Float64())
+				troubleLine += fmt.Sprintf(" boxes=%d part=%.1f", 1+rng.IntN(6), 0.2+0.8*rng.Float64())
 			}
-			lines = append(lines, l)
-		case len(at) > 0: // a trouble less, or at another time
-			i := at[rng.IntN(len(at))]
+			lines = append(lines, troubleLine)
+		case len(troubleLines) > 0: // remove a trouble, or change its time
+			i := troubleLines[rng.IntN(len(troubleLines))]
 			if rng.IntN(2) == 0 {
 				lines = slices.Delete(lines, i, i+1)
 				continue
 			}
-			f := strings.Fields(lines[i])
-			f[1] = fmt.Sprintf("%.1f", 1+9*rng.Float64())
-			lines[i] = strings.Join(f, " ")
+			fields := strings.Fields(lines[i])
+			fields[1] = fmt.Sprintf("%.1f", 1+9*rng.Float64())
+			lines[i] = strings.Join(fields, " ")
 		}
 	}
 	return strings.Join(lines, "\n") + "\n"
 }
 
 func runText(text string, seed uint64) (*Row, error) {
-	d, err := Parse("search", text)
+	day, err := Parse("search", text)
 	if err != nil {
 		return nil, err
 	}
-	if d, err = d.With(seed); err != nil {
+	if day, err = day.With(seed); err != nil {
 		return nil, err
 	}
-	return Run(d, "")
+	return Run(day, "")
 }
 
-// Run searches from a day on.
+// Run searches from a given day and returns the worst day found, minimized.
 func (s *Search) Run(from *Day) (*FoundDay, error) {
 	first, err := runText(from.Text, s.Seed)
 	if err != nil {
 		return nil, err
 	}
-	type one struct {
+	type candidate struct {
 		text string
 		row  *Row
 	}
-	pool := []one{{from.Text, first}}
-	played := 1
-	n := max(runtime.GOMAXPROCS(0), 1)
-	end := time.Now().Add(s.For)
-	for round := 0; s.MaxRounds > 0 && round < s.MaxRounds || s.MaxRounds == 0 && time.Now().Before(end); round++ {
-		next := make([]one, n)
-		var wait sync.WaitGroup
+	pool := []candidate{{from.Text, first}}
+	daysRun := 1
+	workers := max(runtime.GOMAXPROCS(0), 1)
+	deadline := time.Now().Add(s.For)
+	for round := 0; s.MaxRounds > 0 && round < s.MaxRounds || s.MaxRounds == 0 && time.Now().Before(deadline); round++ {
+		next := make([]candidate, workers)
+		var running sync.WaitGroup
 		for i := range next {
-			rng := rand.New(rand.NewPCG(s.Seed, uint64(round*n+i)))
+			rng := rand.New(rand.NewPCG(s.Seed, uint64(round*workers+i)))
 			parent := pool[rng.IntN(len(pool))]
-			wait.Add(1)
+			running.Add(1)
 			go func() {
-				defer wait.Done()
+				defer running.Done()
 				text := mutate(parent.text, rng)
-				if r, err := runText(text, s.Seed); err == nil {
-					next[i] = one{text, r}
+				if row, err := runText(text, s.Seed); err == nil {
+					next[i] = candidate{text, row}
 				}
 			}()
 		}
-		wait.Wait()
-		for _, x := range next {
-			if x.row != nil {
-				played++
-				pool = append(pool, x)
+		running.Wait()
+		for _, mutant := range next {
+			if mutant.row != nil {
+				daysRun++
+				pool = append(pool, mutant)
 			}
 		}
-		slices.SortStableFunc(pool, func(a, b one) int {
+		slices.SortStableFunc(pool, func(a, b candidate) int {
 			if x, y := s.badness(a.row), s.badness(b.row); x != y {
 				if x > y {
 					return -1
@@ -193,21 +193,21 @@
 		})
 		pool = pool[:min(len(pool), 6)]
 		if s.Say != nil {
-			fmt.Fprintf(s.Say, "\r%d days played; the worst: worth %.3f of %.3f, %d rules broken     ", played, pool[0].row.Goal, pool[0].row.Best, pool[0].row.Broken)
+			fmt.Fprintf(s.Say, "\r%d days played; the worst: worth %.3f of %.3f, %d rules broken     ", daysRun, pool[0].row.Goal, pool[0].row.Best, pool[0].row.Broken)
 		}
 	}
 	if s.Say != nil {
 		fmt.Fprintln(s.Say)
 	}
-	text, row, more := s.minimize(pool[0].text, pool[0].row)
-	return &FoundDay{Text: text, Row: row, Played: played + more}, nil
+	text, row, minimizeRuns := s.minimize(pool[0].text, pool[0].row)
+	return &FoundDay{Text: text, Row: row, Played: daysRun + minimizeRuns}, nil
 }
 
-// cut takes out what does not matter: lines of trouble, then words that differ from the day's first text.
+// minimize removes trouble lines that do not matter and then tries shorter lengths of the day.
 func (s *Search) minimize(text string, row *Row) (string, *Row, int) {
-	played := 0
-	keeps := func(r *Row) bool {
-		return s.badness(r) >= keptBadness*s.badness(row) && (r.Broken > 0) == (row.Broken > 0) && (r.Odd > 0) == (row.Odd > 0)
+	daysRun := 0
+	isAsBad := func(shortRow *Row) bool {
+		return s.badness(shortRow) >= keptBadness*s.badness(row) && (shortRow.Broken > 0) == (row.Broken > 0) && (shortRow.Odd > 0) == (row.Odd > 0)
 	}
 	for again := true; again; {
 		again = false
@@ -216,46 +216,46 @@
 			if !strings.HasPrefix(lines[i], "at ") {
 				continue
 			}
-			less := strings.Join(slices.Delete(slices.Clone(lines), i, i+1), "\n") + "\n"
-			r, err := runText(less, s.Seed)
-			if played++; err == nil && keeps(r) {
-				text, lines, again = less, strings.Split(strings.TrimSpace(less), "\n"), true
+			shorter := strings.Join(slices.Delete(slices.Clone(lines), i, i+1), "\n") + "\n"
+			shortRow, err := runText(shorter, s.Seed)
+			if daysRun++; err == nil && isAsBad(shortRow) {
+				text, lines, again = shorter, strings.Split(strings.TrimSpace(shorter), "\n"), true
 			}
 		}
 	}
 	for _, key := range []string{"load.length"} {
-		for _, v := range []string{"6", "8", "10"} {
-			less, err := Set(text, map[string]string{key: v})
+		for _, value := range []string{"6", "8", "10"} {
+			shorter, err := Set(text, map[string]string{key: value})
 			if err != nil {
 				continue
 			}
-			r, err := runText(less, s.Seed)
-			if played++; err == nil && keeps(r) {
-				text = less
+			shortRow, err := runText(shorter, s.Seed)
+			if daysRun++; err == nil && isAsBad(shortRow) {
+				text = shorter
 				break
 			}
 		}
 	}
-	r, err := runText(text, s.Seed)
+	shortRow, err := runText(text, s.Seed)
 	if err != nil {
-		r = row
+		shortRow = row
 	}
-	return text, r, played + 1
+	return text, shortRow, daysRun + 1
 }
 
-// Save writes a found day as a file that a test plays: what it was when it was found stands in its first lines.
+// Save writes a found day to a file that a test plays; its first lines hold its score when it was found.
 func (f *FoundDay) Save(path string, seed uint64) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "# Found by a search with seed %d over %d days: worth %.3f, of at most %.3f by what links give; %d broken rules.\n", seed, f.Played,
+	var text strings.Builder
+	fmt.Fprintf(&text, "# Found by a search with seed %d over %d days: worth %.3f, of at most %.3f by what links give; %d broken rules.\n", seed, f.Played,
 		f.Row.Goal, f.Row.Best, f.Row.Broken)
-	fmt.Fprintf(&b, "# floor %.3f\nseed %d\n", f.Row.Goal-0.05, seed)
+	fmt.Fprintf(&text, "# floor %.3f\nseed %d\n", f.Row.Goal-0.05, seed)
 	for line := range strings.SplitSeq(strings.TrimSpace(f.Text), "\n") {
 		if !strings.HasPrefix(line, "#") && !strings.HasPrefix(line, "seed ") {
-			b.WriteString(line + "\n")
+			text.WriteString(line + "\n")
 		}
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(path, []byte(b.String()), 0o644)
+	return os.WriteFile(path, []byte(text.String()), 0o644)
 }
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -9,62 +9,62 @@
 	"pierlink/session"
 )
 
-// Tape is what passed on the connections of players and boxes, and what the managers were told. It reads
-// the bytes itself; it knows nothing of the cores' states.
+// Tape records what passed on the connections of players and boxes, and the box states sent to the managers. It parses
+// the bytes itself and does not use the state of the cores.
 type Tape struct {
 	mu        sync.Mutex
 	Entries   []Entry
-	Flows     []*Flow // of players' connections
+	Flows     []*Flow // for players' connections only
 	connCount int
 }
 
-// Flow is the RTP bytes that came on a player's connection, by half seconds from its first packet on.
+// Flow holds the RTP bytes received on a player's connection, for each half second from its first packet on.
 type Flow struct {
 	ConnID int
 	From   Time
 	Bytes  []int32
 }
 
-// Kind tells what an entry is of.
+// EntryKind is the kind of a recorded entry.
 type EntryKind uint8
 
-// The kinds. Down is the connection's end; Told is news to a manager; Killed and Began are of processes.
+// The kinds of entries.
 const (
 	Up EntryKind = iota
 	ConnClosed
 	RequestSent  // a request
-	ResponseSent // an answer
+	ResponseSent // a response
 	FirstFrame   // the first RTP frame of a connection
 	StateNotified
 	ProcessKilled
 	ProcessStarted
-	ProcessPaused // a process stood still from At until Until: nothing ran that could answer
+	ProcessPaused // a process was paused from At until Until, so nothing could answer
 )
 
-// Entry is one thing on a tape.
+// Entry is one recorded event.
 type Entry struct {
 	At            Time
 	Kind          EntryKind
-	Player        bool // a player's connection; otherwise a box's
+	Player        bool // on a player's connection; otherwise on a box's
 	FromFront     bool
 	ConnID        int
-	Host          string // the box, or the crowd
-	Front         string // the manager at the other end
+	Host          string // the box, or the players' host
+	Front         string // the manager at the other end of the connection
 	Method        string
 	Status        int
 	CSeq          int
-	RequestID     string // Request-Id
+	RequestID     string // Request-Id header
 	Try           int
 	Session       string
 	Plan          string
 	Title         string
-	Rung          int // -1 where none is told
+	Rung          int // -1 if the message has none
 	HasRetryAfter bool
-	State         session.ServerState // of Told
-	Started       Time                // of Told and Began
-	Until         Time                // of Stood
-	ClosedLocally bool                // of Down: this end closed it
-	NetworkBroken bool                // of Down: the network did
+	State         session.ServerState // of StateNotified
+	Started       Time                // of StateNotified and ProcessStarted
+	Until         Time                // of ProcessPaused
+	ClosedLocally bool                // of ConnClosed: closed by this end
+	NetworkBroken bool                // of ConnClosed: broken by the network
 }
 
 func (t *Tape) add(e Entry) {
@@ -73,32 +73,32 @@
 	t.mu.Unlock()
 }
 
-// Told notes that a manager was told of a box.
-func (t *Tape) Told(at Time, front, box string, s session.ServerState, started Time) {
-	t.add(Entry{At: at, Kind: StateNotified, Front: front, Host: box, State: s, Started: started})
+// Told records that a manager was notified of a box's state.
+func (t *Tape) Told(at Time, front, box string, state session.ServerState, startedAt Time) {
+	t.add(Entry{At: at, Kind: StateNotified, Front: front, Host: box, State: state, Started: startedAt})
 }
 
-// Killed notes the death of a manager or a box.
+// Killed records the end of a manager's or a box's process.
 func (t *Tape) Killed(at Time, name string) { t.add(Entry{At: at, Kind: ProcessKilled, Host: name}) }
 
-// Stood notes that a manager's process stood still.
+// Stood records that a manager's process was paused.
 func (t *Tape) Stood(from, until Time, name string) {
 	t.add(Entry{At: from, Kind: ProcessPaused, Host: name, Until: until})
 }
 
-// Began notes the start of one; started is 0 where it counts as warm.
-func (t *Tape) Began(at Time, name string, started Time) {
-	t.add(Entry{At: at, Kind: ProcessStarted, Host: name, Started: started})
+// Began records the start of a manager's or a box's process; started is 0 if it counts as warm.
+func (t *Tape) Began(at Time, name string, startedAt Time) {
+	t.add(Entry{At: at, Kind: ProcessStarted, Host: name, Started: startedAt})
 }
 
-// tap reads one connection.
+// tap parses and records one connection.
 type tap struct {
 	recording               *Tape
 	connID                  int
 	host                    string
 	front                   string
 	player                  bool
-	toHost, fromHost        rtsp.Parser // towards the stand-in, and away from it
+	toHost, fromHost        rtsp.Parser // parsers of the two directions, seen from the stand-in
 	firstFrameSeen          bool
 	isClosed, networkBroken bool
 	flow                    *Flow
@@ -107,22 +107,22 @@
 func (t *Tape) tap(place, front string, player bool) *tap {
 	t.mu.Lock()
 	t.connCount++
-	n := t.connCount
+	connID := t.connCount
 	t.mu.Unlock()
-	return &tap{recording: t, connID: n, host: place, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
+	return &tap{recording: t, connID: connID, host: place, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
 		fromHost: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 }
 
-func (p *tap) entry(at Time, k EntryKind) Entry {
-	return Entry{At: at, Kind: k, Player: p.player, ConnID: p.connID, Host: p.host, Front: p.front, Rung: -1}
+func (p *tap) entry(at Time, kind EntryKind) Entry {
+	return Entry{At: at, Kind: kind, Player: p.player, ConnID: p.connID, Host: p.host, Front: p.front, Rung: -1}
 }
 
 func (p *tap) opened(at Time, _ string) { p.recording.add(p.entry(at, Up)) }
-func (p *tap) closed(at Time, own bool) {
+func (p *tap) closed(at Time, local bool) {
 	if !p.isClosed {
 		p.isClosed = true
 		e := p.entry(at, ConnClosed)
-		e.ClosedLocally, e.NetworkBroken = own, p.networkBroken
+		e.ClosedLocally, e.NetworkBroken = local, p.networkBroken
 		p.recording.add(e)
 	}
 }
@@ -137,55 +137,55 @@
 
 func (s *tapSink) Malformed(*rtsp.MalformedError) {}
 func (s *tapSink) Frame(channel byte, payload []byte) {
-	if p := s.tap; p.player && s.fromFront && channel&1 == 0 {
-		if p.flow == nil {
-			p.flow = &Flow{ConnID: p.connID, From: s.at}
-			p.recording.mu.Lock()
-			p.recording.Flows = append(p.recording.Flows, p.flow)
-			p.recording.mu.Unlock()
+	if tap := s.tap; tap.player && s.fromFront && channel&1 == 0 {
+		if tap.flow == nil {
+			tap.flow = &Flow{ConnID: tap.connID, From: s.at}
+			tap.recording.mu.Lock()
+			tap.recording.Flows = append(tap.recording.Flows, tap.flow)
+			tap.recording.mu.Unlock()
 		}
-		i := int((s.at - p.flow.From) / bucketWidth)
-		for len(p.flow.Bytes) <= i {
-			p.flow.Bytes = append(p.flow.Bytes, 0)
+		bucket := int((s.at - tap.flow.From) / bucketWidth)
+		for len(tap.flow.Bytes) <= bucket {
+			tap.flow.Bytes = append(tap.flow.Bytes, 0)
 		}
-		p.flow.Bytes[i] += int32(len(payload))
+		tap.flow.Bytes[bucket] += int32(len(payload))
 	}
-	if p := s.tap; !p.firstFrameSeen && channel&1 == 0 && s.fromFront == p.player {
-		p.firstFrameSeen = true
-		e := p.entry(s.at, FirstFrame)
+	if tap := s.tap; !tap.firstFrameSeen && channel&1 == 0 && s.fromFront == tap.player {
+		tap.firstFrameSeen = true
+		e := tap.entry(s.at, FirstFrame)
 		e.FromFront = s.fromFront
-		p.recording.add(e)
+		tap.recording.add(e)
 	}
 }
-func (s *tapSink) Message(m *rtsp.Message) {
-	e := s.tap.entry(s.at, ResponseSent)
-	e.FromFront, e.CSeq, e.Status = s.fromFront, m.CSeq, m.Status
-	e.RequestID = m.Get("Request-Id")
-	e.Session, _ = rtsp.ParseSession(m.Get("Session"))
-	e.HasRetryAfter = m.Get("Retry-After") != ""
-	if m.IsRequest() {
-		e.Kind, e.Method = RequestSent, m.Method
-		if n, err := strconv.Atoi(m.Get("Try")); err == nil {
-			e.Try = n
+func (s *tapSink) Message(message *rtsp.Message) {
+	entry := s.tap.entry(s.at, ResponseSent)
+	entry.FromFront, entry.CSeq, entry.Status = s.fromFront, message.CSeq, message.Status
+	entry.RequestID = message.Get("Request-Id")
+	entry.Session, _ = rtsp.ParseSession(message.Get("Session"))
+	entry.HasRetryAfter = message.Get("Retry-After") != ""
+	if message.IsRequest() {
+		entry.Kind, entry.Method = RequestSent, message.Method
+		if n, err := strconv.Atoi(message.Get("Try")); err == nil {
+			entry.Try = n
 		}
-		if n, err := strconv.Atoi(m.Get("Rung")); err == nil {
-			e.Rung = n
+		if n, err := strconv.Atoi(message.Get("Rung")); err == nil {
+			entry.Rung = n
 		}
-		for _, x := range rtsp.ParseParameters(m.Body) {
-			if n, err := strconv.Atoi(x.Value); err == nil && x.Name == "rung" {
-				e.Rung = n
+		for _, parameter := range rtsp.ParseParameters(message.Body) {
+			if n, err := strconv.Atoi(parameter.Value); err == nil && parameter.Name == "rung" {
+				entry.Rung = n
 			}
 		}
-		path, _, _ := strings.Cut(strings.TrimPrefix(m.URI, "rtsp://"), "?")
-		if w := strings.Split(path, "/"); len(w) >= 3 {
-			e.Plan, e.Title = w[1], w[2]
+		path, _, _ := strings.Cut(strings.TrimPrefix(message.URI, "rtsp://"), "?")
+		if segments := strings.Split(path, "/"); len(segments) >= 3 {
+			entry.Plan, entry.Title = segments[1], segments[2]
 		}
 		if !s.tap.player && s.fromFront {
-			if a := m.Get("User-Agent"); a != "" {
-				s.tap.front = a
-				e.Front = a
+			if userAgent := message.Get("User-Agent"); userAgent != "" {
+				s.tap.front = userAgent
+				entry.Front = userAgent
 			}
 		}
 	}
-	s.tap.recording.add(e)
+	s.tap.recording.add(entry)
 }
