--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -19,6 +19,7 @@
 // Baselines returns the names of the baseline policies.
 func Baselines() []string { return sortedKeys(baselines) }
 
+// picker chooses a server for a request, or -1 for none.
 type picker func(*baseline, *session.Request) int
 
 // baseline tries each playback once, at a server that its picker chooses, and rejects or aborts it if that fails.
@@ -36,6 +37,7 @@
 	moving       []int
 }
 
+// baselinePlayback is a playback that a baseline decides on.
 type baselinePlayback struct {
 	session.Request
 	server   int
--- a/internal/lab/consistency.go
+++ b/internal/lab/consistency.go
@@ -12,10 +12,10 @@
 
 // requestIDs returns the request identifiers of a viewer's attempts, in order.
 func (p *Play) requestIDs(profile *player.Profile) (ids []string) {
-	for attempt := range p.Day.MaxRetries + 1 {
+	for retry := range p.Day.MaxRetries + 1 {
 		id := profile.ID
-		if attempt > 0 {
-			id += "." + strconv.Itoa(attempt)
+		if retry > 0 {
+			id += "." + strconv.Itoa(retry)
 		}
 		ids = append(ids, id)
 	}
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -14,10 +14,11 @@
 	addr   string
 }
 
+// relayPipe is the state of one side of a relayed connection.
 type relayPipe struct {
 	mu      sync.Mutex
 	peer    *nbio.Conn
-	pending []byte
+	pending []byte // received before the upstream connection opened
 }
 
 // NewRelay listens on an address and forwards each connection to another.
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -431,8 +431,9 @@
 }
 
 // checkRetryBudget checks rule 6: in any window of RetrySpan a manager's further tries stay within FreeRetries plus
-// RetryShare of the playbacks that it accepted. A manager that was killed restarts its count, as it keeps no state. A try counts
-// from the opening of its connection, which is when it was decided: a manager that is then paused sends SETUP later.
+// RetryShare of the playbacks that it accepted. A manager that was killed starts counting anew, as it cannot know of
+// its earlier tries. A try counts from the opening of its connection, which is when it was decided: a manager that is
+// then paused sends its SETUP later.
 func checkRetryBudget(entries []Entry, tries []*attempt, players []*asked, b *Bounds) Verdict {
 	v := Verdict{Rule: 6, Name: "further tries stay within their budget"}
 	terms := &b.Site.Terms
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -97,15 +97,17 @@
 	mu                                          sync.Mutex // guards Tally: on loopback sockets the hosts run concurrently
 }
 
+// boxState is a box of the day, with the state that the list reports.
 type boxState struct {
 	name, zone string
 	cell       int
 	state      session.ServerState
 	started    Time
 	inTrouble  bool // a trouble applies to it now
-	starts     int
+	starts     int  // number of processes started so far
 }
 
+// frontState is a session manager of the day.
 type frontState struct {
 	name, zone string
 	index      int
@@ -192,9 +194,9 @@
 		p.orphanSamples++
 		for _, b := range p.boxes {
 			p.stage.Call(b.name, func(c core.Core) {
-				if x, ok := c.(*mediabox.Box); ok {
+				if box, ok := c.(*mediabox.Box); ok {
 					p.mu.Lock()
-					p.orphanSum += float64(x.OrphanedSessions())
+					p.orphanSum += float64(box.OrphanedSessions())
 					p.mu.Unlock()
 				}
 			})
@@ -207,11 +209,11 @@
 
 // Length returns the time until every request of the day has been answered and every playback has ended.
 func (p *Play) Length() Time {
-	watch, abandon := Time(0), Time(0)
-	for _, x := range p.Day.Plans {
-		watch, abandon = max(watch, x.Watch[1]), max(abandon, x.Abandon)
+	longestWatch, longestAbandon := Time(0), Time(0)
+	for _, plan := range p.Day.Plans {
+		longestWatch, longestAbandon = max(longestWatch, plan.Watch[1]), max(longestAbandon, plan.Abandon)
 	}
-	return p.Day.Length + Time(p.Day.MaxRetries+1)*(watch+2*abandon+p.Day.RetryDelay)
+	return p.Day.Length + Time(p.Day.MaxRetries+1)*(longestWatch+2*longestAbandon+p.Day.RetryDelay)
 }
 
 func (p *Play) zoneName(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
@@ -228,9 +230,9 @@
 }
 
 // Service returns the configuration of the day's front with the given index.
-func (d *Day) Service(number int) *front.Config {
-	config := &front.Config{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
-		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(number)},
+func (d *Day) Service(index int) *front.Config {
+	config := &front.Config{Name: "front-" + strconv.Itoa(index), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
+		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(index)},
 		Bounds: front.Bounds{Connections: 20000, Playbacks: 8000, Pipelined: 16, PlayerBytes: 256 << 10}}
 	for i := range d.Zones {
 		config.Zones = append(config.Zones, "zone-"+strconv.Itoa(i))
@@ -255,7 +257,7 @@
 		}
 		config.Quality = quality.New(measures, 0)
 	}
-	config.Site.Front, config.Site.Zone = number, number%d.Zones
+	config.Site.Front, config.Site.Zone = index, index%d.Zones
 	return config
 }
 
@@ -328,14 +330,14 @@
 }
 
 // wrapFront adds a registry client to a front if the day has a registry.
-func (p *Play) wrapFront(x *front.Front, f *frontState) core.Core {
+func (p *Play) wrapFront(manager *front.Front, f *frontState) core.Core {
 	if p.registry != nil {
-		return p.registry.listen(x, f.name)
+		return p.registry.listen(manager, f.name)
 	}
-	return x
+	return manager
 }
 
-// tell sends a front the current list entries of some boxes.
+// sendList sends a front the current list entries of some boxes.
 func (p *Play) sendList(f *frontState, boxes []*boxState, complete bool) {
 	update := front.ListUpdate{Complete: complete}
 	for _, b := range boxes {
@@ -557,8 +559,8 @@
 // changeFaults changes the faults of a box if it is running.
 func (p *Play) changeFaults(b *boxState, change func(*mediabox.Faults)) {
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
-			change(&x.Faults)
+		if box, ok := c.(*mediabox.Box); ok {
+			change(&box.Faults)
 		}
 	})
 }
@@ -705,8 +707,8 @@
 	p.tape.Killed(p.stage.Now(), b.name)
 	p.collectBox(b)
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
-			x.ReleaseUplink()
+		if box, ok := c.(*mediabox.Box); ok {
+			box.ReleaseUplink()
 		}
 		p.stage.At(p.stage.Now(), func() { p.stage.Kill(b.name, silent) })
 	})
@@ -725,13 +727,13 @@
 
 func (p *Play) collectBox(b *boxState) {
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
+		if box, ok := c.(*mediabox.Box); ok {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.Tally.Fell += x.Counts.Crashes
-			p.Tally.Setups += x.Counts.Setups
-			p.packetsSent += x.Counts.Packets
-			x.Faults.Unresponsive = true // its packets are counted already, so it must not send more before it ends
+			p.Tally.Fell += box.Counts.Crashes
+			p.Tally.Setups += box.Counts.Setups
+			p.packetsSent += box.Counts.Packets
+			box.Faults.Unresponsive = true // its packets are counted already, so it must not send more before it ends
 		}
 	})
 }
@@ -749,12 +751,12 @@
 
 func (p *Play) collectFront(f *frontState) {
 	p.stage.Call(f.name, func(c core.Core) {
-		if x := frontOf(c); x != nil {
+		if manager := frontOf(c); manager != nil {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			addStats(&p.Tally.Fronts, &x.Figures)
-			if x.Quality != nil {
-				p.serviceOf(x.Quality)
+			addStats(&p.Tally.Fronts, &manager.Figures)
+			if manager.Quality != nil {
+				p.serviceOf(manager.Quality)
 			}
 		}
 	})
--- a/internal/lab/score.go
+++ b/internal/lab/score.go
@@ -17,13 +17,14 @@
 	minShareDivisor = 40 // only plans and tenants with more than 1/40 of the offered revenue count as the worst
 )
 
-// Worth is the score of a day as its users value it: for each half second in which a viewer wants to watch, offered is its
-// plan's revenue at the highest rung that it can use, and earned is the revenue at the rung in force, times the share that was
-// delivered, if the playback started within its startup target. All of it is computed from the recorded traffic.
+// Worth is the score of a day as its users value it. For each half second in which a viewer wants to watch, offered is
+// its plan's revenue at the highest rung that it can use. Earned is the revenue at the rung in force times the share
+// that was delivered, if the playback started within its startup target. All of it is computed from the recorded
+// traffic.
 type Worth struct {
-	Whole, Worst, WorstPlan, WorstTenant float64 // earned over offered: of the day, of the worst 10 s, of the worst plan and tenant
-	Prices                               float64 // cost of zone crossings, moves, probes and rung changes, as a share of the offered revenue
-	Goal                                 float64
+	Whole, Worst, WorstPlan, WorstTenant float64   // earned over offered: of the day, of the worst 10 s, of the worst plan and tenant
+	Prices                               float64   // cost of zone crossings, moves, probes and rung changes, on the scale of Whole
+	Goal                                 float64   // weighted sum of Whole, Worst and WorstPlan, less Prices
 	Best                                 float64   // upper bound of Whole, from the capacity of links and uplinks
 	Offered, Earned                      []float64 // for each half second
 	Possible                             []float64
@@ -38,6 +39,7 @@
 	Unserved, Late, LowRung, Short float64
 }
 
+// rungSpan is the rung and box of a playback from a time on.
 type rungSpan struct {
 	from Time
 	rung int
@@ -260,10 +262,10 @@
 	return sum
 }
 
-// estimatePossible estimates the most revenue that could be earned in each half second: the capacity of ready boxes' links and uplinks
-// is shared among the viewers, one rung step at a time, the steps with
-// the most revenue per kB first; a further viewer of a live title costs only the join share of its rate. No policy can earn more on
-// these links, except by chance in who watches what; the cost of set-ups and the limits of cold boxes are not counted.
+// estimatePossible estimates the most revenue that could be earned in each half second. It shares the capacity of the
+// ready boxes' links and uplinks among the viewers, one rung step at a time, the steps with the most revenue per kB
+// first; a further viewer of a live title costs only the join share of its rate. No policy can earn more on these
+// links, except by chance in who watches what; the cost of set-ups and the limits of cold boxes are not counted.
 func (p *Play) estimatePossible(score *Worth) {
 	day := p.Day
 	bucketCount := len(score.Offered)
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -24,7 +24,7 @@
 	What      string // "worth" for lost revenue, or "answers" for failed, abandoned and late playbacks, whatever the capacity
 }
 
-// Found is a day found by a search.
+// FoundDay is a day found by a search.
 type FoundDay struct {
 	Text   string
 	Row    *Row
@@ -48,8 +48,8 @@
 }
 
 const (
-	keptBadness     = 0.9 // share of a day's badness that a minimized day must keep
-	maxTroubleLines = 12
+	keptBadness     = 0.9  // share of a day's badness that a minimized day must keep
+	maxTroubleLines = 12   // of a mutated day
 	maxChange       = 0.35 // largest relative change of a parameter
 )
 
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -28,14 +28,14 @@
 // EntryKind is the kind of a recorded entry.
 type EntryKind uint8
 
-// The kinds of entries.
+// The kinds of entries: of connections, of messages on them, and of processes.
 const (
 	Up EntryKind = iota
 	ConnClosed
-	RequestSent  // a request
-	ResponseSent // a response
-	FirstFrame   // the first RTP frame of a connection
-	StateNotified
+	RequestSent   // a request
+	ResponseSent  // a response
+	FirstFrame    // the first RTP frame of a connection
+	StateNotified // a manager was notified of a box's state
 	ProcessKilled
 	ProcessStarted
 	ProcessPaused // a process was paused from At until Until, so nothing could answer
@@ -104,12 +104,12 @@
 	flow                    *Flow
 }
 
-func (t *Tape) tap(place, front string, player bool) *tap {
+func (t *Tape) tap(host, front string, player bool) *tap {
 	t.mu.Lock()
 	t.connCount++
 	connID := t.connCount
 	t.mu.Unlock()
-	return &tap{recording: t, connID: connID, host: place, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
+	return &tap{recording: t, connID: connID, host: host, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
 		fromHost: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 }
 
@@ -129,6 +129,7 @@
 func (p *tap) received(at Time, b []byte) { _ = p.toHost.Feed(b, &tapSink{p, at, true}) }
 func (p *tap) sent(at Time, b []byte)     { _ = p.fromHost.Feed(b, &tapSink{p, at, false}) }
 
+// tapSink adds the messages and frames that a parser finds to the recording.
 type tapSink struct {
 	tap       *tap
 	at        Time
--- a/internal/lab/virtualnet.go
+++ b/internal/lab/virtualnet.go
@@ -74,6 +74,7 @@
 	tap         *tap
 }
 
+// netEvent is something that happens at a time: at a host, or, without one, outside of any core.
 type netEvent struct {
 	at         Time
 	sequence   uint64
@@ -87,6 +88,7 @@
 	from       string
 }
 
+// The kinds of network events.
 const (
 	eventWake = iota
 	eventAccept
