--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -19,724 +19,726 @@
 	"pierlink/session"
 )
 
-// Stage is where a day is played: the virtual network, or loopback sockets.
-type Stage interface {
+// Environment is what a day runs on: the virtual network, or loopback sockets.
+type Environment interface {
 	Now() Time
-	At(at Time, call func())
+	At(at Time, run func())
 	Start(name, zone string, build func(core.Net) core.Core)
 	Addr(name string) string
 	Kill(name string, silent bool)
-	Call(name string, call func(core.Core)) // within a turn of the host
-	Stand(name string, span Time)
-	CutZones(a, b string, span Time)
+	Call(name string, run func(core.Core)) // runs it within one of the host's event loop turns
+	Stand(name string, duration Time)
+	CutZones(a, b string, duration Time)
 	Player(name string)
 }
 
-// Tally is how a day went, as players and boxes counted it.
+// Tally holds the totals of a day as players and boxes counted them.
 type Tally struct {
-	Asked, Played, Refused, Failed, Abandoned, Lost, Done int
-	Packets, Gaps                                         int
-	Bytes                                                 int64
-	Requests, Answers, Unasked                            int
-	ByKind                                                map[string]int // troubles played
-	Startup                                               []Time
-	Fell, Setups                                          int
-	Moved                                                 int
-	SentOn                                                int // told while they played to go elsewhere
-	Revenue, Offered                                      float64
-	ByLate                                                []float64   // revenue by tenth of a second since the day began
-	Fronts                                                front.Stats // added up over all that ran
-}
-
-// Broken makes a front that breaks a rule on purpose, to show that its checker catches it: it may change
-// what the module is told, or the network that the front sends by.
-type Broken struct {
-	Site   func(*session.Site)
-	List   func(front.ListUpdate) front.ListUpdate
-	Net    func(core.Net) core.Net
-	Module func(session.Manager) session.Manager // changes what the module hears
-	Seed   uint64                                // other draws of the module's chance
-}
-
-// Play is a day under way.
+	Asked, Played, Rejected, Failed, Abandoned, Lost, Completed int
+	Packets, Gaps                                               int
+	Bytes                                                       int64
+	Requests, Responses, Unasked                                int
+	ByKind                                                      map[string]int // troubles applied, by kind
+	StartupTimes                                                []Time
+	Fell, Setups                                                int
+	Redirected                                                  int
+	SentOn                                                      int // redirected while playing
+	Revenue, Offered                                            float64
+	RevenueByTenth                                              []float64   // revenue per tenth of a second since the start of the day
+	Fronts                                                      front.Stats // summed over all front processes
+}
+
+// FaultyFront makes a front break a rule on purpose, to show that the rule's checker reports it: it may change
+// the module's input, or the network that the front sends on.
+type FaultyFront struct {
+	ChangeSite func(*session.Site)
+	List       func(front.ListUpdate) front.ListUpdate
+	WrapNet    func(core.Net) core.Net
+	WrapModule func(session.Manager) session.Manager // wraps the module to change its input
+	SeedMask   uint64                                // XORed into the seed of the module's random source
+}
+
+// Play is the state of a running day.
 type Play struct {
-	Day                            *Day
-	Tally                          Tally
-	stage                          Stage
-	tape                           *Tape
-	rng                            *rand.Rand
-	began                          Time
-	boxes                          []*boxState
-	racks                          []*mediabox.Rack
-	fronts                         []*frontState
-	surge                          float64
-	repeat                         float64
-	leave                          float64
-	crowd                          float64
-	asked                          int
-	slowRack                       int // of the trouble of that name
-	service                        map[quality.Group]quality.Totals
-	broken                         *Broken
-	log                            *zap.Logger
-	zipf                           []float64
-	Log                            []*Logged // of days with tenants
-	byWant                         map[*player.Profile]*Logged
-	room                           *newsroom  // where the day has a registry
-	out                            *Processes // where managers are processes of their own
-	paid                           map[*player.Profile]bool
-	Orphans                        float64 // places that they take, mean over the day
-	orphaned, looks                float64
-	Seen                           []player.Result // where managers are processes of their own
-	wants                          []*player.Profile
-	askedAt                        map[*player.Profile]Time
-	zoneOf                         map[string]string
-	gives, fills, fullest, waiting []float64 // each half second, on the virtual network
-	sent                           int       // packets, by boxes
-	Odd                            int       // things that do not add up
-	Oddities                       []string
-	mu                             sync.Mutex // of the tally: on sockets the hosts run side by side
-}
-
+	Day                                         *Day
+	Tally                                       Tally
+	stage                                       Environment
+	tape                                        *Tape
+	rng                                         *rand.Rand
+	began                                       Time
+	boxes                                       []*boxState
+	racks                                       []*mediabox.Rack
+	fronts                                      []*frontState
+	surgeFactor                                 float64
+	duplicateShare                              float64
+	earlyLeaveShare                             float64
+	crowdShare                                  float64
+	viewerCount                                 int
+	slowRack                                    int // rack chosen by the slow-rack trouble
+	service                                     map[quality.Group]quality.Totals
+	broken                                      *FaultyFront
+	log                                         *zap.Logger
+	cumulativeZipf                              []float64
+	Log                                         []*TenantViewer // only for days with tenants
+	viewerByProfile                             map[*player.Profile]*TenantViewer
+	registry                                    *newsroom  // nil if the day has no registry
+	processes                                   *Processes // only where managers are separate processes
+	revenueCounted                              map[*player.Profile]bool
+	Orphans                                     float64 // mean number of sessions without a connection over the day
+	orphanSum, orphanSamples                    float64
+	Seen                                        []player.Result // only where managers are separate processes
+	profiles                                    []*player.Profile
+	requestedAt                                 map[*player.Profile]Time
+	zoneByHost                                  map[string]string
+	capacityKB, meanFills, maxFills, unanswered []float64 // sampled each half second, on the virtual network only
+	packetsSent                                 int       // RTP packets sent by boxes
+	Odd                                         int       // failed consistency checks of the emulation
+	Oddities                                    []string
+	mu                                          sync.Mutex // guards Tally: on loopback sockets the hosts run concurrently
+}
+
+// boxState is a box of the day, with the state that the list reports.
 type boxState struct {
 	name, zone string
 	cell       int
 	state      session.ServerState
 	started    Time
-	busy       bool // some trouble has it
-	starts     int
+	inTrouble  bool // a trouble applies to it now
+	starts     int  // number of processes started so far
 }
 
+// frontState is a session manager of the day.
 type frontState struct {
 	name, zone string
-	number     int
+	index      int
 	up         bool
 	starts     uint64
-	journal    memory
+	journal    memoryJournal
 }
 
-// memory is a journal that outlives the manager that writes it.
-type memory map[string]life.Orphan
+// memoryJournal is an in-memory journal that outlives the manager process that writes it.
+type memoryJournal map[string]life.Orphan
 
-func (m memory) Opened(o life.Orphan) { m[o.Name] = o }
-func (m memory) Ended(name string)    { delete(m, name) }
+func (m memoryJournal) Opened(orphan life.Orphan) { m[orphan.Name] = orphan }
+func (m memoryJournal) Ended(name string)         { delete(m, name) }
 
-// Begin puts a day's fleet on a stage and its script before it.
-func Begin(d *Day, s Stage, tape *Tape, broken *Broken, log *zap.Logger) *Play {
-	return begin(d, s, tape, broken, log, nil)
+// Begin starts a day's fleet in an environment and schedules its load and troubles.
+func Begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger) *Play {
+	return begin(day, env, recording, faulty, log, nil)
 }
 
-func begin(d *Day, s Stage, tape *Tape, broken *Broken, log *zap.Logger, out *Processes) *Play {
-	p := &Play{Day: d, stage: s, tape: tape, rng: rand.New(rand.NewPCG(d.Seed, 0xda1)), began: s.Now(), surge: 1,
-		broken: broken, log: log, askedAt: map[*player.Profile]Time{}, zoneOf: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
-	if p.out = out; out != nil {
-		out.play = p
+func begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger, processes *Processes) *Play {
+	p := &Play{Day: day, stage: env, tape: recording, rng: rand.New(rand.NewPCG(day.Seed, 0xda1)), began: env.Now(), surgeFactor: 1,
+		broken: faulty, log: log, requestedAt: map[*player.Profile]Time{}, zoneByHost: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
+	if p.processes = processes; processes != nil {
+		processes.play = p
 	}
-	total := 0.0
-	for i := range d.Titles {
-		total += math.Pow(float64(i+1), -d.Zipf)
-		p.zipf = append(p.zipf, total)
+	totalWeight := 0.0
+	for i := range day.Titles {
+		totalWeight += math.Pow(float64(i+1), -day.ZipfExponent)
+		p.cumulativeZipf = append(p.cumulativeZipf, totalWeight)
 	}
-	for range d.Racks {
-		p.racks = append(p.racks, &mediabox.Rack{UplinkKB: d.UplinkKB})
+	for range day.Racks {
+		p.racks = append(p.racks, &mediabox.Rack{UplinkKB: day.UplinkKB})
 	}
-	if d.Registry != nil {
-		p.room = newRoom(p, d.Registry)
+	if day.Registry != nil {
+		p.registry = newRoom(p, day.Registry)
 	}
-	for i := range d.Boxes {
-		b := &boxState{name: "box-" + strconv.Itoa(i), zone: p.zone(i), cell: i, state: session.Ready}
+	for i := range day.Boxes {
+		b := &boxState{name: "box-" + strconv.Itoa(i), zone: p.zoneName(i), cell: i, state: session.Ready}
 		p.boxes = append(p.boxes, b)
-		p.zoneOf[b.name] = b.zone
+		p.zoneByHost[b.name] = b.zone
 		p.startBox(b, 0)
-		if p.room != nil {
-			p.room.box(b)
+		if p.registry != nil {
+			p.registry.box(b)
 		}
-		if p.out != nil {
-			p.out.box(b)
+		if p.processes != nil {
+			p.processes.box(b)
 		}
 	}
-	for i := range d.Managers {
-		f := &frontState{name: "front-" + strconv.Itoa(i), zone: p.zone(i), number: i}
+	for i := range day.Managers {
+		f := &frontState{name: "front-" + strconv.Itoa(i), zone: p.zoneName(i), index: i}
 		p.fronts = append(p.fronts, f)
-		p.zoneOf[f.name] = f.zone
+		p.zoneByHost[f.name] = f.zone
 		p.startFront(f)
 	}
-	s.Player("players")
-	s.Start("players", "", func(n core.Net) core.Core {
-		c := player.New(n, s.Now())
-		c.Report = p.report
-		return c
+	env.Player("players")
+	env.Start("players", "", func(n core.Net) core.Core {
+		group := player.New(n, env.Now())
+		group.Report = p.recordResult
+		return group
 	})
-	if len(d.Tenants) == 0 {
-		p.at(0, p.arrive)
-	}
-	for i := range d.Tenants {
-		for n := range d.Tenants[i].Count {
-			x := &d.Tenants[i]
-			name := x.Name
-			if x.Count > 1 {
+	if len(day.Tenants) == 0 {
+		p.at(0, p.startViewer)
+	}
+	for i := range day.Tenants {
+		for n := range day.Tenants[i].Count {
+			tenant := &day.Tenants[i]
+			name := tenant.Name
+			if tenant.Count > 1 {
 				name += "-" + strconv.Itoa(n)
 			}
-			p.at(x.From+Time(p.rng.ExpFloat64()/x.Rate*1e6), func() { p.arriveOf(x, name) })
+			p.at(tenant.From+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 		}
 	}
-	p.at(core.Second, p.lookAtOrphans)
-	for _, t := range d.Troubles {
-		p.at(t.At, func() { p.trouble(t) })
+	p.at(core.Second, p.sampleOrphans)
+	for _, trouble := range day.Troubles {
+		p.at(trouble.At, func() { p.applyTrouble(trouble) })
 	}
 	return p
 }
 
-// lookAtOrphans counts, ten times a second, the places that sessions without a connection take.
-func (p *Play) lookAtOrphans() {
-	if p.Day.Frame.KeepSessionsOnClose && p.out == nil {
-		p.looks++
+// sampleOrphans counts, ten times a second, the box sessions that have no connection.
+func (p *Play) sampleOrphans() {
+	if p.Day.Frame.KeepSessionsOnClose && p.processes == nil {
+		p.orphanSamples++
 		for _, b := range p.boxes {
 			p.stage.Call(b.name, func(c core.Core) {
-				if x, ok := c.(*mediabox.Box); ok {
+				if box, ok := c.(*mediabox.Box); ok {
 					p.mu.Lock()
-					p.orphaned += float64(x.OrphanedSessions())
+					p.orphanSum += float64(box.OrphanedSessions())
 					p.mu.Unlock()
 				}
 			})
 		}
 		if now := p.stage.Now() - p.began; now < p.Day.Length {
-			p.at(now+core.Second/10, p.lookAtOrphans)
+			p.at(now+core.Second/10, p.sampleOrphans)
 		}
 	}
 }
 
-// Length is how long the day takes until all has been answered and ended.
+// Length returns the time until every request of the day has been answered and every playback has ended.
 func (p *Play) Length() Time {
-	watch, abandon := Time(0), Time(0)
-	for _, x := range p.Day.Plans {
-		watch, abandon = max(watch, x.Watch[1]), max(abandon, x.Abandon)
+	longestWatch, longestAbandon := Time(0), Time(0)
+	for _, plan := range p.Day.Plans {
+		longestWatch, longestAbandon = max(longestWatch, plan.Watch[1]), max(longestAbandon, plan.Abandon)
 	}
-	return p.Day.Length + Time(p.Day.Returns+1)*(watch+2*abandon+p.Day.Break)
+	return p.Day.Length + Time(p.Day.MaxRetries+1)*(longestWatch+2*longestAbandon+p.Day.RetryDelay)
 }
 
-func (p *Play) zone(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
+func (p *Play) zoneName(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
 
-func (p *Play) at(after Time, call func()) { p.stage.At(p.began+after, call) }
+func (p *Play) at(offset Time, run func()) { p.stage.At(p.began+offset, run) }
 
-func (p *Play) startBox(b *boxState, started Time) {
-	f := p.Day.Frame
-	f.Name, f.Rack, f.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], started
+func (p *Play) startBox(b *boxState, startedAt Time) {
+	config := p.Day.Frame
+	config.Name, config.Rack, config.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], startedAt
 	b.starts++
-	f.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
-	p.tape.Began(p.stage.Now(), b.name, started)
-	p.stage.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(f, n, p.stage.Now()) })
+	config.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
+	p.tape.Began(p.stage.Now(), b.name, startedAt)
+	p.stage.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(config, n, p.stage.Now()) })
 }
 
-// Service is what the day's front of a number is told.
-func (d *Day) Service(number int) *front.Config {
-	s := &front.Config{Name: "front-" + strconv.Itoa(number), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
-		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(number)},
+// Service returns the configuration of the day's front with the given index.
+func (d *Day) Service(index int) *front.Config {
+	config := &front.Config{Name: "front-" + strconv.Itoa(index), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
+		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(index)},
 		Bounds: front.Bounds{Connections: 20000, Playbacks: 8000, Pipelined: 16, PlayerBytes: 256 << 10}}
 	for i := range d.Zones {
-		s.Zones = append(s.Zones, "zone-"+strconv.Itoa(i))
+		config.Zones = append(config.Zones, "zone-"+strconv.Itoa(i))
 	}
-	for _, x := range d.Plans {
-		s.Plans = append(s.Plans, x.PlanProfile)
+	for _, plan := range d.Plans {
+		config.Plans = append(config.Plans, plan.PlanProfile)
 	}
-	if d.Door != nil {
-		t := *d.Door
-		t.TokenSecret, t.WithholdRetryTime = s.Secret, d.Silent
-		for _, p := range d.Site.Plans {
-			t.StartupTarget = max(t.StartupTarget, p.StartupTarget)
+	if d.Queue != nil {
+		queue := *d.Queue
+		queue.TokenSecret, queue.WithholdRetryTime = config.Secret, d.Silent
+		for _, sitePlan := range d.Site.Plans {
+			queue.StartupTarget = max(queue.StartupTarget, sitePlan.StartupTarget)
 		}
-		s.Queue = &t
-		s.Bounds.Connections = 200000
+		config.Queue = &queue
+		config.Bounds.Connections = 200000
 	}
-	s.OnAnswered = d.Told
+	config.OnAnswered = d.Told
 	if d.figures {
-		t := quality.Config{RungWorth: s.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
-		for _, x := range s.Site.Plans {
-			t.Plans = append(t.Plans, quality.Plan{Startup: x.StartupTarget, Revenue: x.Revenue})
+		measures := quality.Config{RungWorth: config.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
+		for _, plan := range config.Site.Plans {
+			measures.Plans = append(measures.Plans, quality.Plan{Startup: plan.StartupTarget, Revenue: plan.Revenue})
 		}
-		s.Quality = quality.New(t, 0)
+		config.Quality = quality.New(measures, 0)
 	}
-	s.Site.Front, s.Site.Zone = number, number%d.Zones
-	return s
+	config.Site.Front, config.Site.Zone = index, index%d.Zones
+	return config
 }
 
 func (p *Play) startFront(f *frontState) {
-	if p.out != nil {
+	if p.processes != nil {
 		f.starts++
-		p.out.start(f)
+		p.processes.start(f)
 		return
 	}
-	s := p.Day.Service(f.number)
-	s.Secret = append(s.Secret, byte(f.starts)) // what it names is not what an earlier process named
-	var left []life.Orphan
+	config := p.Day.Service(f.index)
+	config.Secret = append(config.Secret, byte(f.starts)) // session and playback names differ from those of an earlier process
+	var orphans []life.Orphan
 	if p.Day.Recover {
 		for _, name := range sortedKeys(f.journal) {
-			left = append(left, f.journal[name])
+			orphans = append(orphans, f.journal[name])
 		}
-		f.journal = memory{}
-		s.Journal = f.journal
+		f.journal = memoryJournal{}
+		config.Journal = f.journal
 	}
 	if p.Day.doors != nil {
-		if err := p.Day.doors.equip(s, p.Day.Seed<<8+uint64(f.number)); err != nil {
-			p.log.Error("no gate", zap.Error(err))
+		if err := p.Day.doors.equip(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
+			p.log.Error("front started without its directory and TLS configuration", zap.Error(err))
 		}
 	}
-	told := s.Site
-	if p.broken != nil && p.broken.Site != nil {
-		p.broken.Site(&told)
+	changedSite := config.Site
+	if p.broken != nil && p.broken.ChangeSite != nil {
+		p.broken.ChangeSite(&changedSite)
 	}
 	f.starts++
 	p.tape.Began(p.stage.Now(), f.name, 0)
-	seed := p.Day.Seed*1000 + uint64(f.number) + f.starts<<32
+	seed := p.Day.Seed*1000 + uint64(f.index) + f.starts<<32
 	if p.broken != nil {
-		seed ^= p.broken.Seed
+		seed ^= p.broken.SeedMask
 	}
 	p.stage.Start(f.name, f.zone, func(n core.Net) core.Core {
-		if p.broken != nil && p.broken.Net != nil {
-			n = p.broken.Net(n)
+		if p.broken != nil && p.broken.WrapNet != nil {
+			n = p.broken.WrapNet(n)
 		}
 		now := p.stage.Now()
-		site := &told
-		if p.broken == nil || p.broken.Site == nil {
-			site = &s.Site
+		site := &changedSite
+		if p.broken == nil || p.broken.ChangeSite == nil {
+			site = &config.Site
 		}
 		var module session.Manager = policy.New(site, seed, now)
-		if make := baselines[p.Day.Policy]; make != nil {
-			module = make(site, seed)
+		if newPolicy := baselines[p.Day.Policy]; newPolicy != nil {
+			module = newPolicy(site, seed)
 		}
-		if p.broken != nil && p.broken.Module != nil {
-			module = p.broken.Module(module)
+		if p.broken != nil && p.broken.WrapModule != nil {
+			module = p.broken.WrapModule(module)
 		}
-		x := front.New(s, module, n, p.log, now)
-		return p.made(x, f)
+		manager := front.New(config, module, n, p.log, now)
+		return p.wrapFront(manager, f)
 	})
 	f.up = true
 	if p.Day.doors != nil {
 		if err := p.Day.doors.opened(f.name); err != nil {
-			p.log.Error("no door under TLS", zap.Error(err))
+			p.log.Error("front started without its TLS listener", zap.Error(err))
 		}
 	}
-	if len(left) > 0 {
-		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(left, nil) })
+	if len(orphans) > 0 {
+		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(orphans, nil) })
 	}
-	if p.room != nil {
-		p.room.manager(f)
+	if p.registry != nil {
+		p.registry.manager(f)
 		return
 	}
-	var whole []*boxState
-	whole = append(whole, p.boxes...)
-	p.tell(f, whole, true)
+	var allBoxes []*boxState
+	allBoxes = append(allBoxes, p.boxes...)
+	p.sendList(f, allBoxes, true)
 }
 
-// made gives a front its ear, where it is to hear of boxes from a registry.
-func (p *Play) made(x *front.Front, f *frontState) core.Core {
-	if p.room != nil {
-		return p.room.listen(x, f.name)
+// wrapFront adds a registry client to a front if the day has a registry.
+func (p *Play) wrapFront(manager *front.Front, f *frontState) core.Core {
+	if p.registry != nil {
+		return p.registry.listen(manager, f.name)
 	}
-	return x
+	return manager
 }
 
-// tell brings a front the list's lines of some boxes as they stand now.
-func (p *Play) tell(f *frontState, boxes []*boxState, whole bool) {
-	l := front.ListUpdate{Complete: whole}
+// sendList sends a front the current list entries of some boxes.
+func (p *Play) sendList(f *frontState, boxes []*boxState, complete bool) {
+	update := front.ListUpdate{Complete: complete}
 	for _, b := range boxes {
-		l.Servers = append(l.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
+		update.Servers = append(update.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
 			Cell: b.cell, Weight: 1, State: b.state, Started: b.started})
 	}
 	p.stage.Call(f.name, func(c core.Core) {
-		for _, s := range l.Servers {
+		for _, s := range update.Servers {
 			p.tape.Told(p.stage.Now(), f.name, s.Name, s.State, s.Started)
 		}
 		if p.broken != nil && p.broken.List != nil {
-			l = p.broken.List(l)
+			update = p.broken.List(update)
 		}
-		c.(*front.Front).UpdateList(l)
+		c.(*front.Front).UpdateList(update)
 	})
 }
 
-// news brings all fronts a box's line, each a little later than it changed.
-func (p *Play) news(b *boxState, state session.ServerState, after Time) {
-	if p.out != nil {
-		starts := b.starts
-		p.stage.At(p.stage.Now()+after, func() {
-			if b.state == state && b.starts == starts {
-				p.out.box(b)
+// announceState sends all fronts a box's list entry, each after a random delay within the day's NoticeSpread.
+func (p *Play) announceState(b *boxState, state session.ServerState, delay Time) {
+	if p.processes != nil {
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+delay, func() {
+			if b.state == state && b.starts == startCount {
+				p.processes.box(b)
 			}
 		})
 		return
 	}
-	if p.room != nil {
-		starts := b.starts
-		p.stage.At(p.stage.Now()+after, func() {
-			if b.state == state && b.starts == starts {
-				p.room.box(b)
+	if p.registry != nil {
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+delay, func() {
+			if b.state == state && b.starts == startCount {
+				p.registry.box(b)
 			}
 		})
 		return
 	}
 	for _, f := range p.fronts {
-		late := after + Time(p.rng.Float64()*float64(p.Day.NoticeSpread))
-		starts := b.starts
-		p.stage.At(p.stage.Now()+late, func() {
-			if b.state == state && b.starts == starts && f.up {
-				p.tell(f, []*boxState{b}, false)
+		frontDelay := delay + Time(p.rng.Float64()*float64(p.Day.NoticeSpread))
+		startCount := b.starts
+		p.stage.At(p.stage.Now()+frontDelay, func() {
+			if b.state == state && b.starts == startCount && f.up {
+				p.sendList(f, []*boxState{b}, false)
 			}
 		})
 	}
 }
 
-// arrive has the next viewer come.
-func (p *Play) arrive() {
-	d := p.Day
+// startViewer starts the next viewer and schedules the one after it.
+func (p *Play) startViewer() {
+	day := p.Day
 	now := p.stage.Now() - p.began
-	if now >= d.Length {
+	if now >= day.Length {
 		return
 	}
-	w := p.want()
-	p.asked++
+	profile := p.drawProfile()
+	p.viewerCount++
 	p.mu.Lock()
-	p.Tally.Offered += p.revenue(w)
+	p.Tally.Offered += p.planRevenue(profile)
 	p.mu.Unlock()
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
-	gap := p.rng.ExpFloat64() / (d.Rate * p.surge)
-	p.at(now+Time(gap*1e6), p.arrive)
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	gap := p.rng.ExpFloat64() / (day.Rate * p.surgeFactor)
+	p.at(now+Time(gap*1e6), p.startViewer)
 }
 
-// arriveOf has a tenant's next viewer come.
-func (p *Play) arriveOf(t *DayTenant, name string) {
+// startTenantViewer starts a tenant's next viewer and schedules the one after it.
+func (p *Play) startTenantViewer(tenant *DayTenant, name string) {
 	now := p.stage.Now() - p.began
-	if now >= min(t.Until, p.Day.Length) {
+	if now >= min(tenant.Until, p.Day.Length) {
 		return
 	}
-	w := p.want()
-	p.asked++
-	w.Tenant, w.SourceAddr = name, name+"/"+strconv.Itoa(p.rng.IntN(t.Addresses))
-	x := p.rng.Float64()
-	w.HonorsRetryAfter, w.RetriesEarly = x < t.Exact+t.Early, x >= t.Exact && x < t.Exact+t.Early
-	if !w.HonorsRetryAfter {
-		w.MaxRetries = 0
+	profile := p.drawProfile()
+	p.viewerCount++
+	profile.Tenant, profile.SourceAddr = name, name+"/"+strconv.Itoa(p.rng.IntN(tenant.Addresses))
+	draw := p.rng.Float64()
+	profile.HonorsRetryAfter, profile.RetriesEarly = draw < tenant.ExactShare+tenant.EarlyShare, draw >= tenant.ExactShare && draw < tenant.ExactShare+tenant.EarlyShare
+	if !profile.HonorsRetryAfter {
+		profile.MaxRetries = 0
 	}
-	p.Log = append(p.Log, &Logged{Tenant: name, Of: t, Want: w, At: p.stage.Now()})
-	if p.byWant == nil {
-		p.byWant = map[*player.Profile]*Logged{}
+	p.Log = append(p.Log, &TenantViewer{Tenant: name, Of: tenant, Profile: profile, At: p.stage.Now()})
+	if p.viewerByProfile == nil {
+		p.viewerByProfile = map[*player.Profile]*TenantViewer{}
 	}
-	p.byWant[w] = p.Log[len(p.Log)-1]
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(w) })
-	p.at(now+Time(p.rng.ExpFloat64()/t.Rate*1e6), func() { p.arriveOf(t, name) })
+	p.viewerByProfile[profile] = p.Log[len(p.Log)-1]
+	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	p.at(now+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 }
 
-// Logged is one viewer of a tenant with all that it saw, in the order of its askings.
-type Logged struct {
-	Tenant string
-	Of     *DayTenant
-	Want   *player.Profile
-	At     Time
-	Seen   []player.Result
+// TenantViewer is one viewer of a tenant with the results of its attempts in order.
+type TenantViewer struct {
+	Tenant  string
+	Of      *DayTenant
+	Profile *player.Profile
+	At      Time
+	Seen    []player.Result
 }
 
-func (p *Play) want() *player.Profile {
-	d := p.Day
-	x, plan := p.rng.Float64(), 0
-	total := 0.0
-	for _, q := range d.Plans {
-		total += q.Share
+func (p *Play) drawProfile() *player.Profile {
+	day := p.Day
+	planDraw, plan := p.rng.Float64(), 0
+	totalShare := 0.0
+	for _, dayPlan := range day.Plans {
+		totalShare += dayPlan.Share
 	}
-	for x *= total; plan < len(d.Plans)-1 && x >= d.Plans[plan].Share; plan++ {
-		x -= d.Plans[plan].Share
+	for planDraw *= totalShare; plan < len(day.Plans)-1 && planDraw >= day.Plans[plan].Share; plan++ {
+		planDraw -= day.Plans[plan].Share
 	}
-	q := &d.Plans[plan]
-	r := p.rng.Float64() * p.zipf[len(p.zipf)-1]
+	dayPlan := &day.Plans[plan]
+	titleDraw := p.rng.Float64() * p.cumulativeZipf[len(p.cumulativeZipf)-1]
 	title := 0
-	for title < len(p.zipf)-1 && p.zipf[title] < r {
+	for title < len(p.cumulativeZipf)-1 && p.cumulativeZipf[title] < titleDraw {
 		title++
 	}
-	if p.crowd > 0 && p.rng.Float64() < p.crowd {
+	if p.crowdShare > 0 && p.rng.Float64() < p.crowdShare {
 		title = 0
 	}
-	w := &player.Profile{ID: "pb" + strconv.Itoa(p.asked), Plan: q.Name, Title: q.Name + "-" + strconv.Itoa(title),
-		TopRung: len(d.Frame.LadderKB) - 1, Tracks: len(q.Tracks), AbandonTime: q.Abandon, MaxRetries: d.Returns, RetryDelay: d.Break,
-		WatchTime: q.Watch[0] + Time(p.rng.Float64()*float64(q.Watch[1]-q.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
-		DescribeFirst: p.rng.Float64() < 0.3, DuplicateSetups: p.rng.Float64() < p.repeat}
-	if p.rng.Float64() < d.SmallScreens {
-		w.TopRung = max(w.TopRung-2, d.Site.Plans[plan].Floor)
+	profile := &player.Profile{ID: "pb" + strconv.Itoa(p.viewerCount), Plan: dayPlan.Name, Title: dayPlan.Name + "-" + strconv.Itoa(title),
+		TopRung: len(day.Frame.LadderKB) - 1, Tracks: len(dayPlan.Tracks), AbandonTime: dayPlan.Abandon, MaxRetries: day.MaxRetries, RetryDelay: day.RetryDelay,
+		WatchTime: dayPlan.Watch[0] + Time(p.rng.Float64()*float64(dayPlan.Watch[1]-dayPlan.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
+		DescribeFirst: p.rng.Float64() < 0.3, DuplicateSetups: p.rng.Float64() < p.duplicateShare}
+	if p.rng.Float64() < day.SmallScreenShare {
+		profile.TopRung = max(profile.TopRung-2, day.Site.Plans[plan].Floor)
 	}
-	if p.rng.Float64() < p.leave {
-		w.LeaveAfter = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
+	if p.rng.Float64() < p.earlyLeaveShare {
+		profile.LeaveAfter = 1 + Time(p.rng.Float64()*float64(core.Second)/10)
 	}
-	zone := p.rng.IntN(d.Zones)
+	zone := p.rng.IntN(day.Zones)
 	first := p.rng.IntN(len(p.fronts))
 	for i := range p.fronts {
-		if f := p.fronts[(first+i)%len(p.fronts)]; f.number%d.Zones == zone || d.Managers < d.Zones {
-			w.Fronts = append(w.Fronts, p.stage.Addr(f.name))
+		if f := p.fronts[(first+i)%len(p.fronts)]; f.index%day.Zones == zone || day.Managers < day.Zones {
+			profile.Fronts = append(profile.Fronts, p.stage.Addr(f.name))
 		}
 	}
-	if d.doors != nil {
-		d.doors.viewer(w)
+	if day.doors != nil {
+		day.doors.viewer(profile)
 	}
-	p.wants = append(p.wants, w)
-	p.askedAt[w] = p.stage.Now()
-	return w
+	p.profiles = append(p.profiles, profile)
+	p.requestedAt[profile] = p.stage.Now()
+	return profile
 }
 
-func (p *Play) revenue(w *player.Profile) float64 {
+func (p *Play) planRevenue(profile *player.Profile) float64 {
 	for i := range p.Day.Plans {
-		if p.Day.Plans[i].Name == w.Plan {
+		if p.Day.Plans[i].Name == profile.Plan {
 			return p.Day.Site.Plans[i].Revenue
 		}
 	}
 	return 0
 }
 
-// report takes the end of one asking.
-func (p *Play) report(w *player.Profile, s *player.Result) {
+// recordResult adds the result of one attempt of a viewer to the tally.
+func (p *Play) recordResult(profile *player.Profile, result *player.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l := p.byWant[w]; l != nil {
-		l.Seen = append(l.Seen, *s)
+	if viewer := p.viewerByProfile[profile]; viewer != nil {
+		viewer.Seen = append(viewer.Seen, *result)
 	}
 	if p.Day.doors != nil {
-		p.Day.doors.saw(w, s)
-	}
-	t := &p.Tally
-	t.Asked++
-	t.Requests += s.Requests
-	t.Answers += s.Responses
-	t.Unasked += s.Unsolicited
-	t.Packets += s.Packets
-	t.Gaps += s.Gaps
-	if s.RedirectReceived {
-		t.SentOn++
-	}
-	if p.out != nil {
-		p.Seen = append(p.Seen, *s)
-	}
-	if s.StartupTime > 0 && !s.FromRedirect && !p.paid[w] {
-		if p.paid == nil {
-			p.paid = map[*player.Profile]bool{}
-		}
-		p.paid[w] = true
-		t.Revenue += p.revenue(w)
-		if n := int((s.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
-			for len(t.ByLate) <= n {
-				t.ByLate = append(t.ByLate, 0)
+		p.Day.doors.saw(profile, result)
+	}
+	tally := &p.Tally
+	tally.Asked++
+	tally.Requests += result.Requests
+	tally.Responses += result.Responses
+	tally.Unasked += result.Unsolicited
+	tally.Packets += result.Packets
+	tally.Gaps += result.Gaps
+	if result.RedirectReceived {
+		tally.SentOn++
+	}
+	if p.processes != nil {
+		p.Seen = append(p.Seen, *result)
+	}
+	if result.StartupTime > 0 && !result.FromRedirect && !p.revenueCounted[profile] {
+		if p.revenueCounted == nil {
+			p.revenueCounted = map[*player.Profile]bool{}
+		}
+		p.revenueCounted[profile] = true
+		tally.Revenue += p.planRevenue(profile)
+		if n := int((result.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
+			for len(tally.RevenueByTenth) <= n {
+				tally.RevenueByTenth = append(tally.RevenueByTenth, 0)
 			}
-			t.ByLate[n] += p.revenue(w)
+			tally.RevenueByTenth[n] += p.planRevenue(profile)
 		}
 	}
-	t.Bytes += s.Bytes
-	if s.StartupTime > 0 {
-		t.Played++
-		t.Startup = append(t.Startup, s.StartupTime)
+	tally.Bytes += result.Bytes
+	if result.StartupTime > 0 {
+		tally.Played++
+		tally.StartupTimes = append(tally.StartupTimes, result.StartupTime)
 	}
-	switch s.State {
+	switch result.State {
 	case player.Rejected:
-		t.Refused++
+		tally.Rejected++
 	case player.Failed:
-		t.Failed++
+		tally.Failed++
 	case player.Abandoned:
-		t.Abandoned++
+		tally.Abandoned++
 	case player.Lost:
-		t.Lost++
+		tally.Lost++
 	case player.Redirected:
-		t.Moved++
+		tally.Redirected++
 	case player.Done:
-		t.Done++
+		tally.Completed++
 	}
 }
 
-// some draws so many boxes that no trouble has yet.
-func (p *Play) some(n int) (all []*boxState) {
+// pickBoxes draws up to count ready boxes that no trouble applies to, and marks them.
+func (p *Play) pickBoxes(count int) (all []*boxState) {
 	for _, i := range p.rng.Perm(len(p.boxes)) {
-		if b := p.boxes[i]; len(all) < n && !b.busy && b.state == session.Ready {
-			b.busy = true
+		if b := p.boxes[i]; len(all) < count && !b.inTrouble && b.state == session.Ready {
+			b.inTrouble = true
 			all = append(all, b)
 		}
 	}
 	return all
 }
 
-// upset changes what goes wrong at a box, if it is there.
-func (p *Play) upset(b *boxState, change func(*mediabox.Faults)) {
+// changeFaults changes the faults of a box if it is running.
+func (p *Play) changeFaults(b *boxState, change func(*mediabox.Faults)) {
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
-			change(&x.Faults)
+		if box, ok := c.(*mediabox.Box); ok {
+			change(&box.Faults)
 		}
 	})
 }
 
-// trouble plays one of the script's lines.
-func (p *Play) trouble(t Trouble) {
-	p.Tally.ByKind[t.Kind]++
-	later := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
-	fault := func(kind mediabox.Fault, methods ...string) {
-		for _, b := range p.some(t.Boxes) {
-			p.upset(b, func(x *mediabox.Faults) {
-				x.Probability, x.ResponseDelay, x.ByMethod = t.Part, Time(t.Size*1e6), map[string]mediabox.Fault{}
+// applyTrouble applies one trouble of the day's script.
+func (p *Play) applyTrouble(trouble Trouble) {
+	p.Tally.ByKind[trouble.Kind]++
+	runLater := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
+	applyFault := func(kind mediabox.Fault, methods ...string) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
+			p.changeFaults(b, func(x *mediabox.Faults) {
+				x.Probability, x.ResponseDelay, x.ByMethod = trouble.Share, Time(trouble.Magnitude*1e6), map[string]mediabox.Fault{}
 				for _, m := range methods {
 					x.ByMethod[m] = kind
 				}
 			})
-			later(t.For, func() {
-				b.busy = false
-				p.upset(b, func(x *mediabox.Faults) { x.ByMethod = nil })
+			runLater(trouble.For, func() {
+				b.inTrouble = false
+				p.changeFaults(b, func(x *mediabox.Faults) { x.ByMethod = nil })
 			})
 		}
 	}
-	state := func(set, unset func(x *mediabox.Faults)) {
-		for _, b := range p.some(t.Boxes) {
-			p.upset(b, set)
-			later(t.For, func() {
-				b.busy = false
-				p.upset(b, unset)
+	applyState := func(set, unset func(x *mediabox.Faults)) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
+			p.changeFaults(b, set)
+			runLater(trouble.For, func() {
+				b.inTrouble = false
+				p.changeFaults(b, unset)
 			})
 		}
 	}
-	switch t.Kind {
+	switch trouble.Kind {
 	case "die", "vanish":
-		for _, b := range p.some(t.Boxes) {
-			p.lose(b, t.Kind == "vanish")
-			later(t.For, func() { p.comeBack(b) })
+		for _, b := range p.pickBoxes(trouble.Boxes) {
+			p.stopBox(b, trouble.Kind == "vanish")
+			runLater(trouble.For, func() { p.restartBox(b) })
 		}
 	case "drain":
-		for _, b := range p.some(t.Boxes) {
+		for _, b := range p.pickBoxes(trouble.Boxes) {
 			b.state = session.Draining
-			p.news(b, b.state, 0)
-			later(t.For, func() {
-				p.lose(b, false)
-				later(core.Second, func() { p.comeBack(b) })
+			p.announceState(b, b.state, 0)
+			runLater(trouble.For, func() {
+				p.stopBox(b, false)
+				runLater(core.Second, func() { p.restartBox(b) })
 			})
 		}
 	case "errors":
-		fault(mediabox.Error, "SETUP")
+		applyFault(mediabox.Error, "SETUP")
 	case "lost-answers":
-		fault(mediabox.LostResponse, "SETUP", "PLAY")
+		applyFault(mediabox.LostResponse, "SETUP", "PLAY")
 	case "late-answers":
-		fault(mediabox.LateResponse, "SETUP", "PLAY")
+		applyFault(mediabox.LateResponse, "SETUP", "PLAY")
 	case "stuck":
-		fault(mediabox.Dropped, "SETUP", "PLAY")
+		applyFault(mediabox.Dropped, "SETUP", "PLAY")
 	case "cut-answers":
-		fault(mediabox.TruncatedResponse, "SETUP", "PLAY")
+		applyFault(mediabox.TruncatedResponse, "SETUP", "PLAY")
 	case "slow-rack":
 		p.slowRack = p.rng.IntN(p.Day.Racks)
 		for _, b := range p.boxes {
 			if b.cell%p.Day.Racks == p.slowRack {
-				p.upset(b, func(x *mediabox.Faults) { x.SetupTimeFactor = t.Size })
-				later(t.For, func() { p.upset(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
+				p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = trouble.Magnitude })
+				runLater(trouble.For, func() { p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
 			}
 		}
 	case "slow":
-		state(func(x *mediabox.Faults) { x.SetupTimeFactor = t.Size }, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 })
+		applyState(func(x *mediabox.Faults) { x.SetupTimeFactor = trouble.Magnitude }, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 })
 	case "neighbour":
-		state(func(x *mediabox.Faults) { x.CompetingShare = t.Part }, func(x *mediabox.Faults) { x.CompetingShare = 0 })
+		applyState(func(x *mediabox.Faults) { x.CompetingShare = trouble.Share }, func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "overspeed":
-		state(func(x *mediabox.Faults) { x.SendRateFactor = t.Size }, func(x *mediabox.Faults) { x.SendRateFactor = 0 })
+		applyState(func(x *mediabox.Faults) { x.SendRateFactor = trouble.Magnitude }, func(x *mediabox.Faults) { x.SendRateFactor = 0 })
 	case "reports-late":
-		state(func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = Time(t.Size*1e6), true },
+		applyState(func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = Time(trouble.Magnitude*1e6), true },
 			func(x *mediabox.Faults) { x.ExtraNoteDelay, x.FreezeLoad = 0, false })
 	case "sag":
-		state(func(x *mediabox.Faults) { x.CompetingShare = 1 - 1/max(t.Size, 1) },
+		applyState(func(x *mediabox.Faults) { x.CompetingShare = 1 - 1/max(trouble.Magnitude, 1) },
 			func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "surge":
-		p.surge = t.Size
-		later(t.For, func() { p.surge = 1 })
+		p.surgeFactor = trouble.Magnitude
+		runLater(trouble.For, func() { p.surgeFactor = 1 })
 	case "crowd":
-		p.crowd = t.Part
-		later(t.For, func() { p.crowd = 0 })
+		p.crowdShare = trouble.Share
+		runLater(trouble.For, func() { p.crowdShare = 0 })
 	case "repeat":
-		p.repeat = t.Part
-		later(t.For, func() { p.repeat = 0 })
+		p.duplicateShare = trouble.Share
+		runLater(trouble.For, func() { p.duplicateShare = 0 })
 	case "leave":
-		p.leave = t.Part
-		later(t.For, func() { p.leave = 0 })
+		p.earlyLeaveShare = trouble.Share
+		runLater(trouble.For, func() { p.earlyLeaveShare = 0 })
 	case "kill":
-		for _, i := range p.rng.Perm(len(p.fronts))[:min(t.Managers, len(p.fronts))] {
+		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
 			f := p.fronts[i]
 			if !f.up {
 				continue
 			}
 			f.up = false
-			if p.out != nil {
-				p.out.kill(f)
-				later(t.For, func() { p.startFront(f) })
+			if p.processes != nil {
+				p.processes.kill(f)
+				runLater(trouble.For, func() { p.startFront(f) })
 				continue
 			}
 			p.tape.Killed(p.stage.Now(), f.name)
-			p.gather(f)
+			p.collectFront(f)
 			p.stage.Kill(f.name, false)
-			if p.room != nil {
-				p.room.manager(f)
+			if p.registry != nil {
+				p.registry.manager(f)
 			}
-			later(t.For, func() { p.startFront(f) })
+			runLater(trouble.For, func() { p.startFront(f) })
 		}
 	case "stand-still":
-		for range t.Managers {
+		for range trouble.Managers {
 			f := p.fronts[p.rng.IntN(len(p.fronts))]
 			if !f.up {
 				continue
 			}
-			if p.out != nil {
-				p.out.stand(f, t.For)
+			if p.processes != nil {
+				p.processes.stand(f, trouble.For)
 				continue
 			}
-			p.tape.Stood(p.stage.Now(), p.stage.Now()+t.For, f.name)
-			p.stage.Stand(f.name, t.For)
+			p.tape.Stood(p.stage.Now(), p.stage.Now()+trouble.For, f.name)
+			p.stage.Stand(f.name, trouble.For)
 		}
-	case "reload", "bad-reload", "halt", "upgrade": // of processes
-		for _, i := range p.rng.Perm(len(p.fronts))[:min(t.Managers, len(p.fronts))] {
-			p.out.trouble(p.fronts[i], t)
+	case "reload", "bad-reload", "halt", "upgrade": // only with separate processes
+		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
+			p.processes.trouble(p.fronts[i], trouble)
 		}
 	case "registry-cut":
-		p.room.cut(t.For)
+		p.registry.cut(trouble.For)
 	case "registry-stall":
-		p.room.stalled = p.stage.Now() + t.For
+		p.registry.stalled = p.stage.Now() + trouble.For
 	case "registry-compact":
-		h, _ := p.room.store.Keys()
-		p.room.store.Compact(h.Revision)
+		h, _ := p.registry.store.Keys()
+		p.registry.store.Compact(h.Revision)
 	case "registry-anew":
-		p.room.anew()
+		p.registry.anew()
 	case "registry-lose":
-		p.room.lose()
+		p.registry.lose()
 	case "zone-cut":
-		p.stage.CutZones("zone-0", p.zone(1), t.For)
+		p.stage.CutZones("zone-0", p.zoneName(1), trouble.For)
 	}
 }
 
-// lose ends a box's process; the list tells of it a while later.
-func (p *Play) lose(b *boxState, silent bool) {
+// stopBox ends a box's process; the list reports it after LossNoticeDelay.
+func (p *Play) stopBox(b *boxState, silent bool) {
 	p.tape.Killed(p.stage.Now(), b.name)
-	p.count(b)
+	p.collectBox(b)
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
-			x.ReleaseUplink()
+		if box, ok := c.(*mediabox.Box); ok {
+			box.ReleaseUplink()
 		}
 		p.stage.At(p.stage.Now(), func() { p.stage.Kill(b.name, silent) })
 	})
 	b.state = session.Gone
-	p.news(b, b.state, p.Day.LostNotice)
+	p.announceState(b, b.state, p.Day.LossNoticeDelay)
 }
 
-// comeBack starts a box anew, cold; the list tells of it soon.
-func (p *Play) comeBack(b *boxState) {
+// restartBox starts a box's process again, cold, and announces it.
+func (p *Play) restartBox(b *boxState) {
 	p.stage.Kill(b.name, false)
 	b.started, b.state = p.stage.Now(), session.Ready
 	p.startBox(b, b.started)
-	p.news(b, b.state, 0)
-	b.busy = false
+	p.announceState(b, b.state, 0)
+	b.inTrouble = false
 }
 
-func (p *Play) count(b *boxState) {
+func (p *Play) collectBox(b *boxState) {
 	p.stage.Call(b.name, func(c core.Core) {
-		if x, ok := c.(*mediabox.Box); ok {
+		if box, ok := c.(*mediabox.Box); ok {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.Tally.Fell += x.Counts.Crashes
-			p.Tally.Setups += x.Counts.Setups
-			p.sent += x.Counts.Packets
-			x.Faults.Unresponsive = true // counted: it sends nothing more in this moment
+			p.Tally.Fell += box.Counts.Crashes
+			p.Tally.Setups += box.Counts.Setups
+			p.packetsSent += box.Counts.Packets
+			box.Faults.Unresponsive = true // its packets are counted already, so it must not send more before it ends
 		}
 	})
 }
 
-// frontOf is the session manager of a host's core, nil where it is none.
+// frontOf returns the session manager of a host's core, or nil if the core is something else.
 func frontOf(c core.Core) *front.Front {
 	switch x := c.(type) {
 	case *front.Front:
@@ -747,59 +749,59 @@
 	return nil
 }
 
-func (p *Play) gather(f *frontState) {
+func (p *Play) collectFront(f *frontState) {
 	p.stage.Call(f.name, func(c core.Core) {
-		if x := frontOf(c); x != nil {
+		if manager := frontOf(c); manager != nil {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			add(&p.Tally.Fronts, &x.Figures)
-			if x.Quality != nil {
-				p.serviceOf(x.Quality)
+			addStats(&p.Tally.Fronts, &manager.Figures)
+			if manager.Quality != nil {
+				p.serviceOf(manager.Quality)
 			}
 		}
 	})
 }
 
-// End gathers the figures of what still runs, and checks that nothing of the day is left behind.
+// End collects the figures of the boxes and fronts that still run.
 func (p *Play) End() {
-	p.Orphans = p.orphaned / max(p.looks, 1)
+	p.Orphans = p.orphanSum / max(p.orphanSamples, 1)
 	for _, b := range p.boxes {
-		p.count(b)
+		p.collectBox(b)
 	}
 	for _, f := range p.fronts {
-		p.gather(f)
+		p.collectFront(f)
 	}
 }
 
-func add(t, x *front.Stats) {
-	for _, f := range []struct{ to, from *int64 }{{&t.Requests, &x.Requests}, {&t.Malformed, &x.Malformed},
-		{&t.Repeated, &x.Repeated}, {&t.Taken, &x.Taken}, {&t.Plays, &x.Plays}, {&t.Refused, &x.Refused},
-		{&t.Failed, &x.Failed}, {&t.Left, &x.Left}, {&t.Overdue, &x.Overdue}, {&t.Tries, &x.Tries},
-		{&t.Lapsed, &x.Lapsed}, {&t.LateAnswers, &x.LateAnswers}, {&t.Probes, &x.Probes}, {&t.Packets, &x.Packets},
-		{&t.LostVideo, &x.LostVideo}, {&t.LostAudio, &x.LostAudio}, {&t.Playbacks, &x.Playbacks},
-		{&t.Connections, &x.Connections}, {&t.Dialogues, &x.Dialogues}, {&t.Overflowed, &x.Overflowed}} {
+func addStats(total, stats *front.Stats) {
+	for _, f := range []struct{ to, from *int64 }{{&total.Requests, &stats.Requests}, {&total.Malformed, &stats.Malformed},
+		{&total.Repeated, &stats.Repeated}, {&total.Taken, &stats.Taken}, {&total.Plays, &stats.Plays}, {&total.Refused, &stats.Refused},
+		{&total.Failed, &stats.Failed}, {&total.Left, &stats.Left}, {&total.Overdue, &stats.Overdue}, {&total.Tries, &stats.Tries},
+		{&total.Lapsed, &stats.Lapsed}, {&total.LateAnswers, &stats.LateAnswers}, {&total.Probes, &stats.Probes}, {&total.Packets, &stats.Packets},
+		{&total.LostVideo, &stats.LostVideo}, {&total.LostAudio, &stats.LostAudio}, {&total.Playbacks, &stats.Playbacks},
+		{&total.Connections, &stats.Connections}, {&total.Dialogues, &stats.Dialogues}, {&total.Overflowed, &stats.Overflowed}} {
 		*f.to += *f.from
 	}
 }
 
-// Virtual plays a day on the virtual network.
-func Virtual(d *Day, broken *Broken, log *zap.Logger) (*Play, *Tape, *World) {
-	tape := &Tape{}
-	w := NewWorld(d.Links, d.Seed, tape)
-	p := Begin(d, w, tape, broken, log)
-	w.At(w.now+bucket, func() { p.look(w) })
-	w.Run(p.began + p.Length())
+// Virtual runs a day on the virtual network until all of its playbacks have ended, and checks the totals.
+func Virtual(day *Day, faulty *FaultyFront, log *zap.Logger) (*Play, *Tape, *World) {
+	recording := &Tape{}
+	network := NewWorld(day.Links, day.Seed, recording)
+	p := Begin(day, network, recording, faulty, log)
+	network.At(network.now+bucketWidth, func() { p.sample(network) })
+	network.Run(p.began + p.Length())
 	p.End()
-	w.Run(w.now + core.Second)
-	p.settleUp(w)
-	return p, tape, w
+	network.Run(network.now + core.Second)
+	p.checkTotals(network)
+	return p, recording, network
 }
 
-// Summary is a day's tally in a few lines.
+// Summary returns the tally as text of a few lines.
 func (t *Tally) Summary() string {
 	return fmt.Sprintf("asked %d, played %d, refused %d, failed %d, abandoned %d, lost %d; packets %d, gaps %d\n"+
 		"fronts: taken %d, plays %d, refused %d, failed %d, left %d, overdue %d, tries %d, lapsed %d, late answers %d, left over: %d playbacks, %d dialogues",
-		t.Asked, t.Played, t.Refused, t.Failed, t.Abandoned, t.Lost, t.Packets, t.Gaps, t.Fronts.Taken, t.Fronts.Plays,
+		t.Asked, t.Played, t.Rejected, t.Failed, t.Abandoned, t.Lost, t.Packets, t.Gaps, t.Fronts.Taken, t.Fronts.Plays,
 		t.Fronts.Refused, t.Fronts.Failed, t.Fronts.Left, t.Fronts.Overdue, t.Fronts.Tries, t.Fronts.Lapsed,
 		t.Fronts.LateAnswers, t.Fronts.Playbacks, t.Fronts.Dialogues)
 }
