--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -102,9 +102,9 @@
 
 // child is a program under measurement.
 type child struct {
-	cmd    *exec.Cmd
-	addr   string
-	secure string // the door under TLS
+	cmd     *exec.Cmd
+	addr    string
+	tlsAddr string // the door under TLS
 }
 
 // launch starts a program and reads the address that it tells on standard error, after the word given.
@@ -125,7 +125,7 @@
 			end := func(x rune) bool { return x == '"' || x == ' ' || x == ',' }
 			c.addr = strings.FieldsFunc(rest, end)[0]
 			if _, rest, ok := strings.Cut(rest, `"secure":"`); ok && rest[0] != '"' {
-				c.secure = strings.FieldsFunc(rest, end)[0]
+				c.tlsAddr = strings.FieldsFunc(rest, end)[0]
 			}
 			go func() {
 				for r.Scan() {
@@ -138,13 +138,13 @@
 	return nil, fmt.Errorf("%s did not start: %s", name, said)
 }
 
-func (c *child) end() {
+func (c *child) stop() {
 	_ = c.cmd.Process.Signal(os.Interrupt)
 	_ = c.cmd.Wait()
 }
 
 // cpu is the seconds that the process has spent, from /proc (100 ticks a second).
-func (c *child) cpu() float64 { return cpuSeconds(c.cmd.Process.Pid) }
+func (c *child) cpuTime() float64 { return cpuSeconds(c.cmd.Process.Pid) }
 
 func cpuSeconds(pid int) float64 {
 	b, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
@@ -159,7 +159,7 @@
 }
 
 // memory is the process's resident kilobytes.
-func (c *child) memory() float64 {
+func (c *child) residentKB() float64 {
 	b, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(c.cmd.Process.Pid), "status"))
 	_, rest, _ := strings.Cut(string(b), "VmRSS:")
 	n, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
@@ -207,12 +207,12 @@
 	if err != nil {
 		return nil, err
 	}
-	defer relay.end()
+	defer relay.stop()
 	front, err := launch(`"address":"`, b.Pierlink, "serve", "-c", file)
 	if err != nil {
 		return nil, err
 	}
-	defer front.end()
+	defer front.stop()
 	var crowd *player.Group
 	loop, err := edge.New("", func(n core.Net) core.Core {
 		crowd = player.New(n, edge.Now())
@@ -223,16 +223,16 @@
 	}
 	defer loop.Stop(false)
 	loop.SetClientTLS(&tls.Config{RootCAs: trusted.Pool()})
-	x := &benchRun{Bench: b, crowd: crowd, loop: loop}
+	x := &benchRun{Bench: b, players: crowd, loop: loop}
 
-	idle := x.idle(front, 10000, nil)
+	idle := x.idleConnKB(front, 10000, nil)
 	say("memory per idle connection, 10,000 of them: %.1f kB", idle)
-	say("under TLS, 4,000 of them: %.1f kB", x.idle(front, 4000, &tls.Config{RootCAs: trusted.Pool()}))
+	say("under TLS, 4,000 of them: %.1f kB", x.idleConnKB(front, 4000, &tls.Config{RootCAs: trusted.Pool()}))
 	// relay and session manager by turns, so that what else the machine does falls on both
 	var per [2][]float64
 	for range 3 {
 		for i, c := range []*child{relay, front} {
-			per[i] = append(per[i], x.steady(c))
+			per[i] = append(per[i], x.bytesPerCPUSecond(c))
 		}
 	}
 	slices.Sort(per[0])
@@ -240,20 +240,20 @@
 	say("relayed at %d concurrent playbacks: bare relay %.0f MB a CPU second, session manager %.0f", b.Concurrent,
 		per[0][1]/1e6, per[1][1]/1e6)
 	say("ratio %.2f (aim 0.7)", per[1][1]/per[0][1])
-	say("memory per playback: %.1f kB", x.perPlayback)
+	say("memory per playback: %.1f kB", x.playbackKB)
 	var secure []float64
 	for range 3 {
-		x.secure = true
-		secure = append(secure, x.steady(front))
-		x.secure = false
-		x.steady(relay) // both by turns, as above
+		x.useTLS = true
+		secure = append(secure, x.bytesPerCPUSecond(front))
+		x.useTLS = false
+		x.bytesPerCPUSecond(relay) // both by turns, as above
 	}
 	slices.Sort(secure)
 	say("under TLS: %.0f MB a CPU second, ratio to the clear %.2f", secure[1]/1e6, secure[1]/per[1][1])
-	n, cpu := x.setups(front)
+	n, cpu := x.measureSetups(front)
 	say("set-ups: %.0f a CPU second of the session manager (%d set up, played and torn down)", float64(n)/cpu, n)
 	boxLoop.Do(func() { box.SetupTime = [2]core.Time{20_000, 20_000} })
-	direct, via := x.firsts(boxLoop.Addr(), front.addr)
+	direct, via := x.timeFirstPackets(boxLoop.Addr(), front.addr)
 	for _, q := range []float64{50, 99} {
 		d, v := direct.ValueAtQuantile(q), via.ValueAtQuantile(q)
 		say("time to first packet, %g%%: straight to a box that takes 20 ms %.1f ms, by the session manager %.1f ms: %.0f%% more", q,
@@ -267,7 +267,7 @@
 func (b *Bench) Boxes(numbers []int, perSec int) (lines []string, err error) {
 	var memory, cpu []float64
 	for _, n := range numbers {
-		m, c, err := b.boxes(n, perSec)
+		m, c, err := b.measureRegistry(n, perSec)
 		if err != nil {
 			return lines, err
 		}
@@ -281,7 +281,7 @@
 	return lines, nil
 }
 
-func (b *Bench) boxes(n, perSec int) (memory, cpu float64, err error) {
+func (b *Bench) measureRegistry(n, perSec int) (memory, cpu float64, err error) {
 	store := standin.NewStore(1, "bench", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
@@ -310,9 +310,9 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer front.end()
+	defer front.stop()
 	time.Sleep(2 * time.Second)
-	began := front.cpu()
+	began := front.cpuTime()
 	changes := int(b.Span.Seconds() * float64(perSec))
 	tick := time.NewTicker(time.Second / time.Duration(perSec))
 	defer tick.Stop()
@@ -322,76 +322,76 @@
 		store.Put(map[string][]byte{name(i * 7919 % n): x.Encode()})
 	}
 	time.Sleep(200 * time.Millisecond)
-	return front.memory(), 1e6 * (front.cpu() - began) / float64(changes), nil
+	return front.residentKB(), 1e6 * (front.cpuTime() - began) / float64(changes), nil
 }
 
 type benchRun struct {
 	*Bench
-	crowd       *player.Group
-	loop        *edge.Loop
-	perPlayback float64
-	n           int
-	secure      bool // players come under TLS
+	players       *player.Group
+	loop          *edge.Loop
+	playbackKB    float64
+	playbackCount int
+	useTLS        bool // players come under TLS
 }
 
-func (x *benchRun) read() (bytes int64, plays, open int) {
-	x.loop.Do(func() { bytes, plays, open = x.crowd.Bytes, x.crowd.Playing, x.crowd.Open() })
+func (x *benchRun) totals() (bytes int64, plays, open int) {
+	x.loop.Do(func() { bytes, plays, open = x.players.Bytes, x.players.Playing, x.players.Open() })
 	return
 }
 
-func (x *benchRun) until(done func(plays, open int) bool) {
+func (x *benchRun) waitUntil(done func(plays, open int) bool) {
 	for range 600 {
-		if _, p, o := x.read(); done(p, o) {
+		if _, p, o := x.totals(); done(p, o) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (x *benchRun) want(addr string, watch time.Duration) *player.Profile {
-	x.n++
-	return &player.Profile{ID: "b" + strconv.Itoa(x.n), Fronts: []string{addr}, Plan: "bench", Title: "t" + strconv.Itoa(x.n), Tracks: 1,
+func (x *benchRun) profile(addr string, watch time.Duration) *player.Profile {
+	x.playbackCount++
+	return &player.Profile{ID: "b" + strconv.Itoa(x.playbackCount), Fronts: []string{addr}, Plan: "bench", Title: "t" + strconv.Itoa(x.playbackCount), Tracks: 1,
 		WatchTime: watch.Microseconds(), AbandonTime: 10 * core.Second}
 }
 
-func (x *benchRun) wantAt(c *child, watch time.Duration) *player.Profile {
-	w := x.want(c.addr, watch)
-	if x.secure {
-		w.Secure, w.Fronts = true, []string{c.secure}
+func (x *benchRun) profileFor(c *child, watch time.Duration) *player.Profile {
+	w := x.profile(c.addr, watch)
+	if x.useTLS {
+		w.Secure, w.Fronts = true, []string{c.tlsAddr}
 	}
 	return w
 }
 
 // steady is the bytes relayed for each CPU second of a program.
-func (x *benchRun) steady(c *child) float64 {
-	before := c.memory()
+func (x *benchRun) bytesPerCPUSecond(c *child) float64 {
+	before := c.residentKB()
 	x.loop.Do(func() {
-		x.crowd.Report = nil
+		x.players.Report = nil
 		for range x.Concurrent {
-			x.crowd.Start(x.wantAt(c, x.Span+4*time.Second))
+			x.players.Start(x.profileFor(c, x.Span+4*time.Second))
 		}
 	})
-	x.until(func(plays, _ int) bool { return plays >= x.Concurrent })
+	x.waitUntil(func(plays, _ int) bool { return plays >= x.Concurrent })
 	time.Sleep(300 * time.Millisecond)
-	b0, _, _ := x.read()
-	c0 := c.cpu()
+	b0, _, _ := x.totals()
+	c0 := c.cpuTime()
 	time.Sleep(x.Span)
-	b1, _, _ := x.read()
-	c1 := c.cpu()
-	if x.perPlayback == 0 {
-		x.perPlayback = (c.memory() - before) / float64(x.Concurrent)
+	b1, _, _ := x.totals()
+	c1 := c.cpuTime()
+	if x.playbackKB == 0 {
+		x.playbackKB = (c.residentKB() - before) / float64(x.Concurrent)
 	}
-	x.until(func(_, open int) bool { return open == 0 })
+	x.waitUntil(func(_, open int) bool { return open == 0 })
 	return float64(b1-b0) / max(c1-c0, 0.01)
 }
 
 // setups has short playbacks come one after the other, 100 at a time.
-func (x *benchRun) setups(c *child) (n int, cpu float64) {
+func (x *benchRun) measureSetups(c *child) (n int, cpu float64) {
 	started, done := 0, 0
 	end := make(chan struct{})
-	c0 := c.cpu()
+	c0 := c.cpuTime()
 	x.loop.Do(func() {
-		x.crowd.Report = func(_ *player.Profile, s *player.Result) {
+		x.players.Report = func(_ *player.Profile, s *player.Result) {
 			if s.State == player.Done {
 				n++
 			}
@@ -400,27 +400,27 @@
 			}
 			if started < x.Setups {
 				started++
-				x.crowd.Start(x.want(c.addr, time.Millisecond))
+				x.players.Start(x.profile(c.addr, time.Millisecond))
 			}
 		}
 		for range 100 {
 			started++
-			x.crowd.Start(x.want(c.addr, time.Millisecond))
+			x.players.Start(x.profile(c.addr, time.Millisecond))
 		}
 	})
 	<-end
-	return n, max(c.cpu()-c0, 0.01)
+	return n, max(c.cpuTime()-c0, 0.01)
 }
 
 // firsts times the first packet straight from the box and by the session manager, by turns.
-func (x *benchRun) firsts(box, front string) (direct, via *hdrhistogram.Histogram) {
+func (x *benchRun) timeFirstPackets(box, front string) (direct, via *hdrhistogram.Histogram) {
 	h := [2]*hdrhistogram.Histogram{hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)}
 	for range x.Firsts {
 		for i, addr := range []string{box, front} {
 			done := make(chan core.Time, 1)
 			x.loop.Do(func() {
-				x.crowd.Report = func(_ *player.Profile, s *player.Result) { done <- s.StartupTime }
-				x.crowd.Start(x.want(addr, 100*time.Millisecond))
+				x.players.Report = func(_ *player.Profile, s *player.Result) { done <- s.StartupTime }
+				x.players.Start(x.profile(addr, 100*time.Millisecond))
 			})
 			_ = h[i].RecordValue(<-done)
 		}
@@ -429,41 +429,41 @@
 }
 
 // idle is the resident kilobytes that a connection on which nothing happens costs a program.
-func (x *benchRun) idle(c *child, n int, trust *tls.Config) float64 {
-	before := c.memory()
-	h := &holder{addr: c.addr, secure: trust != nil}
+func (x *benchRun) idleConnKB(c *child, n int, trust *tls.Config) float64 {
+	before := c.residentKB()
+	h := &idleDialer{addr: c.addr, secure: trust != nil}
 	if h.secure {
-		h.addr = c.secure
+		h.addr = c.tlsAddr
 	}
 	loop, err := edge.New("", func(net core.Net) core.Core { h.net = net; return h })
 	if err != nil {
 		return 0
 	}
 	loop.SetClientTLS(trust)
-	loop.Do(func() { h.n = n })
+	loop.Do(func() { h.toDial = n })
 	time.Sleep(4 * time.Second)
-	after := c.memory()
+	after := c.residentKB()
 	loop.Stop(false)
 	time.Sleep(300 * time.Millisecond)
 	return (after - before) / float64(n)
 }
 
 // holder is a core that opens connections and does nothing.
-type holder struct {
+type idleDialer struct {
 	net    core.Net
 	addr   string
-	n      int
+	toDial int
 	secure bool
 }
 
-func (h *holder) BeginTurn(core.Time)         {}
-func (h *holder) Accepted(*core.Conn, string) {}
-func (h *holder) Dialed(*core.Conn, error)    {}
-func (h *holder) Received(*core.Conn, []byte) {}
-func (h *holder) Drained(*core.Conn)          {}
-func (h *holder) Closed(*core.Conn, error)    {}
-func (h *holder) EndTurn() core.Time {
-	for ; h.n > 0; h.n-- {
+func (h *idleDialer) BeginTurn(core.Time)         {}
+func (h *idleDialer) Accepted(*core.Conn, string) {}
+func (h *idleDialer) Dialed(*core.Conn, error)    {}
+func (h *idleDialer) Received(*core.Conn, []byte) {}
+func (h *idleDialer) Drained(*core.Conn)          {}
+func (h *idleDialer) Closed(*core.Conn, error)    {}
+func (h *idleDialer) EndTurn() core.Time {
+	for ; h.toDial > 0; h.toDial-- {
 		h.net.Dial(&core.Conn{Secure: h.secure}, h.addr)
 	}
 	return core.Never
--- a/internal/lab/doorcost.go
+++ b/internal/lab/doorcost.go
@@ -21,13 +21,13 @@
 )
 
 // discards is a network that takes everything and keeps the last of it.
-type discards struct{ last []byte }
+type discardNet struct{ lastSent []byte }
 
-func (d *discards) Dial(*core.Conn, string)       {}
-func (d *discards) Send(_ *core.Conn, b []byte)   { d.last = append(d.last[:0], b...) }
-func (d *discards) Pending(*core.Conn) int        { return 0 }
-func (d *discards) Close(*core.Conn)              {}
-func (d *discards) answer(name string) (v string) { return headerOf(d.last, name) }
+func (d *discardNet) Dial(*core.Conn, string)       {}
+func (d *discardNet) Send(_ *core.Conn, b []byte)   { d.lastSent = append(d.lastSent[:0], b...) }
+func (d *discardNet) Pending(*core.Conn) int        { return 0 }
+func (d *discardNet) Close(*core.Conn)              {}
+func (d *discardNet) header(name string) (v string) { return headerOf(d.lastSent, name) }
 
 func headerOf(b []byte, name string) string {
 	for _, line := range bytes.Split(b, []byte("\r\n")) {
@@ -39,7 +39,7 @@
 }
 
 // cpu is what this thread has taken so far.
-func cpu() time.Duration {
+func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t)
 	return time.Duration(t.Nano())
@@ -47,7 +47,7 @@
 
 // doorCost measures what a warm view and the proof of who asks add to a playback's way to its setup try: the turns of
 // a whole session manager without its sockets, with and without them.
-func (p *Proof) doorCost() error {
+func (p *Proof) measureAccessCost() error {
 	const rounds, warm, times = 3000, 300, 3
 	d, err := Library("doors")
 	if err != nil {
@@ -62,7 +62,7 @@
 		s := d.Service(0)
 		s.Site.Terms.ColdShare, s.Site.Terms.WarmUp = 1, 1000 // boxes that are up and warm
 		s.Site.Fleet.NoteInterval, s.Site.Fleet.LoadInAnswers, s.Site.Fleet.LoadInProbes = 0, false, false
-		net := &discards{}
+		net := &discardNet{}
 		now := core.Time(1e9)
 		if gated == 1 {
 			c := tenants.New(tenants.Config{MaxAge: 1 << 50, SyncInterval: 1 << 50, Timeout: 1 << 40, NegativeTTL: 1 << 40, MaxWaiting: 10, MaxLookups: 1, MaxEntries: rounds + 1}, now)
@@ -79,19 +79,19 @@
 		conn := &core.Conn{}
 		turn := func(b []byte) time.Duration {
 			now += 10_000
-			began := cpu()
+			began := threadCPUTime()
 			f.BeginTurn(now)
 			f.Received(conn, b)
 			f.EndTurn()
-			return cpu() - began
+			return threadCPUTime() - began
 		}
 		f.BeginTurn(now)
 		f.Accepted(conn, "127.0.0.1:1")
 		challenge := ""
 		if gated == 1 {
 			turn(rtsp.NewRequest(rtsp.Setup, "rtsp://f/live-lesson/t/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil))
-			if challenge = net.answer("WWW-Authenticate"); challenge == "" {
-				return fmt.Errorf("no proof was asked for: %q", net.last)
+			if challenge = net.header("WWW-Authenticate"); challenge == "" {
+				return fmt.Errorf("no proof was asked for: %q", net.lastSent)
 			}
 		}
 		for i := range rounds {
@@ -106,7 +106,7 @@
 			f.Closed(conn, nil)
 		}
 		if f.Figures.Tries < rounds/2 {
-			return fmt.Errorf("%d setup tries for %d playbacks, the last answer was %q", f.Figures.Tries, rounds, net.last)
+			return fmt.Errorf("%d setup tries for %d playbacks, the last answer was %q", f.Figures.Tries, rounds, net.lastSent)
 		}
 		slices.Sort(turns)
 		if old := took[gated]; old == nil || turns[len(turns)*99/100] < old[len(old)*99/100] {
--- a/internal/lab/doors.go
+++ b/internal/lab/doors.go
@@ -27,57 +27,57 @@
 // one under TLS, and a view of its own. It keeps what was true of each account and when, and judges by it what
 // viewers got.
 type doors struct {
-	terms     tenants.Config
-	store     *directory.Store
-	servers   [2]*directory.Server
-	authority *authority.Authority
-	keys      *tls.Config
-	rng       *rand.Rand
-	live      *Live
-	tenants   int
-	members   int
+	tenantConfig tenants.Config
+	store        *directory.Store
+	servers      [2]*directory.Server
+	authority    *authority.Authority
+	tlsConfig    *tls.Config
+	rng          *rand.Rand
+	env          *LoopbackEnvironment
+	tenants      int
+	members      int
 
-	mu       sync.Mutex
-	gates    map[string]*keptGate
-	secure   map[string]string // doors under TLS, by those in the clear
-	past     map[string][]truth
-	kinds    map[*player.Profile]string
-	got      map[string]map[int]int // statuses by kind; 0 for what played
-	times    map[string][]Time      // to the answer, by kind
-	wrongly  [2]int                 // admitted, refused
-	spoiled  []string
-	troubles map[string]int
-	changes  int
-	counts   tenants.Counts // of managers that have ended
+	mu          sync.Mutex
+	views       map[string]*accessView
+	tlsAddrs    map[string]string // doors under TLS, by those in the clear
+	history     map[string][]credential
+	kinds       map[*player.Profile]string
+	statuses    map[string]map[int]int // statuses by kind; 0 for what played
+	answerTimes map[string][]Time      // to the answer, by kind
+	misjudged   [2]int                 // admitted, refused
+	violations  []string
+	faultCounts map[string]int
+	changes     int
+	counts      tenants.Counts // of managers that have ended
 }
 
 // truth is what an account was from a moment on.
-type truth struct {
-	at       Time
+type credential struct {
+	since    Time
 	password string // empty: it is not there
 }
 
 // keptGate is one manager's view and its client.
-type keptGate struct {
+type accessView struct {
 	core   *tenants.Core
 	client *client.Client
 	loop   edge.DeferredLoop
 }
 
-func (g *keptGate) post(f func(*tenants.Core)) {
+func (g *accessView) post(f func(*tenants.Core)) {
 	g.loop.Post(func() { f(g.core) })
 }
 
-func newDoors(seed uint64, all, members int) (*doors, error) {
-	x := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: all, members: members, gates: map[string]*keptGate{},
-		secure: map[string]string{}, past: map[string][]truth{}, kinds: map[*player.Profile]string{}, got: map[string]map[int]int{},
-		times: map[string][]Time{}, troubles: map[string]int{},
-		terms: tenants.Config{Seed: seed, MaxAge: 3_000_000, SyncInterval: 500_000, Timeout: 300_000, NegativeTTL: 500_000, MaxWaiting: 5000, MaxLookups: 4,
+func newAccessDay(seed uint64, all, members int) (*doors, error) {
+	x := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: all, members: members, views: map[string]*accessView{},
+		tlsAddrs: map[string]string{}, history: map[string][]credential{}, kinds: map[*player.Profile]string{}, statuses: map[string]map[int]int{},
+		answerTimes: map[string][]Time{}, faultCounts: map[string]int{},
+		tenantConfig: tenants.Config{Seed: seed, MaxAge: 3_000_000, SyncInterval: 500_000, Timeout: 300_000, NegativeTTL: 500_000, MaxWaiting: 5000, MaxLookups: 4,
 			MaxEntries: 1 << 16, Endpoints: 2}}
 	for t := range all {
 		x.store.Put(tenantDN(t), tenantAttrs(t, 1+t%3))
 		for m := range members {
-			x.member(fmt.Sprintf("m%d-%d", t, m), memberDN(t, m), memberAttrs(t, m), 1)
+			x.putMember(fmt.Sprintf("m%d-%d", t, m), memberDN(t, m), memberAttrs(t, m), 1)
 		}
 	}
 	var err error
@@ -91,12 +91,12 @@
 		return nil, err
 	}
 	pair, err := x.authority.IssueKeyPair()
-	x.keys = &tls.Config{Certificates: []tls.Certificate{pair}}
+	x.tlsConfig = &tls.Config{Certificates: []tls.Certificate{pair}}
 	return x, err
 }
 
 // member puts a member, with the password of a generation; 0 takes it out.
-func (x *doors) member(account, dn string, attrs map[string][]string, generation int) {
+func (x *doors) putMember(account, dn string, attrs map[string][]string, generation int) {
 	password := ""
 	if generation > 0 {
 		password = fmt.Sprintf("%s/%d", account, generation)
@@ -106,16 +106,16 @@
 	} else {
 		x.store.Delete(dn)
 	}
-	x.past[account] = append(x.past[account], truth{edge.Now(), password})
+	x.history[account] = append(x.history[account], credential{edge.Now(), password})
 }
 
 // equip gives a manager that starts its gate; one that it had before has died with it.
 func (x *doors) equip(s *front.Config, seed uint64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.end(s.Name)
-	g := &keptGate{}
-	t := x.terms
+	x.closeView(s.Name)
+	g := &accessView{}
+	t := x.tenantConfig
 	t.Seed = seed
 	g.core = tenants.New(t, edge.Now())
 	var err error
@@ -124,13 +124,13 @@
 	if err != nil {
 		return err
 	}
-	x.gates[s.Name] = g
+	x.views[s.Name] = g
 	s.Access = &front.AccessControl{Core: g.core, Lookup: g.client.Do, Realm: realm, Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: t.MaxAge, Seed: uint32(seed)}}
 	return nil
 }
 
-func (x *doors) end(name string) {
-	if g := x.gates[name]; g != nil {
+func (x *doors) closeView(name string) {
+	if g := x.views[name]; g != nil {
 		go g.client.Close()
 		c := &g.core.Counts // its loop has ended
 		x.counts.Looks, x.counts.Syncs, x.counts.Polls, x.counts.Lists = x.counts.Looks+c.Looks, x.counts.Syncs+c.Syncs, x.counts.Polls+c.Polls, x.counts.Lists+c.Lists
@@ -141,17 +141,17 @@
 func (x *doors) opened(name string) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	h := x.live.host(name)
-	x.gates[name].loop.Bind(h.loop)
-	at := x.secure[h.addr]
+	h := x.env.host(name)
+	x.views[name].loop.Bind(h.loop)
+	at := x.tlsAddrs[h.addr]
 	if at == "" {
 		at = "127.0.0.1:0"
 	}
-	if err := h.loop.Listen(at, x.keys); err != nil {
+	if err := h.loop.Listen(at, x.tlsConfig); err != nil {
 		return err
 	}
-	x.secure[h.addr] = h.loop.SecureAddr()
-	x.live.names[x.secure[h.addr]] = name
+	x.tlsAddrs[h.addr] = h.loop.SecureAddr()
+	x.env.hostNames[x.tlsAddrs[h.addr]] = name
 	return nil
 }
 
@@ -162,7 +162,7 @@
 	t, m := x.rng.IntN(x.tenants), x.rng.IntN(x.members)
 	account := fmt.Sprintf("m%d-%d", t, m)
 	kind := "right"
-	all := x.past[account]
+	all := x.history[account]
 	w.Account, w.Password = account, all[len(all)-1].password
 	w.SourceAddr = fmt.Sprintf("127.1.%d.%d", t+1, m+1)
 	switch n := x.rng.IntN(100); {
@@ -180,7 +180,7 @@
 	if x.rng.IntN(3) == 0 {
 		w.Secure = true
 		for i, f := range w.Fronts {
-			w.Fronts[i] = x.secure[f]
+			w.Fronts[i] = x.tlsAddrs[f]
 		}
 		w.Basic = x.rng.IntN(2) == 0
 	}
@@ -196,22 +196,22 @@
 		return
 	}
 	played := s.StartupTime > 0 || s.Status == 0
-	if x.got[kind] == nil {
-		x.got[kind] = map[int]int{}
+	if x.statuses[kind] == nil {
+		x.statuses[kind] = map[int]int{}
 	}
-	x.got[kind][s.Status]++
+	x.statuses[kind][s.Status]++
 	if s.Status == 401 {
-		x.times[kind] = append(x.times[kind], s.AnsweredAt-s.StartedAt)
+		x.answerTimes[kind] = append(x.answerTimes[kind], s.AnsweredAt-s.StartedAt)
 	}
 	until := max(s.AnsweredAt, s.StartedAt+s.StartupTime)
 	good, always := false, true // it was that within the bound before the answer; it was nothing else
-	all := x.past[w.Account]
+	all := x.history[w.Account]
 	for i, p := range all {
 		end := never
 		if i+1 < len(all) {
-			end = all[i+1].at
+			end = all[i+1].since
 		}
-		if end < s.StartedAt-x.terms.MaxAge || p.at > until {
+		if end < s.StartedAt-x.tenantConfig.MaxAge || p.since > until {
 			continue
 		}
 		if p.password != "" && p.password == w.Password {
@@ -222,40 +222,40 @@
 	}
 	switch {
 	case played && !good:
-		x.wrongly[0]++
-		x.spoiled = append(x.spoiled, fmt.Sprintf("%s played as %s (%s)", s.ID, w.Account, kind))
+		x.misjudged[0]++
+		x.violations = append(x.violations, fmt.Sprintf("%s played as %s (%s)", s.ID, w.Account, kind))
 	case (s.Status == 401 || s.Status == 403) && good && always:
-		x.wrongly[1]++
-		x.spoiled = append(x.spoiled, fmt.Sprintf("%s got %d as %s (%s, TLS %v, password %v)", s.ID, s.Status, w.Account, kind, w.Secure, w.Basic))
+		x.misjudged[1]++
+		x.violations = append(x.violations, fmt.Sprintf("%s got %d as %s (%s, TLS %v, password %v)", s.ID, s.Status, w.Account, kind, w.Secure, w.Basic))
 	}
 }
 
 // change changes something in the directory.
-func (x *doors) change() {
+func (x *doors) changeDirectory() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.changes++
 	t, m := x.rng.IntN(x.tenants), x.rng.IntN(x.members)
 	account := fmt.Sprintf("m%d-%d", t, m)
-	generation := len(x.past[account]) + 1
-	if all := x.past[account]; all[len(all)-1].password != "" && x.rng.IntN(2) == 0 {
+	generation := len(x.history[account]) + 1
+	if all := x.history[account]; all[len(all)-1].password != "" && x.rng.IntN(2) == 0 {
 		generation = 0
 	}
-	x.member(account, memberDN(t, m), memberAttrs(t, m), generation)
+	x.putMember(account, memberDN(t, m), memberAttrs(t, m), generation)
 	if x.rng.IntN(4) == 0 {
 		x.store.Put(tenantDN(t), tenantAttrs(t, 1+x.rng.IntN(9)))
 	}
 }
 
 // upset has the directory go wrong for a while.
-func (x *doors) upset(bag *[]string) {
+func (x *doors) injectFault(bag *[]string) {
 	if len(*bag) == 0 {
 		*bag = []string{"cut", "truncate", "busy", "stall", "silent", "forget", "slow", "hang", "refer", "well", "well"}
 		x.rng.Shuffle(len(*bag), func(i, j int) { (*bag)[i], (*bag)[j] = (*bag)[j], (*bag)[i] })
 	}
 	kind := (*bag)[0]
 	*bag = (*bag)[1:]
-	x.troubles[kind]++
+	x.faultCounts[kind]++
 	a, b := directory.Faults{}, directory.Faults{NoSync: true}
 	switch kind {
 	case "truncate":
@@ -293,10 +293,10 @@
 		case <-stop:
 			return
 		case now := <-tick.C:
-			x.change()
+			x.changeDirectory()
 			if now.After(next) {
 				x.mu.Lock()
-				x.upset(&bag)
+				x.injectFault(&bag)
 				next = now.Add(time.Duration(200+x.rng.IntN(600)) * time.Millisecond)
 				x.mu.Unlock()
 			}
@@ -307,8 +307,8 @@
 func (x *doors) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for name, g := range x.gates {
-		x.end(name)
+	for name, g := range x.views {
+		x.closeView(name)
 		g.client.Close()
 	}
 	for _, s := range x.servers {
@@ -317,7 +317,7 @@
 }
 
 // throughDoors plays the day of doors and judges it.
-func (p *Proof) throughDoors(seed uint64, size Size, log *zap.Logger) error {
+func (p *Proof) proveAccessDay(seed uint64, size Size, log *zap.Logger) error {
 	d, err := Library("doors")
 	if err != nil {
 		return err
@@ -325,17 +325,17 @@
 	d.Seed = seed
 	least := 2000.0
 	if size == Small {
-		d, least = d.scaled(0.4), 600
+		d, least = d.withRateFactor(0.4), 600
 	}
-	x, err := newDoors(seed, 20, 40)
+	x, err := newAccessDay(seed, 20, 40)
 	if err != nil {
 		return err
 	}
 	d.doors = x
 	stop := make(chan struct{})
 	var ran sync.WaitGroup
-	play, tape, err := Loopback(d, func(l *Live, t *Tape) *Play {
-		x.live = l
+	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play {
+		x.env = l
 		play := Begin(d, l, t, nil, log)
 		l.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: x.authority.Pool()})
 		ran.Go(func() { x.run(stop) })
@@ -347,29 +347,29 @@
 	if err != nil {
 		return err
 	}
-	p.rules(Judge(tape, d.Bounds(core.Second/20)))
+	p.checkRules(Judge(tape, d.Bounds(core.Second/20)))
 	t := &play.Tally
 	p.Note("through whole session managers: %s", t.Summary())
-	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", x.changes, x.troubles, x.got)
-	for i, s := range x.spoiled {
+	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", x.changes, x.faultCounts, x.statuses)
+	for i, s := range x.violations {
 		if i < 3 {
 			p.Note("%s", s)
 		}
 	}
 	p.AtLeast(float64(t.Asked), least, "playbacks asked for through whole session managers")
-	right := x.got["right"]
+	right := x.statuses["right"]
 	asked := 0
 	for _, n := range right {
 		asked += n
 	}
 	p.AtLeast(float64(right[0])/float64(max(asked, 1)), 0.6, "part of those with a right password that played")
-	p.AtMost(float64(x.wrongly[0]), 0, "played with what had not been right within the bound")
-	p.AtMost(float64(x.wrongly[1]), 0, "turned away with what had been right all the while")
+	p.AtMost(float64(x.misjudged[0]), 0, "played with what had not been right within the bound")
+	p.AtMost(float64(x.misjudged[1]), 0, "turned away with what had been right all the while")
 	p.AtMost(float64(t.Unasked), 0, "answers that nothing asked for")
 	for _, kind := range []string{"wrong", "unknown"} {
-		slices.Sort(x.times[kind])
+		slices.Sort(x.answerTimes[kind])
 	}
-	if a, b := x.times["wrong"], x.times["unknown"]; len(a) > 9 && len(b) > 9 {
+	if a, b := x.answerTimes["wrong"], x.answerTimes["unknown"]; len(a) > 9 && len(b) > 9 {
 		p.Note("a wrong password's 401 came after %.1f ms at the median, 90%% %.1f ms; an unknown account's after %.1f and %.1f ms", float64(a[len(a)/2])/1e3,
 			float64(a[len(a)*9/10])/1e3, float64(b[len(b)/2])/1e3, float64(b[len(b)*9/10])/1e3)
 	}
--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -17,46 +17,46 @@
 
 // flood is one way of crowding a door. Its lines are added to the ground's day.
 type flood struct {
-	name    string
-	lines   string
-	shrinks bool
-	direct  bool // those within their share are to be admitted at their first asking, not later
+	name            string
+	dayLines        string
+	capacityShrinks bool
+	firstTryOnly    bool // those within their share are to be admitted at their first asking, not later
 }
 
 // floods are the hard cases. The burst is so many distinct clients within a second.
 func floods(burst int) []flood {
 	return []flood{
-		{name: "one tenant at a hundred times its share, then from many addresses", direct: true,
-			lines: "tenant flood rate=100 from=5 until=50 flood=1\ntenant flood rate=100 from=60 until=70 addresses=10000 flood=1"},
-		{name: "returns early, never, and when told", direct: true,
-			lines: "tenant flood rate=100 from=5 until=45 addresses=10000 flood=1 exact=0.5 early=0.25"},
-		{name: "a burst of distinct clients of one tenant", direct: true,
-			lines: fmt.Sprintf("tenant flood rate=%d from=5 until=6 addresses=1000000 flood=1", burst)},
+		{name: "one tenant at a hundred times its share, then from many addresses", firstTryOnly: true,
+			dayLines: "tenant flood rate=100 from=5 until=50 flood=1\ntenant flood rate=100 from=60 until=70 addresses=10000 flood=1"},
+		{name: "returns early, never, and when told", firstTryOnly: true,
+			dayLines: "tenant flood rate=100 from=5 until=45 addresses=10000 flood=1 exact=0.5 early=0.25"},
+		{name: "a burst of distinct clients of one tenant", firstTryOnly: true,
+			dayLines: fmt.Sprintf("tenant flood rate=%d from=5 until=6 addresses=1000000 flood=1", burst)},
 		{name: "a burst of as many tenants, one client each",
-			lines: fmt.Sprintf("tenant t count=%d rate=1 from=5 until=6 flood=1", burst/4)},
-		{name: "capacity halves while many wait", direct: true, shrinks: true,
-			lines: "tenant flood rate=100 from=5 until=60 addresses=10000 flood=1\nat 20 sag boxes=8 size=2 for=8"},
+			dayLines: fmt.Sprintf("tenant t count=%d rate=1 from=5 until=6 flood=1", burst/4)},
+		{name: "capacity halves while many wait", firstTryOnly: true, capacityShrinks: true,
+			dayLines: "tenant flood rate=100 from=5 until=60 addresses=10000 flood=1\nat 20 sag boxes=8 size=2 for=8"},
 		{name: "the manager stands still for two seconds",
-			lines: "tenant flood rate=100 from=5 until=30 addresses=10000 flood=1\nat 10 stand-still for=2"},
+			dayLines: "tenant flood rate=100 from=5 until=30 addresses=10000 flood=1\nat 10 stand-still for=2"},
 	}
 }
 
 // shares is what the checker finds in the log of what the viewers saw.
-type shares struct {
-	worst        float64 // of the tenants within their share: the least part admitted of what was asked
-	jain         float64 // over those not flooding
-	within       int
-	kept, came   int     // of those who came back at the time told: admitted on that return
-	stated       float64 // median of the time told over the time needed
-	told         int
-	lone         Time // 99th percentile of the lone tenant's answers
-	plays        int
-	floodShare   float64
-	refusedUntil int // refusals without a time
+type fairnessResult struct {
+	worstShare               float64 // of the tenants within their share: the least part admitted of what was asked
+	jainIndex                float64 // over those not flooding
+	withinShare              int
+	admittedReturns, returns int     // of those who came back at the time told: admitted on that return
+	statedRatio              float64 // median of the time told over the time needed
+	statedTimes              int
+	loneWait                 Time // 99th percentile of the lone tenant's answers
+	played                   int
+	floodShare               float64
+	rejectedWithoutTime      int // refusals without a time
 }
 
 // fairness computes max-min fair shares from the log and holds what was admitted against them.
-func fairness(p *Play, direct bool) (s shares) {
+func measureFairness(p *Play, direct bool) (s fairnessResult) {
 	asked, got, loneTimes := map[string]float64{}, map[string]float64{}, []Time{}
 	flooding := map[string]bool{}
 	total := 0.0
@@ -71,7 +71,7 @@
 		flooding[l.Tenant] = flooding[l.Tenant] || l.Of.Flood
 		for i, x := range l.Seen {
 			if x.StartupTime > 0 {
-				s.plays++
+				s.played++
 				total++
 				if i == 0 || !direct || l.Of.Flood {
 					got[l.Tenant]++
@@ -81,18 +81,18 @@
 				loneTimes = append(loneTimes, x.AnsweredAt-x.StartedAt)
 			}
 			if x.State == player.Rejected && x.RetryToken == "" {
-				s.refusedUntil++
+				s.rejectedWithoutTime++
 			}
-			if x.BroughtToken && !p.voided(l.Seen[i-1].AnsweredAt, x.StartedAt) {
-				s.came++
+			if x.BroughtToken && !p.promiseVoided(l.Seen[i-1].AnsweredAt, x.StartedAt) {
+				s.returns++
 				if x.StartupTime > 0 {
-					s.kept++
+					s.admittedReturns++
 				}
 			}
 		}
 	}
-	level := waterLevel(asked, total)
-	s.worst = 1
+	level := maxMinShare(asked, total)
+	s.worstShare = 1
 	var sum, squares, n float64
 	for t, a := range asked {
 		if flooding[t] {
@@ -100,24 +100,24 @@
 			continue
 		}
 		if a <= level {
-			s.within++
-			s.worst = min(s.worst, got[t]/a)
+			s.withinShare++
+			s.worstShare = min(s.worstShare, got[t]/a)
 		}
 		x := got[t] / min(a, level)
 		sum, squares, n = sum+x, squares+x*x, n+1
 	}
-	s.jain = sum * sum / (n * max(squares, 1e-9))
-	s.stated, s.told = stated(p, asked, level)
+	s.jainIndex = sum * sum / (n * max(squares, 1e-9))
+	s.statedRatio, s.statedTimes = statedOverNeeded(p, asked, level)
 	slices.Sort(loneTimes)
 	if len(loneTimes) > 0 {
-		s.lone = loneTimes[min(len(loneTimes)*99/100, len(loneTimes)-1)]
+		s.loneWait = loneTimes[min(len(loneTimes)*99/100, len(loneTimes)-1)]
 	}
 	return s
 }
 
 // voided tells whether a promise was made before, or while, the capacity shrank and fell due after, or fell
 // due while the manager stood still: nobody could keep those.
-func (p *Play) voided(made, due Time) bool {
+func (p *Play) promiseVoided(made, due Time) bool {
 	for _, t := range p.Day.Troubles {
 		at := p.began + t.At
 		if t.Kind == "sag" && made < at+3*core.Second && due > at || t.Kind == "stand-still" && due > at-core.Second && due < at+t.For {
@@ -129,7 +129,7 @@
 
 // waterLevel is the share under which a tenant gets all that it asks, when so much is given in all
 // (max-min fairness, Bertsekas and Gallager, Data Networks, section 6.5.2).
-func waterLevel(asked map[string]float64, total float64) float64 {
+func maxMinShare(asked map[string]float64, total float64) float64 {
 	var all []float64
 	for _, a := range asked {
 		all = append(all, a)
@@ -147,7 +147,7 @@
 
 // stated is the median, over viewers refused with a time at their first asking, of that time over the time
 // needed: that in which one line of the tenant's own, served at its fair rate, would have come to them.
-func stated(p *Play, asked map[string]float64, level float64) (median float64, n int) {
+func statedOverNeeded(p *Play, asked map[string]float64, level float64) (median float64, n int) {
 	type coming struct {
 		at, told Time // told 0: not refused with a time at the first asking
 	}
@@ -181,7 +181,7 @@
 			continue
 		}
 		slices.SortFunc(all, func(a, b coming) int { return int(a.at - b.at) })
-		rate := max(p.rate()-others, 0.1)
+		rate := max(p.peakStartRate()-others, 0.1)
 		level, last := 0.0, all[0].at
 		for _, c := range all {
 			level = max(level-rate*seconds(c.at-last), 0) + 1
@@ -198,7 +198,7 @@
 }
 
 // rate is what the fleet lets play a second, while it is asked for more.
-func (p *Play) rate() float64 {
+func (p *Play) peakStartRate() float64 {
 	var busiest float64
 	count := map[Time]float64{}
 	for _, l := range p.Log {
@@ -215,7 +215,7 @@
 }
 
 // fairDay plays the ground with a flood, at a door of an order.
-func fairDay(seed uint64, order string, lines string, log *zap.Logger) (*Play, *Tape, error) {
+func playFairDay(seed uint64, order string, lines string, log *zap.Logger) (*Play, *Tape, error) {
 	text, err := library.ReadFile("days/fair.day")
 	if err != nil {
 		return nil, nil, err
@@ -243,7 +243,7 @@
 }
 
 // queueMemory is the heap that a queue and its tables hold at the height of a flood of n, in bytes.
-func queueMemory(n int, manyTenants bool) float64 {
+func peakQueueMemory(n int, manyTenants bool) float64 {
 	heap := func() float64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -288,13 +288,13 @@
 	type job struct {
 		flood
 		order string
-		s     shares
+		s     fairnessResult
 		v     []Verdict
 		t     Tally
 		err   error
 	}
 	var jobs []*job
-	jobs = append(jobs, &job{flood: flood{name: "no flood", direct: true}, order: "fair"})
+	jobs = append(jobs, &job{flood: flood{name: "no flood", firstTryOnly: true}, order: "fair"})
 	for _, f := range floods(burst) {
 		jobs = append(jobs, &job{flood: f, order: "fair"})
 	}
@@ -309,23 +309,23 @@
 			defer wait.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			play, tape, err := fairDay(seed, j.order, j.lines, log)
+			play, tape, err := playFairDay(seed, j.order, j.dayLines, log)
 			if j.err = err; err != nil {
 				return
 			}
-			j.s, j.t = fairness(play, j.direct), play.Tally
+			j.s, j.t = measureFairness(play, j.firstTryOnly), play.Tally
 			j.v = Judge(tape, play.Day.Bounds(0))
 		}()
 	}
 	wait.Wait()
-	calm := jobs[0].s.lone
+	calm := jobs[0].s.loneWait
 	for _, j := range jobs {
 		if j.err != nil {
 			return nil, j.err
 		}
 		s := &j.s
 		p.Note("%s, %s: within share %.3f of what they asked (%d tenants), Jain %.3f, lone tenant's 99%% %.0f ms, flood's part %.2f; came back %d, kept %d, told/needed %.2f; plays %d",
-			j.order, j.name, s.worst, s.within, s.jain, float64(s.lone)/1e3, s.floodShare, s.came, s.kept, s.stated, s.plays)
+			j.order, j.name, s.worstShare, s.withinShare, s.jainIndex, float64(s.loneWait)/1e3, s.floodShare, s.returns, s.admittedReturns, s.statedRatio, s.played)
 		if j.order != "fair" {
 			continue
 		}
@@ -337,26 +337,26 @@
 			}
 		}
 		p.AtMost(float64(j.t.Fronts.Playbacks+int64(j.t.Unasked)), 0, "left over or unasked: %s", j.name)
-		if j.lines == "" {
+		if j.dayLines == "" {
 			continue
 		}
-		p.Judged["tenants within their share"] += s.within
-		p.Judged["returns"] += s.came
-		p.Judged["times told"] += s.told
-		p.AtLeast(s.worst, 0.95, "admitted within share: %s", j.name)
-		p.AtLeast(s.jain, 0.98, "Jain's index of the rest: %s", j.name)
-		if s.came > 0 {
-			p.AtLeast(float64(s.kept)/float64(s.came), 0.95, "admitted when they came back as told: %s", j.name)
+		p.Judged["tenants within their share"] += s.withinShare
+		p.Judged["returns"] += s.returns
+		p.Judged["times told"] += s.statedTimes
+		p.AtLeast(s.worstShare, 0.95, "admitted within share: %s", j.name)
+		p.AtLeast(s.jainIndex, 0.98, "Jain's index of the rest: %s", j.name)
+		if s.returns > 0 {
+			p.AtLeast(float64(s.admittedReturns)/float64(s.returns), 0.95, "admitted when they came back as told: %s", j.name)
 		}
-		if s.told > 0 && j.direct && !j.shrinks { // what will come back of the capacity nobody can tell
-			p.AtMost(s.stated, 2, "time told over time needed, median: %s", j.name)
+		if s.statedTimes > 0 && j.firstTryOnly && !j.capacityShrinks { // what will come back of the capacity nobody can tell
+			p.AtMost(s.statedRatio, 2, "time told over time needed, median: %s", j.name)
 		}
-		if j.direct && !j.shrinks { // while there is less room than those within their shares ask, all wait
-			p.AtMost(float64(s.lone)/float64(max(calm, 1)), 2, "lone tenant's wait over that without: %s", j.name)
+		if j.firstTryOnly && !j.capacityShrinks { // while there is less room than those within their shares ask, all wait
+			p.AtMost(float64(s.loneWait)/float64(max(calm, 1)), 2, "lone tenant's wait over that without: %s", j.name)
 		}
 	}
 	for _, many := range []bool{false, true} {
-		once, ten := queueMemory(40_000, many), queueMemory(400_000, many)
+		once, ten := peakQueueMemory(40_000, many), peakQueueMemory(400_000, many)
 		p.AtMost(ten/once, 1.05, "memory at ten times the flood (many tenants: %t)", many)
 		p.Note("memory at its peak: %.0f kB", once/1e3)
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -20,7 +20,7 @@
 )
 
 // program is pierlink's, beside the program that runs.
-func program() (string, error) {
+func daemonPath() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
@@ -34,13 +34,13 @@
 
 // outside plays a day with its session managers as processes. after is called once the day is over and before
 // they end.
-func outside(d *Day, log *zap.Logger, after func(*Processes, *Play) error) (*Processes, *Play, *Tape, error) {
-	path, err := program()
+func playWithProcesses(d *Day, log *zap.Logger, after func(*Processes, *Play) error) (*Processes, *Play, *Tape, error) {
+	path, err := daemonPath()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	var x *Processes
-	play, tape, err := Loopback(d, func(l *Live, t *Tape) *Play {
+	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play {
 		if x, err = NewProcesses(path, d, l); err != nil {
 			l.Err = err
 			return nil
@@ -54,14 +54,14 @@
 }
 
 // attempts that found nobody, and those that were heard by one that was not ready.
-func (x *Processes) unanswered(play *Play, slack Time) (refused int, first string) {
+func (x *Processes) refusedConnections(play *Play, slack Time) (refused int, first string) {
 	for _, s := range play.Seen {
-		if s.Connected || s.State == player.Abandoned || x.down(s.Front, s.StartedAt, slack) || x.down(s.Front, s.EndedAt, slack) {
+		if s.Connected || s.State == player.Abandoned || x.expectedDown(s.Front, s.StartedAt, slack) || x.expectedDown(s.Front, s.EndedAt, slack) {
 			continue
 		}
 		refused++
 		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.StartedAt-play.began))
+			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.env.hostNames[s.Front], seconds(s.StartedAt-play.began))
 		}
 	}
 	return refused, first
@@ -69,14 +69,14 @@
 
 // broken counts the playbacks that ended though their viewers wanted more, while neither their session manager
 // was killed nor stopped.
-func (x *Processes) broken(play *Play, slack Time) (n int, first string) {
+func (x *Processes) brokenPlaybacks(play *Play, slack Time) (n int, first string) {
 	for _, s := range play.Seen {
-		if s.State != player.Lost || x.down(s.Front, s.EndedAt, slack) {
+		if s.State != player.Lost || x.expectedDown(s.Front, s.EndedAt, slack) {
 			continue
 		}
 		n++
 		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.live.names[s.Front], seconds(s.EndedAt-play.began))
+			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.env.hostNames[s.Front], seconds(s.EndedAt-play.began))
 		}
 	}
 	return n, first
@@ -84,18 +84,18 @@
 
 // stopped counts the playbacks that a stop ended without a way on: their viewers were neither sent elsewhere nor
 // told when to come back.
-func (x *Processes) stopped(play *Play) (open, without int) {
+func (x *Processes) playbacksAtStops(play *Play) (open, without int) {
 	for _, s := range play.Seen {
 		for _, i := range x.instances {
 			if i.addr != s.Front {
 				continue
 			}
-			for _, h := range i.halts {
+			for _, h := range i.stops {
 				if s.EndedAt < h.From || s.StartedAt > h.To || !s.Connected {
 					continue
 				}
 				open++
-				if !s.RedirectReceived && (s.State == player.Lost || s.State == player.Failed && s.Status == 0) && h.has(s.EndedAt, 0) {
+				if !s.RedirectReceived && (s.State == player.Lost || s.State == player.Failed && s.Status == 0) && h.contains(s.EndedAt, 0) {
 					without++
 				}
 			}
@@ -120,29 +120,29 @@
 	}
 	calm.Seed, bad.Seed, outage.Seed = seed, seed, seed
 	if size == Small {
-		calm, bad = calm.smaller(8), bad.smaller(8)
+		calm, bad = calm.withManagers(8), bad.withManagers(8)
 	}
-	if err := p.damage(seed, size); err != nil {
+	if err := p.checkDamagedFiles(seed, size); err != nil {
 		return nil, err
 	}
-	p.outages(outage, log)
+	p.checkOutage(outage, log)
 	slack := calm.Plans[0].Abandon / 20
 
 	// only reloads, stops and upgrades: nothing may break
-	x, play, tape, err := outside(calm, log, func(x *Processes, _ *Play) error { return p.leftOver(x, "calm day: ") })
+	x, play, tape, err := playWithProcesses(calm, log, func(x *Processes, _ *Play) error { return p.checkLeftovers(x, "calm day: ") })
 	if err != nil {
 		return nil, err
 	}
 	p.Note("calm day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
 	p.Note("troubles: %v", play.Tally.ByKind)
-	p.fleet(x, play, "calm day: ")
-	refused, first := x.unanswered(play, slack)
+	p.checkFleetDay(x, play, "calm day: ")
+	refused, first := x.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "calm day: connections refused over reloads, stops and upgrades")
-	p.noteIf(first, "refused: ")
-	broken, first := x.broken(play, slack)
+	p.noteUnlessEmpty(first, "refused: ")
+	broken, first := x.brokenPlaybacks(play, slack)
 	p.AtMost(float64(broken), 0, "calm day: playbacks broken over reloads and upgrades")
-	p.noteIf(first, "broken: ")
-	open, without := x.stopped(play)
+	p.noteUnlessEmpty(first, "broken: ")
+	open, without := x.playbacksAtStops(play)
 	p.Judged["playbacks open at a stop"] = open
 	p.AtMost(float64(without), 0, "calm day: viewers that a stop left without a way on")
 	p.AtLeast(float64(open), 1, "calm day: playbacks open at a stop")
@@ -155,26 +155,26 @@
 	}
 
 	// everything
-	x, play, tape, err = outside(bad, log, func(x *Processes, play *Play) error {
-		if err := p.leftOver(x, "bad day: "); err != nil {
+	x, play, tape, err = playWithProcesses(bad, log, func(x *Processes, play *Play) error {
+		if err := p.checkLeftovers(x, "bad day: "); err != nil {
 			return err
 		}
-		return x.withoutRegistry(play)
+		return x.restartWithoutRegistry(play)
 	})
 	if err != nil {
 		return nil, err
 	}
 	p.Note("bad day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
 	p.Note("troubles: %v", play.Tally.ByKind)
-	p.fleet(x, play, "bad day: ")
-	p.rules(Judge(tape, bad.Bounds(slack)))
-	refused, first = x.unanswered(play, slack)
+	p.checkFleetDay(x, play, "bad day: ")
+	p.checkRules(Judge(tape, bad.Bounds(slack)))
+	refused, first = x.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "bad day: connections refused while a manager was to answer")
-	p.noteIf(first, "refused: ")
+	p.noteUnlessEmpty(first, "refused: ")
 	early := 0
 	for _, e := range tape.Entries {
 		if e.Kind == Up && e.Player {
-			if i := x.instances[e.Front]; i != nil && slices.ContainsFunc(i.spans, func(s span) bool { return s.has(e.At, -slack) && !i.halted(s) }) {
+			if i := x.instances[e.Front]; i != nil && slices.ContainsFunc(i.downtimes, func(s span) bool { return s.contains(e.At, -slack) && !i.stopBegan(s) }) {
 				early++
 			}
 		}
@@ -187,35 +187,35 @@
 }
 
 // halted tells whether a span begins with a stop: connections on their way then are still accepted.
-func (i *instance) halted(s span) bool {
-	return slices.ContainsFunc(i.halts, func(h span) bool { return h.From == s.From })
+func (i *instance) stopBegan(s span) bool {
+	return slices.ContainsFunc(i.stops, func(h span) bool { return h.From == s.From })
 }
 
 // fleet adds what any day of processes must show, and how long they took to be ready.
-func (p *Proof) fleet(x *Processes, play *Play, what string) {
+func (p *Proof) checkFleetDay(x *Processes, play *Play, what string) {
 	p.AtMost(float64(len(x.Failures)), 0, "%sprocesses that ended or failed of themselves", what)
 	for n, f := range x.Failures {
 		if n < 3 {
 			p.Note("%s", f)
 		}
 	}
-	p.AtMost(float64(len(x.day.Troubles)-sum(play.Tally.ByKind)), 0, "%sscripted troubles that were not played", what)
+	p.AtMost(float64(len(x.day.Troubles)-sumCounts(play.Tally.ByKind)), 0, "%sscripted troubles that were not played", what)
 	never := 0
 	by := map[string][]Time{}
 	for _, s := range x.Starts {
 		kind := "first"
 		switch {
-		case s.RegistryOff:
+		case s.RegistryDown:
 			kind = "registry down"
-		case s.Again:
+		case s.Restart:
 			kind = "again"
 		}
-		by[kind] = append(by[kind], s.Ready-s.Began)
+		by[kind] = append(by[kind], s.ReadyAt-s.StartedAt)
 	}
 	for _, i := range x.instances {
-		if i.serves != nil {
+		if i.serving != nil {
 			select {
-			case <-i.serves.ready:
+			case <-i.serving.ready:
 			default:
 				never++
 			}
@@ -235,7 +235,7 @@
 
 // leftOver asks the managers whether anything is left once all players have gone, and the boxes whether places
 // are taken by what nobody knows of any more.
-func (p *Proof) leftOver(x *Processes, what string) error {
+func (p *Proof) checkLeftovers(x *Processes, what string) error {
 	playbacks, orphans := -1, -1
 	for until := time.Now().Add(time.Duration(x.day.Timeout/4) * time.Microsecond); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		all, err := x.Statuses()
@@ -248,17 +248,17 @@
 		for _, s := range all {
 			playbacks += s.Waiting + s.Playing
 		}
-		x.live.mu.Lock()
+		x.env.mu.Lock()
 		for _, b := range x.play.boxes {
 			got := make(chan int, 1)
-			h := x.live.hosts[b.name]
+			h := x.env.hosts[b.name]
 			if h.down {
 				continue
 			}
-			x.live.Call(b.name, func(c core.Core) { got <- c.(*mediabox.Box).OrphanedSessions() })
+			x.env.Call(b.name, func(c core.Core) { got <- c.(*mediabox.Box).OrphanedSessions() })
 			orphans += <-got
 		}
-		x.live.mu.Unlock()
+		x.env.mu.Unlock()
 		if playbacks == 0 && orphans == 0 {
 			break
 		}
@@ -269,9 +269,9 @@
 }
 
 // withoutRegistry kills managers while the registry is down, and starts them again.
-func (x *Processes) withoutRegistry(play *Play) error {
-	x.live.mu.Lock()
-	x.cutRegistry()
+func (x *Processes) restartWithoutRegistry(play *Play) error {
+	x.env.mu.Lock()
+	x.stopRegistry()
 	some := play.fronts[:max(len(play.fronts)/4, 1)]
 	var killed []*frontState
 	for _, f := range some {
@@ -281,13 +281,13 @@
 			killed = append(killed, f)
 		}
 	}
-	x.live.mu.Unlock()
+	x.env.mu.Unlock()
 	for _, f := range killed {
-		x.live.mu.Lock()
-		<-x.instances[f.name].serves.ended
+		x.env.mu.Lock()
+		<-x.instances[f.name].serving.ended
 		x.start(f)
-		c := x.instances[f.name].serves
-		x.live.mu.Unlock()
+		c := x.instances[f.name].serving
+		x.env.mu.Unlock()
 		select {
 		case <-c.ready:
 		case <-time.After(5 * time.Second):
@@ -296,14 +296,14 @@
 	return nil
 }
 
-func (p *Proof) noteIf(what, before string) {
+func (p *Proof) noteUnlessEmpty(what, before string) {
 	if what != "" {
 		p.Note("%s%s", before, what)
 	}
 }
 
 // smaller is a day with fewer managers and as much less load.
-func (d *Day) smaller(managers int) *Day {
+func (d *Day) withManagers(managers int) *Day {
 	x := *d
 	x.Rate *= float64(managers) / float64(d.Managers)
 	x.Managers, x.Site.Fronts = managers, managers
@@ -315,7 +315,7 @@
 }
 
 // damage truncates and flips what is kept, and reads it: snapshots of both kinds, and a journal.
-func (p *Proof) damage(seed uint64, size Size) error {
+func (p *Proof) checkDamagedFiles(seed uint64, size Size) error {
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return err
@@ -366,7 +366,7 @@
 	if size == Small {
 		starts = 4
 	}
-	exe, err := program()
+	exe, err := daemonPath()
 	if err != nil {
 		return err
 	}
@@ -380,7 +380,7 @@
 		if err != nil {
 			return err
 		}
-		settings := d.settings(addr, "damaged", "zone-0", "127.0.0.1:1", 100, 0)
+		settings := d.settingsText(addr, "damaged", "zone-0", "127.0.0.1:1", 100, 0)
 		settings = strings.Replace(settings, "[ladder]", "[door]\nwaiting = 100\nbytes = 100000\ntenants = 100\nclients = 100\n[ladder]", 1)
 		view := append([]byte("pierlink registry view 1 0123456789abcdef\n"), text...)
 		rows := bytes.Repeat([]byte("0123456789abcdef {\"name\":\"x\"}\n"), 3)
@@ -412,7 +412,7 @@
 
 // outages plays a day on which half of the managers are killed in one moment and come back, with what is kept
 // for that and without.
-func (p *Proof) outages(d *Day, log *zap.Logger) {
+func (p *Proof) checkOutage(d *Day, log *zap.Logger) {
 	var with, without *Play
 	done := make(chan struct{})
 	x, y := *d, *d
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -13,17 +13,17 @@
 )
 
 // Live is the stage of loopback sockets in real time: each host is a loop of its own, as a process has.
-type Live struct {
-	tape  *Tape
-	mu    sync.Mutex
-	hosts map[string]*liveHost
-	names map[string]string // by address
-	wait  sync.WaitGroup
-	stop  chan struct{}
-	Err   error
+type LoopbackEnvironment struct {
+	tape      *Tape
+	mu        sync.Mutex
+	hosts     map[string]*loopbackHost
+	hostNames map[string]string // by address
+	wait      sync.WaitGroup
+	stopped   chan struct{}
+	Err       error
 }
 
-type liveHost struct {
+type loopbackHost struct {
 	name   string
 	addr   string
 	loop   *edge.Loop
@@ -33,21 +33,21 @@
 }
 
 // NewLive makes an empty stage.
-func NewLive(tape *Tape) *Live {
-	return &Live{tape: tape, hosts: map[string]*liveHost{}, names: map[string]string{}, stop: make(chan struct{})}
+func NewLoopbackEnvironment(tape *Tape) *LoopbackEnvironment {
+	return &LoopbackEnvironment{tape: tape, hosts: map[string]*loopbackHost{}, hostNames: map[string]string{}, stopped: make(chan struct{})}
 }
 
 // Now is the clock.
-func (l *Live) Now() Time { return edge.Now() }
+func (l *LoopbackEnvironment) Now() Time { return edge.Now() }
 
 // At has a function run at a moment. Such functions run one at a time.
-func (l *Live) At(at Time, call func()) {
+func (l *LoopbackEnvironment) At(at Time, call func()) {
 	l.wait.Add(1)
 	go func() {
 		defer l.wait.Done()
 		select {
 		case <-time.After(time.Duration(at-edge.Now()) * time.Microsecond):
-		case <-l.stop:
+		case <-l.stopped:
 			return
 		}
 		l.mu.Lock()
@@ -56,26 +56,26 @@
 	}()
 }
 
-func (l *Live) host(name string) *liveHost {
+func (l *LoopbackEnvironment) host(name string) *loopbackHost {
 	h := l.hosts[name]
 	if h == nil {
-		h = &liveHost{name: name, addr: "127.0.0.1:0"}
+		h = &loopbackHost{name: name, addr: "127.0.0.1:0"}
 		l.hosts[name] = h
 	}
 	return h
 }
 
 // Player says that a host is a crowd of players.
-func (l *Live) Player(name string) {
+func (l *LoopbackEnvironment) Player(name string) {
 	h := l.host(name)
 	h.player, h.addr = true, ""
 }
 
 // Start runs a core on a socket; one that comes back has the address that it had.
-func (l *Live) Start(name, _ string, build func(core.Net) core.Core) {
+func (l *LoopbackEnvironment) Start(name, _ string, build func(core.Net) core.Core) {
 	h := l.host(name)
 	loop, err := edge.New(h.addr, func(n core.Net) core.Core {
-		t := &tapped{net: n, tape: l.tape, name: name, player: h.player, taps: map[*core.Conn]*tap{}, stage: l}
+		t := &tappedCore{net: n, tape: l.tape, name: name, player: h.player, connTaps: map[*core.Conn]*tap{}, env: l}
 		t.Core = build(t)
 		h.core = t.Core
 		return t
@@ -87,15 +87,15 @@
 	h.loop, h.down = loop, false
 	if h.addr != "" {
 		h.addr = loop.Addr()
-		l.names[h.addr] = name
+		l.hostNames[h.addr] = name
 	}
 }
 
 // Addr is where a host is reached.
-func (l *Live) Addr(name string) string { return l.host(name).addr }
+func (l *LoopbackEnvironment) Addr(name string) string { return l.host(name).addr }
 
 // Kill resets a host's connections and refuses new ones; a silent one is made deaf before, by its script.
-func (l *Live) Kill(name string, silent bool) {
+func (l *LoopbackEnvironment) Kill(name string, silent bool) {
 	h := l.hosts[name]
 	if silent || h.down || h.loop == nil {
 		return
@@ -105,7 +105,7 @@
 }
 
 // Call runs a function within a turn of a host.
-func (l *Live) Call(name string, call func(core.Core)) {
+func (l *LoopbackEnvironment) Call(name string, call func(core.Core)) {
 	if h := l.hosts[name]; h.loop != nil && !h.down {
 		c := h.core
 		h.loop.Post(func() { call(c) })
@@ -113,17 +113,17 @@
 }
 
 // Stand has a host's loop stand still.
-func (l *Live) Stand(name string, span Time) {
+func (l *LoopbackEnvironment) Stand(name string, span Time) {
 	if h := l.hosts[name]; h.loop != nil && !h.down {
 		h.loop.Post(func() { time.Sleep(time.Duration(span) * time.Microsecond) })
 	}
 }
 
 // CutZones is for the virtual network only: loopback has no links to cut.
-func (l *Live) CutZones(string, string, Time) {}
+func (l *LoopbackEnvironment) CutZones(string, string, Time) {}
 
 // Drain waits until what was called has run.
-func (l *Live) Drain() {
+func (l *LoopbackEnvironment) Drain() {
 	l.mu.Lock()
 	hosts := slices.Collect(maps.Values(l.hosts))
 	l.mu.Unlock()
@@ -135,8 +135,8 @@
 }
 
 // Close ends all hosts.
-func (l *Live) Close() {
-	close(l.stop)
+func (l *LoopbackEnvironment) Close() {
+	close(l.stopped)
 	l.wait.Wait()
 	for _, h := range l.hosts {
 		if h.loop != nil {
@@ -146,85 +146,85 @@
 }
 
 // tapped puts a core on its network with what passes taken down, if it is a stand-in's.
-type tapped struct {
+type tappedCore struct {
 	core.Core
-	net    core.Net
-	tape   *Tape
-	name   string
-	player bool
-	taps   map[*core.Conn]*tap
-	stage  *Live
-	came   Time // what is handled now reached the process: a loop that is late does not make others' work late
+	net       core.Net
+	tape      *Tape
+	name      string
+	player    bool
+	connTaps  map[*core.Conn]*tap
+	env       *LoopbackEnvironment
+	arrivedAt Time // what is handled now reached the process: a loop that is late does not make others' work late
 }
 
 // Came tells when what is handled next came in.
-func (t *tapped) Came(at Time) { t.came = at }
+func (t *tappedCore) Came(at Time) { t.arrivedAt = at }
 
 // Turned has nothing to measure here.
-func (t *tapped) Turned(Time, Time) {}
+func (t *tappedCore) Turned(Time, Time) {}
 
-func (t *tapped) Accepted(c *core.Conn, from string) {
+func (t *tappedCore) Accepted(c *core.Conn, from string) {
 	if !t.player && t.name[0] == 'b' {
-		t.taps[c] = t.tape.tap(t.name, from, false)
-		t.taps[c].opened(t.came, from)
+		t.connTaps[c] = t.tape.tap(t.name, from, false)
+		t.connTaps[c].opened(t.arrivedAt, from)
 	}
 	t.Core.Accepted(c, from)
 }
 
-func (t *tapped) Dial(c *core.Conn, addr string) {
+func (t *tappedCore) Dial(c *core.Conn, addr string) {
 	if t.player {
-		t.stage.mu.Lock()
-		name := t.stage.names[addr]
-		t.stage.mu.Unlock()
-		t.taps[c] = t.tape.tap(t.name, name, true)
+		t.env.mu.Lock()
+		name := t.env.hostNames[addr]
+		t.env.mu.Unlock()
+		t.connTaps[c] = t.tape.tap(t.name, name, true)
 	}
 	t.net.Dial(c, addr)
 }
 
-func (t *tapped) Dialed(c *core.Conn, err error) {
-	if p := t.taps[c]; p != nil && err == nil {
-		p.opened(t.came, "")
+func (t *tappedCore) Dialed(c *core.Conn, err error) {
+	if p := t.connTaps[c]; p != nil && err == nil {
+		p.opened(t.arrivedAt, "")
 	}
 	t.Core.Dialed(c, err)
 }
 
-func (t *tapped) Received(c *core.Conn, b []byte) {
-	if p := t.taps[c]; p != nil {
-		p.received(t.came, b)
+func (t *tappedCore) Received(c *core.Conn, b []byte) {
+	if p := t.connTaps[c]; p != nil {
+		p.received(t.arrivedAt, b)
 	}
 	t.Core.Received(c, b)
 }
 
-func (t *tapped) Closed(c *core.Conn, err error) {
-	t.end(c, false, t.came)
+func (t *tappedCore) Closed(c *core.Conn, err error) {
+	t.closeTap(c, false, t.arrivedAt)
 	t.Core.Closed(c, err)
 }
 
-func (t *tapped) Send(c *core.Conn, b []byte) {
-	if p := t.taps[c]; p != nil {
+func (t *tappedCore) Send(c *core.Conn, b []byte) {
+	if p := t.connTaps[c]; p != nil {
 		p.sent(edge.Now(), b)
 	}
 	t.net.Send(c, b)
 }
 
-func (t *tapped) Pending(c *core.Conn) int { return t.net.Pending(c) }
+func (t *tappedCore) Pending(c *core.Conn) int { return t.net.Pending(c) }
 
-func (t *tapped) Close(c *core.Conn) {
-	t.end(c, true, edge.Now())
+func (t *tappedCore) Close(c *core.Conn) {
+	t.closeTap(c, true, edge.Now())
 	t.net.Close(c)
 }
 
-func (t *tapped) end(c *core.Conn, own bool, at Time) {
-	if p := t.taps[c]; p != nil {
+func (t *tappedCore) closeTap(c *core.Conn, own bool, at Time) {
+	if p := t.connTaps[c]; p != nil {
 		p.closed(at, own)
-		delete(t.taps, c)
+		delete(t.connTaps, c)
 	}
 }
 
 // Loopback plays a day on sockets. What comes after runs while all still stands.
-func Loopback(d *Day, build func(*Live, *Tape) *Play, after ...func(*Play) error) (*Play, *Tape, error) {
+func Loopback(d *Day, build func(*LoopbackEnvironment, *Tape) *Play, after ...func(*Play) error) (*Play, *Tape, error) {
 	tape := &Tape{}
-	l := NewLive(tape)
+	l := NewLoopbackEnvironment(tape)
 	l.mu.Lock()
 	p := build(l, tape)
 	l.mu.Unlock()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -42,14 +42,14 @@
 	Refused, Failed    int
 	Abandoned          int
 	P50, P90, P99, Max time.Duration // to the first packet, of those that played
-	Behind             time.Duration // the load itself, at worst
+	MaxLag             time.Duration // the load itself, at worst
 	Status             *edge.Status
-	Turned             int64   // connections that the session manager turned away
+	ConnRejects        int64   // connections that the session manager turned away
 	CPU                float64 // of the session manager, processors; 0 where it is not known
 }
 
 // Held tells whether the step stayed under the knee.
-func (s *Step) held(l *Load) bool {
+func (s *Step) withinLimits(l *Load) bool {
 	return s.Asked > 0 && s.P99 <= l.Target && float64(s.Asked-s.Played) <= l.Refused*float64(s.Asked)
 }
 
@@ -93,7 +93,7 @@
 				}
 			}
 		})
-		cpu, turned := cpuOf(l.Control), int64(0)
+		cpu, turned := processCPU(l.Control), int64(0)
 		if l.Control != "" {
 			if x, err := edge.QueryStatus(l.Control); err == nil {
 				turned = x.Figures.Turned
@@ -110,7 +110,7 @@
 			w := &player.Profile{ID: "load-" + strconv.Itoa(n), Fronts: []string{l.To}, Plan: l.Plan, Title: "t" + strconv.Itoa(rng.IntN(l.Titles)),
 				TopRung: 99, Tracks: l.Tracks, WatchTime: l.Watch.Microseconds(), AbandonTime: l.Abandon.Microseconds()}
 			loop.Post(func() {
-				s.Behind = max(s.Behind, time.Duration(edge.Now()-at)*time.Microsecond)
+				s.MaxLag = max(s.MaxLag, time.Duration(edge.Now()-at)*time.Microsecond)
 				s.Asked++
 				left++
 				intended[w.ID] = at
@@ -120,11 +120,11 @@
 		}
 		took := seconds(edge.Now() - began)
 		if l.Control != "" {
-			s.CPU = (cpuOf(l.Control) - cpu) / took
+			s.CPU = (processCPU(l.Control) - cpu) / took
 			if s.Status, err = edge.QueryStatus(l.Control); err != nil {
 				return steps, err
 			}
-			s.Turned = s.Status.Figures.Turned - turned
+			s.ConnRejects = s.Status.Figures.Turned - turned
 		}
 		for open := 1; open > 0; time.Sleep(10 * time.Millisecond) { // each has come to its end, or is given up
 			loop.Do(func() { open = left })
@@ -138,7 +138,7 @@
 		if l.Say != nil {
 			fmt.Fprintln(l.Say, s.String())
 		}
-		if !s.held(l) {
+		if !s.withinLimits(l) {
 			break
 		}
 		rate *= l.Grow
@@ -147,7 +147,7 @@
 }
 
 // cpuOf is the CPU seconds of the process at a control socket.
-func cpuOf(control string) float64 {
+func processCPU(control string) float64 {
 	if control == "" {
 		return 0
 	}
@@ -161,7 +161,7 @@
 func (s *Step) String() string {
 	t := fmt.Sprintf("%7.1f/s: asked %d, played %d, refused %d, failed %d, given up %d; first packet 50%% %s, 99%% %s, most %s; load behind by %s", s.Rate,
 		s.Asked, s.Played, s.Refused, s.Failed, s.Abandoned, s.P50.Round(100*time.Microsecond), s.P99.Round(100*time.Microsecond),
-		s.Max.Round(100*time.Microsecond), s.Behind.Round(100*time.Microsecond))
+		s.Max.Round(100*time.Microsecond), s.MaxLag.Round(100*time.Microsecond))
 	if s.Status != nil {
 		t += fmt.Sprintf("; manager: %.2f processors, late by %.1f ms, shed %d", s.CPU, s.Status.LagMS, s.Status.Figures.Shed)
 	}
@@ -174,16 +174,16 @@
 		return "no step was taken"
 	}
 	last := &steps[len(steps)-1]
-	if last.held(l) {
+	if last.withinLimits(l) {
 		return fmt.Sprintf("nothing gave out up to %.1f playbacks a second", last.Rate)
 	}
 	what := "time to the first packet"
 	switch {
-	case last.Behind > l.Target/4:
+	case last.MaxLag > l.Target/4:
 		what = "the load itself: it fell behind, and the figures of this step say little of the session manager"
 	case last.Status != nil && last.Status.DescriptorRejects > 0:
 		what = "descriptors of the session manager"
-	case 2*last.Turned > int64(last.Failed) && last.Failed > 0:
+	case 2*last.ConnRejects > int64(last.Failed) && last.Failed > 0:
 		what = "the door: connections are turned away (bounds.connections, door.per_address, door.half_open)"
 	case last.Status != nil && last.Status.Figures.Shed > 0:
 		what = "the session manager's time: it sheds, as it is late with its work"
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -24,53 +24,53 @@
 // stops, reloads, stalls and replaces them, and hears from them that they are ready as a supervisor does. Boxes
 // and players are the laboratory's own, on its live stage.
 type Processes struct {
-	Program string // pierlink
-	dir     string
-	spawner *spawner
-	day     *Day
-	play    *Play
-	live    *Live
-	store   *standin.Store
-	server  *standin.Server
-	address string // of the registry
+	Program      string // pierlink
+	dir          string
+	spawner      *spawner
+	day          *Day
+	play         *Play
+	env          *LoopbackEnvironment
+	store        *standin.Store
+	server       *standin.Server
+	registryAddr string // of the registry
 
 	mu        sync.Mutex
 	instances map[string]*instance
 	wait      sync.WaitGroup
 	Starts    []Start
 	Failures  []string // processes that ended as they should not have
-	last      map[string]session.ServerState
-	all       []*managed
+	boxStates map[string]session.ServerState
+	processes []*spawnedProgram
 }
 
 // Start is how one process came to be ready.
 type Start struct {
-	Name        string
-	Began       Time
-	Ready       Time // 0 if it never was
-	RegistryOff bool
-	Again       bool // one of its name had run before
+	Name         string
+	StartedAt    Time
+	ReadyAt      Time // 0 if it never was
+	RegistryDown bool
+	Restart      bool // one of its name had run before
 }
 
 // instance is one session manager of the fleet, whichever process stands for it now.
 type instance struct {
-	name   string
-	file   string
-	addr   string
-	f      *frontState
-	serves *managed
-	taker  *managed // starts in order to take over
-	spans  []span   // in which nobody answers at its address, as it should be
-	stood  []span
-	halts  []span // of stops: from the signal to the end
-	heard  bool
-	gen    int
+	name      string
+	file      string
+	addr      string
+	front     *frontState
+	serving   *spawnedProgram
+	successor *spawnedProgram // starts in order to take over
+	downtimes []span          // in which nobody answers at its address, as it should be
+	pauses    []span
+	stops     []span // of stops: from the signal to the end
+	notified  bool
+	launches  int
 }
 
 // span is a time; To is never while it lasts.
 type span struct{ From, To Time }
 
-func (s span) has(at, slack Time) bool { return at >= s.From-slack && at <= s.To+slack }
+func (s span) contains(at, slack Time) bool { return at >= s.From-slack && at <= s.To+slack }
 
 const processTemplate = `
 listen = %[1]q
@@ -129,7 +129,7 @@
 over_share = %[34]g
 `
 
-func floats(all []float64) string {
+func formatFloats(all []float64) string {
 	var s []string
 	for _, x := range all {
 		s = append(s, fmt.Sprintf("%g", x))
@@ -138,7 +138,7 @@
 }
 
 // settings is the file of one session manager of a day.
-func (d *Day) settings(listen, name, zone, endpoint string, playbacks int, drain Time) string {
+func (d *Day) settingsText(listen, name, zone, endpoint string, playbacks int, drain Time) string {
 	var zones []string
 	for i := range d.Zones {
 		zones = append(zones, fmt.Sprintf("%q", fmt.Sprint("zone-", i)))
@@ -152,7 +152,7 @@
 		advice = "advice = false"
 	}
 	text := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.Timeout, playbacks, endpoint, d.Grace,
-		drain, floats(d.Frame.LadderKB), floats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, f.Cells, f.Racks, f.TotalLinkKB,
+		drain, formatFloats(d.Frame.LadderKB), formatFloats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, f.Cells, f.Racks, f.TotalLinkKB,
 		f.UplinkKB, f.KBPerWeight, f.RefusalFill, f.NoteDelay, f.NoteInterval, d.Frame.MaxSessions, t.ColdShare, t.WarmUp, t.ColdMultiple, t.ColdSpan,
 		t.MaxTries, ration, advice, pr.CrossZone, pr.Move, pr.Probe, pr.OverQuota)
 	repeats := map[session.Repeat]string{session.Harmless: "harmless", session.Keyed: "keyed", session.Unsafe: "unsafe"}
@@ -172,12 +172,12 @@
 }
 
 // NewProcesses prepares a fleet; its registry serves at once.
-func NewProcesses(program string, d *Day, l *Live) (*Processes, error) {
+func NewProcesses(program string, d *Day, l *LoopbackEnvironment) (*Processes, error) {
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return nil, err
 	}
-	x := &Processes{Program: program, dir: dir, day: d, live: l, instances: map[string]*instance{}, last: map[string]session.ServerState{},
+	x := &Processes{Program: program, dir: dir, day: d, env: l, instances: map[string]*instance{}, boxStates: map[string]session.ServerState{},
 		store: standin.NewStore(7, "fleet", registry.HistoryKey)}
 	if x.spawner, err = newSpawner(); err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	if x.server, err = standin.Serve("127.0.0.1:0", x.store); err != nil {
 		return nil, err
 	}
-	x.address = x.server.Addr()
+	x.registryAddr = x.server.Addr()
 	return x, nil
 }
 
@@ -210,17 +210,17 @@
 	if i == nil {
 		dir := filepath.Join(x.dir, f.name)
 		addr, err := freePort(x.play.rng)
-		i = &instance{name: f.name, file: filepath.Join(dir, "pierlink.toml"), addr: addr, f: f}
-		text := x.day.settings(addr, f.name, f.zone, x.address, 2000, x.day.Drain)
+		i = &instance{name: f.name, file: filepath.Join(dir, "pierlink.toml"), addr: addr, front: f}
+		text := x.day.settingsText(addr, f.name, f.zone, x.registryAddr, 2000, x.day.Drain)
 		if err := errors.Join(err, os.MkdirAll(dir, 0o700), os.WriteFile(i.file, []byte(text), 0o600)); err != nil {
 			x.Failures = append(x.Failures, err.Error())
 		}
 		x.instances[f.name] = i
-		x.live.host(f.name).addr = addr
-		x.live.names[addr] = f.name
-		i.spans = append(i.spans, span{x.live.Now(), never})
+		x.env.host(f.name).addr = addr
+		x.env.hostNames[addr] = f.name
+		i.downtimes = append(i.downtimes, span{x.env.Now(), never})
 	} else {
-		x.play.tape.Began(x.live.Now(), f.name, 0)
+		x.play.tape.Began(x.env.Now(), f.name, 0)
 	}
 	x.mu.Unlock()
 	x.launch(i, again)
@@ -228,34 +228,34 @@
 }
 
 // launch starts a process for an instance, and follows it.
-func (x *Processes) launch(i *instance, again bool, args ...string) *managed {
-	now := x.live.Now()
+func (x *Processes) launch(i *instance, again bool, args ...string) *spawnedProgram {
+	now := x.env.Now()
 	x.mu.Lock()
-	i.gen++
-	socket := filepath.Join(x.dir, fmt.Sprintf("%s.%d", i.name, i.gen))
+	i.launches++
+	socket := filepath.Join(x.dir, fmt.Sprintf("%s.%d", i.name, i.launches))
 	x.mu.Unlock()
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: socket, Net: "unixgram"})
 	if err != nil {
-		x.failed("%s: %v", i.name, err)
+		x.recordFailure("%s: %v", i.name, err)
 		return nil
 	}
 	c, err := x.spawner.start(now, []string{"NOTIFY_SOCKET=" + socket, "GOMAXPROCS=2"}, x.Program, append([]string{"serve", "-c", i.file}, args...)...)
 	if err != nil {
 		_ = notify.Close()
-		x.failed("%s: %v", i.name, err)
+		x.recordFailure("%s: %v", i.name, err)
 		return nil
 	}
 	takes := len(args) > 0
 	x.mu.Lock()
-	x.all = append(x.all, c)
+	x.processes = append(x.processes, c)
 	if takes {
-		i.taker = c
+		i.successor = c
 	}
 	x.mu.Unlock()
 	off := x.server == nil
 	if !takes {
 		x.mu.Lock()
-		i.serves = c
+		i.serving = c
 		x.mu.Unlock()
 	}
 	x.wait.Add(2)
@@ -271,20 +271,20 @@
 			if !bytes.Contains(text[:n], []byte("READY=1")) {
 				continue
 			}
-			at := x.live.Now()
+			at := x.env.Now()
 			x.mu.Lock()
 			select {
 			case <-c.ready: // after a reload
 			default:
 				close(c.ready)
-				x.Starts = append(x.Starts, Start{Name: i.name, Began: c.at, Ready: at, RegistryOff: off, Again: again})
+				x.Starts = append(x.Starts, Start{Name: i.name, StartedAt: c.startedAt, ReadyAt: at, RegistryDown: off, Restart: again})
 				if takes {
-					i.serves, i.taker = c, nil
-				} else if n := len(i.spans); n > 0 && i.spans[n-1].To == never {
-					i.spans[n-1].To = at
+					i.serving, i.successor = c, nil
+				} else if n := len(i.downtimes); n > 0 && i.downtimes[n-1].To == never {
+					i.downtimes[n-1].To = at
 				}
-				i.heard = true
-				x.tellAll(i, at)
+				i.notified = true
+				x.recordAllStates(i, at)
 			}
 			x.mu.Unlock()
 		}
@@ -293,26 +293,26 @@
 		defer x.wait.Done()
 		<-c.ended
 		x.mu.Lock()
-		told := c.told
+		told := c.stopRequested
 		x.mu.Unlock()
 		if !told {
-			x.failed("%s ended: %s", i.name, c.status)
+			x.recordFailure("%s ended: %s", i.name, c.status)
 		}
 		_ = notify.Close()
 	}()
 	return c
 }
 
-func (x *Processes) failed(format string, a ...any) {
+func (x *Processes) recordFailure(format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.Failures = append(x.Failures, fmt.Sprintf(format, a...))
 }
 
 // tellAll notes that an instance knows of all boxes as they stand.
-func (x *Processes) tellAll(i *instance, at Time) {
-	for _, name := range sortedKeys(x.last) {
-		x.play.tape.Told(at, i.name, name, x.last[name], 0)
+func (x *Processes) recordAllStates(i *instance, at Time) {
+	for _, name := range sortedKeys(x.boxStates) {
+		x.play.tape.Told(at, i.name, name, x.boxStates[name], 0)
 	}
 }
 
@@ -323,21 +323,21 @@
 	if b.state == session.Gone {
 		x.store.Put(map[string][]byte{key: nil})
 	} else {
-		v := registry.Box{Address: x.live.Addr(b.name), Zone: b.zone, Cell: b.cell, Kind: "std", Weight: 1, State: "ready"}
+		v := registry.Box{Address: x.env.Addr(b.name), Zone: b.zone, Cell: b.cell, Kind: "std", Weight: 1, State: "ready"}
 		if b.state == session.Draining {
 			v.State = "draining"
 		}
 		if b.started != 0 {
-			v.Started = micro(b.started)
+			v.Started = fromMicros(b.started)
 		}
 		x.store.Put(map[string][]byte{key: v.Encode()})
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.last[b.name] = b.state
-	now := x.live.Now()
+	x.boxStates[b.name] = b.state
+	now := x.env.Now()
 	for _, name := range sortedKeys(x.instances) {
-		if i := x.instances[name]; i.heard {
+		if i := x.instances[name]; i.notified {
 			x.play.tape.Told(now, name, b.name, b.state, b.started)
 		}
 	}
@@ -347,14 +347,14 @@
 func (x *Processes) kill(f *frontState) {
 	x.mu.Lock()
 	i := x.instances[f.name]
-	c := i.serves
-	now := x.live.Now()
-	i.spans = append(i.spans, span{now, never})
-	i.heard = false
-	c.told = true
-	t := i.taker
-	if i.taker = nil; t != nil {
-		t.told = true
+	c := i.serving
+	now := x.env.Now()
+	i.downtimes = append(i.downtimes, span{now, never})
+	i.notified = false
+	c.stopRequested = true
+	t := i.successor
+	if i.successor = nil; t != nil {
+		t.stopRequested = true
 	}
 	x.mu.Unlock()
 	x.play.tape.Killed(now, f.name)
@@ -368,26 +368,26 @@
 func (x *Processes) stand(f *frontState, length Time) {
 	x.mu.Lock()
 	i := x.instances[f.name]
-	c, now := i.serves, x.live.Now()
-	if !f.up || !i.heard {
+	c, now := i.serving, x.env.Now()
+	if !f.up || !i.notified {
 		x.mu.Unlock()
 		return
 	}
-	i.stood = append(i.stood, span{now, now + length})
+	i.pauses = append(i.pauses, span{now, now + length})
 	x.play.tape.Stood(now, now+length, f.name)
-	i.heard = false
-	if i.taker != nil { // it may give up waiting
-		i.taker.told = true
+	i.notified = false
+	if i.successor != nil { // it may give up waiting
+		i.successor.stopRequested = true
 	}
 	x.mu.Unlock()
 	c.signal(syscall.SIGSTOP)
-	x.live.At(now+length, func() {
+	x.env.At(now+length, func() {
 		c.signal(syscall.SIGCONT)
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if i.serves == c && !c.told {
-			i.heard = true
-			x.tellAll(i, x.live.Now())
+		if i.serving == c && !c.stopRequested {
+			i.notified = true
+			x.recordAllStates(i, x.env.Now())
 		}
 	})
 }
@@ -396,64 +396,64 @@
 func (x *Processes) trouble(f *frontState, t Trouble) {
 	x.mu.Lock()
 	i := x.instances[f.name]
-	c := i.serves
-	able := f.up && i.heard
+	c := i.serving
+	able := f.up && i.notified
 	x.mu.Unlock()
 	if !able {
 		return
 	}
-	now := x.live.Now()
+	now := x.env.Now()
 	switch t.Kind {
 	case "reload", "bad-reload":
 		drain, playbacks := x.day.Drain, 1000+x.play.rng.IntN(1000)
-		text := x.day.settings(i.addr, i.name, f.zone, x.address, playbacks, drain)
+		text := x.day.settingsText(i.addr, i.name, f.zone, x.registryAddr, playbacks, drain)
 		if t.Kind == "bad-reload" {
 			text = strings.Replace(text, "max_tries = ", "max_tries = 7", 1)
 		}
 		if err := os.WriteFile(i.file, []byte(text), 0o600); err != nil {
-			x.failed("%v", err)
+			x.recordFailure("%v", err)
 		}
 		c.signal(syscall.SIGHUP)
 		if t.Kind == "bad-reload" { // and the file is mended before anyone starts from it
-			x.live.At(now+300_000, func() {
-				_ = os.WriteFile(i.file, []byte(x.day.settings(i.addr, i.name, f.zone, x.address, playbacks, drain)), 0o600)
+			x.env.At(now+300_000, func() {
+				_ = os.WriteFile(i.file, []byte(x.day.settingsText(i.addr, i.name, f.zone, x.registryAddr, playbacks, drain)), 0o600)
 			})
 		}
 	case "halt":
 		x.mu.Lock()
-		c.told = true
+		c.stopRequested = true
 		f.up = false
-		i.spans = append(i.spans, span{now, never})
-		i.halts = append(i.halts, span{now, never})
-		n := len(i.halts) - 1
+		i.downtimes = append(i.downtimes, span{now, never})
+		i.stops = append(i.stops, span{now, never})
+		n := len(i.stops) - 1
 		x.mu.Unlock()
 		c.signal(syscall.SIGTERM)
 		go func() {
 			<-c.ended
-			end := x.live.Now()
+			end := x.env.Now()
 			x.mu.Lock()
-			i.halts[n].To = end
-			i.heard = false
+			i.stops[n].To = end
+			i.notified = false
 			x.mu.Unlock()
-			x.live.At(end+t.For, func() { x.play.startFront(f) })
+			x.env.At(end+t.For, func() { x.play.startFront(f) })
 		}()
 	case "upgrade":
 		x.mu.Lock()
-		c.told = true
+		c.stopRequested = true
 		x.mu.Unlock()
 		x.launch(i, true, "--takeover")
 	}
 }
 
 // cutRegistry stops the registry.
-func (x *Processes) cutRegistry() { x.server.Stop(); x.server = nil }
+func (x *Processes) stopRegistry() { x.server.Stop(); x.server = nil }
 
 // Statuses asks all instances that serve how they stand.
 func (x *Processes) Statuses() (all []*edge.Status, err error) {
 	x.mu.Lock()
 	instances := []*instance{}
 	for _, name := range sortedKeys(x.instances) {
-		if i := x.instances[name]; i.f.up {
+		if i := x.instances[name]; i.front.up {
 			instances = append(instances, i)
 		}
 	}
@@ -472,9 +472,9 @@
 // Close ends all processes, those that still drain too, and waits until they have gone.
 func (x *Processes) Close() {
 	x.mu.Lock()
-	var all []*managed
-	for _, c := range x.all {
-		c.told = true
+	var all []*spawnedProgram
+	for _, c := range x.processes {
+		c.stopRequested = true
 		all = append(all, c)
 	}
 	x.mu.Unlock()
@@ -489,7 +489,7 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		x.failed("processes did not end")
+		x.recordFailure("processes did not end")
 		for _, c := range all {
 			c.signal(syscall.SIGKILL)
 		}
@@ -502,10 +502,10 @@
 }
 
 // down tells whether nobody was to answer at an address at a moment.
-func (x *Processes) down(addr string, at, slack Time) bool {
+func (x *Processes) expectedDown(addr string, at, slack Time) bool {
 	for _, i := range x.instances {
 		if i.addr == addr {
-			return slices.ContainsFunc(i.spans, func(s span) bool { return s.has(at, slack) })
+			return slices.ContainsFunc(i.downtimes, func(s span) bool { return s.contains(at, slack) })
 		}
 	}
 	return false
--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -13,21 +13,21 @@
 )
 
 // Aim is one thing that a proof is to show.
-type Aim struct {
-	Aim      string  `json:"aim"`
-	Bound    string  `json:"bound"`
-	Measured float64 `json:"measured"`
-	OK       bool    `json:"ok"`
+type Criterion struct {
+	Description string  `json:"aim"`
+	Bound       string  `json:"bound"`
+	Measured    float64 `json:"measured"`
+	OK          bool    `json:"ok"`
 }
 
 // Proof is a proof's outcome.
 type Proof struct {
-	Name   string         `json:"name"`
-	Seed   uint64         `json:"seed"`
-	OK     bool           `json:"ok"`
-	Aims   []Aim          `json:"aims"`
-	Judged map[string]int `json:"judged"`
-	Notes  []string       `json:"-"` // for people
+	Name     string         `json:"name"`
+	Seed     uint64         `json:"seed"`
+	OK       bool           `json:"ok"`
+	Criteria []Criterion    `json:"aims"`
+	Judged   map[string]int `json:"judged"`
+	Notes    []string       `json:"-"` // for people
 }
 
 // Size is how large a proof is played.
@@ -53,7 +53,7 @@
 
 // Check adds an aim with what was measured.
 func (p *Proof) Check(ok bool, measured float64, bound, format string, a ...any) {
-	p.Aims = append(p.Aims, Aim{Aim: fmt.Sprintf(format, a...), Bound: bound, Measured: measured, OK: ok})
+	p.Criteria = append(p.Criteria, Criterion{Description: fmt.Sprintf(format, a...), Bound: bound, Measured: measured, OK: ok})
 }
 
 // AtLeast adds an aim that a figure must reach.
@@ -70,7 +70,7 @@
 func (p *Proof) Note(format string, a ...any) { p.Notes = append(p.Notes, fmt.Sprintf(format, a...)) }
 
 // rules adds an aim for each rule: no case broken, at least one judged.
-func (p *Proof) rules(verdicts []Verdict) {
+func (p *Proof) checkRules(verdicts []Verdict) {
 	for _, v := range verdicts {
 		p.Judged[fmt.Sprintf("rule %d", v.Rule)] = v.Judged
 		p.Check(v.Kept(), float64(len(v.Broken)), "0 broken, 1 or more judged", "rule %d: %s", v.Rule, v.Name)
@@ -85,12 +85,12 @@
 // Write prints a table for people, and the JSON line for programs.
 func (p *Proof) Write(people, programs io.Writer) error {
 	p.OK = true
-	for _, a := range p.Aims {
+	for _, a := range p.Criteria {
 		mark := "ok  "
 		if !a.OK {
 			p.OK, mark = false, "FAIL"
 		}
-		fmt.Fprintf(people, "%s  %-58s %12.6g   (%s)\n", mark, a.Aim, a.Measured, a.Bound)
+		fmt.Fprintf(people, "%s  %-58s %12.6g   (%s)\n", mark, a.Description, a.Measured, a.Bound)
 	}
 	for _, n := range p.Notes {
 		fmt.Fprintln(people, "     ", n)
@@ -99,7 +99,7 @@
 }
 
 // scaled takes a day to a part of its load.
-func (d *Day) scaled(by float64) *Day {
+func (d *Day) withRateFactor(by float64) *Day {
 	x := *d
 	x.Rate *= by
 	return &x
@@ -114,42 +114,42 @@
 	least := 2000.0
 	switch size {
 	case Small:
-		d, least = d.scaled(0.5), 1000
+		d, least = d.withRateFactor(0.5), 1000
 	case Full:
-		d, least = d.scaled(2), 4000
+		d, least = d.withRateFactor(2), 4000
 	}
 	p := &Proof{Name: "path", Seed: seed, Judged: map[string]int{}}
-	play, tape, err := Loopback(d, func(l *Live, t *Tape) *Play { return Begin(d, l, t, nil, log) })
+	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play { return Begin(d, l, t, nil, log) })
 	if err != nil {
 		return nil, err
 	}
-	p.day(play, tape, d, d.Plans[0].Abandon/40, least)
+	p.checkDay(play, tape, d, d.Plans[0].Abandon/40, least)
 	return p, nil
 }
 
 // worth notes a day's worth.
-func (p *Proof) worth(w *Worth) {
+func (p *Proof) noteWorth(w *Worth) {
 	p.Note("worth %.3f: whole %.3f, worst 10 s %.3f, worst plan %.3f, prices %.3f; at most %.3f by what links give", w.Goal, w.Whole, w.Worst,
 		w.WorstPlan, w.Prices, w.Best)
 }
 
 // day adds what any bad day must show.
-func (p *Proof) day(play *Play, tape *Tape, d *Day, slack Time, least float64) {
+func (p *Proof) checkDay(play *Play, tape *Tape, d *Day, slack Time, least float64) {
 	t := &play.Tally
 	p.Note("%s", t.Summary())
 	p.Note("troubles played: %v", t.ByKind)
-	p.rules(Judge(tape, d.Bounds(slack)))
+	p.checkRules(Judge(tape, d.Bounds(slack)))
 	p.AtLeast(float64(t.Asked), least, "playbacks asked for")
 	p.AtLeast(float64(t.Played)/float64(max(t.Asked, 1)), 0.4, "part of them that played")
 	p.AtMost(float64(t.Unasked), 0, "answers that nothing asked for")
 	p.AtMost(float64(t.Fell), 0, "boxes pushed over")
 	p.AtMost(float64(t.Fronts.Overdue), 0, "answers in the module's place")
 	p.AtMost(float64(t.Fronts.Playbacks), 0, "playbacks left over at the managers")
-	p.AtMost(float64(len(d.Troubles)-sum(t.ByKind)), 0, "scripted troubles that were not played")
-	p.Judged["playbacks"], p.Judged["troubles"] = t.Asked, sum(t.ByKind)
+	p.AtMost(float64(len(d.Troubles)-sumCounts(t.ByKind)), 0, "scripted troubles that were not played")
+	p.Judged["playbacks"], p.Judged["troubles"] = t.Asked, sumCounts(t.ByKind)
 }
 
-func sum(m map[string]int) (n int) {
+func sumCounts(m map[string]int) (n int) {
 	for _, x := range m {
 		n += x
 	}
@@ -172,7 +172,7 @@
 	}
 	d.Seed = seed
 	if size == Small {
-		d, least = d.scaled(0.2), 4000
+		d, least = d.withRateFactor(0.2), 4000
 	}
 	began := time.Now()
 	for i := range runs {
@@ -186,7 +186,7 @@
 	wait.Wait()
 	took := time.Since(began).Seconds()
 	a, b := runs[0], runs[1]
-	p.day(a.play, a.tape, d, 0, least)
+	p.checkDay(a.play, a.tape, d, 0, least)
 	same := 0.0
 	if a.w.Digest() == b.w.Digest() {
 		same = 1
@@ -211,7 +211,7 @@
 	}
 	if virtual {
 		play, tape, _ = Virtual(d, nil, log)
-		p.worth(play.Count(tape))
+		p.noteWorth(play.Count(tape))
 		p.AtMost(float64(play.Odd), 0, "things that do not add up in the emulation")
 		for _, x := range play.Oddities {
 			p.Note("odd: %s", x)
@@ -219,7 +219,7 @@
 	} else {
 		var err error
 		slack = d.Plans[0].Abandon / 40
-		play, tape, err = Loopback(d, func(l *Live, t *Tape) *Play { return Begin(d, l, t, nil, log) })
+		play, tape, err = Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play { return Begin(d, l, t, nil, log) })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/quality.go
+++ b/internal/lab/quality.go
@@ -13,20 +13,20 @@
 )
 
 // known is what was true of one synthetic playback.
-type known struct {
-	id                   string
-	plan, rack           int
-	title                string
-	taken, startup, ends Time // startup less than 0: it never started
-	stalls               [][2]Time
-	rungs                [][2]Time // from when on at which
+type syntheticPlayback struct {
+	id                          string
+	plan, rack                  int
+	title                       string
+	startedAt, startup, endedAt Time // startup less than 0: it never started
+	stalls                      [][2]Time
+	rungs                       [][2]Time // from when on at which
 }
 
 // arrival is a report on its way.
-type arrival struct {
-	at Time
-	id string
-	r  quality.Report
+type reportArrival struct {
+	at     Time
+	id     string
+	report quality.Report
 }
 
 // proveQuality plays a synthetic stream of playbacks and reports with known answers: reports come late, twice, out of
@@ -49,18 +49,18 @@
 	badRack, badTitle := rng.IntN(racks), fmt.Sprint("title-", rng.IntN(titles/4))
 	bad := [2]Time{240 * sec, 480 * sec}
 	base := Time(1_700_000_000) * sec
-	var truths []known
-	var arrivals []arrival
+	var truths []syntheticPlayback
+	var arrivals []reportArrival
 	for i := range n {
-		t := &known{id: fmt.Sprint("s", i), plan: rng.IntN(3), rack: rng.IntN(racks), taken: base + Time(rng.Float64()*float64(length))}
+		t := &syntheticPlayback{id: fmt.Sprint("s", i), plan: rng.IntN(3), rack: rng.IntN(racks), startedAt: base + Time(rng.Float64()*float64(length))}
 		t.title = fmt.Sprint("title-", int(math.Pow(rng.Float64(), 2)*float64(titles)))
 		target := terms.Plans[t.plan].Startup
 		t.startup = Time(float64(target) * (0.2 + 0.5*rng.Float64()))
 		if rng.IntN(50) == 0 {
 			t.startup = Time(float64(target) * (1 + rng.Float64()))
 		}
-		slow := t.rack == badRack && within(t.taken-base, bad) && rng.Float64() < 0.6
-		if slow || t.title == badTitle && within(t.taken-base, bad) && rng.Float64() < 0.7 {
+		slow := t.rack == badRack && inWindow(t.startedAt-base, bad) && rng.Float64() < 0.6
+		if slow || t.title == badTitle && inWindow(t.startedAt-base, bad) && rng.Float64() < 0.7 {
 			t.startup = Time(float64(target) * (1.1 + rng.Float64()))
 		}
 		if rng.IntN(100) == 0 {
@@ -68,9 +68,9 @@
 		}
 		watch := (5 + Time(rng.IntN(60))) * sec
 		if t.startup < 0 {
-			t.ends = t.taken + 2*target
+			t.endedAt = t.startedAt + 2*target
 		} else {
-			t.ends = t.taken + t.startup + watch
+			t.endedAt = t.startedAt + t.startup + watch
 		}
 		offset := Time((rng.Float64()*2 - 1) * 3600 * float64(sec)) // of the player's clock
 		seq := uint32(0)
@@ -82,24 +82,24 @@
 			}
 			x := quality.Report{Seq: seq, Type: what, SentAt: sent + offset, OccurredAt: at + offset, Duration: span, Rung: rung}
 			arrive := sent + Time(rng.Float64()*0.02*float64(sec))
-			arrivals = append(arrivals, arrival{arrive, t.id, x})
+			arrivals = append(arrivals, reportArrival{arrive, t.id, x})
 			for rng.IntN(4) == 0 { // sent again, as the answer was lost: its clock has gone on
 				again := Time(rng.Float64() * 5 * float64(sec))
 				x.SentAt += again
-				arrivals = append(arrivals, arrival{arrive + again, t.id, x})
+				arrivals = append(arrivals, reportArrival{arrive + again, t.id, x})
 			}
 		}
 		if t.startup >= 0 {
-			report(quality.StartupReport, t.taken+t.startup, 0, 0)
-			arrivals[len(arrivals)-1].r.Duration = t.startup
+			report(quality.StartupReport, t.startedAt+t.startup, 0, 0)
+			arrivals[len(arrivals)-1].report.Duration = t.startup
 			for k := len(arrivals) - 1; k >= 0 && arrivals[k].id == t.id; k-- {
-				arrivals[k].r.Duration = t.startup
+				arrivals[k].report.Duration = t.startup
 			}
-			at := t.taken + t.startup
+			at := t.startedAt + t.startup
 			t.rungs = append(t.rungs, [2]Time{at, Time(rng.IntN(4))})
-			for at += Time(rng.IntN(20)) * sec; at < t.ends-sec; at += Time(5+rng.IntN(20)) * sec {
+			for at += Time(rng.IntN(20)) * sec; at < t.endedAt-sec; at += Time(5+rng.IntN(20)) * sec {
 				if rng.IntN(2) == 0 {
-					long := min(Time(rng.Float64()*2*float64(sec)), t.ends-at-1)
+					long := min(Time(rng.Float64()*2*float64(sec)), t.endedAt-at-1)
 					t.stalls = append(t.stalls, [2]Time{at, at + long})
 					report(quality.StallReport, at, long, 0)
 				} else if r := Time(rng.IntN(4)); r != t.rungs[len(t.rungs)-1][1] {
@@ -118,20 +118,20 @@
 	do := func(at Time, call func(*quality.Collector)) { steps = append(steps, step{at, call}) }
 	for i := range truths {
 		t := &truths[i]
-		do(t.taken, func(c *quality.Collector) { c.Begin(t.id, t.plan, t.title, t.taken) })
+		do(t.startedAt, func(c *quality.Collector) { c.Begin(t.id, t.plan, t.title, t.startedAt) })
 		if t.startup >= 0 {
-			seen := t.taken + t.startup*9/10 // what the session manager sees itself is not what the viewer saw
+			seen := t.startedAt + t.startup*9/10 // what the session manager sees itself is not what the viewer saw
 			do(seen, func(c *quality.Collector) { c.Playing(t.id, t.rack, int(t.rungs[0][1]), seen) })
 		}
-		do(t.ends, func(c *quality.Collector) {
+		do(t.endedAt, func(c *quality.Collector) {
 			c.Failed(t.id, t.rack)
-			c.End(t.id, t.ends)
+			c.End(t.id, t.endedAt)
 		})
 	}
 	accepted := 0
 	for _, a := range arrivals {
 		accepted++
-		do(a.at, func(c *quality.Collector) { c.Report(a.id, a.r) })
+		do(a.at, func(c *quality.Collector) { c.Report(a.id, a.report) })
 	}
 	slices.SortStableFunc(steps, func(a, b step) int {
 		if a.at < b.at {
@@ -166,7 +166,7 @@
 		c.Advance(now)
 		next = c.Evaluate(func(a quality.Alarm) { alarms = append(alarms, alarm{a, now - base}) })
 	}
-	want := answersOf(truths, &terms)
+	want := expectedTotals(truths, &terms)
 	got := c.Totals()
 	worst, what := 0.0, ""
 	for g, w := range want {
@@ -207,13 +207,13 @@
 	p.AtMost(float64(c.OpenCount()), 0, "records left open")
 	p.AtLeast(float64(counts.Duplicates), float64(len(arrivals))/20, "reports that came twice and were left out")
 	p.Judged["playbacks"], p.Judged["reports"], p.Judged["groups"] = n, accepted, len(want)
-	return p, p.slowRack(seed, log)
+	return p, p.checkSlowRack(seed, log)
 }
 
-func within(t Time, x [2]Time) bool { return t >= x[0] && t < x[1] }
+func inWindow(t Time, x [2]Time) bool { return t >= x[0] && t < x[1] }
 
 // answersOf works the figures out from what was true, playback by playback.
-func answersOf(all []known, terms *quality.Config) map[quality.Group]quality.Totals {
+func expectedTotals(all []syntheticPlayback, terms *quality.Config) map[quality.Group]quality.Totals {
 	want := map[quality.Group]quality.Totals{}
 	for _, t := range all {
 		plan := terms.Plans[t.plan]
@@ -222,12 +222,12 @@
 			if t.startup <= plan.Startup {
 				f.RevenueOnTime = plan.Revenue
 			}
-			f.Watched = plan.Revenue * seconds(t.ends-t.taken-t.startup)
+			f.Watched = plan.Revenue * seconds(t.endedAt-t.startedAt-t.startup)
 			for _, s := range t.stalls {
 				f.Stalled += plan.Revenue * seconds(s[1]-s[0])
 			}
 			for i, r := range t.rungs {
-				to := t.ends
+				to := t.endedAt
 				if i+1 < len(t.rungs) {
 					to = t.rungs[i+1][0]
 				}
@@ -261,7 +261,7 @@
 
 // slowRack plays a day on the virtual network on which a rack becomes slow, and holds what session managers make of
 // each rack against what passed between players, managers and boxes.
-func (p *Proof) slowRack(seed uint64, log *zap.Logger) error {
+func (p *Proof) checkSlowRack(seed uint64, log *zap.Logger) error {
 	d, err := Library("slow-rack")
 	if err != nil {
 		return err
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -17,48 +17,48 @@
 
 // follower is one manager's view of the registry, made of its news alone, and what the checker holds
 // against it.
-type follower struct {
-	mu       sync.Mutex
-	store    *standin.Store
-	client   *client.Client
-	view     map[string]registry.Entry
-	sum      uint64
-	rev      int64
-	mark     registry.HistoryID
-	news     int
-	never    int             // states that the registry never had
-	twice    int             // changes applied twice
-	back     int             // revisions that went back within a history
-	delays   []time.Duration // from a change to the view, of news that came by a watch
-	firstBad string
+type registryFollower struct {
+	mu            sync.Mutex
+	store         *standin.Store
+	client        *client.Client
+	view          map[string]registry.Entry
+	checksum      uint64
+	revision      int64
+	history       registry.HistoryID
+	updates       int
+	unknownStates int             // states that the registry never had
+	duplicates    int             // changes applied twice
+	regressions   int             // revisions that went back within a history
+	delays        []time.Duration // from a change to the view, of news that came by a watch
+	firstBad      string
 }
 
-func (f *follower) take(n registry.Update, mark registry.HistoryID) {
+func (f *registryFollower) apply(n registry.Update, mark registry.HistoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.news++
-	if mark == f.mark && n.Revision < f.rev {
-		f.back++
+	f.updates++
+	if mark == f.history && n.Revision < f.revision {
+		f.regressions++
 	}
 	if n.Snapshot {
-		f.view, f.sum = map[string]registry.Entry{}, 0
+		f.view, f.checksum = map[string]registry.Entry{}, 0
 	}
 	for _, x := range n.Changes {
 		if old, ok := f.view[x.Key]; ok {
 			if old.Mod >= x.Mod {
-				f.twice++
+				f.duplicates++
 			}
-			f.sum -= standin.Checksum(x.Key, old.Value, old.Mod)
+			f.checksum -= standin.Checksum(x.Key, old.Value, old.Mod)
 			delete(f.view, x.Key)
 		}
 		if !x.Deleted {
 			f.view[x.Key] = registry.Entry{Value: x.Value, Mod: x.Mod}
-			f.sum += standin.Checksum(x.Key, x.Value, x.Mod)
+			f.checksum += standin.Checksum(x.Key, x.Value, x.Mod)
 		}
 	}
-	f.rev, f.mark = n.Revision, mark
-	if !f.store.HadState(string(mark), n.Revision, f.sum) {
-		f.never++
+	f.revision, f.history = n.Revision, mark
+	if !f.store.HadState(string(mark), n.Revision, f.checksum) {
+		f.unknownStates++
 		if f.firstBad == "" {
 			f.firstBad = fmt.Sprintf("revision %d of %s (whole %t, %d changes)", n.Revision, mark, n.Snapshot, len(n.Changes))
 		}
@@ -76,11 +76,11 @@
 	}
 	d.Seed = seed
 	if size == Small {
-		d = d.scaled(0.4)
+		d = d.withRateFactor(0.4)
 	}
 	play, tape, _ := Virtual(d, nil, log)
 	p.Note("the day through the registry: %s", play.Tally.Summary())
-	p.rules(Judge(tape, d.Bounds(0)))
+	p.checkRules(Judge(tape, d.Bounds(0)))
 	p.AtMost(float64(play.Tally.Fell), 0, "boxes pushed over on the day through the registry")
 	p.AtLeast(float64(play.Tally.Played)/float64(max(play.Tally.Asked, 1)), 0.4, "part of its askings that played")
 	changes, managers, boxes := 40_000, 20, 300
@@ -103,15 +103,15 @@
 	}
 	second := hanging.Addr()
 	defer func() { hanging.Stop(); server.Stop() }()
-	var all []*follower
+	var all []*registryFollower
 	for i := range managers {
-		f := &follower{store: store, view: map[string]registry.Entry{}}
+		f := &registryFollower{store: store, view: map[string]registry.Entry{}}
 		ends := []string{addr}
 		if i%4 == 0 {
 			ends = append(ends, hanging.Addr())
 		}
 		f.client, err = client.New(client.Config{Endpoints: ends, Core: registry.Config{Seed: seed + uint64(i), GracePeriod: 250_000,
-			Timeout: 400_000, MaxBufferedChanges: 1 << 20}}, zap.NewNop(), f.take)
+			Timeout: 400_000, MaxBufferedChanges: 1 << 20}}, zap.NewNop(), f.apply)
 		if err != nil {
 			return nil, err
 		}
@@ -213,7 +213,7 @@
 		behind, again = 0, store.CountPrefix(registry.BoxesPrefix+"leased-")
 		for _, f := range all {
 			f.mu.Lock()
-			if string(f.mark) != epoch || f.rev != rev || f.sum != sum {
+			if string(f.history) != epoch || f.revision != rev || f.checksum != sum {
 				behind++
 			}
 			f.mu.Unlock()
@@ -261,7 +261,7 @@
 			left = 0
 			for _, f := range all {
 				f.mu.Lock()
-				if f.rev != rev || f.sum != sum {
+				if f.revision != rev || f.checksum != sum {
 					left++
 				}
 				f.mu.Unlock()
@@ -277,7 +277,7 @@
 	var counts registry.Counts
 	for _, f := range all {
 		f.mu.Lock()
-		never, twice, back, news = never+f.never, twice+f.twice, back+f.back, news+f.news
+		never, twice, back, news = never+f.unknownStates, twice+f.duplicates, back+f.regressions, news+f.updates
 		delays = append(delays, f.delays...)
 		if f.firstBad != "" {
 			p.Note("never: %s", f.firstBad)
--- a/internal/lab/spawn.go
+++ b/internal/lab/spawn.go
@@ -13,15 +13,15 @@
 )
 
 // order is what the laboratory asks of its spawner, and what comes back of it.
-type order struct {
-	ID      int      `json:"id"`
-	Program string   `json:"program,omitempty"`
-	Args    []string `json:"args,omitempty"`
-	Env     []string `json:"env,omitempty"`
-	PID     int      `json:"pid,omitempty"`
-	Ended   bool     `json:"ended,omitempty"`
-	Status  string   `json:"status,omitempty"`
-	Said    string   `json:"said,omitempty"` // its last line on standard error
+type spawnMessage struct {
+	ID       int      `json:"id"`
+	Program  string   `json:"program,omitempty"`
+	Args     []string `json:"args,omitempty"`
+	Env      []string `json:"env,omitempty"`
+	PID      int      `json:"pid,omitempty"`
+	Ended    bool     `json:"ended,omitempty"`
+	Status   string   `json:"status,omitempty"`
+	LastLine string   `json:"said,omitempty"` // its last line on standard error
 }
 
 // Spawn is the spawner's process: it starts programs on order and tells when they have ended. It stands between
@@ -44,13 +44,13 @@
 	var wait sync.WaitGroup
 	say := json.NewEncoder(out)
 	running := map[int]*os.Process{}
-	tell := func(o order) {
+	tell := func(o spawnMessage) {
 		mu.Lock()
 		defer mu.Unlock()
 		_ = say.Encode(o)
 	}
 	for d := json.NewDecoder(in); ; {
-		var o order
+		var o spawnMessage
 		if err := d.Decode(&o); err != nil {
 			mu.Lock()
 			for _, p := range running {
@@ -70,13 +70,13 @@
 			err = c.Start()
 		}
 		if err != nil {
-			tell(order{ID: o.ID, Ended: true, Status: err.Error()})
+			tell(spawnMessage{ID: o.ID, Ended: true, Status: err.Error()})
 			continue
 		}
 		mu.Lock()
 		running[o.ID] = c.Process
 		mu.Unlock()
-		tell(order{ID: o.ID, PID: c.Process.Pid})
+		tell(spawnMessage{ID: o.ID, PID: c.Process.Pid})
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -92,31 +92,31 @@
 			if err != nil {
 				status = err.Error()
 			}
-			tell(order{ID: o.ID, Ended: true, Status: status, Said: last})
+			tell(spawnMessage{ID: o.ID, Ended: true, Status: status, LastLine: last})
 		}()
 	}
 }
 
 // spawner is the laboratory's end.
 type spawner struct {
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	mu   sync.Mutex
-	say  *json.Encoder
-	next int
-	all  map[int]*managed
-	done chan struct{}
+	cmd      *exec.Cmd
+	in       io.WriteCloser
+	mu       sync.Mutex
+	encoder  *json.Encoder
+	lastID   int
+	programs map[int]*spawnedProgram
+	done     chan struct{}
 }
 
 // managed is one program that the spawner runs.
-type managed struct {
-	pid    int
-	began  chan struct{} // its number is known, or it has ended
-	ready  chan struct{}
-	ended  chan struct{}
-	told   bool // to end
-	status string
-	at     Time
+type spawnedProgram struct {
+	pid           int
+	started       chan struct{} // its number is known, or it has ended
+	ready         chan struct{}
+	ended         chan struct{}
+	stopRequested bool // to end
+	status        string
+	startedAt     Time
 }
 
 func newSpawner() (*spawner, error) {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &spawner{cmd: exec.Command(self, "spawn"), all: map[int]*managed{}, done: make(chan struct{})}
+	s := &spawner{cmd: exec.Command(self, "spawn"), programs: map[int]*spawnedProgram{}, done: make(chan struct{})}
 	s.cmd.Stderr = os.Stderr
 	out, err := s.cmd.StdoutPipe()
 	if err != nil {
@@ -136,28 +136,28 @@
 	if err := s.cmd.Start(); err != nil {
 		return nil, err
 	}
-	s.say = json.NewEncoder(s.in)
+	s.encoder = json.NewEncoder(s.in)
 	go func() {
 		defer close(s.done)
 		for d := json.NewDecoder(out); ; {
-			var o order
+			var o spawnMessage
 			if d.Decode(&o) != nil {
 				return
 			}
 			s.mu.Lock()
-			m := s.all[o.ID]
+			m := s.programs[o.ID]
 			s.mu.Unlock()
 			if o.PID > 0 {
 				m.pid = o.PID
-				close(m.began)
+				close(m.started)
 				continue
 			}
 			if m.pid == 0 {
-				close(m.began)
+				close(m.started)
 			}
 			m.status = o.Status
-			if o.Said != "" {
-				m.status += ": " + o.Said
+			if o.LastLine != "" {
+				m.status += ": " + o.LastLine
 			}
 			close(m.ended)
 		}
@@ -166,18 +166,18 @@
 }
 
 // start orders a program.
-func (s *spawner) start(at Time, env []string, program string, args ...string) (*managed, error) {
-	m := &managed{began: make(chan struct{}), ready: make(chan struct{}), ended: make(chan struct{}), at: at}
+func (s *spawner) start(at Time, env []string, program string, args ...string) (*spawnedProgram, error) {
+	m := &spawnedProgram{started: make(chan struct{}), ready: make(chan struct{}), ended: make(chan struct{}), startedAt: at}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.all[s.next] = m
-	return m, s.say.Encode(order{ID: s.next, Program: program, Args: args, Env: env})
+	s.lastID++
+	s.programs[s.lastID] = m
+	return m, s.encoder.Encode(spawnMessage{ID: s.lastID, Program: program, Args: args, Env: env})
 }
 
 // signal sends one to a program that runs.
-func (m *managed) signal(x syscall.Signal) {
-	<-m.began
+func (m *spawnedProgram) signal(x syscall.Signal) {
+	<-m.started
 	select {
 	case <-m.ended:
 	default:
--- a/internal/lab/tenants.go
+++ b/internal/lab/tenants.go
@@ -19,21 +19,21 @@
 
 // asker is one session manager's view of the directory, owned by a goroutine as a front's is, with a stream of
 // questions.
-type asker struct {
-	core    *tenants.Core
-	client  *client.Client
-	calls   chan func(*tenants.Core)
-	stop    chan struct{}
-	done    chan struct{}
-	judged  func(tenants.Query, tenants.Answer)
-	pending map[int]tenants.Query
-	next    int
-	took    []time.Duration // of questions that a warm view answers
+type directoryView struct {
+	core      *tenants.Core
+	client    *client.Client
+	calls     chan func(*tenants.Core)
+	stop      chan struct{}
+	done      chan struct{}
+	onAnswer  func(tenants.Query, tenants.Answer)
+	pending   map[int]tenants.Query
+	lastID    int
+	warmTimes []time.Duration // of questions that a warm view answers
 }
 
-func newAsker(p client.Config, judged func(tenants.Query, tenants.Answer)) (*asker, error) {
-	a := &asker{core: tenants.New(p.Core, edge.Now()), calls: make(chan func(*tenants.Core), 1024), stop: make(chan struct{}), done: make(chan struct{}),
-		judged: judged, pending: map[int]tenants.Query{}}
+func newDirectoryView(p client.Config, judged func(tenants.Query, tenants.Answer)) (*directoryView, error) {
+	a := &directoryView{core: tenants.New(p.Core, edge.Now()), calls: make(chan func(*tenants.Core), 1024), stop: make(chan struct{}), done: make(chan struct{}),
+		onAnswer: judged, pending: map[int]tenants.Query{}}
 	var err error
 	a.client, err = client.New(p, a.post, zap.NewNop())
 	if err != nil {
@@ -43,14 +43,14 @@
 	return a, nil
 }
 
-func (a *asker) post(f func(*tenants.Core)) {
+func (a *directoryView) post(f func(*tenants.Core)) {
 	select {
 	case a.calls <- f:
 	case <-a.done:
 	}
 }
 
-func (a *asker) do(f func(*tenants.Core)) {
+func (a *directoryView) call(f func(*tenants.Core)) {
 	ran := make(chan struct{})
 	a.post(func(c *tenants.Core) { f(c); close(ran) })
 	select {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (a *asker) run() {
+func (a *directoryView) run() {
 	defer close(a.done)
 	timer := time.NewTimer(0)
 	for {
@@ -75,7 +75,7 @@
 		next := a.core.Process(a.client.Do, func(x tenants.Answer) {
 			if q, ok := a.pending[x.ID]; ok {
 				delete(a.pending, x.ID)
-				a.judged(q, x)
+				a.onAnswer(q, x)
 			}
 		}, func(tenants.Record) {})
 		timer.Reset(time.Duration(max(next-edge.Now(), 0)) * time.Microsecond)
@@ -83,22 +83,22 @@
 }
 
 // ask puts a question, within the owner's turn.
-func (a *asker) ask(account, plan string, abandon Time) {
+func (a *directoryView) ask(account, plan string, abandon Time) {
 	a.post(func(c *tenants.Core) {
-		a.next++
-		q := tenants.Query{ID: a.next, Account: account, Plan: plan, Deadline: edge.Now() + abandon}
+		a.lastID++
+		q := tenants.Query{ID: a.lastID, Account: account, Plan: plan, Deadline: edge.Now() + abandon}
 		began := time.Now()
 		x := c.Ask(q)
 		if x.Verdict == tenants.Pending {
 			a.pending[q.ID] = q
 			return
 		}
-		a.took = append(a.took, time.Since(began))
-		a.judged(q, x)
+		a.warmTimes = append(a.warmTimes, time.Since(began))
+		a.onAnswer(q, x)
 	})
 }
 
-func (a *asker) close() {
+func (a *directoryView) close() {
 	close(a.stop)
 	<-a.done
 	a.client.Close()
@@ -119,7 +119,7 @@
 
 func proveTenants(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "tenants", Seed: seed, Judged: map[string]int{}}
-	if err := p.doorCost(); err != nil {
+	if err := p.measureAccessCost(); err != nil {
 		return nil, err
 	}
 	managers, all, members, span := 4, 60, 40, 14*time.Second
@@ -188,7 +188,7 @@
 			late++
 		}
 	}
-	var askers []*asker
+	var askers []*directoryView
 	for i := range managers {
 		x := terms
 		x.Seed = seed + uint64(i)
@@ -197,7 +197,7 @@
 			ends = append(ends, hanging.Addr())
 		}
 		x.Endpoints = len(ends)
-		a, err := newAsker(client.Config{Endpoints: ends, Base: "dc=pier", PageSize: 500, PagedOnly: i%4 == 1, Core: x}, judged)
+		a, err := newDirectoryView(client.Config{Endpoints: ends, Base: "dc=pier", PageSize: 500, PagedOnly: i%4 == 1, Core: x}, judged)
 		if err != nil {
 			return nil, err
 		}
@@ -212,7 +212,7 @@
 		for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			ok := true
 			for _, a := range askers {
-				a.do(func(c *tenants.Core) { ok = ok && c.Size() == want && c.Age() < longest })
+				a.call(func(c *tenants.Core) { ok = ok && c.Size() == want && c.Age() < longest })
 			}
 			if ok {
 				return true
@@ -317,8 +317,8 @@
 		now, _ := store.All()
 		differ = 0
 		for _, a := range askers {
-			a.do(func(c *tenants.Core) {
-				if x := differs(c, now); x != "" {
+			a.call(func(c *tenants.Core) {
+				if x := viewDifference(c, now); x != "" {
 					differ++
 					what = x
 				}
@@ -350,7 +350,7 @@
 	// ten thousand viewers of one unknown account, who come in one moment
 	before := server.Searches.Load() + hanging.Searches.Load()
 	looks := func() (n int64) {
-		askers[0].do(func(c *tenants.Core) { n = c.Counts.Looks })
+		askers[0].call(func(c *tenants.Core) { n = c.Counts.Looks })
 		return n
 	}
 	had := looks()
@@ -364,7 +364,7 @@
 	// what a warm view costs
 	var took []time.Duration
 	for _, a := range askers {
-		a.do(func(*tenants.Core) { took = append(took, a.took...) })
+		a.call(func(*tenants.Core) { took = append(took, a.warmTimes...) })
 	}
 	slices.Sort(took)
 	if len(took) > 0 {
@@ -379,7 +379,7 @@
 	var kept []tenants.Record
 	var mark tenants.Checkpoint
 	var asOf Time
-	askers[0].do(func(c *tenants.Core) { kept, mark, asOf = c.Records() })
+	askers[0].call(func(c *tenants.Core) { kept, mark, asOf = c.Records() })
 	down.Restore(kept, mark, asOf)
 	down.SetTime(edge.Now() + 10_000_000)
 	for i, r := range kept {
@@ -394,14 +394,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.throughDoors(seed, size, log); err != nil {
+	if err := p.proveAccessDay(seed, size, log); err != nil {
 		return nil, err
 	}
-	return p, p.million(size)
+	return p, p.measureEntryMemory(size)
 }
 
 // differs tells where a view is not what the directory has; empty if it is.
-func differs(c *tenants.Core, all []*directory.Entry) string {
+func viewDifference(c *tenants.Core, all []*directory.Entry) string {
 	records, _, asOf := c.Records()
 	if len(records) != len(all) {
 		return fmt.Sprintf("%d entries of %d, as of %.1f s ago, %+v", len(records), len(all), seconds(edge.Now()-asOf), c.Counts)
@@ -429,7 +429,7 @@
 }
 
 // million fills a core with many entries, as a synchronisation does, and measures what each costs.
-func (p *Proof) million(size Size) error {
+func (p *Proof) measureEntryMemory(size Size) error {
 	n := 100_000
 	switch size {
 	case Small:
