--- a/internal/lab/access.go
+++ b/internal/lab/access.go
@@ -23,9 +23,9 @@
 
 const realm = "pier"
 
-// doors has a day's session managers on sockets know from a directory who may play: each has a door in the clear and
-// one under TLS, and a view of its own. It keeps what was true of each account and when, and judges by it what
-// viewers got.
+// doors adds access control to a day that is played on loopback sockets. Its session managers learn from an LDAP
+// directory who may play. Each of them has a plain listener, a TLS listener and a directory view of its own. The type
+// keeps the history of each account's credentials and judges the viewers' results by it.
 type doors struct {
 	tenantConfig tenants.Config
 	store        *directory.Store
@@ -35,343 +35,347 @@
 	rng          *rand.Rand
 	env          *LoopbackEnvironment
 	tenants      int
-	members      int
+	members      int // per tenant
 
 	mu          sync.Mutex
-	views       map[string]*accessView
-	tlsAddrs    map[string]string // doors under TLS, by those in the clear
-	history     map[string][]credential
-	kinds       map[*player.Profile]string
-	statuses    map[string]map[int]int // statuses by kind; 0 for what played
-	answerTimes map[string][]Time      // to the answer, by kind
-	misjudged   [2]int                 // admitted, refused
-	violations  []string
+	views       map[string]*accessView     // by session manager
+	tlsAddrs    map[string]string          // addresses of the TLS listeners, by those of the plain ones
+	history     map[string][]credential    // by account, oldest first
+	kinds       map[*player.Profile]string // of viewers, such as "right" or "wrong"
+	statuses    map[string]map[int]int     // result counts by kind and status; status 0 is a playback that played
+	answerTimes map[string][]Time          // from the request to a 401 answer, by kind
+	misjudged   [2]int                     // wrongly admitted, wrongly refused
+	violations  []string                   // descriptions of the misjudged playbacks
 	faultCounts map[string]int
 	changes     int
 	counts      tenants.Counts // of managers that have ended
 }
 
-// truth is what an account was from a moment on.
+// credential is an account's password from a time on.
 type credential struct {
 	since    Time
-	password string // empty: it is not there
+	password string // empty if the account does not exist
 }
 
-// keptGate is one manager's view and its client.
+// accessView is one session manager's directory view and its client.
 type accessView struct {
 	core   *tenants.Core
 	client *client.Client
 	loop   edge.DeferredLoop
 }
 
-func (g *accessView) post(f func(*tenants.Core)) {
-	g.loop.Post(func() { f(g.core) })
+func (g *accessView) post(call func(*tenants.Core)) {
+	g.loop.Post(func() { call(g.core) })
 }
 
-func newAccessDay(seed uint64, all, members int) (*doors, error) {
-	x := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: all, members: members, views: map[string]*accessView{},
+func newAccessDay(seed uint64, tenantCount, membersPerTenant int) (*doors, error) {
+	day := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: tenantCount, members: membersPerTenant, views: map[string]*accessView{},
 		tlsAddrs: map[string]string{}, history: map[string][]credential{}, kinds: map[*player.Profile]string{}, statuses: map[string]map[int]int{},
 		answerTimes: map[string][]Time{}, faultCounts: map[string]int{},
 		tenantConfig: tenants.Config{Seed: seed, MaxAge: 3_000_000, SyncInterval: 500_000, Timeout: 300_000, NegativeTTL: 500_000, MaxWaiting: 5000, MaxLookups: 4,
 			MaxEntries: 1 << 16, Endpoints: 2}}
-	for t := range all {
-		x.store.Put(tenantDN(t), tenantAttrs(t, 1+t%3))
-		for m := range members {
-			x.putMember(fmt.Sprintf("m%d-%d", t, m), memberDN(t, m), memberAttrs(t, m), 1)
+	for tenant := range tenantCount {
+		day.store.Put(tenantDN(tenant), tenantAttrs(tenant, 1+tenant%3))
+		for member := range membersPerTenant {
+			day.putMember(fmt.Sprintf("m%d-%d", tenant, member), memberDN(tenant, member), memberAttrs(tenant, member), 1)
 		}
 	}
 	var err error
-	for i := range x.servers {
-		if x.servers[i], err = directory.Serve("127.0.0.1:0", x.store); err != nil {
+	for i := range day.servers {
+		if day.servers[i], err = directory.Serve("127.0.0.1:0", day.store); err != nil {
 			return nil, err
 		}
 	}
-	x.servers[1].SetFaults(directory.Faults{NoSync: true}) // one endpoint that is polled
-	if x.authority, err = authority.New(); err != nil {
+	day.servers[1].SetFaults(directory.Faults{NoSync: true}) // has to be polled
+	if day.authority, err = authority.New(); err != nil {
 		return nil, err
 	}
-	pair, err := x.authority.IssueKeyPair()
-	x.tlsConfig = &tls.Config{Certificates: []tls.Certificate{pair}}
-	return x, err
+	keyPair, err := day.authority.IssueKeyPair()
+	day.tlsConfig = &tls.Config{Certificates: []tls.Certificate{keyPair}}
+	return day, err
 }
 
-// member puts a member, with the password of a generation; 0 takes it out.
-func (x *doors) putMember(account, dn string, attrs map[string][]string, generation int) {
+// putMember stores a member with the password of a generation, or deletes it if the generation is 0.
+func (day *doors) putMember(account, dn string, attrs map[string][]string, generation int) {
 	password := ""
 	if generation > 0 {
 		password = fmt.Sprintf("%s/%d", account, generation)
 		attrs["pierlinkPlan"] = []string{"live-lesson", "recorded-lesson", "rent-record", "master-class"}
 		attrs["pierlinkDigest"] = []string{player.HA1(realm, account, password, sha256.New)}
-		x.store.Put(dn, attrs)
+		day.store.Put(dn, attrs)
 	} else {
-		x.store.Delete(dn)
+		day.store.Delete(dn)
 	}
-	x.history[account] = append(x.history[account], credential{edge.Now(), password})
+	day.history[account] = append(day.history[account], credential{edge.Now(), password})
 }
 
-// equip gives a manager that starts its gate; one that it had before has died with it.
-func (x *doors) equip(s *front.Config, seed uint64) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.closeView(s.Name)
-	g := &accessView{}
-	t := x.tenantConfig
-	t.Seed = seed
-	g.core = tenants.New(t, edge.Now())
+// Sets up the directory view of a session manager that starts. A view from an earlier run of the same manager is
+// closed.
+func (day *doors) equip(config *front.Config, seed uint64) error {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	day.closeView(config.Name)
+	view := &accessView{}
+	tenantConfig := day.tenantConfig
+	tenantConfig.Seed = seed
+	view.core = tenants.New(tenantConfig, edge.Now())
 	var err error
-	g.client, err = client.New(client.Config{Endpoints: []string{x.servers[0].Addr(), x.servers[1].Addr()}, Base: "dc=pier", PageSize: 100, Core: t},
-		g.post, zap.NewNop())
+	view.client, err = client.New(client.Config{Endpoints: []string{day.servers[0].Addr(), day.servers[1].Addr()}, Base: "dc=pier", PageSize: 100, Core: tenantConfig},
+		view.post, zap.NewNop())
 	if err != nil {
 		return err
 	}
-	x.views[s.Name] = g
-	s.Access = &front.AccessControl{Core: g.core, Lookup: g.client.Do, Realm: realm, Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: t.MaxAge, Seed: uint32(seed)}}
+	day.views[config.Name] = view
+	config.Access = &front.AccessControl{Core: view.core, Lookup: view.client.Do, Realm: realm, Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: tenantConfig.MaxAge, Seed: uint32(seed)}}
 	return nil
 }
 
-func (x *doors) closeView(name string) {
-	if g := x.views[name]; g != nil {
-		go g.client.Close()
-		c := &g.core.Counts // its loop has ended
-		x.counts.Looks, x.counts.Syncs, x.counts.Polls, x.counts.Lists = x.counts.Looks+c.Looks, x.counts.Syncs+c.Syncs, x.counts.Polls+c.Polls, x.counts.Lists+c.Lists
+// closeView closes a session manager's view, if it has one, and adds its counts to the totals. The manager's loop must
+// have ended, as the counts are read without synchronization.
+func (day *doors) closeView(name string) {
+	if view := day.views[name]; view != nil {
+		go view.client.Close()
+		counts := &view.core.Counts // safe to read: its loop has ended
+		day.counts.Looks, day.counts.Syncs, day.counts.Polls, day.counts.Lists = day.counts.Looks+counts.Looks, day.counts.Syncs+counts.Syncs, day.counts.Polls+counts.Polls, day.counts.Lists+counts.Lists
 	}
 }
 
-// opened opens the door under TLS of a manager that has started.
-func (x *doors) opened(name string) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	h := x.env.host(name)
-	x.views[name].loop.Bind(h.loop)
-	at := x.tlsAddrs[h.addr]
-	if at == "" {
-		at = "127.0.0.1:0"
+// Opens the TLS listener of a session manager that has started.
+func (day *doors) opened(name string) error {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	host := day.env.host(name)
+	day.views[name].loop.Bind(host.loop)
+	addr := day.tlsAddrs[host.addr]
+	if addr == "" {
+		addr = "127.0.0.1:0"
 	}
-	if err := h.loop.Listen(at, x.tlsConfig); err != nil {
+	if err := host.loop.Listen(addr, day.tlsConfig); err != nil {
 		return err
 	}
-	x.tlsAddrs[h.addr] = h.loop.SecureAddr()
-	x.env.hostNames[x.tlsAddrs[h.addr]] = name
+	day.tlsAddrs[host.addr] = host.loop.SecureAddr()
+	day.env.hostNames[day.tlsAddrs[host.addr]] = name
 	return nil
 }
 
-// viewer says who a viewer is. Most are who they say.
-func (x *doors) viewer(w *player.Profile) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	t, m := x.rng.IntN(x.tenants), x.rng.IntN(x.members)
-	account := fmt.Sprintf("m%d-%d", t, m)
+// Gives a viewer an account and a password. Most viewers use valid ones.
+func (day *doors) viewer(profile *player.Profile) {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	tenant, member := day.rng.IntN(day.tenants), day.rng.IntN(day.members)
+	account := fmt.Sprintf("m%d-%d", tenant, member)
 	kind := "right"
-	all := x.history[account]
-	w.Account, w.Password = account, all[len(all)-1].password
-	w.SourceAddr = fmt.Sprintf("127.1.%d.%d", t+1, m+1)
-	switch n := x.rng.IntN(100); {
-	case w.Password == "":
-		kind, w.Password = "gone", "x"
+	history := day.history[account]
+	profile.Account, profile.Password = account, history[len(history)-1].password
+	profile.SourceAddr = fmt.Sprintf("127.1.%d.%d", tenant+1, member+1)
+	switch n := day.rng.IntN(100); {
+	case profile.Password == "":
+		kind, profile.Password = "gone", "x"
 	case n < 4:
-		kind, w.Password = "wrong", "no"
-	case n < 8: // one who guesses at many, there and not there
-		kind, w.Password, w.SourceAddr = "guesser", "1234", "127.9.9.9"
+		kind, profile.Password = "wrong", "no"
+	case n < 8: // guesses the passwords of many accounts from one address
+		kind, profile.Password, profile.SourceAddr = "guesser", "1234", "127.9.9.9"
 	case n < 12:
-		kind, w.Account = "unknown", fmt.Sprint("nobody-", x.rng.IntN(1000))
+		kind, profile.Account = "unknown", fmt.Sprint("nobody-", day.rng.IntN(1000))
 	case n < 14:
-		kind, w.Account = "nobody", ""
+		kind, profile.Account = "nobody", ""
 	}
-	if x.rng.IntN(3) == 0 {
-		w.Secure = true
-		for i, f := range w.Fronts {
-			w.Fronts[i] = x.tlsAddrs[f]
+	if day.rng.IntN(3) == 0 {
+		profile.Secure = true
+		for i, addr := range profile.Fronts {
+			profile.Fronts[i] = day.tlsAddrs[addr]
 		}
-		w.Basic = x.rng.IntN(2) == 0
+		profile.Basic = day.rng.IntN(2) == 0
 	}
-	x.kinds[w] = kind
+	day.kinds[profile] = kind
 }
 
-// saw judges what a viewer got.
-func (x *doors) saw(w *player.Profile, s *player.Result) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	kind := x.kinds[w]
-	if s.AnsweredAt == 0 && s.StartupTime == 0 || !s.Connected {
+// Judges a viewer's result by the history of the account.
+func (day *doors) saw(profile *player.Profile, result *player.Result) {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	kind := day.kinds[profile]
+	if result.AnsweredAt == 0 && result.StartupTime == 0 || !result.Connected {
 		return
 	}
-	played := s.StartupTime > 0 || s.Status == 0
-	if x.statuses[kind] == nil {
-		x.statuses[kind] = map[int]int{}
+	played := result.StartupTime > 0 || result.Status == 0
+	if day.statuses[kind] == nil {
+		day.statuses[kind] = map[int]int{}
 	}
-	x.statuses[kind][s.Status]++
-	if s.Status == 401 {
-		x.answerTimes[kind] = append(x.answerTimes[kind], s.AnsweredAt-s.StartedAt)
+	day.statuses[kind][result.Status]++
+	if result.Status == 401 {
+		day.answerTimes[kind] = append(day.answerTimes[kind], result.AnsweredAt-result.StartedAt)
 	}
-	until := max(s.AnsweredAt, s.StartedAt+s.StartupTime)
-	good, always := false, true // it was that within the bound before the answer; it was nothing else
-	all := x.history[w.Account]
-	for i, p := range all {
+	answeredAt := max(result.AnsweredAt, result.StartedAt+result.StartupTime)
+	valid, always := false, true // valid: the password was right at some time within the staleness bound; always: it was never wrong in that time
+	history := day.history[profile.Account]
+	for i, entry := range history {
 		end := never
-		if i+1 < len(all) {
-			end = all[i+1].since
+		if i+1 < len(history) {
+			end = history[i+1].since
 		}
-		if end < s.StartedAt-x.tenantConfig.MaxAge || p.since > until {
+		if end < result.StartedAt-day.tenantConfig.MaxAge || entry.since > answeredAt {
 			continue
 		}
-		if p.password != "" && p.password == w.Password {
-			good = true
+		if entry.password != "" && entry.password == profile.Password {
+			valid = true
 		} else {
 			always = false
 		}
 	}
 	switch {
-	case played && !good:
-		x.misjudged[0]++
-		x.violations = append(x.violations, fmt.Sprintf("%s played as %s (%s)", s.ID, w.Account, kind))
-	case (s.Status == 401 || s.Status == 403) && good && always:
-		x.misjudged[1]++
-		x.violations = append(x.violations, fmt.Sprintf("%s got %d as %s (%s, TLS %v, password %v)", s.ID, s.Status, w.Account, kind, w.Secure, w.Basic))
+	case played && !valid:
+		day.misjudged[0]++
+		day.violations = append(day.violations, fmt.Sprintf("%s played as %s (%s)", result.ID, profile.Account, kind))
+	case (result.Status == 401 || result.Status == 403) && valid && always:
+		day.misjudged[1]++
+		day.violations = append(day.violations, fmt.Sprintf("%s got %d as %s (%s, TLS %v, password %v)", result.ID, result.Status, profile.Account, kind, profile.Secure, profile.Basic))
 	}
 }
 
-// change changes something in the directory.
-func (x *doors) changeDirectory() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.changes++
-	t, m := x.rng.IntN(x.tenants), x.rng.IntN(x.members)
-	account := fmt.Sprintf("m%d-%d", t, m)
-	generation := len(x.history[account]) + 1
-	if all := x.history[account]; all[len(all)-1].password != "" && x.rng.IntN(2) == 0 {
+// changeDirectory changes a random member and sometimes a tenant.
+func (day *doors) changeDirectory() {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	day.changes++
+	tenant, member := day.rng.IntN(day.tenants), day.rng.IntN(day.members)
+	account := fmt.Sprintf("m%d-%d", tenant, member)
+	generation := len(day.history[account]) + 1
+	if history := day.history[account]; history[len(history)-1].password != "" && day.rng.IntN(2) == 0 {
 		generation = 0
 	}
-	x.putMember(account, memberDN(t, m), memberAttrs(t, m), generation)
-	if x.rng.IntN(4) == 0 {
-		x.store.Put(tenantDN(t), tenantAttrs(t, 1+x.rng.IntN(9)))
+	day.putMember(account, memberDN(tenant, member), memberAttrs(tenant, member), generation)
+	if day.rng.IntN(4) == 0 {
+		day.store.Put(tenantDN(tenant), tenantAttrs(tenant, 1+day.rng.IntN(9)))
 	}
 }
 
-// upset has the directory go wrong for a while.
-func (x *doors) injectFault(bag *[]string) {
-	if len(*bag) == 0 {
-		*bag = []string{"cut", "truncate", "busy", "stall", "silent", "forget", "slow", "hang", "refer", "well", "well"}
-		x.rng.Shuffle(len(*bag), func(i, j int) { (*bag)[i], (*bag)[j] = (*bag)[j], (*bag)[i] })
+// injectFault puts the directory servers into the next fault of a shuffled sequence, in which each fault comes up
+// before any is repeated.
+func (day *doors) injectFault(pendingFaults *[]string) {
+	if len(*pendingFaults) == 0 {
+		*pendingFaults = []string{"cut", "truncate", "busy", "stall", "silent", "forget", "slow", "hang", "refer", "well", "well"}
+		day.rng.Shuffle(len(*pendingFaults), func(i, j int) { (*pendingFaults)[i], (*pendingFaults)[j] = (*pendingFaults)[j], (*pendingFaults)[i] })
 	}
-	kind := (*bag)[0]
-	*bag = (*bag)[1:]
-	x.faultCounts[kind]++
-	a, b := directory.Faults{}, directory.Faults{NoSync: true}
+	kind := (*pendingFaults)[0]
+	*pendingFaults = (*pendingFaults)[1:]
+	day.faultCounts[kind]++
+	first, second := directory.Faults{}, directory.Faults{NoSync: true}
 	switch kind {
 	case "truncate":
-		a.TruncateAfter, b.TruncateAfter = 1+x.rng.IntN(x.tenants*x.members), 1+x.rng.IntN(x.tenants*x.members)
+		first.TruncateAfter, second.TruncateAfter = 1+day.rng.IntN(day.tenants*day.members), 1+day.rng.IntN(day.tenants*day.members)
 	case "busy":
-		a.Busy, b.Busy = true, true
+		first.Busy, second.Busy = true, true
 	case "stall":
-		a.Stall, b.Stall = true, true
+		first.Stall, second.Stall = true, true
 	case "silent":
-		a.SilentSync = true
-	case "slow": // just under the time-out
-		a.ResponseDelay, b.ResponseDelay = 250*time.Millisecond, 250*time.Millisecond
+		first.SilentSync = true
+	case "slow": // just below the timeout
+		first.ResponseDelay, second.ResponseDelay = 250*time.Millisecond, 250*time.Millisecond
 	case "hang":
-		a.Stall = true
+		first.Stall = true
 	case "refer":
-		a.Referral = "ldap://" + x.servers[1].Addr()
+		first.Referral = "ldap://" + day.servers[1].Addr()
 	case "forget":
-		x.store.ForgetDeletions()
+		day.store.ForgetDeletions()
 	}
-	x.servers[0].SetFaults(a)
-	x.servers[1].SetFaults(b)
+	day.servers[0].SetFaults(first)
+	day.servers[1].SetFaults(second)
 	if kind != "silent" && kind != "slow" && kind != "well" && kind != "stall" {
-		x.servers[0].CloseConnections()
+		day.servers[0].CloseConnections()
 	}
 }
 
-// run changes the directory and upsets it until stop is closed.
-func (x *doors) run(stop chan struct{}) {
-	var bag []string
+// run changes the directory and injects faults until stop is closed.
+func (day *doors) run(stop chan struct{}) {
+	var pendingFaults []string
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	next := time.Now().Add(time.Second)
+	nextFault := time.Now().Add(time.Second)
 	for {
 		select {
 		case <-stop:
 			return
 		case now := <-tick.C:
-			x.changeDirectory()
-			if now.After(next) {
-				x.mu.Lock()
-				x.injectFault(&bag)
-				next = now.Add(time.Duration(200+x.rng.IntN(600)) * time.Millisecond)
-				x.mu.Unlock()
+			day.changeDirectory()
+			if now.After(nextFault) {
+				day.mu.Lock()
+				day.injectFault(&pendingFaults)
+				nextFault = now.Add(time.Duration(200+day.rng.IntN(600)) * time.Millisecond)
+				day.mu.Unlock()
 			}
 		}
 	}
 }
 
-func (x *doors) close() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for name, g := range x.views {
-		x.closeView(name)
-		g.client.Close()
+func (day *doors) close() {
+	day.mu.Lock()
+	defer day.mu.Unlock()
+	for name, view := range day.views {
+		day.closeView(name)
+		view.client.Close()
 	}
-	for _, s := range x.servers {
-		s.Stop()
+	for _, server := range day.servers {
+		server.Stop()
 	}
 }
 
-// throughDoors plays the day of doors and judges it.
+// proveAccessDay plays the day "doors" over sockets and checks who was admitted and who was refused.
 func (p *Proof) proveAccessDay(seed uint64, size Size, log *zap.Logger) error {
-	d, err := Library("doors")
+	day, err := Library("doors")
 	if err != nil {
 		return err
 	}
-	d.Seed = seed
+	day.Seed = seed
 	least := 2000.0
 	if size == Small {
-		d, least = d.withRateFactor(0.4), 600
+		day, least = day.withRateFactor(0.4), 600
 	}
-	x, err := newAccessDay(seed, 20, 40)
+	access, err := newAccessDay(seed, 20, 40)
 	if err != nil {
 		return err
 	}
-	d.doors = x
+	day.doors = access
 	stop := make(chan struct{})
-	var ran sync.WaitGroup
-	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play {
-		x.env = l
-		play := Begin(d, l, t, nil, log)
-		l.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: x.authority.Pool()})
-		ran.Go(func() { x.run(stop) })
+	var wait sync.WaitGroup
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play {
+		access.env = env
+		play := Begin(day, env, tape, nil, log)
+		env.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: access.authority.Pool()})
+		wait.Go(func() { access.run(stop) })
 		return play
 	})
 	close(stop)
-	ran.Wait()
-	x.close()
+	wait.Wait()
+	access.close()
 	if err != nil {
 		return err
 	}
-	p.checkRules(Judge(tape, d.Bounds(core.Second/20)))
-	t := &play.Tally
-	p.Note("through whole session managers: %s", t.Summary())
-	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", x.changes, x.faultCounts, x.statuses)
-	for i, s := range x.violations {
+	p.checkRules(Judge(tape, day.Bounds(core.Second/20)))
+	tally := &play.Tally
+	p.Note("through whole session managers: %s", tally.Summary())
+	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", access.changes, access.faultCounts, access.statuses)
+	for i, violation := range access.violations {
 		if i < 3 {
-			p.Note("%s", s)
+			p.Note("%s", violation)
 		}
 	}
-	p.AtLeast(float64(t.Asked), least, "playbacks asked for through whole session managers")
-	right := x.statuses["right"]
-	asked := 0
-	for _, n := range right {
-		asked += n
+	p.AtLeast(float64(tally.Asked), least, "playbacks asked for through whole session managers")
+	validStatuses := access.statuses["right"]
+	attempts := 0
+	for _, n := range validStatuses {
+		attempts += n
 	}
-	p.AtLeast(float64(right[0])/float64(max(asked, 1)), 0.6, "part of those with a right password that played")
-	p.AtMost(float64(x.misjudged[0]), 0, "played with what had not been right within the bound")
-	p.AtMost(float64(x.misjudged[1]), 0, "turned away with what had been right all the while")
-	p.AtMost(float64(t.Unasked), 0, "answers that nothing asked for")
+	p.AtLeast(float64(validStatuses[0])/float64(max(attempts, 1)), 0.6, "part of those with a right password that played")
+	p.AtMost(float64(access.misjudged[0]), 0, "played with what had not been right within the bound")
+	p.AtMost(float64(access.misjudged[1]), 0, "turned away with what had been right all the while")
+	p.AtMost(float64(tally.Unasked), 0, "answers that nothing asked for")
 	for _, kind := range []string{"wrong", "unknown"} {
-		slices.Sort(x.answerTimes[kind])
+		slices.Sort(access.answerTimes[kind])
 	}
-	if a, b := x.answerTimes["wrong"], x.answerTimes["unknown"]; len(a) > 9 && len(b) > 9 {
-		p.Note("a wrong password's 401 came after %.1f ms at the median, 90%% %.1f ms; an unknown account's after %.1f and %.1f ms", float64(a[len(a)/2])/1e3,
-			float64(a[len(a)*9/10])/1e3, float64(b[len(b)/2])/1e3, float64(b[len(b)*9/10])/1e3)
+	if wrong, unknown := access.answerTimes["wrong"], access.answerTimes["unknown"]; len(wrong) > 9 && len(unknown) > 9 {
+		p.Note("a wrong password's 401 came after %.1f ms at the median, 90%% %.1f ms; an unknown account's after %.1f and %.1f ms", float64(wrong[len(wrong)/2])/1e3,
+			float64(wrong[len(wrong)*9/10])/1e3, float64(unknown[len(unknown)/2])/1e3, float64(unknown[len(unknown)*9/10])/1e3)
 	}
 	return nil
 }
--- a/internal/lab/accesscost.go
+++ b/internal/lab/accesscost.go
@@ -20,17 +20,20 @@
 	"pierlink/session"
 )
 
-// discards is a network that takes everything and keeps the last of it.
+// discardNet is a network that discards what is sent, except for the last message.
 type discardNet struct{ lastSent []byte }
 
-func (d *discardNet) Dial(*core.Conn, string)       {}
-func (d *discardNet) Send(_ *core.Conn, b []byte)   { d.lastSent = append(d.lastSent[:0], b...) }
-func (d *discardNet) Pending(*core.Conn) int        { return 0 }
-func (d *discardNet) Close(*core.Conn)              {}
-func (d *discardNet) header(name string) (v string) { return headerOf(d.lastSent, name) }
+func (d *discardNet) Dial(*core.Conn, string) {}
+func (d *discardNet) Send(_ *core.Conn, message []byte) {
+	d.lastSent = append(d.lastSent[:0], message...)
+}
+func (d *discardNet) Pending(*core.Conn) int            { return 0 }
+func (d *discardNet) Close(*core.Conn)                  {}
+func (d *discardNet) header(name string) (value string) { return headerOf(d.lastSent, name) }
 
-func headerOf(b []byte, name string) string {
-	for _, line := range bytes.Split(b, []byte("\r\n")) {
+// headerOf returns the value of a header field in an encoded message, or "" if it has none.
+func headerOf(message []byte, name string) string {
+	for _, line := range bytes.Split(message, []byte("\r\n")) {
 		if rest, ok := bytes.CutPrefix(line, []byte(name+": ")); ok {
 			return string(rest)
 		}
@@ -38,83 +41,86 @@
 	return ""
 }
 
-// cpu is what this thread has taken so far.
+// threadCPUTime returns the CPU time that the current thread has used.
 func threadCPUTime() time.Duration {
-	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t)
-	return time.Duration(t.Nano())
+	var clock unix.Timespec
+	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &clock)
+	return time.Duration(clock.Nano())
 }
 
-// doorCost measures what a warm view and the proof of who asks add to a playback's way to its setup try: the turns of
-// a whole session manager without its sockets, with and without them.
+// measureAccessCost measures how much CPU time authentication and a warm directory cache add to a playback's first
+// turn, up to its setup try. It runs the turns of a complete session manager without sockets, with and without access
+// control.
 func (p *Proof) measureAccessCost() error {
-	const rounds, warm, times = 3000, 300, 3
-	d, err := Library("doors")
+	const rounds, warmupRounds, attempts = 3000, 300, 3
+	day, err := Library("doors")
 	if err != nil {
 		return err
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var took [2][]time.Duration // of the time with the least at the 99th percentile: what else the machine does is not meant
-	for k := range 2 * times {
-		gated := k % 2
+	var bestTurns [2][]time.Duration // per variant, of the attempt with the lowest 99th percentile, to exclude other load on the machine
+	for k := range 2 * attempts {
+		withAccess := k % 2
 		var turns []time.Duration
-		s := d.Service(0)
-		s.Site.Terms.ColdShare, s.Site.Terms.WarmUp = 1, 1000 // boxes that are up and warm
-		s.Site.Fleet.NoteInterval, s.Site.Fleet.LoadInAnswers, s.Site.Fleet.LoadInProbes = 0, false, false
-		net := &discardNet{}
+		config := day.Service(0)
+		config.Site.Terms.ColdShare, config.Site.Terms.WarmUp = 1, 1000 // every box is warm
+		config.Site.Fleet.NoteInterval, config.Site.Fleet.LoadInAnswers, config.Site.Fleet.LoadInProbes = 0, false, false
+		network := &discardNet{}
 		now := core.Time(1e9)
-		if gated == 1 {
-			c := tenants.New(tenants.Config{MaxAge: 1 << 50, SyncInterval: 1 << 50, Timeout: 1 << 40, NegativeTTL: 1 << 40, MaxWaiting: 10, MaxLookups: 1, MaxEntries: rounds + 1}, now)
-			all := []tenants.Record{{ID: "t", Kind: tenants.Tenant, Name: "t", Plans: []string{"live-lesson"}}}
+		if withAccess == 1 {
+			cache := tenants.New(tenants.Config{MaxAge: 1 << 50, SyncInterval: 1 << 50, Timeout: 1 << 40, NegativeTTL: 1 << 40, MaxWaiting: 10, MaxLookups: 1, MaxEntries: rounds + 1}, now)
+			records := []tenants.Record{{ID: "t", Kind: tenants.Tenant, Name: "t", Plans: []string{"live-lesson"}}}
 			for i := range rounds {
 				account := fmt.Sprint("m", i)
-				all = append(all, tenants.Record{ID: account, Kind: tenants.Member, Name: account, Tenant: "t", Digest: player.HA1(realm, account, "pass", sha256.New)})
+				records = append(records, tenants.Record{ID: account, Kind: tenants.Member, Name: account, Tenant: "t", Digest: player.HA1(realm, account, "pass", sha256.New)})
 			}
-			c.Restore(all, tenants.Checkpoint{End: -1}, now)
-			s.Access = &front.AccessControl{Core: c, Lookup: func(tenants.Request) {}, Realm: realm, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
+			cache.Restore(records, tenants.Checkpoint{End: -1}, now)
+			config.Access = &front.AccessControl{Core: cache, Lookup: func(tenants.Request) {}, Realm: realm, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
 		}
-		f := front.New(s, policy.New(&s.Site, 1, now), net, zap.NewNop(), now)
-		f.UpdateList(front.ListUpdate{Complete: true, Servers: []front.Server{{Name: "b", Address: "b:1", Zone: s.Zones[0], Kind: "std", Weight: 1, State: session.Ready}}})
-		conn := &core.Conn{}
-		turn := func(b []byte) time.Duration {
+		manager := front.New(config, policy.New(&config.Site, 1, now), network, zap.NewNop(), now)
+		manager.UpdateList(front.ListUpdate{Complete: true, Servers: []front.Server{{Name: "b", Address: "b:1", Zone: config.Zones[0], Kind: "std", Weight: 1, State: session.Ready}}})
+		playerConn := &core.Conn{}
+		timedTurn := func(message []byte) time.Duration {
 			now += 10_000
-			began := threadCPUTime()
-			f.BeginTurn(now)
-			f.Received(conn, b)
-			f.EndTurn()
-			return threadCPUTime() - began
+			cpuBefore := threadCPUTime()
+			manager.BeginTurn(now)
+			manager.Received(playerConn, message)
+			manager.EndTurn()
+			return threadCPUTime() - cpuBefore
 		}
-		f.BeginTurn(now)
-		f.Accepted(conn, "127.0.0.1:1")
+		manager.BeginTurn(now)
+		manager.Accepted(playerConn, "127.0.0.1:1")
 		challenge := ""
-		if gated == 1 {
-			turn(rtsp.NewRequest(rtsp.Setup, "rtsp://f/live-lesson/t/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil))
-			if challenge = net.header("WWW-Authenticate"); challenge == "" {
-				return fmt.Errorf("no proof was asked for: %q", net.lastSent)
+		if withAccess == 1 {
+			timedTurn(rtsp.NewRequest(rtsp.Setup, "rtsp://f/live-lesson/t/track0", 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").Append(nil))
+			if challenge = network.header("WWW-Authenticate"); challenge == "" {
+				return fmt.Errorf("expected an authentication challenge, got %q", network.lastSent)
 			}
 		}
 		for i := range rounds {
-			conn = &core.Conn{}
-			f.Accepted(conn, fmt.Sprintf("127.0.%d.%d:1", i/250, i%250))
+			playerConn = &core.Conn{}
+			manager.Accepted(playerConn, fmt.Sprintf("127.0.%d.%d:1", i/250, i%250))
 			uri := fmt.Sprintf("rtsp://f/live-lesson/t%d/track0", i%50)
-			m := rtsp.NewRequest(rtsp.Setup, uri, 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").
+			request := rtsp.NewRequest(rtsp.Setup, uri, 1).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1").
 				With("Authorization", player.Authorization(challenge, fmt.Sprint("m", i), "pass", rtsp.Setup, uri))
-			if x := turn(m.Append(nil)); i >= warm {
-				turns = append(turns, x)
+			if took := timedTurn(request.Append(nil)); i >= warmupRounds {
+				turns = append(turns, took)
 			}
-			f.Closed(conn, nil)
+			manager.Closed(playerConn, nil)
 		}
-		if f.Figures.Tries < rounds/2 {
-			return fmt.Errorf("%d setup tries for %d playbacks, the last answer was %q", f.Figures.Tries, rounds, net.lastSent)
+		if manager.Figures.Tries < rounds/2 {
+			return fmt.Errorf("expected a setup try for at least half of the playbacks, got %d tries for %d playbacks; last answer: %q", manager.Figures.Tries, rounds, network.lastSent)
 		}
 		slices.Sort(turns)
-		if old := took[gated]; old == nil || turns[len(turns)*99/100] < old[len(old)*99/100] {
-			took[gated] = turns
+		if best := bestTurns[withAccess]; best == nil || turns[len(turns)*99/100] < best[len(best)*99/100] {
+			bestTurns[withAccess] = turns
 		}
 	}
-	at := func(i int, part int) float64 { return float64(took[i][len(took[i])*part/100].Nanoseconds()) / 1e3 }
-	p.AtMost(at(1, 99)-at(0, 99), 50, "microseconds of CPU that a warm view and Digest add to a playback's turn, at the 99th percentiles")
-	p.Note("a playback's first turn: %.1f us at the median without a directory, %.1f with; 99%% %.1f and %.1f", at(0, 50), at(1, 50), at(0, 99), at(1, 99))
+	micros := func(variant int, percent int) float64 {
+		return float64(bestTurns[variant][len(bestTurns[variant])*percent/100].Nanoseconds()) / 1e3
+	}
+	p.AtMost(micros(1, 99)-micros(0, 99), 50, "microseconds of CPU that a warm view and Digest add to a playback's turn, at the 99th percentiles")
+	p.Note("a playback's first turn: %.1f us at the median without a directory, %.1f with; 99%% %.1f and %.1f", micros(0, 50), micros(1, 50), micros(0, 99), micros(1, 99))
 	return nil
 }
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -23,15 +23,16 @@
 	standin "pierlink/internal/standin/registry"
 )
 
-// Bench measures the session manager's process beside a bare relay's, both as programs of their own on the
-// same loopback, in one run. What counts is the ratios.
+// Bench compares the resource use of the session manager with that of a plain relay. Both run as separate
+// processes over the same loopback interface in one run, so that their ratios are meaningful even where the
+// absolute figures depend on the machine.
 type Bench struct {
-	Pierlink, Pierlab string // the programs
-	Concurrent        int    // playbacks
-	RateKB            float64
-	Span              time.Duration // of the steady part
-	Setups            int
-	Firsts            int // playbacks timed to their first packet, each way
+	Pierlink, Pierlab string        // paths of the two executables
+	Concurrent        int           // concurrent playbacks in the steady state
+	RateKB            float64       // stream rate in kB/s
+	Span              time.Duration // length of each steady-state measurement
+	Setups            int           // playbacks in the setup measurement
+	Firsts            int           // playbacks timed to their first packet, per path
 }
 
 const benchSettings = `
@@ -100,107 +101,109 @@
 weight = 1
 `
 
-// child is a program under measurement.
+// child is a child process under measurement.
 type child struct {
 	cmd     *exec.Cmd
 	addr    string
-	tlsAddr string // the door under TLS
+	tlsAddr string // address of the TLS listener
 }
 
-// launch starts a program and reads the address that it tells on standard error, after the word given.
-func launch(mark string, name string, args ...string) (*child, error) {
-	c := &child{cmd: exec.Command(name, args...)}
-	out, err := c.cmd.StderrPipe()
+// launch starts a program and waits for a line with the marker on its standard error. The address is the word
+// that follows the marker there.
+func launch(marker string, name string, args ...string) (*child, error) {
+	p := &child{cmd: exec.Command(name, args...)}
+	out, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := c.cmd.Start(); err != nil {
+	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	r := bufio.NewScanner(out)
-	said := ""
-	for r.Scan() {
-		said = r.Text()
-		if _, rest, ok := strings.Cut(r.Text(), mark); ok {
-			end := func(x rune) bool { return x == '"' || x == ' ' || x == ',' }
-			c.addr = strings.FieldsFunc(rest, end)[0]
+	scanner := bufio.NewScanner(out)
+	lastLine := ""
+	for scanner.Scan() {
+		lastLine = scanner.Text()
+		if _, rest, ok := strings.Cut(scanner.Text(), marker); ok {
+			end := func(char rune) bool { return char == '"' || char == ' ' || char == ',' }
+			p.addr = strings.FieldsFunc(rest, end)[0]
 			if _, rest, ok := strings.Cut(rest, `"secure":"`); ok && rest[0] != '"' {
-				c.tlsAddr = strings.FieldsFunc(rest, end)[0]
+				p.tlsAddr = strings.FieldsFunc(rest, end)[0]
 			}
 			go func() {
-				for r.Scan() {
+				for scanner.Scan() {
 				}
 			}()
-			return c, nil
+			return p, nil
 		}
 	}
-	_ = c.cmd.Wait()
-	return nil, fmt.Errorf("%s did not start: %s", name, said)
+	_ = p.cmd.Wait()
+	return nil, fmt.Errorf("%s ended before it wrote the expected line; its last line was: %s", name, lastLine)
 }
 
-func (c *child) stop() {
-	_ = c.cmd.Process.Signal(os.Interrupt)
-	_ = c.cmd.Wait()
+func (p *child) stop() {
+	_ = p.cmd.Process.Signal(os.Interrupt)
+	_ = p.cmd.Wait()
 }
 
-// cpu is the seconds that the process has spent, from /proc (100 ticks a second).
-func (c *child) cpuTime() float64 { return cpuSeconds(c.cmd.Process.Pid) }
+// cpuTime returns the CPU seconds that the process has used.
+func (p *child) cpuTime() float64 { return cpuSeconds(p.cmd.Process.Pid) }
 
+// cpuSeconds returns the user and system CPU time of a process from /proc, which counts 100 ticks per second.
 func cpuSeconds(pid int) float64 {
-	b, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
+	stat, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(b), ") ")
-	f := strings.Fields(rest)
-	u, _ := strconv.ParseFloat(f[11], 64)
-	s, _ := strconv.ParseFloat(f[12], 64)
-	return (u + s) / 100
+	_, rest, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(rest)
+	userTicks, _ := strconv.ParseFloat(fields[11], 64)
+	systemTicks, _ := strconv.ParseFloat(fields[12], 64)
+	return (userTicks + systemTicks) / 100
 }
 
-// memory is the process's resident kilobytes.
-func (c *child) residentKB() float64 {
-	b, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(c.cmd.Process.Pid), "status"))
-	_, rest, _ := strings.Cut(string(b), "VmRSS:")
-	n, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-	return n
+// residentKB returns the resident set size of the process in kilobytes.
+func (p *child) residentKB() float64 {
+	status, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "status"))
+	_, rest, _ := strings.Cut(string(status), "VmRSS:")
+	residentKB, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+	return residentKB
 }
 
-// Run measures. Each line is a figure with its name.
+// Run takes all measurements except the registry's and returns one line of text per figure.
 func (b *Bench) Run() (lines []string, err error) {
-	say := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
+	addLine := func(format string, a ...any) { lines = append(lines, fmt.Sprintf(format, a...)) }
 	var box *mediabox.Box
-	boxLoop, err := edge.New("127.0.0.1:0", func(n core.Net) core.Core {
+	boxLoop, err := edge.New("127.0.0.1:0", func(network core.Net) core.Core {
 		box = mediabox.New(mediabox.Config{Name: "box", Plans: []mediabox.Plan{{Name: "bench", RateFactor: 1, Tracks: []string{"video"}}},
 			LadderKB: []float64{b.RateKB}, Join: 1, LinkKB: 1e9, Rack: &mediabox.Rack{UplinkKB: 1e9}, MaxSessions: 100000,
-			SendInterval: 50_000, PacketBytes: 1200, LoadInAnswers: true, SessionTimeout: 60 * core.Second}, n, edge.Now())
+			SendInterval: 50_000, PacketBytes: 1200, LoadInAnswers: true, SessionTimeout: 60 * core.Second}, network, edge.Now())
 		return box
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer boxLoop.Stop(false)
-	dir, err := os.MkdirTemp("", "pierlab")
+	tempDir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	file := filepath.Join(dir, "pierlink.toml")
-	trusted, err := authority.New()
+	defer os.RemoveAll(tempDir)
+	settingsPath := filepath.Join(tempDir, "pierlink.toml")
+	ca, err := authority.New()
 	if err != nil {
 		return nil, err
 	}
-	pair, err := trusted.IssueKeyPair()
+	keyPair, err := ca.IssueKeyPair()
 	if err == nil {
-		err = authority.WriteKeyPair(pair, filepath.Join(dir, "cert"), filepath.Join(dir, "key"))
+		err = authority.WriteKeyPair(keyPair, filepath.Join(tempDir, "cert"), filepath.Join(tempDir, "key"))
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(file, fmt.Appendf(nil, benchSettings+benchTLS, b.RateKB), 0o600); err != nil {
+	if err := os.WriteFile(settingsPath, fmt.Appendf(nil, benchSettings+benchTLS, b.RateKB), 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "servers.toml"), fmt.Appendf(nil, benchServers, boxLoop.Addr()), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(tempDir, "servers.toml"), fmt.Appendf(nil, benchServers, boxLoop.Addr()), 0o600); err != nil {
 		return nil, err
 	}
 	relay, err := launch("relays on ", b.Pierlab, "relay", "--to", boxLoop.Addr())
@@ -208,247 +211,254 @@
 		return nil, err
 	}
 	defer relay.stop()
-	front, err := launch(`"address":"`, b.Pierlink, "serve", "-c", file)
+	front, err := launch(`"address":"`, b.Pierlink, "serve", "-c", settingsPath)
 	if err != nil {
 		return nil, err
 	}
 	defer front.stop()
-	var crowd *player.Group
-	loop, err := edge.New("", func(n core.Net) core.Core {
-		crowd = player.New(n, edge.Now())
-		return crowd
+	var players *player.Group
+	loop, err := edge.New("", func(network core.Net) core.Core {
+		players = player.New(network, edge.Now())
+		return players
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer loop.Stop(false)
-	loop.SetClientTLS(&tls.Config{RootCAs: trusted.Pool()})
-	x := &benchRun{Bench: b, players: crowd, loop: loop}
+	loop.SetClientTLS(&tls.Config{RootCAs: ca.Pool()})
+	run := &benchRun{Bench: b, players: players, loop: loop}
 
-	idle := x.idleConnKB(front, 10000, nil)
-	say("memory per idle connection, 10,000 of them: %.1f kB", idle)
-	say("under TLS, 4,000 of them: %.1f kB", x.idleConnKB(front, 4000, &tls.Config{RootCAs: trusted.Pool()}))
-	// relay and session manager by turns, so that what else the machine does falls on both
-	var per [2][]float64
+	idle := run.idleConnKB(front, 10000, nil)
+	addLine("memory per idle connection, 10,000 of them: %.1f kB", idle)
+	addLine("under TLS, 4,000 of them: %.1f kB", run.idleConnKB(front, 4000, &tls.Config{RootCAs: ca.Pool()}))
+	// relay and session manager alternate, so that other load on the machine affects both
+	var bytesPerCPU [2][]float64
 	for range 3 {
-		for i, c := range []*child{relay, front} {
-			per[i] = append(per[i], x.bytesPerCPUSecond(c))
+		for i, proc := range []*child{relay, front} {
+			bytesPerCPU[i] = append(bytesPerCPU[i], run.bytesPerCPUSecond(proc))
 		}
 	}
-	slices.Sort(per[0])
-	slices.Sort(per[1])
-	say("relayed at %d concurrent playbacks: bare relay %.0f MB a CPU second, session manager %.0f", b.Concurrent,
-		per[0][1]/1e6, per[1][1]/1e6)
-	say("ratio %.2f (aim 0.7)", per[1][1]/per[0][1])
-	say("memory per playback: %.1f kB", x.playbackKB)
-	var secure []float64
+	slices.Sort(bytesPerCPU[0])
+	slices.Sort(bytesPerCPU[1])
+	addLine("relayed at %d concurrent playbacks: bare relay %.0f MB a CPU second, session manager %.0f", b.Concurrent,
+		bytesPerCPU[0][1]/1e6, bytesPerCPU[1][1]/1e6)
+	addLine("ratio %.2f (aim 0.7)", bytesPerCPU[1][1]/bytesPerCPU[0][1])
+	addLine("memory per playback: %.1f kB", run.playbackKB)
+	var tlsBytesPerCPU []float64
 	for range 3 {
-		x.useTLS = true
-		secure = append(secure, x.bytesPerCPUSecond(front))
-		x.useTLS = false
-		x.bytesPerCPUSecond(relay) // both by turns, as above
-	}
-	slices.Sort(secure)
-	say("under TLS: %.0f MB a CPU second, ratio to the clear %.2f", secure[1]/1e6, secure[1]/per[1][1])
-	n, cpu := x.measureSetups(front)
-	say("set-ups: %.0f a CPU second of the session manager (%d set up, played and torn down)", float64(n)/cpu, n)
+		run.useTLS = true
+		tlsBytesPerCPU = append(tlsBytesPerCPU, run.bytesPerCPUSecond(front))
+		run.useTLS = false
+		run.bytesPerCPUSecond(relay) // alternates with the relay, as above
+	}
+	slices.Sort(tlsBytesPerCPU)
+	addLine("under TLS: %.0f MB a CPU second, ratio to the clear %.2f", tlsBytesPerCPU[1]/1e6, tlsBytesPerCPU[1]/bytesPerCPU[1][1])
+	setups, cpu := run.measureSetups(front)
+	addLine("set-ups: %.0f a CPU second of the session manager (%d set up, played and torn down)", float64(setups)/cpu, setups)
 	boxLoop.Do(func() { box.SetupTime = [2]core.Time{20_000, 20_000} })
-	direct, via := x.timeFirstPackets(boxLoop.Addr(), front.addr)
-	for _, q := range []float64{50, 99} {
-		d, v := direct.ValueAtQuantile(q), via.ValueAtQuantile(q)
-		say("time to first packet, %g%%: straight to a box that takes 20 ms %.1f ms, by the session manager %.1f ms: %.0f%% more", q,
-			float64(d)/1e3, float64(v)/1e3, 100*(float64(v)/float64(d)-1))
+	direct, via := run.timeFirstPackets(boxLoop.Addr(), front.addr)
+	for _, percentile := range []float64{50, 99} {
+		directTime, viaTime := direct.ValueAtQuantile(percentile), via.ValueAtQuantile(percentile)
+		addLine("time to first packet, %g%%: straight to a box that takes 20 ms %.1f ms, by the session manager %.1f ms: %.0f%% more", percentile,
+			float64(directTime)/1e3, float64(viaTime)/1e3, 100*(float64(viaTime)/float64(directTime)-1))
 	}
 	return lines, nil
 }
 
-// Boxes measures what a list from a registry costs the daemon's process: memory with so many boxes, and CPU
-// with so many changes of them a second, each number of boxes in a process of its own.
-func (b *Bench) Boxes(numbers []int, perSec int) (lines []string, err error) {
+// Boxes measures what following a registry costs the daemon: its memory with each of the given numbers of
+// boxes, and the CPU time per change at the given rate of changes. Each number of boxes is measured in a
+// new process.
+func (b *Bench) Boxes(boxCounts []int, changesPerSec int) (lines []string, err error) {
 	var memory, cpu []float64
-	for _, n := range numbers {
-		m, c, err := b.measureRegistry(n, perSec)
+	for _, boxCount := range boxCounts {
+		boxMemory, boxCPU, err := b.measureRegistry(boxCount, changesPerSec)
 		if err != nil {
 			return lines, err
 		}
-		memory, cpu = append(memory, m), append(cpu, c)
-		lines = append(lines, fmt.Sprintf("%d boxes: %.1f MB, %.0f us of CPU for a change at %d a second", n, m/1000, c, perSec))
+		memory, cpu = append(memory, boxMemory), append(cpu, boxCPU)
+		lines = append(lines, fmt.Sprintf("%d boxes: %.1f MB, %.0f us of CPU for a change at %d a second", boxCount, boxMemory/1000, boxCPU, changesPerSec))
 	}
-	if last := len(numbers) - 1; last > 0 {
-		lines = append(lines, fmt.Sprintf("from %d to %d boxes: memory %.2f times, %.2f kB a box; CPU for a change %.2f times", numbers[0],
-			numbers[last], memory[last]/memory[0], (memory[last]-memory[0])/float64(numbers[last]-numbers[0]), cpu[last]/cpu[0]))
+	if last := len(boxCounts) - 1; last > 0 {
+		lines = append(lines, fmt.Sprintf("from %d to %d boxes: memory %.2f times, %.2f kB a box; CPU for a change %.2f times", boxCounts[0],
+			boxCounts[last], memory[last]/memory[0], (memory[last]-memory[0])/float64(boxCounts[last]-boxCounts[0]), cpu[last]/cpu[0]))
 	}
 	return lines, nil
 }
 
-func (b *Bench) measureRegistry(n, perSec int) (memory, cpu float64, err error) {
+// measureRegistry returns resident memory in kilobytes and CPU microseconds per change with n boxes.
+func (b *Bench) measureRegistry(n, changesPerSec int) (memory, cpu float64, err error) {
 	store := standin.NewStore(1, "bench", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer server.Stop()
-	x := registry.Box{Address: "127.0.0.1:9", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
-	name := func(i int) string { return registry.BoxesPrefix + "box-" + strconv.Itoa(i) }
-	all := map[string][]byte{}
+	record := registry.Box{Address: "127.0.0.1:9", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
+	boxKey := func(i int) string { return registry.BoxesPrefix + "box-" + strconv.Itoa(i) }
+	records := map[string][]byte{}
 	for i := range n {
-		all[name(i)] = x.Encode()
+		records[boxKey(i)] = record.Encode()
 	}
-	store.Put(all)
-	dir, err := os.MkdirTemp("", "pierlab")
+	store.Put(records)
+	tempDir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return 0, 0, err
 	}
-	defer os.RemoveAll(dir)
-	text := strings.Replace(fmt.Sprintf(benchSettings, b.RateKB), `servers = "servers.toml"`, "", 1) +
+	defer os.RemoveAll(tempDir)
+	settings := strings.Replace(fmt.Sprintf(benchSettings, b.RateKB), `servers = "servers.toml"`, "", 1) +
 		fmt.Sprintf("[registry]\nendpoints = [%q]\ntimeout = \"1s\"\ngrace = \"1s\"\n", server.Addr())
-	file := filepath.Join(dir, "pierlink.toml")
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	settingsPath := filepath.Join(tempDir, "pierlink.toml")
+	if err := os.WriteFile(settingsPath, []byte(settings), 0o600); err != nil {
 		return 0, 0, err
 	}
-	front, err := launch(`"address":"`, b.Pierlink, "serve", "-c", file)
+	front, err := launch(`"address":"`, b.Pierlink, "serve", "-c", settingsPath)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer front.stop()
 	time.Sleep(2 * time.Second)
-	began := front.cpuTime()
-	changes := int(b.Span.Seconds() * float64(perSec))
-	tick := time.NewTicker(time.Second / time.Duration(perSec))
+	cpuBefore := front.cpuTime()
+	changes := int(b.Span.Seconds() * float64(changesPerSec))
+	tick := time.NewTicker(time.Second / time.Duration(changesPerSec))
 	defer tick.Stop()
 	for i := range changes {
 		<-tick.C
-		x.Weight = 1 + float64(i%2)
-		store.Put(map[string][]byte{name(i * 7919 % n): x.Encode()})
+		record.Weight = 1 + float64(i%2)
+		store.Put(map[string][]byte{boxKey(i * 7919 % n): record.Encode()})
 	}
 	time.Sleep(200 * time.Millisecond)
-	return front.residentKB(), 1e6 * (front.cpuTime() - began) / float64(changes), nil
+	return front.residentKB(), 1e6 * (front.cpuTime() - cpuBefore) / float64(changes), nil
 }
 
+// benchRun is the state of one Run: its players and what they share.
 type benchRun struct {
 	*Bench
 	players       *player.Group
 	loop          *edge.Loop
-	playbackKB    float64
-	playbackCount int
-	useTLS        bool // players come under TLS
+	playbackKB    float64 // memory per playback, from the first steady-state measurement
+	playbackCount int     // playbacks created, for their IDs
+	useTLS        bool    // players connect over TLS
 }
 
-func (x *benchRun) totals() (bytes int64, plays, open int) {
-	x.loop.Do(func() { bytes, plays, open = x.players.Bytes, x.players.Playing, x.players.Open() })
+// totals returns the bytes received and the numbers of playing and of open playbacks, over all players.
+func (x *benchRun) totals() (bytes int64, playing, open int) {
+	x.loop.Do(func() { bytes, playing, open = x.players.Bytes, x.players.Playing, x.players.Open() })
 	return
 }
 
-func (x *benchRun) waitUntil(done func(plays, open int) bool) {
+// waitUntil polls the totals until the condition holds, for 30 s at most.
+func (x *benchRun) waitUntil(done func(playing, open int) bool) {
 	for range 600 {
-		if _, p, o := x.totals(); done(p, o) {
+		if _, playing, open := x.totals(); done(playing, open) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (x *benchRun) profile(addr string, watch time.Duration) *player.Profile {
+func (x *benchRun) profile(addr string, watchTime time.Duration) *player.Profile {
 	x.playbackCount++
 	return &player.Profile{ID: "b" + strconv.Itoa(x.playbackCount), Fronts: []string{addr}, Plan: "bench", Title: "t" + strconv.Itoa(x.playbackCount), Tracks: 1,
-		WatchTime: watch.Microseconds(), AbandonTime: 10 * core.Second}
+		WatchTime: watchTime.Microseconds(), AbandonTime: 10 * core.Second}
 }
 
-func (x *benchRun) profileFor(c *child, watch time.Duration) *player.Profile {
-	w := x.profile(c.addr, watch)
+func (x *benchRun) profileFor(proc *child, watchTime time.Duration) *player.Profile {
+	profile := x.profile(proc.addr, watchTime)
 	if x.useTLS {
-		w.Secure, w.Fronts = true, []string{c.tlsAddr}
+		profile.Secure, profile.Fronts = true, []string{proc.tlsAddr}
 	}
-	return w
+	return profile
 }
 
-// steady is the bytes relayed for each CPU second of a program.
-func (x *benchRun) bytesPerCPUSecond(c *child) float64 {
-	before := c.residentKB()
+// bytesPerCPUSecond returns the bytes that a program relays per CPU second in the steady state.
+func (x *benchRun) bytesPerCPUSecond(proc *child) float64 {
+	residentBefore := proc.residentKB()
 	x.loop.Do(func() {
 		x.players.Report = nil
 		for range x.Concurrent {
-			x.players.Start(x.profileFor(c, x.Span+4*time.Second))
+			x.players.Start(x.profileFor(proc, x.Span+4*time.Second))
 		}
 	})
 	x.waitUntil(func(plays, _ int) bool { return plays >= x.Concurrent })
 	time.Sleep(300 * time.Millisecond)
-	b0, _, _ := x.totals()
-	c0 := c.cpuTime()
+	bytesBefore, _, _ := x.totals()
+	cpuBefore := proc.cpuTime()
 	time.Sleep(x.Span)
-	b1, _, _ := x.totals()
-	c1 := c.cpuTime()
+	bytesAfter, _, _ := x.totals()
+	cpuAfter := proc.cpuTime()
 	if x.playbackKB == 0 {
-		x.playbackKB = (c.residentKB() - before) / float64(x.Concurrent)
+		x.playbackKB = (proc.residentKB() - residentBefore) / float64(x.Concurrent)
 	}
 	x.waitUntil(func(_, open int) bool { return open == 0 })
-	return float64(b1-b0) / max(c1-c0, 0.01)
+	return float64(bytesAfter-bytesBefore) / max(cpuAfter-cpuBefore, 0.01)
 }
 
-// setups has short playbacks come one after the other, 100 at a time.
-func (x *benchRun) measureSetups(c *child) (n int, cpu float64) {
-	started, done := 0, 0
-	end := make(chan struct{})
-	c0 := c.cpuTime()
+// measureSetups runs x.Setups short playbacks with 100 in progress at a time. It returns how many of them
+// completed and the CPU seconds that the program used.
+func (x *benchRun) measureSetups(proc *child) (n int, cpu float64) {
+	startedCount, doneCount := 0, 0
+	finished := make(chan struct{})
+	cpuBefore := proc.cpuTime()
 	x.loop.Do(func() {
-		x.players.Report = func(_ *player.Profile, s *player.Result) {
-			if s.State == player.Done {
+		x.players.Report = func(_ *player.Profile, result *player.Result) {
+			if result.State == player.Done {
 				n++
 			}
-			if done++; done == x.Setups {
-				close(end)
+			if doneCount++; doneCount == x.Setups {
+				close(finished)
 			}
-			if started < x.Setups {
-				started++
-				x.players.Start(x.profile(c.addr, time.Millisecond))
+			if startedCount < x.Setups {
+				startedCount++
+				x.players.Start(x.profile(proc.addr, time.Millisecond))
 			}
 		}
 		for range 100 {
-			started++
-			x.players.Start(x.profile(c.addr, time.Millisecond))
+			startedCount++
+			x.players.Start(x.profile(proc.addr, time.Millisecond))
 		}
 	})
-	<-end
-	return n, max(c.cpuTime()-c0, 0.01)
+	<-finished
+	return n, max(proc.cpuTime()-cpuBefore, 0.01)
 }
 
-// firsts times the first packet straight from the box and by the session manager, by turns.
+// timeFirstPackets measures the time to the first packet directly from the box and through the session
+// manager, alternating between them. The histograms are in microseconds.
 func (x *benchRun) timeFirstPackets(box, front string) (direct, via *hdrhistogram.Histogram) {
-	h := [2]*hdrhistogram.Histogram{hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)}
+	histograms := [2]*hdrhistogram.Histogram{hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)}
 	for range x.Firsts {
 		for i, addr := range []string{box, front} {
-			done := make(chan core.Time, 1)
+			startup := make(chan core.Time, 1)
 			x.loop.Do(func() {
-				x.players.Report = func(_ *player.Profile, s *player.Result) { done <- s.StartupTime }
+				x.players.Report = func(_ *player.Profile, result *player.Result) { startup <- result.StartupTime }
 				x.players.Start(x.profile(addr, 100*time.Millisecond))
 			})
-			_ = h[i].RecordValue(<-done)
+			_ = histograms[i].RecordValue(<-startup)
 		}
 	}
-	return h[0], h[1]
+	return histograms[0], histograms[1]
 }
 
-// idle is the resident kilobytes that a connection on which nothing happens costs a program.
-func (x *benchRun) idleConnKB(c *child, n int, trust *tls.Config) float64 {
-	before := c.residentKB()
-	h := &idleDialer{addr: c.addr, secure: trust != nil}
-	if h.secure {
-		h.addr = c.tlsAddr
-	}
-	loop, err := edge.New("", func(net core.Net) core.Core { h.net = net; return h })
+// idleConnKB returns the resident kilobytes that a program uses per idle connection.
+func (x *benchRun) idleConnKB(proc *child, count int, clientTLS *tls.Config) float64 {
+	residentBefore := proc.residentKB()
+	dialer := &idleDialer{addr: proc.addr, secure: clientTLS != nil}
+	if dialer.secure {
+		dialer.addr = proc.tlsAddr
+	}
+	loop, err := edge.New("", func(net core.Net) core.Core { dialer.net = net; return dialer })
 	if err != nil {
 		return 0
 	}
-	loop.SetClientTLS(trust)
-	loop.Do(func() { h.toDial = n })
+	loop.SetClientTLS(clientTLS)
+	loop.Do(func() { dialer.toDial = count })
 	time.Sleep(4 * time.Second)
-	after := c.residentKB()
+	residentAfter := proc.residentKB()
 	loop.Stop(false)
 	time.Sleep(300 * time.Millisecond)
-	return (after - before) / float64(n)
+	return (residentAfter - residentBefore) / float64(count)
 }
 
-// holder is a core that opens connections and does nothing.
+// idleDialer is a core that opens connections and leaves them idle.
 type idleDialer struct {
 	net    core.Net
 	addr   string
