--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -137,7 +137,7 @@
 		}
 	}
 	_ = p.cmd.Wait()
-	return nil, fmt.Errorf("%s ended before it wrote the expected line; its last line was: %s", name, lastLine)
+	return nil, fmt.Errorf("%s did not start: %s", name, lastLine)
 }
 
 func (p *child) stop() {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -19,162 +19,166 @@
 	"pierlink/internal/standin/player"
 )
 
-// program is pierlink's, beside the program that runs.
+// daemonPath returns the path of the pierlink executable, which must be in the directory of the running one.
 func daemonPath() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), "pierlink")
-	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the daemon's program is expected beside this one: %w", err)
+	daemon := filepath.Join(filepath.Dir(self), "pierlink")
+	if _, err := os.Stat(daemon); err != nil {
+		return "", fmt.Errorf("expected the pierlink executable in the directory of the running program: %w", err)
 	}
-	return path, nil
+	return daemon, nil
 }
 
-// outside plays a day with its session managers as processes. after is called once the day is over and before
-// they end.
-func playWithProcesses(d *Day, log *zap.Logger, after func(*Processes, *Play) error) (*Processes, *Play, *Tape, error) {
-	path, err := daemonPath()
+// playWithProcesses plays a day whose session managers are separate processes. check is called at the end of the
+// day, while they still run.
+func playWithProcesses(day *Day, log *zap.Logger, check func(*Processes, *Play) error) (*Processes, *Play, *Tape, error) {
+	daemon, err := daemonPath()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	var x *Processes
-	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play {
-		if x, err = NewProcesses(path, d, l); err != nil {
-			l.Err = err
+	var processes *Processes
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play {
+		if processes, err = NewProcesses(daemon, day, env); err != nil {
+			env.Err = err
 			return nil
 		}
-		return begin(d, l, t, nil, log, x)
-	}, func(p *Play) error { return after(x, p) })
-	if x != nil {
-		x.Close()
+		return begin(day, env, tape, nil, log, processes)
+	}, func(play *Play) error { return check(processes, play) })
+	if processes != nil {
+		processes.Close()
 	}
-	return x, play, tape, err
+	return processes, play, tape, err
 }
 
-// attempts that found nobody, and those that were heard by one that was not ready.
-func (x *Processes) refusedConnections(play *Play, slack Time) (refused int, first string) {
-	for _, s := range play.Seen {
-		if s.Connected || s.State == player.Abandoned || x.expectedDown(s.Front, s.StartedAt, slack) || x.expectedDown(s.Front, s.EndedAt, slack) {
+// refusedConnections counts the connection attempts that failed at times when a manager should have accepted them,
+// and describes the first of them.
+func (x *Processes) refusedConnections(play *Play, slack Time) (refused int, firstRefused string) {
+	for _, attempt := range play.Seen {
+		if attempt.Connected || attempt.State == player.Abandoned || x.expectedDown(attempt.Front, attempt.StartedAt, slack) || x.expectedDown(attempt.Front, attempt.EndedAt, slack) {
 			continue
 		}
 		refused++
-		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.env.hostNames[s.Front], seconds(s.StartedAt-play.began))
+		if firstRefused == "" {
+			firstRefused = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.StartedAt-play.began))
 		}
 	}
-	return refused, first
+	return refused, firstRefused
 }
 
-// broken counts the playbacks that ended though their viewers wanted more, while neither their session manager
-// was killed nor stopped.
-func (x *Processes) brokenPlaybacks(play *Play, slack Time) (n int, first string) {
-	for _, s := range play.Seen {
-		if s.State != player.Lost || x.expectedDown(s.Front, s.EndedAt, slack) {
+// brokenPlaybacks counts the playbacks that ended before their viewers left, although their session manager was
+// neither killed nor stopped at that time, and describes the first of them.
+func (x *Processes) brokenPlaybacks(play *Play, slack Time) (n int, firstBroken string) {
+	for _, attempt := range play.Seen {
+		if attempt.State != player.Lost || x.expectedDown(attempt.Front, attempt.EndedAt, slack) {
 			continue
 		}
 		n++
-		if first == "" {
-			first = fmt.Sprintf("%s at %s (%.3f s into the day)", s.ID, x.env.hostNames[s.Front], seconds(s.EndedAt-play.began))
+		if firstBroken == "" {
+			firstBroken = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.EndedAt-play.began))
 		}
 	}
-	return n, first
+	return n, firstBroken
 }
 
-// stopped counts the playbacks that a stop ended without a way on: their viewers were neither sent elsewhere nor
-// told when to come back.
-func (x *Processes) playbacksAtStops(play *Play) (open, without int) {
-	for _, s := range play.Seen {
-		for _, i := range x.instances {
-			if i.addr != s.Front {
+// playbacksAtStops counts the playbacks that were open when their manager was stopped, and those of them whose
+// viewers were stranded: they received neither a redirect nor a retry time.
+func (x *Processes) playbacksAtStops(play *Play) (open, stranded int) {
+	for _, attempt := range play.Seen {
+		for _, inst := range x.instances {
+			if inst.addr != attempt.Front {
 				continue
 			}
-			for _, h := range i.stops {
-				if s.EndedAt < h.From || s.StartedAt > h.To || !s.Connected {
+			for _, stop := range inst.stops {
+				if attempt.EndedAt < stop.From || attempt.StartedAt > stop.To || !attempt.Connected {
 					continue
 				}
 				open++
-				if !s.RedirectReceived && (s.State == player.Lost || s.State == player.Failed && s.Status == 0) && h.contains(s.EndedAt, 0) {
-					without++
+				if !attempt.RedirectReceived && (attempt.State == player.Lost || attempt.State == player.Failed && attempt.Status == 0) && stop.contains(attempt.EndedAt, 0) {
+					stranded++
 				}
 			}
 		}
 	}
-	return open, without
+	return open, stranded
 }
 
+// proveFleet plays two days with session managers as separate processes: a calm one with reloads, stops and
+// upgrades only, which must not break anything, and a bad one with all troubles. It also checks starts from
+// damaged files and the recovery after an outage.
 func proveFleet(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "fleet", Seed: seed, Judged: map[string]int{}}
-	calm, err := Library("fleet-calm")
+	calmDay, err := Library("fleet-calm")
 	if err != nil {
 		return nil, err
 	}
-	bad, err := Library("fleet")
+	badDay, err := Library("fleet")
 	if err != nil {
 		return nil, err
 	}
-	outage, err := Library("outage")
+	outageDay, err := Library("outage")
 	if err != nil {
 		return nil, err
 	}
-	calm.Seed, bad.Seed, outage.Seed = seed, seed, seed
+	calmDay.Seed, badDay.Seed, outageDay.Seed = seed, seed, seed
 	if size == Small {
-		calm, bad = calm.withManagers(8), bad.withManagers(8)
+		calmDay, badDay = calmDay.withManagers(8), badDay.withManagers(8)
 	}
 	if err := p.checkDamagedFiles(seed, size); err != nil {
 		return nil, err
 	}
-	p.checkOutage(outage, log)
-	slack := calm.Plans[0].Abandon / 20
+	p.checkOutage(outageDay, log)
+	slack := calmDay.Plans[0].Abandon / 20
 
-	// only reloads, stops and upgrades: nothing may break
-	x, play, tape, err := playWithProcesses(calm, log, func(x *Processes, _ *Play) error { return p.checkLeftovers(x, "calm day: ") })
+	// reloads, stops and upgrades only: nothing may break
+	processes, play, tape, err := playWithProcesses(calmDay, log, func(processes *Processes, _ *Play) error { return p.checkLeftovers(processes, "calm day: ") })
 	if err != nil {
 		return nil, err
 	}
 	p.Note("calm day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
 	p.Note("troubles: %v", play.Tally.ByKind)
-	p.checkFleetDay(x, play, "calm day: ")
-	refused, first := x.refusedConnections(play, slack)
+	p.checkFleetDay(processes, play, "calm day: ")
+	refused, example := processes.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "calm day: connections refused over reloads, stops and upgrades")
-	p.noteUnlessEmpty(first, "refused: ")
-	broken, first := x.brokenPlaybacks(play, slack)
+	p.noteUnlessEmpty(example, "refused: ")
+	broken, example := processes.brokenPlaybacks(play, slack)
 	p.AtMost(float64(broken), 0, "calm day: playbacks broken over reloads and upgrades")
-	p.noteUnlessEmpty(first, "broken: ")
-	open, without := x.playbacksAtStops(play)
+	p.noteUnlessEmpty(example, "broken: ")
+	open, stranded := processes.playbacksAtStops(play)
 	p.Judged["playbacks open at a stop"] = open
-	p.AtMost(float64(without), 0, "calm day: viewers that a stop left without a way on")
+	p.AtMost(float64(stranded), 0, "calm day: viewers that a stop left without a way on")
 	p.AtLeast(float64(open), 1, "calm day: playbacks open at a stop")
 	p.AtLeast(float64(play.Tally.SentOn), 1, "calm day: playing sessions sent on")
-	for _, v := range Judge(tape, calm.Bounds(slack)) { // it has no drains of boxes, nor cold ones
-		p.AtMost(float64(len(v.Broken)), 0, "calm day: rule %d broken", v.Rule)
-		if len(v.Broken) > 0 {
-			p.Note("rule %d: %s", v.Rule, v.Broken[0])
+	for _, verdict := range Judge(tape, calmDay.Bounds(slack)) { // not checkRules: this day has no draining and no cold boxes, so some rules have no case
+		p.AtMost(float64(len(verdict.Broken)), 0, "calm day: rule %d broken", verdict.Rule)
+		if len(verdict.Broken) > 0 {
+			p.Note("rule %d: %s", verdict.Rule, verdict.Broken[0])
 		}
 	}
 
-	// everything
-	x, play, tape, err = playWithProcesses(bad, log, func(x *Processes, play *Play) error {
-		if err := p.checkLeftovers(x, "bad day: "); err != nil {
+	// all kinds of troubles
+	processes, play, tape, err = playWithProcesses(badDay, log, func(processes *Processes, play *Play) error {
+		if err := p.checkLeftovers(processes, "bad day: "); err != nil {
 			return err
 		}
-		return x.restartWithoutRegistry(play)
+		return processes.restartWithoutRegistry(play)
 	})
 	if err != nil {
 		return nil, err
 	}
 	p.Note("bad day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
 	p.Note("troubles: %v", play.Tally.ByKind)
-	p.checkFleetDay(x, play, "bad day: ")
-	p.checkRules(Judge(tape, bad.Bounds(slack)))
-	refused, first = x.refusedConnections(play, slack)
+	p.checkFleetDay(processes, play, "bad day: ")
+	p.checkRules(Judge(tape, badDay.Bounds(slack)))
+	refused, example = processes.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "bad day: connections refused while a manager was to answer")
-	p.noteUnlessEmpty(first, "refused: ")
+	p.noteUnlessEmpty(example, "refused: ")
 	early := 0
-	for _, e := range tape.Entries {
-		if e.Kind == Up && e.Player {
-			if i := x.instances[e.Front]; i != nil && slices.ContainsFunc(i.downtimes, func(s span) bool { return s.contains(e.At, -slack) && !i.stopBegan(s) }) {
+	for _, entry := range tape.Entries {
+		if entry.Kind == Up && entry.Player {
+			if inst := processes.instances[entry.Front]; inst != nil && slices.ContainsFunc(inst.downtimes, func(downtime span) bool { return downtime.contains(entry.At, -slack) && !inst.stopBegan(downtime) }) {
 				early++
 			}
 		}
@@ -186,135 +190,140 @@
 	return p, nil
 }
 
-// halted tells whether a span begins with a stop: connections on their way then are still accepted.
-func (i *instance) stopBegan(s span) bool {
-	return slices.ContainsFunc(i.stops, func(h span) bool { return h.From == s.From })
+// stopBegan reports whether a downtime begins with a stop. Connections that are being established at that time
+// are still accepted.
+func (i *instance) stopBegan(downtime span) bool {
+	return slices.ContainsFunc(i.stops, func(stop span) bool { return stop.From == downtime.From })
 }
 
-// fleet adds what any day of processes must show, and how long they took to be ready.
-func (p *Proof) checkFleetDay(x *Processes, play *Play, what string) {
-	p.AtMost(float64(len(x.Failures)), 0, "%sprocesses that ended or failed of themselves", what)
-	for n, f := range x.Failures {
+// checkFleetDay adds the criteria that every day with processes must meet, and the times that their starts took.
+func (p *Proof) checkFleetDay(processes *Processes, play *Play, prefix string) {
+	p.AtMost(float64(len(processes.Failures)), 0, "%sprocesses that ended or failed of themselves", prefix)
+	for n, failure := range processes.Failures {
 		if n < 3 {
-			p.Note("%s", f)
+			p.Note("%s", failure)
 		}
 	}
-	p.AtMost(float64(len(x.day.Troubles)-sumCounts(play.Tally.ByKind)), 0, "%sscripted troubles that were not played", what)
-	never := 0
-	by := map[string][]Time{}
-	for _, s := range x.Starts {
+	p.AtMost(float64(len(processes.day.Troubles)-sumCounts(play.Tally.ByKind)), 0, "%sscripted troubles that were not played", prefix)
+	notReady := 0
+	startTimes := map[string][]Time{}
+	for _, start := range processes.Starts {
 		kind := "first"
 		switch {
-		case s.RegistryDown:
+		case start.RegistryDown:
 			kind = "registry down"
-		case s.Restart:
+		case start.Restart:
 			kind = "again"
 		}
-		by[kind] = append(by[kind], s.ReadyAt-s.StartedAt)
+		startTimes[kind] = append(startTimes[kind], start.ReadyAt-start.StartedAt)
 	}
-	for _, i := range x.instances {
-		if i.serving != nil {
+	for _, inst := range processes.instances {
+		if inst.serving != nil {
 			select {
-			case <-i.serving.ready:
+			case <-inst.serving.ready:
 			default:
-				never++
+				notReady++
 			}
 		}
 	}
-	p.AtMost(float64(never), 0, "%sprocesses that were started last and never ready", what)
-	for _, kind := range sortedKeys(by) {
-		all := by[kind]
-		slices.Sort(all)
-		p.Note("%sready after a start (%s): median %.0f ms, 99%% %.0f ms, of %d", what, kind, float64(all[len(all)/2])/1e3,
-			float64(all[len(all)*99/100])/1e3, len(all))
-		p.Judged["starts, "+kind] += len(all)
-		p.AtMost(seconds(all[len(all)*99/100])/seconds(x.day.Plans[0].Abandon), 1, "%s99th percentile of a start's time (%s), over the abandon time",
-			what, kind)
+	p.AtMost(float64(notReady), 0, "%sprocesses that were started last and never ready", prefix)
+	for _, kind := range sortedKeys(startTimes) {
+		times := startTimes[kind]
+		slices.Sort(times)
+		p.Note("%sready after a start (%s): median %.0f ms, 99%% %.0f ms, of %d", prefix, kind, float64(times[len(times)/2])/1e3,
+			float64(times[len(times)*99/100])/1e3, len(times))
+		p.Judged["starts, "+kind] += len(times)
+		p.AtMost(seconds(times[len(times)*99/100])/seconds(processes.day.Plans[0].Abandon), 1, "%s99th percentile of a start's time (%s), over the abandon time",
+			prefix, kind)
 	}
 }
 
-// leftOver asks the managers whether anything is left once all players have gone, and the boxes whether places
-// are taken by what nobody knows of any more.
-func (p *Proof) checkLeftovers(x *Processes, what string) error {
+// checkLeftovers checks, after all players have gone, that the managers have no open playbacks and that the boxes
+// have no orphaned sessions. It waits for that for a quarter of the session timeout.
+func (p *Proof) checkLeftovers(processes *Processes, prefix string) error {
 	playbacks, orphans := -1, -1
-	for until := time.Now().Add(time.Duration(x.day.Timeout/4) * time.Microsecond); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		all, err := x.Statuses()
+	for deadline := time.Now().Add(time.Duration(processes.day.Timeout/4) * time.Microsecond); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		statuses, err := processes.Statuses()
 		if err != nil {
 			return err
 		}
-		if playbacks, orphans = 0, 0; len(all) == 0 {
-			return errors.New("no manager is left to ask")
+		if playbacks, orphans = 0, 0; len(statuses) == 0 {
+			return errors.New("expected at least one running session manager, found none")
 		}
-		for _, s := range all {
-			playbacks += s.Waiting + s.Playing
+		for _, status := range statuses {
+			playbacks += status.Waiting + status.Playing
 		}
-		x.env.mu.Lock()
-		for _, b := range x.play.boxes {
-			got := make(chan int, 1)
-			h := x.env.hosts[b.name]
-			if h.down {
+		processes.env.mu.Lock()
+		for _, box := range processes.play.boxes {
+			count := make(chan int, 1)
+			host := processes.env.hosts[box.name]
+			if host.down {
 				continue
 			}
-			x.env.Call(b.name, func(c core.Core) { got <- c.(*mediabox.Box).OrphanedSessions() })
-			orphans += <-got
+			processes.env.Call(box.name, func(boxCore core.Core) { count <- boxCore.(*mediabox.Box).OrphanedSessions() })
+			orphans += <-count
 		}
-		x.env.mu.Unlock()
+		processes.env.mu.Unlock()
 		if playbacks == 0 && orphans == 0 {
 			break
 		}
 	}
-	p.AtMost(float64(playbacks), 0, "%splaybacks left over at the managers", what)
-	p.AtMost(float64(orphans), 0, "%splaces taken by orphans a quarter of the session time-out after the day", what)
+	p.AtMost(float64(playbacks), 0, "%splaybacks left over at the managers", prefix)
+	p.AtMost(float64(orphans), 0, "%splaces taken by orphans a quarter of the session time-out after the day", prefix)
 	return nil
 }
 
-// withoutRegistry kills managers while the registry is down, and starts them again.
+// restartWithoutRegistry stops the registry, kills a quarter of the managers, and starts them again.
 func (x *Processes) restartWithoutRegistry(play *Play) error {
 	x.env.mu.Lock()
 	x.stopRegistry()
-	some := play.fronts[:max(len(play.fronts)/4, 1)]
+	restarted := play.fronts[:max(len(play.fronts)/4, 1)]
 	var killed []*frontState
-	for _, f := range some {
-		if f.up {
-			f.up = false
-			x.kill(f)
-			killed = append(killed, f)
+	for _, manager := range restarted {
+		if manager.up {
+			manager.up = false
+			x.kill(manager)
+			killed = append(killed, manager)
 		}
 	}
 	x.env.mu.Unlock()
-	for _, f := range killed {
+	for _, manager := range killed {
 		x.env.mu.Lock()
-		<-x.instances[f.name].serving.ended
-		x.start(f)
-		c := x.instances[f.name].serving
+		<-x.instances[manager.name].serving.ended
+		x.start(manager)
+		program := x.instances[manager.name].serving
 		x.env.mu.Unlock()
 		select {
-		case <-c.ready:
+		case <-program.ready:
 		case <-time.After(5 * time.Second):
 		}
 	}
 	return nil
 }
 
-func (p *Proof) noteUnlessEmpty(what, before string) {
-	if what != "" {
-		p.Note("%s%s", before, what)
+// noteUnlessEmpty adds a note with a prefix if there is a text.
+func (p *Proof) noteUnlessEmpty(text, prefix string) {
+	if text != "" {
+		p.Note("%s%s", prefix, text)
 	}
 }
 
-// smaller is a day with fewer managers and as much less load.
+// withManagers returns a copy of a day with another number of managers. The load and the number of managers that a
+// trouble affects change in proportion.
 func (d *Day) withManagers(managers int) *Day {
-	x := *d
-	x.Rate *= float64(managers) / float64(d.Managers)
-	x.Managers, x.Site.Fronts = managers, managers
-	x.Troubles = slices.Clone(d.Troubles)
-	for i := range x.Troubles {
-		x.Troubles[i].Managers = max(x.Troubles[i].Managers*managers/d.Managers, 1)
-	}
-	return &x
+	day := *d
+	day.Rate *= float64(managers) / float64(d.Managers)
+	day.Managers, day.Site.Fronts = managers, managers
+	day.Troubles = slices.Clone(d.Troubles)
+	for i := range day.Troubles {
+		day.Troubles[i].Managers = max(day.Troubles[i].Managers*managers/d.Managers, 1)
+	}
+	return &day
 }
 
-// damage truncates and flips what is kept, and reads it: snapshots of both kinds, and a journal.
+// checkDamagedFiles truncates stored snapshots or flips single bits in them, and checks that loading detects it. It
+// then starts the daemon from truncated files of every kind: the registry view, the admission queue's standing, and
+// the journal of RTSP sessions.
 func (p *Proof) checkDamagedFiles(seed uint64, size Size) error {
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
@@ -322,85 +331,85 @@
 	}
 	defer os.RemoveAll(dir)
 	rng := rand.New(rand.NewPCG(seed, 0xda3))
-	type thing struct {
+	type snapshot struct {
 		At  int64
 		All map[string]float64
 	}
-	good := thing{At: 1, All: map[string]float64{}}
+	original := snapshot{At: 1, All: map[string]float64{}}
 	for i := range 200 {
-		good.All[fmt.Sprint("tenant-", i)] = rng.Float64()
+		original.All[fmt.Sprint("tenant-", i)] = rng.Float64()
 	}
 	path := filepath.Join(dir, "snapshot")
-	if err := kept.Save(path, "proof 1", good); err != nil {
+	if err := kept.Save(path, "proof 1", original); err != nil {
 		return err
 	}
-	text, err := os.ReadFile(path)
+	encoded, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	n := 10_000
+	rounds := 10_000
 	if size == Small {
-		n = 1_000
+		rounds = 1_000
 	}
-	missed := 0
-	for i := range n {
-		harmed := slices.Clone(text)
+	undetected := 0
+	for i := range rounds {
+		damaged := slices.Clone(encoded)
 		if i%2 == 0 {
-			harmed = harmed[:rng.IntN(len(harmed))]
+			damaged = damaged[:rng.IntN(len(damaged))]
 		} else {
-			harmed[rng.IntN(len(harmed))] ^= 1 << rng.IntN(8)
+			damaged[rng.IntN(len(damaged))] ^= 1 << rng.IntN(8)
 		}
-		if err := os.WriteFile(path, harmed, 0o600); err != nil {
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			return err
 		}
-		var got thing
-		if err := kept.Load(path, "proof 1", &got); !errors.Is(err, kept.ErrCorrupt) {
-			missed++
+		var loaded snapshot
+		if err := kept.Load(path, "proof 1", &loaded); !errors.Is(err, kept.ErrCorrupt) {
+			undetected++
 		}
 	}
-	p.AtMost(float64(missed), 0, "damaged snapshots that were taken for whole")
-	p.Judged["truncations and flips"] = n
+	p.AtMost(float64(undetected), 0, "damaged snapshots that were taken for whole")
+	p.Judged["truncations and flips"] = rounds
 
-	// a start from damaged files of every kind
+	// start the daemon from damaged files of every kind
 	starts, crashed := 12, 0
 	if size == Small {
 		starts = 4
 	}
-	exe, err := daemonPath()
+	daemon, err := daemonPath()
 	if err != nil {
 		return err
 	}
-	d, err := Library("fleet-calm")
+	day, err := Library("fleet-calm")
 	if err != nil {
 		return err
 	}
 	for i := range starts {
-		at := filepath.Join(dir, fmt.Sprint("start-", i))
+		startDir := filepath.Join(dir, fmt.Sprint("start-", i))
 		addr, err := freePort(rng)
 		if err != nil {
 			return err
 		}
-		settings := d.settingsText(addr, "damaged", "zone-0", "127.0.0.1:1", 100, 0)
+		settings := day.settingsText(addr, "damaged", "zone-0", "127.0.0.1:1", 100, 0)
 		settings = strings.Replace(settings, "[ladder]", "[door]\nwaiting = 100\nbytes = 100000\ntenants = 100\nclients = 100\n[ladder]", 1)
-		view := append([]byte("pierlink registry view 1 0123456789abcdef\n"), text...)
-		rows := bytes.Repeat([]byte("0123456789abcdef {\"name\":\"x\"}\n"), 3)
-		if err := errors.Join(os.Mkdir(at, 0o700), os.WriteFile(filepath.Join(at, "pierlink.toml"), []byte(settings), 0o600),
-			os.WriteFile(filepath.Join(at, "view"), view[:rng.IntN(len(view))], 0o600),
-			os.WriteFile(filepath.Join(at, "standing"), text[:rng.IntN(len(text))], 0o600),
-			os.WriteFile(filepath.Join(at, "1-0.dialogues"), rows[:rng.IntN(len(rows))], 0o600)); err != nil {
+		viewFile := append([]byte("pierlink registry view 1 0123456789abcdef\n"), encoded...)
+		journal := bytes.Repeat([]byte("0123456789abcdef {\"name\":\"x\"}\n"), 3)
+		if err := errors.Join(os.Mkdir(startDir, 0o700), os.WriteFile(filepath.Join(startDir, "pierlink.toml"), []byte(settings), 0o600),
+			os.WriteFile(filepath.Join(startDir, "view"), viewFile[:rng.IntN(len(viewFile))], 0o600),
+			os.WriteFile(filepath.Join(startDir, "standing"), encoded[:rng.IntN(len(encoded))], 0o600),
+			os.WriteFile(filepath.Join(startDir, "1-0.dialogues"), journal[:rng.IntN(len(journal))], 0o600)); err != nil {
 			return err
 		}
-		c, err := launch("cannot use the stored registry view", exe, "serve", "-c", filepath.Join(at, "pierlink.toml"))
+		process, err := launch("cannot use the stored registry view", daemon, "serve", "-c", filepath.Join(startDir, "pierlink.toml"))
 		if err != nil {
 			crashed++
 			p.Note("%v", err)
 			continue
 		}
 		time.Sleep(30 * time.Millisecond)
-		if err := c.cmd.Process.Signal(os.Interrupt); err != nil {
+		if err := process.cmd.Process.Signal(os.Interrupt); err != nil {
 			crashed++
 		}
-		if err := c.cmd.Wait(); err != nil {
+		if err := process.cmd.Wait(); err != nil {
 			crashed++
 			p.Note("start from damaged files: %v", err)
 		}
@@ -410,23 +419,23 @@
 	return nil
 }
 
-// outages plays a day on which half of the managers are killed in one moment and come back, with what is kept
-// for that and without.
-func (p *Proof) checkOutage(d *Day, log *zap.Logger) {
-	var with, without *Play
+// checkOutage plays a day on which half of the managers are killed at once and return, with and without the recovery
+// of sessions from their journals, and compares the two.
+func (p *Proof) checkOutage(day *Day, log *zap.Logger) {
+	var withRecovery, withoutRecovery *Play
 	done := make(chan struct{})
-	x, y := *d, *d
-	y.Recover = false
-	go func() { defer close(done); without, _, _ = Virtual(&y, nil, log) }()
-	with, tape, _ := Virtual(&x, nil, log)
+	recovering, plain := *day, *day
+	plain.Recover = false
+	go func() { defer close(done); withoutRecovery, _, _ = Virtual(&plain, nil, log) }()
+	withRecovery, tape, _ := Virtual(&recovering, nil, log)
 	<-done
-	for _, v := range Judge(tape, d.Bounds(0)) {
-		p.AtMost(float64(len(v.Broken)), 0, "outage of half: rule %d broken", v.Rule)
-	}
-	a, b := &with.Tally, &without.Tally
-	p.Note("outage of half of the managers: revenue %.0f with recovery, %.0f without, %.0f offered", a.Revenue, b.Revenue, a.Offered)
-	p.AtLeast(a.Revenue/max(b.Revenue, 1), 1, "outage of half: revenue with recovery over that without")
-	p.AtLeast(a.Revenue/max(a.Offered, 1), 0.8, "outage of half: revenue over all that was offered")
-	p.Note("orphans on the boxes, mean over the day: %.1f with recovery, %.1f without", with.Orphans, without.Orphans)
-	p.AtMost(with.Orphans/max(without.Orphans, 1e-9), 0.5, "outage of half: places taken by orphans, over those without recovery")
+	for _, verdict := range Judge(tape, day.Bounds(0)) {
+		p.AtMost(float64(len(verdict.Broken)), 0, "outage of half: rule %d broken", verdict.Rule)
+	}
+	recoveryTally, plainTally := &withRecovery.Tally, &withoutRecovery.Tally
+	p.Note("outage of half of the managers: revenue %.0f with recovery, %.0f without, %.0f offered", recoveryTally.Revenue, plainTally.Revenue, recoveryTally.Offered)
+	p.AtLeast(recoveryTally.Revenue/max(plainTally.Revenue, 1), 1, "outage of half: revenue with recovery over that without")
+	p.AtLeast(recoveryTally.Revenue/max(recoveryTally.Offered, 1), 0.8, "outage of half: revenue over all that was offered")
+	p.Note("orphans on the boxes, mean over the day: %.1f with recovery, %.1f without", withRecovery.Orphans, withoutRecovery.Orphans)
+	p.AtMost(withRecovery.Orphans/max(withoutRecovery.Orphans, 1e-9), 0.5, "outage of half: places taken by orphans, over those without recovery")
 }
