--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -322,8 +322,8 @@
 }
 
 // checkDamagedFiles truncates stored snapshots or flips single bits in them, and checks that loading detects it. It
-// then starts the daemon from truncated files of every kind: the registry view, the admission queue's standing, and
-// the journal of RTSP sessions.
+// then starts the daemon from truncated files of every kind: the registry view, the standing of the admission queue's
+// tenants, and the journal of dialogues with boxes.
 func (p *Proof) checkDamagedFiles(seed uint64, size Size) error {
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
@@ -419,8 +419,8 @@
 	return nil
 }
 
-// checkOutage plays a day on which half of the managers are killed at once and return, with and without the recovery
-// of sessions from their journals, and compares the two.
+// checkOutage plays a day on which half of the managers are killed at once and return. It compares the day with one
+// on which returning managers don't end the sessions that they had left open at the boxes.
 func (p *Proof) checkOutage(day *Day, log *zap.Logger) {
 	var withRecovery, withoutRecovery *Play
 	done := make(chan struct{})
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -12,15 +12,16 @@
 	"pierlink/internal/standin/player"
 )
 
-// Live is the stage of loopback sockets in real time: each host is a loop of its own, as a process has.
+// LoopbackEnvironment plays a day in real time on loopback sockets. Each host has an event loop of its own, as it
+// would have as a process.
 type LoopbackEnvironment struct {
 	tape      *Tape
 	mu        sync.Mutex
 	hosts     map[string]*loopbackHost
-	hostNames map[string]string // by address
-	wait      sync.WaitGroup
-	stopped   chan struct{}
-	Err       error
+	hostNames map[string]string // by listening address
+	wait      sync.WaitGroup    // for scheduled functions
+	stopped   chan struct{}     // closed by Close
+	Err       error             // what went wrong, such as a listener that could not be opened
 }
 
 type loopbackHost struct {
@@ -32,15 +33,15 @@
 	down   bool
 }
 
-// NewLive makes an empty stage.
+// NewLoopbackEnvironment returns an environment without hosts.
 func NewLoopbackEnvironment(tape *Tape) *LoopbackEnvironment {
 	return &LoopbackEnvironment{tape: tape, hosts: map[string]*loopbackHost{}, hostNames: map[string]string{}, stopped: make(chan struct{})}
 }
 
-// Now is the clock.
+// Now returns the current time.
 func (l *LoopbackEnvironment) Now() Time { return edge.Now() }
 
-// At has a function run at a moment. Such functions run one at a time.
+// At schedules a function for a time. Such functions run one at a time.
 func (l *LoopbackEnvironment) At(at Time, call func()) {
 	l.wait.Add(1)
 	go func() {
@@ -57,95 +58,96 @@
 }
 
 func (l *LoopbackEnvironment) host(name string) *loopbackHost {
-	h := l.hosts[name]
-	if h == nil {
-		h = &loopbackHost{name: name, addr: "127.0.0.1:0"}
-		l.hosts[name] = h
+	host := l.hosts[name]
+	if host == nil {
+		host = &loopbackHost{name: name, addr: "127.0.0.1:0"}
+		l.hosts[name] = host
 	}
-	return h
+	return host
 }
 
-// Player says that a host is a crowd of players.
+// Player marks a host as a group of players, which has no listener.
 func (l *LoopbackEnvironment) Player(name string) {
-	h := l.host(name)
-	h.player, h.addr = true, ""
+	host := l.host(name)
+	host.player, host.addr = true, ""
 }
 
-// Start runs a core on a socket; one that comes back has the address that it had.
+// Start runs a core on a socket. A host that is started again keeps its address.
 func (l *LoopbackEnvironment) Start(name, _ string, build func(core.Net) core.Core) {
-	h := l.host(name)
-	loop, err := edge.New(h.addr, func(n core.Net) core.Core {
-		t := &tappedCore{net: n, tape: l.tape, name: name, player: h.player, connTaps: map[*core.Conn]*tap{}, env: l}
-		t.Core = build(t)
-		h.core = t.Core
-		return t
+	host := l.host(name)
+	loop, err := edge.New(host.addr, func(network core.Net) core.Core {
+		tapped := &tappedCore{net: network, tape: l.tape, name: name, player: host.player, connTaps: map[*core.Conn]*tap{}, env: l}
+		tapped.Core = build(tapped)
+		host.core = tapped.Core
+		return tapped
 	})
 	if err != nil {
 		l.Err = err
 		return
 	}
-	h.loop, h.down = loop, false
-	if h.addr != "" {
-		h.addr = loop.Addr()
-		l.hostNames[h.addr] = name
+	host.loop, host.down = loop, false
+	if host.addr != "" {
+		host.addr = loop.Addr()
+		l.hostNames[host.addr] = name
 	}
 }
 
-// Addr is where a host is reached.
+// Addr returns the listening address of a host.
 func (l *LoopbackEnvironment) Addr(name string) string { return l.host(name).addr }
 
-// Kill resets a host's connections and refuses new ones; a silent one is made deaf before, by its script.
+// Kill resets a host's connections and refuses new ones. A silent kill does nothing here: the script has already
+// made the host stop answering.
 func (l *LoopbackEnvironment) Kill(name string, silent bool) {
-	h := l.hosts[name]
-	if silent || h.down || h.loop == nil {
+	host := l.hosts[name]
+	if silent || host.down || host.loop == nil {
 		return
 	}
-	h.down = true
-	h.loop.Stop(true)
+	host.down = true
+	host.loop.Stop(true)
 }
 
-// Call runs a function within a turn of a host.
+// Call runs a function in a turn of a host's loop.
 func (l *LoopbackEnvironment) Call(name string, call func(core.Core)) {
-	if h := l.hosts[name]; h.loop != nil && !h.down {
-		c := h.core
-		h.loop.Post(func() { call(c) })
+	if host := l.hosts[name]; host.loop != nil && !host.down {
+		hostCore := host.core
+		host.loop.Post(func() { call(hostCore) })
 	}
 }
 
-// Stand has a host's loop stand still.
-func (l *LoopbackEnvironment) Stand(name string, span Time) {
-	if h := l.hosts[name]; h.loop != nil && !h.down {
-		h.loop.Post(func() { time.Sleep(time.Duration(span) * time.Microsecond) })
+// Stand blocks a host's loop for a time.
+func (l *LoopbackEnvironment) Stand(name string, length Time) {
+	if host := l.hosts[name]; host.loop != nil && !host.down {
+		host.loop.Post(func() { time.Sleep(time.Duration(length) * time.Microsecond) })
 	}
 }
 
-// CutZones is for the virtual network only: loopback has no links to cut.
+// CutZones does nothing: loopback has no links between zones.
 func (l *LoopbackEnvironment) CutZones(string, string, Time) {}
 
-// Drain waits until what was called has run.
+// Drain waits until the functions passed to Call have run.
 func (l *LoopbackEnvironment) Drain() {
 	l.mu.Lock()
 	hosts := slices.Collect(maps.Values(l.hosts))
 	l.mu.Unlock()
-	for _, h := range hosts {
-		if h.loop != nil && !h.down {
-			h.loop.Do(func() {})
+	for _, host := range hosts {
+		if host.loop != nil && !host.down {
+			host.loop.Do(func() {})
 		}
 	}
 }
 
-// Close ends all hosts.
+// Close cancels scheduled functions and stops all hosts.
 func (l *LoopbackEnvironment) Close() {
 	close(l.stopped)
 	l.wait.Wait()
-	for _, h := range l.hosts {
-		if h.loop != nil {
-			h.loop.Stop(false)
+	for _, host := range l.hosts {
+		if host.loop != nil {
+			host.loop.Stop(false)
 		}
 	}
 }
 
-// tapped puts a core on its network with what passes taken down, if it is a stand-in's.
+// tappedCore stands between a core and its network, and records what passes if the core is a stand-in's.
 type tappedCore struct {
 	core.Core
 	net       core.Net
@@ -154,103 +156,103 @@
 	player    bool
 	connTaps  map[*core.Conn]*tap
 	env       *LoopbackEnvironment
-	arrivedAt Time // what is handled now reached the process: a loop that is late does not make others' work late
+	arrivedAt Time // when the event in progress reached the process; used instead of the current time so that a late loop does not make others' work look late
 }
 
-// Came tells when what is handled next came in.
+// Came sets the arrival time of the event that is handled next.
 func (t *tappedCore) Came(at Time) { t.arrivedAt = at }
 
-// Turned has nothing to measure here.
+// Turned does nothing: turn times are not measured here.
 func (t *tappedCore) Turned(Time, Time) {}
 
-func (t *tappedCore) Accepted(c *core.Conn, from string) {
+func (t *tappedCore) Accepted(conn *core.Conn, from string) {
 	if !t.player && t.name[0] == 'b' {
-		t.connTaps[c] = t.tape.tap(t.name, from, false)
-		t.connTaps[c].opened(t.arrivedAt, from)
+		t.connTaps[conn] = t.tape.tap(t.name, from, false)
+		t.connTaps[conn].opened(t.arrivedAt, from)
 	}
-	t.Core.Accepted(c, from)
+	t.Core.Accepted(conn, from)
 }
 
-func (t *tappedCore) Dial(c *core.Conn, addr string) {
+func (t *tappedCore) Dial(conn *core.Conn, addr string) {
 	if t.player {
 		t.env.mu.Lock()
 		name := t.env.hostNames[addr]
 		t.env.mu.Unlock()
-		t.connTaps[c] = t.tape.tap(t.name, name, true)
+		t.connTaps[conn] = t.tape.tap(t.name, name, true)
 	}
-	t.net.Dial(c, addr)
+	t.net.Dial(conn, addr)
 }
 
-func (t *tappedCore) Dialed(c *core.Conn, err error) {
-	if p := t.connTaps[c]; p != nil && err == nil {
-		p.opened(t.arrivedAt, "")
+func (t *tappedCore) Dialed(conn *core.Conn, err error) {
+	if connTap := t.connTaps[conn]; connTap != nil && err == nil {
+		connTap.opened(t.arrivedAt, "")
 	}
-	t.Core.Dialed(c, err)
+	t.Core.Dialed(conn, err)
 }
 
-func (t *tappedCore) Received(c *core.Conn, b []byte) {
-	if p := t.connTaps[c]; p != nil {
-		p.received(t.arrivedAt, b)
+func (t *tappedCore) Received(conn *core.Conn, message []byte) {
+	if connTap := t.connTaps[conn]; connTap != nil {
+		connTap.received(t.arrivedAt, message)
 	}
-	t.Core.Received(c, b)
+	t.Core.Received(conn, message)
 }
 
-func (t *tappedCore) Closed(c *core.Conn, err error) {
-	t.closeTap(c, false, t.arrivedAt)
-	t.Core.Closed(c, err)
+func (t *tappedCore) Closed(conn *core.Conn, err error) {
+	t.closeTap(conn, false, t.arrivedAt)
+	t.Core.Closed(conn, err)
 }
 
-func (t *tappedCore) Send(c *core.Conn, b []byte) {
-	if p := t.connTaps[c]; p != nil {
-		p.sent(edge.Now(), b)
+func (t *tappedCore) Send(conn *core.Conn, message []byte) {
+	if connTap := t.connTaps[conn]; connTap != nil {
+		connTap.sent(edge.Now(), message)
 	}
-	t.net.Send(c, b)
+	t.net.Send(conn, message)
 }
 
-func (t *tappedCore) Pending(c *core.Conn) int { return t.net.Pending(c) }
+func (t *tappedCore) Pending(conn *core.Conn) int { return t.net.Pending(conn) }
 
-func (t *tappedCore) Close(c *core.Conn) {
-	t.closeTap(c, true, edge.Now())
-	t.net.Close(c)
+func (t *tappedCore) Close(conn *core.Conn) {
+	t.closeTap(conn, true, edge.Now())
+	t.net.Close(conn)
 }
 
-func (t *tappedCore) closeTap(c *core.Conn, own bool, at Time) {
-	if p := t.connTaps[c]; p != nil {
-		p.closed(at, own)
-		delete(t.connTaps, c)
+func (t *tappedCore) closeTap(conn *core.Conn, local bool, at Time) {
+	if connTap := t.connTaps[conn]; connTap != nil {
+		connTap.closed(at, local)
+		delete(t.connTaps, conn)
 	}
 }
 
-// Loopback plays a day on sockets. What comes after runs while all still stands.
-func Loopback(d *Day, build func(*LoopbackEnvironment, *Tape) *Play, after ...func(*Play) error) (*Play, *Tape, error) {
+// Loopback plays a day on loopback sockets. The checks run at the end of the day, while all hosts still run.
+func Loopback(day *Day, build func(*LoopbackEnvironment, *Tape) *Play, checks ...func(*Play) error) (*Play, *Tape, error) {
 	tape := &Tape{}
-	l := NewLoopbackEnvironment(tape)
-	l.mu.Lock()
-	p := build(l, tape)
-	l.mu.Unlock()
-	if p == nil {
-		return nil, tape, l.Err
+	env := NewLoopbackEnvironment(tape)
+	env.mu.Lock()
+	play := build(env, tape)
+	env.mu.Unlock()
+	if play == nil {
+		return nil, tape, env.Err
 	}
-	time.Sleep(time.Duration(d.Length) * time.Microsecond)
-	for end := p.began + p.Length(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
+	time.Sleep(time.Duration(day.Length) * time.Microsecond)
+	for end := play.began + play.Length(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
 		open := make(chan int, 1)
-		l.mu.Lock()
-		l.Call("players", func(c core.Core) { open <- c.(*player.Group).Open() })
-		l.mu.Unlock()
+		env.mu.Lock()
+		env.Call("players", func(c core.Core) { open <- c.(*player.Group).Open() })
+		env.mu.Unlock()
 		if <-open == 0 {
 			break
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // what was closed last is on its way
-	for _, f := range after {
-		if err := f(p); err != nil {
-			l.Err = errors.Join(l.Err, err)
+	time.Sleep(200 * time.Millisecond) // for the last closes to arrive
+	for _, check := range checks {
+		if err := check(play); err != nil {
+			env.Err = errors.Join(env.Err, err)
 		}
 	}
-	l.mu.Lock()
-	p.End()
-	l.mu.Unlock()
-	l.Drain()
-	l.Close()
-	return p, tape, l.Err
+	env.mu.Lock()
+	play.End()
+	env.mu.Unlock()
+	env.Drain()
+	env.Close()
+	return play, tape, env.Err
 }
