--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -14,191 +14,195 @@
 	"pierlink/internal/standin/player"
 )
 
-// Load asks a running session manager for playbacks at a pace that does not depend on its answers, in steps,
-// until it does not keep up. Times count from when a playback was to be asked for, not from when it was: a load
-// that falls behind itself does not make waiting look short (coordinated omission).
+// Load is an open-loop load test: it requests playbacks of a running session manager at a rate that does not depend
+// on the answers, and raises the rate in steps until the manager does not keep up. Times are measured from when a
+// request was due, not from when it was sent, so that a load generator that lags does not hide waiting times
+// (coordinated omission).
 type Load struct {
-	To      string // addresses, in turn
+	To      string // address of the session manager
 	Plan    string
-	Titles  int
-	Tracks  int
-	Rate    float64 // playbacks a second at first
-	Grow    float64 // times as many from step to step
-	Step    time.Duration
-	Steps   int // at most
-	Watch   time.Duration
-	Abandon time.Duration
-	Target  time.Duration // startup target: the knee is where the 99th percentile passes it,
-	Refused float64       // or where more than this part of the playbacks does not play
+	Titles  int           // number of different titles
+	Tracks  int           // per playback
+	Rate    float64       // playbacks per second in the first step
+	Grow    float64       // factor of the rate from step to step
+	Step    time.Duration // duration of a step
+	Steps   int           // limit
+	Watch   time.Duration // viewing time of a playback
+	Abandon time.Duration // abandon time of a viewer
+	Target  time.Duration // startup target: a step fails if the 99th percentile exceeds it,
+	Refused float64       // or if more than this share of the playbacks does not play
 	Seed    uint64
-	Control string // the session manager's control socket, for what it says of itself; empty for none
-	Say     io.Writer
+	Control string    // path of the session manager's control socket, to query its status; empty for none
+	Say     io.Writer // receives a line per step; may be nil
 }
 
-// Step is one step's outcome.
+// Step is the result of one step.
 type Step struct {
-	Rate               float64
+	Rate               float64 // playbacks per second
 	Asked, Played      int
 	Refused, Failed    int
 	Abandoned          int
-	P50, P90, P99, Max time.Duration // to the first packet, of those that played
-	MaxLag             time.Duration // the load itself, at worst
-	Status             *edge.Status
-	ConnRejects        int64   // connections that the session manager turned away
-	CPU                float64 // of the session manager, processors; 0 where it is not known
+	P50, P90, P99, Max time.Duration // time to the first packet of the playbacks that played
+	MaxLag             time.Duration // longest delay of the load generator behind its schedule
+	Status             *edge.Status  // of the session manager at the end of the step; nil without a control socket
+	ConnRejects        int64         // connections that the session manager rejected
+	CPU                float64       // processors that the session manager used; 0 if unknown
 }
 
-// Held tells whether the step stayed under the knee.
-func (s *Step) withinLimits(l *Load) bool {
-	return s.Asked > 0 && s.P99 <= l.Target && float64(s.Asked-s.Played) <= l.Refused*float64(s.Asked)
+// withinLimits reports whether the manager met the startup target and played a sufficient share of the playbacks.
+func (step *Step) withinLimits(load *Load) bool {
+	return step.Asked > 0 && step.P99 <= load.Target && float64(step.Asked-step.Played) <= load.Refused*float64(step.Asked)
 }
 
-// Run takes the steps. The last one is the one that was too much, if any was.
-func (l *Load) Run() ([]Step, error) {
-	var crowd *player.Group
-	loop, err := edge.New("", func(n core.Net) core.Core {
-		crowd = player.New(n, edge.Now())
-		return crowd
+// Run runs the steps until one fails, which is then the last of the result.
+func (load *Load) Run() ([]Step, error) {
+	var players *player.Group
+	loop, err := edge.New("", func(network core.Net) core.Core {
+		players = player.New(network, edge.Now())
+		return players
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer loop.Stop(false)
-	rng := rand.New(rand.NewPCG(l.Seed, 0x10ad))
+	rng := rand.New(rand.NewPCG(load.Seed, 0x10ad))
 	var steps []Step
-	rate, n := l.Rate, 0
-	for range l.Steps {
-		s := Step{Rate: rate}
-		h := hdrhistogram.New(1, 600_000_000, 3)
-		intended := map[string]core.Time{}
-		left := 0
+	rate, playbackCount := load.Rate, 0
+	for range load.Steps {
+		step := Step{Rate: rate}
+		histogram := hdrhistogram.New(1, 600_000_000, 3)
+		dueAt := map[string]core.Time{}
+		unfinished := 0
 		loop.Do(func() {
-			crowd.Report = func(w *player.Profile, x *player.Result) {
-				at, ok := intended[w.ID]
+			players.Report = func(profile *player.Profile, result *player.Result) {
+				due, ok := dueAt[profile.ID]
 				if !ok {
 					return
 				}
-				delete(intended, w.ID)
-				left--
+				delete(dueAt, profile.ID)
+				unfinished--
 				switch {
-				case x.StartupTime > 0:
-					s.Played++
-					_ = h.RecordValue(x.StartedAt + x.StartupTime - at)
-				case x.State == player.Rejected:
-					s.Refused++
-				case x.State == player.Abandoned:
-					s.Abandoned++
+				case result.StartupTime > 0:
+					step.Played++
+					_ = histogram.RecordValue(result.StartedAt + result.StartupTime - due)
+				case result.State == player.Rejected:
+					step.Refused++
+				case result.State == player.Abandoned:
+					step.Abandoned++
 				default:
-					s.Failed++
+					step.Failed++
 				}
 			}
 		})
-		cpu, turned := processCPU(l.Control), int64(0)
-		if l.Control != "" {
-			if x, err := edge.QueryStatus(l.Control); err == nil {
-				turned = x.Figures.Turned
+		cpuBefore, rejectsBefore := processCPU(load.Control), int64(0)
+		if load.Control != "" {
+			if status, err := edge.QueryStatus(load.Control); err == nil {
+				rejectsBefore = status.Figures.Turned
 			}
 		}
-		began := edge.Now()
-		next := began
-		for next < began+l.Step.Microseconds() {
-			if wait := next - edge.Now(); wait > 0 {
-				time.Sleep(time.Duration(wait) * time.Microsecond)
+		startedAt := edge.Now()
+		nextDue := startedAt
+		for nextDue < startedAt+load.Step.Microseconds() {
+			if delay := nextDue - edge.Now(); delay > 0 {
+				time.Sleep(time.Duration(delay) * time.Microsecond)
 			}
-			at := next
-			n++
-			w := &player.Profile{ID: "load-" + strconv.Itoa(n), Fronts: []string{l.To}, Plan: l.Plan, Title: "t" + strconv.Itoa(rng.IntN(l.Titles)),
-				TopRung: 99, Tracks: l.Tracks, WatchTime: l.Watch.Microseconds(), AbandonTime: l.Abandon.Microseconds()}
+			due := nextDue
+			playbackCount++
+			profile := &player.Profile{ID: "load-" + strconv.Itoa(playbackCount), Fronts: []string{load.To}, Plan: load.Plan, Title: "t" + strconv.Itoa(rng.IntN(load.Titles)),
+				TopRung: 99, Tracks: load.Tracks, WatchTime: load.Watch.Microseconds(), AbandonTime: load.Abandon.Microseconds()}
 			loop.Post(func() {
-				s.MaxLag = max(s.MaxLag, time.Duration(edge.Now()-at)*time.Microsecond)
-				s.Asked++
-				left++
-				intended[w.ID] = at
-				crowd.Start(w)
+				step.MaxLag = max(step.MaxLag, time.Duration(edge.Now()-due)*time.Microsecond)
+				step.Asked++
+				unfinished++
+				dueAt[profile.ID] = due
+				players.Start(profile)
 			})
-			next += core.Time(rng.ExpFloat64() / rate * 1e6)
+			nextDue += core.Time(rng.ExpFloat64() / rate * 1e6)
 		}
-		took := seconds(edge.Now() - began)
-		if l.Control != "" {
-			s.CPU = (processCPU(l.Control) - cpu) / took
-			if s.Status, err = edge.QueryStatus(l.Control); err != nil {
+		elapsed := seconds(edge.Now() - startedAt)
+		if load.Control != "" {
+			step.CPU = (processCPU(load.Control) - cpuBefore) / elapsed
+			if step.Status, err = edge.QueryStatus(load.Control); err != nil {
 				return steps, err
 			}
-			s.ConnRejects = s.Status.Figures.Turned - turned
+			step.ConnRejects = step.Status.Figures.Turned - rejectsBefore
 		}
-		for open := 1; open > 0; time.Sleep(10 * time.Millisecond) { // each has come to its end, or is given up
-			loop.Do(func() { open = left })
-			if edge.Now() > began+(l.Step+2*l.Abandon+l.Watch).Microseconds() {
+		for open := 1; open > 0; time.Sleep(10 * time.Millisecond) { // wait until all playbacks have ended, or stop waiting
+			loop.Do(func() { open = unfinished })
+			if edge.Now() > startedAt+(load.Step+2*load.Abandon+load.Watch).Microseconds() {
 				break
 			}
 		}
-		q := func(x float64) time.Duration { return time.Duration(h.ValueAtQuantile(x)) * time.Microsecond }
-		s.P50, s.P90, s.P99, s.Max = q(50), q(90), q(99), time.Duration(h.Max())*time.Microsecond
-		steps = append(steps, s)
-		if l.Say != nil {
-			fmt.Fprintln(l.Say, s.String())
+		quantile := func(percentile float64) time.Duration {
+			return time.Duration(histogram.ValueAtQuantile(percentile)) * time.Microsecond
 		}
-		if !s.withinLimits(l) {
+		step.P50, step.P90, step.P99, step.Max = quantile(50), quantile(90), quantile(99), time.Duration(histogram.Max())*time.Microsecond
+		steps = append(steps, step)
+		if load.Say != nil {
+			fmt.Fprintln(load.Say, step.String())
+		}
+		if !step.withinLimits(load) {
 			break
 		}
-		rate *= l.Grow
+		rate *= load.Grow
 	}
 	return steps, nil
 }
 
-// cpuOf is the CPU seconds of the process at a control socket.
+// processCPU returns the CPU seconds that the process at a control socket has used, or 0 if its status cannot be read.
 func processCPU(control string) float64 {
 	if control == "" {
 		return 0
 	}
-	s, err := edge.QueryStatus(control)
+	status, err := edge.QueryStatus(control)
 	if err != nil {
 		return 0
 	}
-	return cpuSeconds(s.PID)
+	return cpuSeconds(status.PID)
 }
 
-func (s *Step) String() string {
-	t := fmt.Sprintf("%7.1f/s: asked %d, played %d, refused %d, failed %d, given up %d; first packet 50%% %s, 99%% %s, most %s; load behind by %s", s.Rate,
-		s.Asked, s.Played, s.Refused, s.Failed, s.Abandoned, s.P50.Round(100*time.Microsecond), s.P99.Round(100*time.Microsecond),
-		s.Max.Round(100*time.Microsecond), s.MaxLag.Round(100*time.Microsecond))
-	if s.Status != nil {
-		t += fmt.Sprintf("; manager: %.2f processors, late by %.1f ms, shed %d", s.CPU, s.Status.LagMS, s.Status.Figures.Shed)
+// String returns the step's report line.
+func (step *Step) String() string {
+	text := fmt.Sprintf("%7.1f/s: asked %d, played %d, refused %d, failed %d, given up %d; first packet 50%% %s, 99%% %s, most %s; load behind by %s", step.Rate,
+		step.Asked, step.Played, step.Refused, step.Failed, step.Abandoned, step.P50.Round(100*time.Microsecond), step.P99.Round(100*time.Microsecond),
+		step.Max.Round(100*time.Microsecond), step.MaxLag.Round(100*time.Microsecond))
+	if step.Status != nil {
+		text += fmt.Sprintf("; manager: %.2f processors, late by %.1f ms, shed %d", step.CPU, step.Status.LagMS, step.Status.Figures.Shed)
 	}
-	return t
+	return text
 }
 
-// GaveOut says what gave out first at the last step, and which step was the last to hold.
-func (l *Load) GaveOut(steps []Step) string {
+// GaveOut describes what limited the last step, and the rate of the last step that was within the limits.
+func (load *Load) GaveOut(steps []Step) string {
 	if len(steps) == 0 {
 		return "no step was taken"
 	}
 	last := &steps[len(steps)-1]
-	if last.withinLimits(l) {
+	if last.withinLimits(load) {
 		return fmt.Sprintf("nothing gave out up to %.1f playbacks a second", last.Rate)
 	}
-	what := "time to the first packet"
+	cause := "time to the first packet"
 	switch {
-	case last.MaxLag > l.Target/4:
-		what = "the load itself: it fell behind, and the figures of this step say little of the session manager"
+	case last.MaxLag > load.Target/4:
+		cause = "the load itself: it fell behind, and the figures of this step say little of the session manager"
 	case last.Status != nil && last.Status.DescriptorRejects > 0:
-		what = "descriptors of the session manager"
+		cause = "descriptors of the session manager"
 	case 2*last.ConnRejects > int64(last.Failed) && last.Failed > 0:
-		what = "the door: connections are turned away (bounds.connections, door.per_address, door.half_open)"
+		cause = "the door: connections are turned away (bounds.connections, door.per_address, door.half_open)"
 	case last.Status != nil && last.Status.Figures.Shed > 0:
-		what = "the session manager's time: it sheds, as it is late with its work"
+		cause = "the session manager's time: it sheds, as it is late with its work"
 	case last.Status != nil && last.CPU > 0.9:
-		what = "the session manager's processor"
-	case last.Refused > last.Failed+last.Abandoned && float64(last.Refused) > l.Refused*float64(last.Asked):
-		what = "room: playbacks are refused"
+		cause = "the session manager's processor"
+	case last.Refused > last.Failed+last.Abandoned && float64(last.Refused) > load.Refused*float64(last.Asked):
+		cause = "room: playbacks are refused"
 	case last.Abandoned > last.Failed:
-		what = "answers: players gave up"
-	case last.Failed > 0 && float64(last.Asked-last.Played) > l.Refused*float64(last.Asked):
-		what = "tries: playbacks failed"
+		cause = "answers: players gave up"
+	case last.Failed > 0 && float64(last.Asked-last.Played) > load.Refused*float64(last.Asked):
+		cause = "tries: playbacks failed"
 	}
-	knee := "already the first step was too much"
+	held := "already the first step was too much"
 	if len(steps) > 1 {
-		knee = fmt.Sprintf("%.1f playbacks a second held", steps[len(steps)-2].Rate)
+		held = fmt.Sprintf("%.1f playbacks a second held", steps[len(steps)-2].Rate)
 	}
-	return fmt.Sprintf("%s; at %.1f gave out first: %s", knee, last.Rate, what)
+	return fmt.Sprintf("%s; at %.1f gave out first: %s", held, last.Rate, cause)
 }
