--- a/internal/lab/simregistry.go
+++ b/internal/lab/simregistry.go
@@ -16,26 +16,27 @@
 	"pierlink/session"
 )
 
-// DayRegistry has a day's managers hear of boxes, and of each other, from a registry.
+// DayRegistry configures a registry for a day, from which its managers learn about boxes and about each other.
 type DayRegistry struct {
 	Lease, Timeout Time
-	Way            Time // one way between a manager and the registry
+	Way            Time // one-way latency between a manager and the registry
 }
 
-const registryPort = ":1" // of addresses in the registry; on the virtual network names are addresses
+const registryPort = ":1" // suffix of addresses in the registry; on the virtual network a host's name is its address
 
-// newsroom is the registry of a day on the virtual network: the stand-in's store, and who hears of it when.
+// newsroom simulates the registry of a day on the virtual network. It uses the stand-in's store, and schedules what the
+// managers receive from it.
 type newsroom struct {
 	*DayRegistry
 	play      *Play
 	store     *standin.Store
 	clients   []*ear
 	down      bool
-	stalled   Time // nothing is heard before
-	histories int
+	stalled   Time // no delivery before this time
+	histories int  // histories begun after the first one
 }
 
-// ear is a manager's core together with its view of the registry. It is the core.Core of its host.
+// ear is a manager's core together with its registry client. It is the core.Core of its host.
 type ear struct {
 	*front.Front
 	sim          *newsroom
@@ -43,35 +44,35 @@
 	core         *registry.Core
 	tracker      registry.BoxTracker
 	managers     registry.ManagerSet
-	request      registry.Request
-	watching     bool // the watch is open
-	sentRevision int64
-	lastArrival  Time
-	states       map[string]session.ServerState // as told
-	detached     bool
+	request      registry.Request               // the current one
+	watching     bool                           // the watch is open
+	sentRevision int64                          // last revision sent over the watch
+	lastArrival  Time                           // of scheduled deliveries, to keep their order
+	states       map[string]session.ServerState // of boxes, as delivered to the manager
+	detached     bool                           // replaced by a later start of the manager
 }
 
-func newRoom(p *Play, d *DayRegistry) *newsroom {
-	r := &newsroom{DayRegistry: d, play: p, store: standin.NewStore(7, "day-0", registry.HistoryKey)}
-	p.at(d.Timeout, r.sendProgress)
-	return r
+func newRoom(play *Play, config *DayRegistry) *newsroom {
+	sim := &newsroom{DayRegistry: config, play: play, store: standin.NewStore(7, "day-0", registry.HistoryKey)}
+	play.at(config.Timeout, sim.sendProgress)
+	return sim
 }
 
-// listen makes a manager's ear.
-func (r *newsroom) listen(f *front.Front, name string) *ear {
-	for _, old := range r.clients {
-		if old.name == name {
-			old.detached = true
+// Creates the registry client of a manager that starts, and detaches an earlier one of the same name.
+func (r *newsroom) listen(manager *front.Front, name string) *ear {
+	for _, previous := range r.clients {
+		if previous.name == name {
+			previous.detached = true
 		}
 	}
-	r.clients = slices.DeleteFunc(r.clients, func(e *ear) bool { return e.detached })
+	r.clients = slices.DeleteFunc(r.clients, func(client *ear) bool { return client.detached })
 	now := r.play.stage.Now()
-	e := &ear{Front: f, sim: r, name: name, managers: registry.ManagerSet{OwnName: name, LeaseTime: r.Lease}, states: map[string]session.ServerState{}}
+	client := &ear{Front: manager, sim: r, name: name, managers: registry.ManagerSet{OwnName: name, LeaseTime: r.Lease}, states: map[string]session.ServerState{}}
 	seed := r.play.Day.Seed<<16 + uint64(len(r.clients)) + uint64(now)
-	e.core = registry.New(registry.Config{Seed: seed, GracePeriod: r.play.Day.Grace, Timeout: r.Timeout, MaxBufferedChanges: 1 << 16}, now)
-	r.clients = append(r.clients, e)
-	f.SetFronts(1, 0) // it knows of none but itself
-	return e
+	client.core = registry.New(registry.Config{Seed: seed, GracePeriod: r.play.Day.Grace, Timeout: r.Timeout, MaxBufferedChanges: 1 << 16}, now)
+	r.clients = append(r.clients, client)
+	manager.SetFronts(1, 0) // it knows of no other manager yet
+	return client
 }
 
 // BeginTurn begins a turn.
@@ -86,56 +87,58 @@
 	return min(next, e.Front.EndTurn())
 }
 
-func (e *ear) applyUpdate(n registry.Update) {
+// applyUpdate passes an update of the registry view on to the front.
+func (e *ear) applyUpdate(update registry.Update) {
 	now := e.sim.play.stage.Now()
-	e.managers.Apply(n, now)
+	e.managers.Apply(update, now)
 	e.updateFrontCount()
-	named, _ := e.tracker.Apply(n)
-	if !n.Snapshot && len(named) == 0 {
+	changedBoxes, _ := e.tracker.Apply(update)
+	if !update.Snapshot && len(changedBoxes) == 0 {
 		return
 	}
-	l := front.ListUpdate{Complete: n.Snapshot}
-	for _, b := range named {
-		x := edge.ServerOf(b)
-		x.Address = strings.TrimSuffix(x.Address, registryPort)
-		l.Servers = append(l.Servers, x)
+	listUpdate := front.ListUpdate{Complete: update.Snapshot}
+	for _, box := range changedBoxes {
+		server := edge.ServerOf(box)
+		server.Address = strings.TrimSuffix(server.Address, registryPort)
+		listUpdate.Servers = append(listUpdate.Servers, server)
 	}
-	if b := e.sim.play.broken; b != nil && b.List != nil {
-		l = b.List(l)
+	if broken := e.sim.play.broken; broken != nil && broken.List != nil {
+		listUpdate = broken.List(listUpdate)
 	}
-	e.Front.UpdateList(l)
+	e.Front.UpdateList(listUpdate)
 }
 
-// count has the front know how many managers there are.
+// updateFrontCount sets the number of live managers at the front.
 func (e *ear) updateFrontCount() { e.Front.SetFronts(e.managers.Count(e.sim.play.stage.Now())) }
 
-// told notes what reached the manager, whatever it makes of it.
+// recordDelivery records on the tape which state of a box was delivered to the manager, independent of how the manager
+// handles it.
 func (e *ear) recordDelivery(key string, value []byte, deleted bool) {
 	name, ok := strings.CutPrefix(key, registry.BoxesPrefix)
 	if !ok {
 		return
 	}
 	state, started := session.Ready, Time(0)
-	if b, err := registry.DecodeBox(value); deleted || err != nil {
+	if box, err := registry.DecodeBox(value); deleted || err != nil {
 		state = session.Gone
-	} else if s := edge.ServerOf(registry.NamedBox{Name: name, Box: b}); true {
-		state, started = s.State, s.Started
+	} else if server := edge.ServerOf(registry.NamedBox{Name: name, Box: box}); true {
+		state, started = server.State, server.Started
 	}
-	if old, known := e.states[name]; !known || old != state {
+	if previous, known := e.states[name]; !known || previous != state {
 		e.states[name] = state
 		e.sim.play.tape.Told(e.sim.play.stage.Now(), e.name, name, state, started)
 	}
 }
 
-// in has something happen in a turn of the manager, in the order of the calls, no earlier than the registry
-// lets anything through.
-func (e *ear) schedule(after Time, call func()) {
-	s := e.sim.play.stage
-	e.lastArrival = max(e.lastArrival, s.Now()+after, e.sim.stalled)
-	s.At(e.lastArrival, func() {
+// schedule runs a function in a turn of the manager after a delay. Functions run in the order of the calls, and not
+// before a stall of the registry has ended.
+func (e *ear) schedule(delay Time, call func()) {
+	env := e.sim.play.stage
+	e.lastArrival = max(e.lastArrival, env.Now()+delay, e.sim.stalled)
+	env.At(e.lastArrival, func() {
 		if !e.detached {
-			s.Call(e.name, func(c core.Core) {
-				if c == core.Core(e) {
+			env.Call(e.name, func(hostCore core.Core) {
+				if hostCore == core.Core(e) {
 					call()
 				}
 			})
@@ -143,172 +146,175 @@
 	})
 }
 
-// do carries out what the manager's view wants.
-func (e *ear) handleRequest(w registry.Request) {
-	r := e.sim
-	s := r.play.stage
-	e.request, e.watching = w, false
-	s.At(max(s.Now()+r.Way, r.stalled), func() {
-		if e.detached || e.request.Attempt != w.Attempt {
+// handleRequest carries out a list or watch request of the manager's registry view.
+func (e *ear) handleRequest(request registry.Request) {
+	sim := e.sim
+	env := sim.play.stage
+	e.request, e.watching = request, false
+	env.At(max(env.Now()+sim.Way, sim.stalled), func() {
+		if e.detached || e.request.Attempt != request.Attempt {
 			return
 		}
-		end := func(why registry.Failure) { e.schedule(r.Way, func() { e.core.HandleFailure(w.Attempt, why) }) }
-		if r.down {
-			end(registry.ConnectionLost)
+		fail := func(reason registry.Failure) {
+			e.schedule(sim.Way, func() { e.core.HandleFailure(request.Attempt, reason) })
+		}
+		if sim.down {
+			fail(registry.ConnectionLost)
 			return
 		}
-		h, all := r.store.Keys()
-		head := registry.Header{Cluster: h.ClusterId, Revision: h.Revision}
-		mark := registry.HistoryID("")
-		keys := map[string]registry.Entry{}
-		for _, kv := range all {
-			keys[string(kv.Key)] = registry.Entry{Value: kv.Value, Mod: kv.ModRevision}
+		storeHeader, stored := sim.store.Keys()
+		header := registry.Header{Cluster: storeHeader.ClusterId, Revision: storeHeader.Revision}
+		history := registry.HistoryID("")
+		entries := map[string]registry.Entry{}
+		for _, kv := range stored {
+			entries[string(kv.Key)] = registry.Entry{Value: kv.Value, Mod: kv.ModRevision}
 			if string(kv.Key) == registry.HistoryKey {
-				mark = registry.HistoryID(kv.Value)
+				history = registry.HistoryID(kv.Value)
 			}
 		}
-		if w.Op == registry.List {
-			e.schedule(r.Way, func() {
-				if e.request.Attempt == w.Attempt {
-					for _, kv := range all {
+		if request.Op == registry.List {
+			e.schedule(sim.Way, func() {
+				if e.request.Attempt == request.Attempt {
+					for _, kv := range stored {
 						e.recordDelivery(string(kv.Key), kv.Value, false)
 					}
 					for _, name := range sortedKeys(e.states) {
-						if _, ok := keys[registry.BoxesPrefix+name]; !ok {
+						if _, ok := entries[registry.BoxesPrefix+name]; !ok {
 							e.recordDelivery(registry.BoxesPrefix+name, nil, true)
 						}
 					}
 				}
-				e.core.HandleList(w.Attempt, head, mark, keys)
+				e.core.HandleList(request.Attempt, header, history, entries)
 			})
 			return
 		}
-		_, old, there := r.store.EventsSince(w.StartRevision)
+		_, missedEvents, retained := sim.store.EventsSince(request.StartRevision)
 		switch {
-		case mark != w.History:
-			end(registry.HistoryChanged)
-		case !there:
-			end(registry.Compacted)
+		case history != request.History:
+			fail(registry.HistoryChanged)
+		case !retained:
+			fail(registry.Compacted)
 		default:
-			e.watching, e.sentRevision = true, head.Revision
-			e.schedule(r.Way, func() { e.core.HandleWatch(w.Attempt, head, nil, false, true) })
-			if len(old) > 0 {
-				e.sendEvents(head, old)
+			e.watching, e.sentRevision = true, header.Revision
+			e.schedule(sim.Way, func() { e.core.HandleWatch(request.Attempt, header, nil, false, true) })
+			if len(missedEvents) > 0 {
+				e.sendEvents(header, missedEvents)
 			}
 		}
 	})
 }
 
-func (e *ear) sendEvents(head registry.Header, events []*mvccpb.Event) {
-	try := e.request.Attempt
+// sendEvents delivers events over the watch.
+func (e *ear) sendEvents(header registry.Header, events []*mvccpb.Event) {
+	attempt := e.request.Attempt
 	var changes []registry.Change
-	for _, x := range events {
-		changes = append(changes, registry.Change{Key: string(x.Kv.Key), Value: x.Kv.Value, Mod: x.Kv.ModRevision, Deleted: x.Type == mvccpb.Event_DELETE})
+	for _, event := range events {
+		changes = append(changes, registry.Change{Key: string(event.Kv.Key), Value: event.Kv.Value, Mod: event.Kv.ModRevision, Deleted: event.Type == mvccpb.Event_DELETE})
 	}
 	e.schedule(e.sim.Way, func() {
-		if e.request.Attempt == try {
-			for _, c := range changes {
-				e.recordDelivery(c.Key, c.Value, c.Deleted)
+		if e.request.Attempt == attempt {
+			for _, change := range changes {
+				e.recordDelivery(change.Key, change.Value, change.Deleted)
 			}
 		}
-		e.core.HandleWatch(try, head, changes, false, false)
+		e.core.HandleWatch(attempt, header, changes, false, false)
 	})
 }
 
-// put makes one transaction, and brings it to all who watch; nil values delete.
+// commit applies a transaction and delivers its events to all open watches. A nil value deletes the key.
 func (r *newsroom) commit(keys map[string][]byte) {
-	if r.down { // whoever registers tries again until it is there
+	if r.down { // the registering process retries until it succeeds
 		r.play.stage.At(r.play.stage.Now()+r.Timeout, func() { r.commit(keys) })
 		return
 	}
 	r.store.Put(keys)
-	for _, e := range r.clients {
-		if e.watching && !e.detached {
-			h, events, _ := r.store.EventsSince(e.sentRevision + 1)
-			e.sentRevision = h.Revision
-			e.sendEvents(registry.Header{Cluster: h.ClusterId, Revision: h.Revision}, events)
+	for _, client := range r.clients {
+		if client.watching && !client.detached {
+			storeHeader, events, _ := r.store.EventsSince(client.sentRevision + 1)
+			client.sentRevision = storeHeader.Revision
+			client.sendEvents(registry.Header{Cluster: storeHeader.ClusterId, Revision: storeHeader.Revision}, events)
 		}
 	}
 }
 
-// progress tells all who watch how far the registry has come, and has managers look at who is still there.
+// sendProgress sends a progress notification over all open watches, and has the managers count live managers again.
 func (r *newsroom) sendProgress() {
-	for _, e := range r.clients {
-		if e.detached {
+	for _, client := range r.clients {
+		if client.detached {
 			continue
 		}
-		e.schedule(r.Way, e.updateFrontCount)
-		if e.watching && !r.down {
-			h, _ := r.store.Keys()
-			e.sendEvents(registry.Header{Cluster: h.ClusterId, Revision: h.Revision}, nil)
+		client.schedule(r.Way, client.updateFrontCount)
+		if client.watching && !r.down {
+			storeHeader, _ := r.store.Keys()
+			client.sendEvents(registry.Header{Cluster: storeHeader.ClusterId, Revision: storeHeader.Revision}, nil)
 		}
 	}
 	r.play.stage.At(r.play.stage.Now()+r.Timeout, r.sendProgress)
 }
 
-// box brings a box's line into the registry as it stands.
-func (r *newsroom) box(b *boxState) {
-	key := registry.BoxesPrefix + b.name
-	if b.state == session.Gone {
+// Stores the current state of a box in the registry, or deletes its key if the box has gone.
+func (r *newsroom) box(box *boxState) {
+	key := registry.BoxesPrefix + box.name
+	if box.state == session.Gone {
 		r.commit(map[string][]byte{key: nil})
 		return
 	}
-	r.commit(map[string][]byte{key: r.boxValue(b)})
+	r.commit(map[string][]byte{key: r.boxValue(box)})
 }
 
-func (r *newsroom) boxValue(b *boxState) []byte {
-	v := registry.Box{Address: b.name + registryPort, Zone: b.zone, Cell: b.cell, Kind: "std", Weight: 1, State: "ready"}
-	if b.state == session.Draining {
-		v.State = "draining"
+func (r *newsroom) boxValue(box *boxState) []byte {
+	record := registry.Box{Address: box.name + registryPort, Zone: box.zone, Cell: box.cell, Kind: "std", Weight: 1, State: "ready"}
+	if box.state == session.Draining {
+		record.State = "draining"
 	}
-	if b.started != 0 {
-		v.Started = fromMicros(b.started)
+	if box.started != 0 {
+		record.Started = fromMicros(box.started)
 	}
-	return v.Encode()
+	return record.Encode()
 }
 
-// manager has one register, or its key go when its lease has run out.
-func (r *newsroom) manager(f *frontState) {
-	starts := f.starts
-	if key := registry.ManagersPrefix + f.name; f.up {
-		r.commit(map[string][]byte{key: []byte(f.name)})
+// Stores the key of a running manager, or deletes that of a stopped one once its lease has expired.
+func (r *newsroom) manager(manager *frontState) {
+	starts := manager.starts
+	if key := registry.ManagersPrefix + manager.name; manager.up {
+		r.commit(map[string][]byte{key: []byte(manager.name)})
 	} else {
 		r.play.stage.At(r.play.stage.Now()+r.Lease, func() {
-			if !f.up && f.starts == starts {
+			if !manager.up && manager.starts == starts {
 				r.commit(map[string][]byte{key: nil})
 			}
 		})
 	}
 }
 
-// cut breaks all watches; nothing is answered for a while.
-func (r *newsroom) cut(span Time) {
+// Breaks all watches and makes the registry unreachable for a time.
+func (r *newsroom) cut(length Time) {
 	r.down = true
-	for _, e := range r.clients {
-		if e.watching && !e.detached {
-			e.watching = false
-			try := e.request.Attempt
-			e.schedule(r.Way, func() { e.core.HandleFailure(try, registry.ConnectionLost) })
+	for _, client := range r.clients {
+		if client.watching && !client.detached {
+			client.watching = false
+			attempt := client.request.Attempt
+			client.schedule(r.Way, func() { client.core.HandleFailure(attempt, registry.ConnectionLost) })
 		}
 	}
-	r.play.stage.At(r.play.stage.Now()+span, func() { r.down = false })
+	r.play.stage.At(r.play.stage.Now()+length, func() { r.down = false })
 }
 
-// anew begins another history, empty but for what registers again.
+// Begins a new history of the registry. It is empty except for what is registered again.
 func (r *newsroom) anew() {
 	r.cut(r.Timeout / 2)
 	r.histories++
-	h, _ := r.store.Keys()
-	mark := "day-" + string(rune('0'+r.histories%10)) + r.play.Day.Name
-	r.store.Reset(7, mark, registry.HistoryKey, max(1, h.Revision+int64(r.play.rng.IntN(60))-30))
+	storeHeader, _ := r.store.Keys()
+	historyID := "day-" + string(rune('0'+r.histories%10)) + r.play.Day.Name
+	r.store.Reset(7, historyID, registry.HistoryKey, max(1, storeHeader.Revision+int64(r.play.rng.IntN(60))-30))
 	r.reregisterAll()
 }
 
-// lose has all leases run out in one moment, as after a long stand-still of the registry.
+// Expires all leases at once, as after a long stall of the registry.
 func (r *newsroom) lose() {
-	_, all := r.store.Keys()
+	_, stored := r.store.Keys()
 	keys := map[string][]byte{}
-	for _, kv := range all {
+	for _, kv := range stored {
 		if string(kv.Key) != registry.HistoryKey {
 			keys[string(kv.Key)] = nil
 		}
@@ -317,24 +323,24 @@
 	r.reregisterAll()
 }
 
-// again has all that live register once more, each after its own while.
+// reregisterAll makes all live boxes and managers register again, each after a random delay.
 func (r *newsroom) reregisterAll() {
-	for _, b := range r.play.boxes {
+	for _, box := range r.play.boxes {
 		r.play.stage.At(r.play.stage.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
-			if b.state != session.Gone {
-				r.box(b)
+			if box.state != session.Gone {
+				r.box(box)
 			}
 		})
 	}
-	for _, f := range r.play.fronts {
+	for _, manager := range r.play.fronts {
 		r.play.stage.At(r.play.stage.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
-			if f.up {
-				r.manager(f)
+			if manager.up {
+				r.manager(manager)
 			}
 		})
 	}
 }
 
-func fromMicros(t Time) time.Time { return time.UnixMicro(t).UTC() }
+func fromMicros(micros Time) time.Time { return time.UnixMicro(micros).UTC() }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
