--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -20,56 +20,57 @@
 	"pierlink/session"
 )
 
-// Processes runs a day's session managers as processes of their own on loopback, supervised: it starts, kills,
-// stops, reloads, stalls and replaces them, and hears from them that they are ready as a supervisor does. Boxes
-// and players are the laboratory's own, on its live stage.
+// Processes runs a day's session managers as separate processes on loopback. It acts as their supervisor: it starts,
+// kills, stops, reloads, pauses and replaces them, and receives their readiness notifications. Boxes and players run
+// in the lab's own process.
 type Processes struct {
-	Program      string // pierlink
-	dir          string
+	Program      string // path of the pierlink executable
+	dir          string // of settings, sockets and stored state
 	spawner      *spawner
 	day          *Day
 	play         *Play
 	env          *LoopbackEnvironment
 	store        *standin.Store
 	server       *standin.Server
-	registryAddr string // of the registry
+	registryAddr string
 
 	mu        sync.Mutex
 	instances map[string]*instance
 	wait      sync.WaitGroup
 	Starts    []Start
-	Failures  []string // processes that ended as they should not have
+	Failures  []string // unexpected ends of processes and failed operations
 	boxStates map[string]session.ServerState
-	processes []*spawnedProgram
+	processes []*spawnedProgram // all that were started
 }
 
-// Start is how one process came to be ready.
+// Start describes the start of a process.
 type Start struct {
 	Name         string
 	StartedAt    Time
-	ReadyAt      Time // 0 if it never was
+	ReadyAt      Time // 0 if it never became ready
 	RegistryDown bool
-	Restart      bool // one of its name had run before
+	Restart      bool // an instance of this name has run before
 }
 
-// instance is one session manager of the fleet, whichever process stands for it now.
+// instance is a session manager of the fleet, over the processes that run it one after the other.
 type instance struct {
-	name      string
-	file      string
-	addr      string
-	front     *frontState
-	serving   *spawnedProgram
-	successor *spawnedProgram // starts in order to take over
-	downtimes []span          // in which nobody answers at its address, as it should be
-	pauses    []span
-	stops     []span // of stops: from the signal to the end
-	notified  bool
-	launches  int
+	name       string
+	file       string // path of its settings
+	addr       string
+	front      *frontState
+	serving    *spawnedProgram
+	successor  *spawnedProgram // a process that is starting to take over from it
+	downtimes  []span          // when nobody is expected to answer at its address
+	pauses     []span          // by SIGSTOP
+	stops      []span          // from the signal to the end of the process
+	responsive bool            // it has reported READY=1, and is not paused, stopped or killed
+	launches   int             // processes started so far
 }
 
-// span is a time; To is never while it lasts.
+// span is a time interval. To is never while it has not ended.
 type span struct{ From, To Time }
 
+// contains reports whether a time is in the interval, extended by slack at both ends.
 func (s span) contains(at, slack Time) bool { return at >= s.From-slack && at <= s.To+slack }
 
 const processTemplate = `
@@ -129,68 +130,68 @@
 over_share = %[34]g
 `
 
-func formatFloats(all []float64) string {
-	var s []string
-	for _, x := range all {
-		s = append(s, fmt.Sprintf("%g", x))
+func formatFloats(values []float64) string {
+	var texts []string
+	for _, value := range values {
+		texts = append(texts, fmt.Sprintf("%g", value))
 	}
-	return strings.Join(s, ", ")
+	return strings.Join(texts, ", ")
 }
 
-// settings is the file of one session manager of a day.
+// settingsText returns the settings file of one session manager of the day.
 func (d *Day) settingsText(listen, name, zone, endpoint string, playbacks int, drain Time) string {
 	var zones []string
 	for i := range d.Zones {
 		zones = append(zones, fmt.Sprintf("%q", fmt.Sprint("zone-", i)))
 	}
-	t, f, pr := &d.Site.Terms, &d.Site.Fleet, &d.Site.Prices
-	ration, advice := "", fmt.Sprintf("max_come_again = \"%dus\"", t.MaxRetryAfter)
-	if t.RetriesLimited {
-		ration = fmt.Sprintf("rationed = true\nfree_tries = %g\ntry_share = %g\ntry_span = \"%dus\"", t.FreeRetries, t.RetryShare, t.RetrySpan)
+	terms, fleet, prices := &d.Site.Terms, &d.Site.Fleet, &d.Site.Prices
+	retryLimit, retryAdvice := "", fmt.Sprintf("max_come_again = \"%dus\"", terms.MaxRetryAfter)
+	if terms.RetriesLimited {
+		retryLimit = fmt.Sprintf("rationed = true\nfree_tries = %g\ntry_share = %g\ntry_span = \"%dus\"", terms.FreeRetries, terms.RetryShare, terms.RetrySpan)
 	}
 	if d.Silent {
-		advice = "advice = false"
+		retryAdvice = "advice = false"
 	}
-	text := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.Timeout, playbacks, endpoint, d.Grace,
-		drain, formatFloats(d.Frame.LadderKB), formatFloats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, f.Cells, f.Racks, f.TotalLinkKB,
-		f.UplinkKB, f.KBPerWeight, f.RefusalFill, f.NoteDelay, f.NoteInterval, d.Frame.MaxSessions, t.ColdShare, t.WarmUp, t.ColdMultiple, t.ColdSpan,
-		t.MaxTries, ration, advice, pr.CrossZone, pr.Move, pr.Probe, pr.OverQuota)
+	settings := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.Timeout, playbacks, endpoint, d.Grace,
+		drain, formatFloats(d.Frame.LadderKB), formatFloats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, fleet.Cells, fleet.Racks, fleet.TotalLinkKB,
+		fleet.UplinkKB, fleet.KBPerWeight, fleet.RefusalFill, fleet.NoteDelay, fleet.NoteInterval, d.Frame.MaxSessions, terms.ColdShare, terms.WarmUp, terms.ColdMultiple, terms.ColdSpan,
+		terms.MaxTries, retryLimit, retryAdvice, prices.CrossZone, prices.Move, prices.Probe, prices.OverQuota)
 	repeats := map[session.Repeat]string{session.Harmless: "harmless", session.Keyed: "keyed", session.Unsafe: "unsafe"}
-	for i, p := range d.Plans {
-		s := d.Site.Plans[i]
-		text += fmt.Sprintf("[[plan]]\nname = %q\nrepeat = %q\nstartup = \"%dus\"\nabandon = \"%dus\"\nrevenue = %g\nlive = %t\n"+
-			"rate_factor = %g\nfloor = %d\ntop = %d\nseats = %d\n", p.Name, repeats[s.Repeat], s.StartupTarget, p.Abandon, s.Revenue, s.Live,
-			s.RateFactor, s.Floor, s.Top, s.Seats)
-		if s.Repeat == session.Keyed {
-			text += fmt.Sprintf("window = \"%dus\"\n", s.KeyWindow)
+	for i, plan := range d.Plans {
+		sitePlan := d.Site.Plans[i]
+		settings += fmt.Sprintf("[[plan]]\nname = %q\nrepeat = %q\nstartup = \"%dus\"\nabandon = \"%dus\"\nrevenue = %g\nlive = %t\n"+
+			"rate_factor = %g\nfloor = %d\ntop = %d\nseats = %d\n", plan.Name, repeats[sitePlan.Repeat], sitePlan.StartupTarget, plan.Abandon, sitePlan.Revenue, sitePlan.Live,
+			sitePlan.RateFactor, sitePlan.Floor, sitePlan.Top, sitePlan.Seats)
+		if sitePlan.Repeat == session.Keyed {
+			settings += fmt.Sprintf("window = \"%dus\"\n", sitePlan.KeyWindow)
 		}
-		for _, x := range p.Tracks {
-			text += fmt.Sprintf("[[plan.track]]\nmedia = %q\nencoding = %q\npayload = %d\n", x.Media, x.Encoding, x.Payload)
+		for _, track := range plan.Tracks {
+			settings += fmt.Sprintf("[[plan.track]]\nmedia = %q\nencoding = %q\npayload = %d\n", track.Media, track.Encoding, track.Payload)
 		}
 	}
-	return text
+	return settings
 }
 
-// NewProcesses prepares a fleet; its registry serves at once.
-func NewProcesses(program string, d *Day, l *LoopbackEnvironment) (*Processes, error) {
+// NewProcesses prepares a fleet and starts its registry. The managers are started by the day.
+func NewProcesses(daemon string, day *Day, env *LoopbackEnvironment) (*Processes, error) {
 	dir, err := os.MkdirTemp("", "pierlab")
 	if err != nil {
 		return nil, err
 	}
-	x := &Processes{Program: program, dir: dir, day: d, env: l, instances: map[string]*instance{}, boxStates: map[string]session.ServerState{},
+	processes := &Processes{Program: daemon, dir: dir, day: day, env: env, instances: map[string]*instance{}, boxStates: map[string]session.ServerState{},
 		store: standin.NewStore(7, "fleet", registry.HistoryKey)}
-	if x.spawner, err = newSpawner(); err != nil {
+	if processes.spawner, err = newSpawner(); err != nil {
 		return nil, err
 	}
-	if x.server, err = standin.Serve("127.0.0.1:0", x.store); err != nil {
+	if processes.server, err = standin.Serve("127.0.0.1:0", processes.store); err != nil {
 		return nil, err
 	}
-	x.registryAddr = x.server.Addr()
-	return x, nil
+	processes.registryAddr = processes.server.Addr()
+	return processes, nil
 }
 
-// freePort finds a free port below those that the system gives to outgoing connections, so that a manager that
-// comes back finds its own.
+// freePort returns an address with a free port below the ephemeral range, so that the port is still free when a
+// manager restarts.
 func freePort(rng *rand.Rand) (string, error) {
 	for range 200 {
 		addr := fmt.Sprintf("127.0.0.1:%d", 12000+rng.IntN(18000))
@@ -202,296 +203,297 @@
 	return "", errors.New("no free port was found")
 }
 
-// start runs a session manager's process, the first time or again.
-func (x *Processes) start(f *frontState) {
+// start starts a session manager's process, for the first time or again.
+func (x *Processes) start(manager *frontState) {
 	x.mu.Lock()
-	i := x.instances[f.name]
-	again := i != nil
-	if i == nil {
-		dir := filepath.Join(x.dir, f.name)
+	inst := x.instances[manager.name]
+	again := inst != nil
+	if inst == nil {
+		dir := filepath.Join(x.dir, manager.name)
 		addr, err := freePort(x.play.rng)
-		i = &instance{name: f.name, file: filepath.Join(dir, "pierlink.toml"), addr: addr, front: f}
-		text := x.day.settingsText(addr, f.name, f.zone, x.registryAddr, 2000, x.day.Drain)
-		if err := errors.Join(err, os.MkdirAll(dir, 0o700), os.WriteFile(i.file, []byte(text), 0o600)); err != nil {
+		inst = &instance{name: manager.name, file: filepath.Join(dir, "pierlink.toml"), addr: addr, front: manager}
+		settings := x.day.settingsText(addr, manager.name, manager.zone, x.registryAddr, 2000, x.day.Drain)
+		if err := errors.Join(err, os.MkdirAll(dir, 0o700), os.WriteFile(inst.file, []byte(settings), 0o600)); err != nil {
 			x.Failures = append(x.Failures, err.Error())
 		}
-		x.instances[f.name] = i
-		x.env.host(f.name).addr = addr
-		x.env.hostNames[addr] = f.name
-		i.downtimes = append(i.downtimes, span{x.env.Now(), never})
+		x.instances[manager.name] = inst
+		x.env.host(manager.name).addr = addr
+		x.env.hostNames[addr] = manager.name
+		inst.downtimes = append(inst.downtimes, span{x.env.Now(), never})
 	} else {
-		x.play.tape.Began(x.env.Now(), f.name, 0)
+		x.play.tape.Began(x.env.Now(), manager.name, 0)
 	}
 	x.mu.Unlock()
-	x.launch(i, again)
-	f.up = true
+	x.launch(inst, again)
+	manager.up = true
 }
 
-// launch starts a process for an instance, and follows it.
-func (x *Processes) launch(i *instance, again bool, args ...string) *spawnedProgram {
+// launch starts a process for an instance, and watches for its readiness and its end.
+func (x *Processes) launch(inst *instance, again bool, args ...string) *spawnedProgram {
 	now := x.env.Now()
 	x.mu.Lock()
-	i.launches++
-	socket := filepath.Join(x.dir, fmt.Sprintf("%s.%d", i.name, i.launches))
+	inst.launches++
+	socket := filepath.Join(x.dir, fmt.Sprintf("%s.%d", inst.name, inst.launches))
 	x.mu.Unlock()
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: socket, Net: "unixgram"})
 	if err != nil {
-		x.recordFailure("%s: %v", i.name, err)
+		x.recordFailure("%s: %v", inst.name, err)
 		return nil
 	}
-	c, err := x.spawner.start(now, []string{"NOTIFY_SOCKET=" + socket, "GOMAXPROCS=2"}, x.Program, append([]string{"serve", "-c", i.file}, args...)...)
+	process, err := x.spawner.start(now, []string{"NOTIFY_SOCKET=" + socket, "GOMAXPROCS=2"}, x.Program, append([]string{"serve", "-c", inst.file}, args...)...)
 	if err != nil {
 		_ = notify.Close()
-		x.recordFailure("%s: %v", i.name, err)
+		x.recordFailure("%s: %v", inst.name, err)
 		return nil
 	}
-	takes := len(args) > 0
+	takesOver := len(args) > 0
 	x.mu.Lock()
-	x.processes = append(x.processes, c)
-	if takes {
-		i.successor = c
+	x.processes = append(x.processes, process)
+	if takesOver {
+		inst.successor = process
 	}
 	x.mu.Unlock()
-	off := x.server == nil
-	if !takes {
+	registryDown := x.server == nil
+	if !takesOver {
 		x.mu.Lock()
-		i.serving = c
+		inst.serving = process
 		x.mu.Unlock()
 	}
 	x.wait.Add(2)
 	go func() {
 		defer x.wait.Done()
 		defer notify.Close()
-		text := make([]byte, 4096)
+		message := make([]byte, 4096)
 		for {
-			n, err := notify.Read(text)
+			length, err := notify.Read(message)
 			if err != nil {
 				return
 			}
-			if !bytes.Contains(text[:n], []byte("READY=1")) {
+			if !bytes.Contains(message[:length], []byte("READY=1")) {
 				continue
 			}
-			at := x.env.Now()
+			readyAt := x.env.Now()
 			x.mu.Lock()
 			select {
-			case <-c.ready: // after a reload
+			case <-process.ready: // reported again after a reload
 			default:
-				close(c.ready)
-				x.Starts = append(x.Starts, Start{Name: i.name, StartedAt: c.startedAt, ReadyAt: at, RegistryDown: off, Restart: again})
-				if takes {
-					i.serving, i.successor = c, nil
-				} else if n := len(i.downtimes); n > 0 && i.downtimes[n-1].To == never {
-					i.downtimes[n-1].To = at
+				close(process.ready)
+				x.Starts = append(x.Starts, Start{Name: inst.name, StartedAt: process.startedAt, ReadyAt: readyAt, RegistryDown: registryDown, Restart: again})
+				if takesOver {
+					inst.serving, inst.successor = process, nil
+				} else if count := len(inst.downtimes); count > 0 && inst.downtimes[count-1].To == never {
+					inst.downtimes[count-1].To = readyAt
 				}
-				i.notified = true
-				x.recordAllStates(i, at)
+				inst.responsive = true
+				x.recordAllStates(inst, readyAt)
 			}
 			x.mu.Unlock()
 		}
 	}()
 	go func() {
 		defer x.wait.Done()
-		<-c.ended
+		<-process.ended
 		x.mu.Lock()
-		told := c.stopRequested
+		stopRequested := process.stopRequested
 		x.mu.Unlock()
-		if !told {
-			x.recordFailure("%s ended: %s", i.name, c.status)
+		if !stopRequested {
+			x.recordFailure("%s ended: %s", inst.name, process.status)
 		}
 		_ = notify.Close()
 	}()
-	return c
+	return process
 }
 
+// recordFailure adds a line to Failures.
 func (x *Processes) recordFailure(format string, a ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.Failures = append(x.Failures, fmt.Sprintf(format, a...))
 }
 
-// tellAll notes that an instance knows of all boxes as they stand.
-func (x *Processes) recordAllStates(i *instance, at Time) {
+// recordAllStates records on the tape that an instance knows the current states of all boxes.
+func (x *Processes) recordAllStates(inst *instance, at Time) {
 	for _, name := range sortedKeys(x.boxStates) {
-		x.play.tape.Told(at, i.name, name, x.boxStates[name], 0)
+		x.play.tape.Told(at, inst.name, name, x.boxStates[name], 0)
 	}
 }
 
-// box brings a box's line into the registry. Managers that run are told as of now: what the registry's way to
-// them takes is theirs to make up for.
-func (x *Processes) box(b *boxState) {
-	key := registry.BoxesPrefix + b.name
-	if b.state == session.Gone {
+// Stores the current state of a box in the registry. On the tape, all running managers know it from now on: the
+// registry's delivery time counts as theirs.
+func (x *Processes) box(box *boxState) {
+	key := registry.BoxesPrefix + box.name
+	if box.state == session.Gone {
 		x.store.Put(map[string][]byte{key: nil})
 	} else {
-		v := registry.Box{Address: x.env.Addr(b.name), Zone: b.zone, Cell: b.cell, Kind: "std", Weight: 1, State: "ready"}
-		if b.state == session.Draining {
-			v.State = "draining"
+		record := registry.Box{Address: x.env.Addr(box.name), Zone: box.zone, Cell: box.cell, Kind: "std", Weight: 1, State: "ready"}
+		if box.state == session.Draining {
+			record.State = "draining"
 		}
-		if b.started != 0 {
-			v.Started = fromMicros(b.started)
+		if box.started != 0 {
+			record.Started = fromMicros(box.started)
 		}
-		x.store.Put(map[string][]byte{key: v.Encode()})
+		x.store.Put(map[string][]byte{key: record.Encode()})
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.boxStates[b.name] = b.state
+	x.boxStates[box.name] = box.state
 	now := x.env.Now()
 	for _, name := range sortedKeys(x.instances) {
-		if i := x.instances[name]; i.notified {
-			x.play.tape.Told(now, name, b.name, b.state, b.started)
+		if inst := x.instances[name]; inst.responsive {
+			x.play.tape.Told(now, name, box.name, box.state, box.started)
 		}
 	}
 }
 
-// kill ends an instance's process without a word.
-func (x *Processes) kill(f *frontState) {
+// kill ends an instance's processes by SIGKILL.
+func (x *Processes) kill(manager *frontState) {
 	x.mu.Lock()
-	i := x.instances[f.name]
-	c := i.serving
+	inst := x.instances[manager.name]
+	process := inst.serving
 	now := x.env.Now()
-	i.downtimes = append(i.downtimes, span{now, never})
-	i.notified = false
-	c.stopRequested = true
-	t := i.successor
-	if i.successor = nil; t != nil {
-		t.stopRequested = true
+	inst.downtimes = append(inst.downtimes, span{now, never})
+	inst.responsive = false
+	process.stopRequested = true
+	successor := inst.successor
+	if inst.successor = nil; successor != nil {
+		successor.stopRequested = true
 	}
 	x.mu.Unlock()
-	x.play.tape.Killed(now, f.name)
-	c.signal(syscall.SIGKILL)
-	if t != nil {
-		t.signal(syscall.SIGKILL)
+	x.play.tape.Killed(now, manager.name)
+	process.signal(syscall.SIGKILL)
+	if successor != nil {
+		successor.signal(syscall.SIGKILL)
 	}
 }
 
-// stand has a process stand still. What it is told meanwhile it hears when it goes on.
-func (x *Processes) stand(f *frontState, length Time) {
+// Pauses a process by SIGSTOP for a time. It learns of changes made in that time when it resumes.
+func (x *Processes) stand(manager *frontState, length Time) {
 	x.mu.Lock()
-	i := x.instances[f.name]
-	c, now := i.serving, x.env.Now()
-	if !f.up || !i.notified {
+	inst := x.instances[manager.name]
+	process, now := inst.serving, x.env.Now()
+	if !manager.up || !inst.responsive {
 		x.mu.Unlock()
 		return
 	}
-	i.pauses = append(i.pauses, span{now, now + length})
-	x.play.tape.Stood(now, now+length, f.name)
-	i.notified = false
-	if i.successor != nil { // it may give up waiting
-		i.successor.stopRequested = true
+	inst.pauses = append(inst.pauses, span{now, now + length})
+	x.play.tape.Stood(now, now+length, manager.name)
+	inst.responsive = false
+	if inst.successor != nil { // it may time out waiting for the handover
+		inst.successor.stopRequested = true
 	}
 	x.mu.Unlock()
-	c.signal(syscall.SIGSTOP)
+	process.signal(syscall.SIGSTOP)
 	x.env.At(now+length, func() {
-		c.signal(syscall.SIGCONT)
+		process.signal(syscall.SIGCONT)
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if i.serving == c && !c.stopRequested {
-			i.notified = true
-			x.recordAllStates(i, x.env.Now())
+		if inst.serving == process && !process.stopRequested {
+			inst.responsive = true
+			x.recordAllStates(inst, x.env.Now())
 		}
 	})
 }
 
-// trouble plays what only a process can meet.
-func (x *Processes) trouble(f *frontState, t Trouble) {
+// Plays a trouble that only separate processes can have.
+func (x *Processes) trouble(manager *frontState, trouble Trouble) {
 	x.mu.Lock()
-	i := x.instances[f.name]
-	c := i.serving
-	able := f.up && i.notified
+	inst := x.instances[manager.name]
+	process := inst.serving
+	running := manager.up && inst.responsive
 	x.mu.Unlock()
-	if !able {
+	if !running {
 		return
 	}
 	now := x.env.Now()
-	switch t.Kind {
+	switch trouble.Kind {
 	case "reload", "bad-reload":
 		drain, playbacks := x.day.Drain, 1000+x.play.rng.IntN(1000)
-		text := x.day.settingsText(i.addr, i.name, f.zone, x.registryAddr, playbacks, drain)
-		if t.Kind == "bad-reload" {
-			text = strings.Replace(text, "max_tries = ", "max_tries = 7", 1)
+		settings := x.day.settingsText(inst.addr, inst.name, manager.zone, x.registryAddr, playbacks, drain)
+		if trouble.Kind == "bad-reload" {
+			settings = strings.Replace(settings, "max_tries = ", "max_tries = 7", 1)
 		}
-		if err := os.WriteFile(i.file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(inst.file, []byte(settings), 0o600); err != nil {
 			x.recordFailure("%v", err)
 		}
-		c.signal(syscall.SIGHUP)
-		if t.Kind == "bad-reload" { // and the file is mended before anyone starts from it
+		process.signal(syscall.SIGHUP)
+		if trouble.Kind == "bad-reload" { // restore the file before a process starts from it
 			x.env.At(now+300_000, func() {
-				_ = os.WriteFile(i.file, []byte(x.day.settingsText(i.addr, i.name, f.zone, x.registryAddr, playbacks, drain)), 0o600)
+				_ = os.WriteFile(inst.file, []byte(x.day.settingsText(inst.addr, inst.name, manager.zone, x.registryAddr, playbacks, drain)), 0o600)
 			})
 		}
 	case "halt":
 		x.mu.Lock()
-		c.stopRequested = true
-		f.up = false
-		i.downtimes = append(i.downtimes, span{now, never})
-		i.stops = append(i.stops, span{now, never})
-		n := len(i.stops) - 1
+		process.stopRequested = true
+		manager.up = false
+		inst.downtimes = append(inst.downtimes, span{now, never})
+		inst.stops = append(inst.stops, span{now, never})
+		stopIndex := len(inst.stops) - 1
 		x.mu.Unlock()
-		c.signal(syscall.SIGTERM)
+		process.signal(syscall.SIGTERM)
 		go func() {
-			<-c.ended
-			end := x.env.Now()
+			<-process.ended
+			endedAt := x.env.Now()
 			x.mu.Lock()
-			i.stops[n].To = end
-			i.notified = false
+			inst.stops[stopIndex].To = endedAt
+			inst.responsive = false
 			x.mu.Unlock()
-			x.env.At(end+t.For, func() { x.play.startFront(f) })
+			x.env.At(endedAt+trouble.For, func() { x.play.startFront(manager) })
 		}()
 	case "upgrade":
 		x.mu.Lock()
-		c.stopRequested = true
+		process.stopRequested = true
 		x.mu.Unlock()
-		x.launch(i, true, "--takeover")
+		x.launch(inst, true, "--takeover")
 	}
 }
 
-// cutRegistry stops the registry.
+// stopRegistry stops the registry.
 func (x *Processes) stopRegistry() { x.server.Stop(); x.server = nil }
 
-// Statuses asks all instances that serve how they stand.
-func (x *Processes) Statuses() (all []*edge.Status, err error) {
+// Statuses queries the status of every instance that is up.
+func (x *Processes) Statuses() (statuses []*edge.Status, err error) {
 	x.mu.Lock()
 	instances := []*instance{}
 	for _, name := range sortedKeys(x.instances) {
-		if i := x.instances[name]; i.front.up {
-			instances = append(instances, i)
+		if inst := x.instances[name]; inst.front.up {
+			instances = append(instances, inst)
 		}
 	}
 	x.mu.Unlock()
-	for _, i := range instances {
-		s, e := edge.QueryStatus(filepath.Join(filepath.Dir(i.file), "control"))
-		if e != nil {
-			err = errors.Join(err, fmt.Errorf("%s: %w", i.name, e))
+	for _, inst := range instances {
+		status, queryErr := edge.QueryStatus(filepath.Join(filepath.Dir(inst.file), "control"))
+		if queryErr != nil {
+			err = errors.Join(err, fmt.Errorf("%s: %w", inst.name, queryErr))
 			continue
 		}
-		all = append(all, s)
+		statuses = append(statuses, status)
 	}
-	return all, err
+	return statuses, err
 }
 
-// Close ends all processes, those that still drain too, and waits until they have gone.
+// Close stops all processes, draining ones too, and waits until they have ended.
 func (x *Processes) Close() {
 	x.mu.Lock()
-	var all []*spawnedProgram
-	for _, c := range x.processes {
-		c.stopRequested = true
-		all = append(all, c)
+	var processes []*spawnedProgram
+	for _, process := range x.processes {
+		process.stopRequested = true
+		processes = append(processes, process)
 	}
 	x.mu.Unlock()
-	for range 3 { // the third time it ends as it stands
-		for _, c := range all {
-			c.signal(syscall.SIGTERM)
+	for range 3 { // the third signal ends a process without draining
+		for _, process := range processes {
+			process.signal(syscall.SIGTERM)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	done := make(chan struct{})
-	go func() { x.wait.Wait(); close(done) }()
+	ended := make(chan struct{})
+	go func() { x.wait.Wait(); close(ended) }()
 	select {
-	case <-done:
+	case <-ended:
 	case <-time.After(10 * time.Second):
 		x.recordFailure("processes did not end")
-		for _, c := range all {
-			c.signal(syscall.SIGKILL)
+		for _, process := range processes {
+			process.signal(syscall.SIGKILL)
 		}
 	}
 	x.spawner.close()
@@ -501,11 +503,11 @@
 	_ = os.RemoveAll(x.dir)
 }
 
-// down tells whether nobody was to answer at an address at a moment.
+// expectedDown reports whether nobody was expected to answer at an address at a time.
 func (x *Processes) expectedDown(addr string, at, slack Time) bool {
-	for _, i := range x.instances {
-		if i.addr == addr {
-			return slices.ContainsFunc(i.downtimes, func(s span) bool { return s.contains(at, slack) })
+	for _, inst := range x.instances {
+		if inst.addr == addr {
+			return slices.ContainsFunc(inst.downtimes, func(downtime span) bool { return downtime.contains(at, slack) })
 		}
 	}
 	return false
