--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -12,7 +12,7 @@
 	"pierlink/internal/core"
 )
 
-// Aim is one thing that a proof is to show.
+// Criterion is a figure that a proof measures, with the bound that it must meet.
 type Criterion struct {
 	Description string  `json:"aim"`
 	Bound       string  `json:"bound"`
@@ -20,7 +20,7 @@
 	OK          bool    `json:"ok"`
 }
 
-// Proof is a proof's outcome.
+// Proof is the result of a proof: an experiment with pass criteria, which "pierlab prove" runs.
 type Proof struct {
 	Name     string         `json:"name"`
 	Seed     uint64         `json:"seed"`
@@ -30,17 +30,17 @@
 	Notes    []string       `json:"-"` // for people
 }
 
-// Size is how large a proof is played.
+// Size selects the extent of a proof.
 type Size int
 
-// The sizes.
+// The sizes of a proof, from the shortest to the longest.
 const (
 	Small Size = iota
 	Usual
 	Full
 )
 
-// Proofs by name.
+// Proofs holds the proofs by name.
 var Proofs = map[string]func(seed uint64, size Size, log *zap.Logger) (*Proof, error){
 	"path":         provePath,
 	"path-virtual": proveVirtual,
@@ -51,190 +51,194 @@
 	"quality":      proveQuality,
 }
 
-// Check adds an aim with what was measured.
+// Check adds a criterion with its result. The format describes what was measured.
 func (p *Proof) Check(ok bool, measured float64, bound, format string, a ...any) {
 	p.Criteria = append(p.Criteria, Criterion{Description: fmt.Sprintf(format, a...), Bound: bound, Measured: measured, OK: ok})
 }
 
-// AtLeast adds an aim that a figure must reach.
-func (p *Proof) AtLeast(x, bound float64, format string, a ...any) {
-	p.Check(x >= bound, x, fmt.Sprintf("at least %g", bound), format, a...)
+// AtLeast adds a criterion with a lower bound.
+func (p *Proof) AtLeast(measured, bound float64, format string, a ...any) {
+	p.Check(measured >= bound, measured, fmt.Sprintf("at least %g", bound), format, a...)
 }
 
-// AtMost adds an aim that a figure must not pass.
-func (p *Proof) AtMost(x, bound float64, format string, a ...any) {
-	p.Check(x <= bound, x, fmt.Sprintf("at most %g", bound), format, a...)
+// AtMost adds a criterion with an upper bound.
+func (p *Proof) AtMost(measured, bound float64, format string, a ...any) {
+	p.Check(measured <= bound, measured, fmt.Sprintf("at most %g", bound), format, a...)
 }
 
-// Note adds a line for people.
+// Note adds a line to the text output.
 func (p *Proof) Note(format string, a ...any) { p.Notes = append(p.Notes, fmt.Sprintf(format, a...)) }
 
-// rules adds an aim for each rule: no case broken, at least one judged.
+// checkRules adds a criterion for each rule: no violation, and at least one case judged.
 func (p *Proof) checkRules(verdicts []Verdict) {
-	for _, v := range verdicts {
-		p.Judged[fmt.Sprintf("rule %d", v.Rule)] = v.Judged
-		p.Check(v.Kept(), float64(len(v.Broken)), "0 broken, 1 or more judged", "rule %d: %s", v.Rule, v.Name)
-		for i, x := range v.Broken {
+	for _, verdict := range verdicts {
+		p.Judged[fmt.Sprintf("rule %d", verdict.Rule)] = verdict.Judged
+		p.Check(verdict.Kept(), float64(len(verdict.Broken)), "0 broken, 1 or more judged", "rule %d: %s", verdict.Rule, verdict.Name)
+		for i, violation := range verdict.Broken {
 			if i < 5 {
-				p.Note("rule %d broken: %s", v.Rule, x)
+				p.Note("rule %d broken: %s", verdict.Rule, violation)
 			}
 		}
 	}
 }
 
-// Write prints a table for people, and the JSON line for programs.
-func (p *Proof) Write(people, programs io.Writer) error {
+// Write sets the overall result and writes the proof twice: as a text table, and as a line of JSON.
+func (p *Proof) Write(table, jsonOut io.Writer) error {
 	p.OK = true
-	for _, a := range p.Criteria {
-		mark := "ok  "
-		if !a.OK {
-			p.OK, mark = false, "FAIL"
+	for _, criterion := range p.Criteria {
+		outcome := "ok  "
+		if !criterion.OK {
+			p.OK, outcome = false, "FAIL"
 		}
-		fmt.Fprintf(people, "%s  %-58s %12.6g   (%s)\n", mark, a.Description, a.Measured, a.Bound)
+		fmt.Fprintf(table, "%s  %-58s %12.6g   (%s)\n", outcome, criterion.Description, criterion.Measured, criterion.Bound)
 	}
-	for _, n := range p.Notes {
-		fmt.Fprintln(people, "     ", n)
+	for _, note := range p.Notes {
+		fmt.Fprintln(table, "     ", note)
 	}
-	return json.NewEncoder(programs).Encode(p)
+	return json.NewEncoder(jsonOut).Encode(p)
 }
 
-// scaled takes a day to a part of its load.
-func (d *Day) withRateFactor(by float64) *Day {
-	x := *d
-	x.Rate *= by
-	return &x
+// withRateFactor returns a copy of a day with its rate of playbacks multiplied by a factor.
+func (d *Day) withRateFactor(factor float64) *Day {
+	day := *d
+	day.Rate *= factor
+	return &day
 }
 
+// provePath plays the day "bad-path" on loopback sockets.
 func provePath(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
-	d, err := Library("bad-path")
+	day, err := Library("bad-path")
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
+	day.Seed = seed
 	least := 2000.0
 	switch size {
 	case Small:
-		d, least = d.withRateFactor(0.5), 1000
+		day, least = day.withRateFactor(0.5), 1000
 	case Full:
-		d, least = d.withRateFactor(2), 4000
+		day, least = day.withRateFactor(2), 4000
 	}
 	p := &Proof{Name: "path", Seed: seed, Judged: map[string]int{}}
-	play, tape, err := Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play { return Begin(d, l, t, nil, log) })
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play { return Begin(day, env, tape, nil, log) })
 	if err != nil {
 		return nil, err
 	}
-	p.checkDay(play, tape, d, d.Plans[0].Abandon/40, least)
+	p.checkDay(play, tape, day, day.Plans[0].Abandon/40, least)
 	return p, nil
 }
 
-// worth notes a day's worth.
-func (p *Proof) noteWorth(w *Worth) {
-	p.Note("worth %.3f: whole %.3f, worst 10 s %.3f, worst plan %.3f, prices %.3f; at most %.3f by what links give", w.Goal, w.Whole, w.Worst,
-		w.WorstPlan, w.Prices, w.Best)
+// noteWorth adds a note with the worth of a day and its parts.
+func (p *Proof) noteWorth(worth *Worth) {
+	p.Note("worth %.3f: whole %.3f, worst 10 s %.3f, worst plan %.3f, prices %.3f; at most %.3f by what links give", worth.Goal, worth.Whole, worth.Worst,
+		worth.WorstPlan, worth.Prices, worth.Best)
 }
 
-// day adds what any bad day must show.
-func (p *Proof) checkDay(play *Play, tape *Tape, d *Day, slack Time, least float64) {
-	t := &play.Tally
-	p.Note("%s", t.Summary())
-	p.Note("troubles played: %v", t.ByKind)
-	p.checkRules(Judge(tape, d.Bounds(slack)))
-	p.AtLeast(float64(t.Asked), least, "playbacks asked for")
-	p.AtLeast(float64(t.Played)/float64(max(t.Asked, 1)), 0.4, "part of them that played")
-	p.AtMost(float64(t.Unasked), 0, "answers that nothing asked for")
-	p.AtMost(float64(t.Fell), 0, "boxes pushed over")
-	p.AtMost(float64(t.Fronts.Overdue), 0, "answers in the module's place")
-	p.AtMost(float64(t.Fronts.Playbacks), 0, "playbacks left over at the managers")
-	p.AtMost(float64(len(d.Troubles)-sumCounts(t.ByKind)), 0, "scripted troubles that were not played")
-	p.Judged["playbacks"], p.Judged["troubles"] = t.Asked, sumCounts(t.ByKind)
+// checkDay adds the criteria that every day with troubles must meet.
+func (p *Proof) checkDay(play *Play, tape *Tape, day *Day, slack Time, least float64) {
+	tally := &play.Tally
+	p.Note("%s", tally.Summary())
+	p.Note("troubles played: %v", tally.ByKind)
+	p.checkRules(Judge(tape, day.Bounds(slack)))
+	p.AtLeast(float64(tally.Asked), least, "playbacks asked for")
+	p.AtLeast(float64(tally.Played)/float64(max(tally.Asked, 1)), 0.4, "part of them that played")
+	p.AtMost(float64(tally.Unasked), 0, "answers that nothing asked for")
+	p.AtMost(float64(tally.Fell), 0, "boxes pushed over")
+	p.AtMost(float64(tally.Fronts.Overdue), 0, "answers in the module's place")
+	p.AtMost(float64(tally.Fronts.Playbacks), 0, "playbacks left over at the managers")
+	p.AtMost(float64(len(day.Troubles)-sumCounts(tally.ByKind)), 0, "scripted troubles that were not played")
+	p.Judged["playbacks"], p.Judged["troubles"] = tally.Asked, sumCounts(tally.ByKind)
 }
 
-func sumCounts(m map[string]int) (n int) {
-	for _, x := range m {
-		n += x
+// sumCounts returns the sum of a map's values.
+func sumCounts(counts map[string]int) (n int) {
+	for _, count := range counts {
+		n += count
 	}
 	return n
 }
 
+// proveVirtual plays the day "bad-path-virtual" twice with the same seed on the virtual network. Besides the criteria
+// of the day, both runs must have the same digest.
 func proveVirtual(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "path-virtual", Seed: seed, Judged: map[string]int{}}
 	type run struct {
-		play *Play
-		tape *Tape
-		w    *World
+		play  *Play
+		tape  *Tape
+		world *World
 	}
 	var runs [2]run
 	var wait sync.WaitGroup
 	least := 20000.0
-	d, err := Library("bad-path-virtual")
+	day, err := Library("bad-path-virtual")
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
+	day.Seed = seed
 	if size == Small {
-		d, least = d.withRateFactor(0.2), 4000
+		day, least = day.withRateFactor(0.2), 4000
 	}
 	began := time.Now()
 	for i := range runs {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			x := *d
-			runs[i].play, runs[i].tape, runs[i].w = Virtual(&x, nil, log)
+			dayCopy := *day
+			runs[i].play, runs[i].tape, runs[i].world = Virtual(&dayCopy, nil, log)
 		}()
 	}
 	wait.Wait()
 	took := time.Since(began).Seconds()
-	a, b := runs[0], runs[1]
-	p.checkDay(a.play, a.tape, d, 0, least)
-	same := 0.0
-	if a.w.Digest() == b.w.Digest() {
-		same = 1
-	}
-	p.Check(same == 1, same, "1", "two runs of one seed give one digest")
-	p.Judged["splits"], p.Judged["cuts"] = a.w.Splits, a.w.Cuts
-	p.Note("digest %016x; %.1f s of day in %.1f s", a.w.Digest(), float64(a.play.Length())/float64(core.Second), took)
+	first, second := runs[0], runs[1]
+	p.checkDay(first.play, first.tape, day, 0, least)
+	sameDigest := 0.0
+	if first.world.Digest() == second.world.Digest() {
+		sameDigest = 1
+	}
+	p.Check(sameDigest == 1, sameDigest, "1", "two runs of one seed give one digest")
+	p.Judged["splits"], p.Judged["cuts"] = first.world.Splits, first.world.Cuts
+	p.Note("digest %016x; %.1f s of day in %.1f s", first.world.Digest(), float64(first.play.Length())/float64(core.Second), took)
 	return p, nil
 }
 
-// PlayDay plays any day and judges the rules; rules of which no case came up are told, not held against it.
-func PlayDay(d *Day, virtual bool, log *zap.Logger) (*Proof, error) {
-	p := &Proof{Name: d.Name, Seed: d.Seed, Judged: map[string]int{}}
+// PlayDay plays a day and judges the rules. A rule of which no case came up is noted and does not fail the day.
+func PlayDay(day *Day, virtual bool, log *zap.Logger) (*Proof, error) {
+	p := &Proof{Name: day.Name, Seed: day.Seed, Judged: map[string]int{}}
 	var play *Play
 	var tape *Tape
 	slack := Time(0)
-	if d.Processes {
-		return nil, fmt.Errorf("%s: a day with troubles of processes is played by pierlab prove fleet", d.Name)
+	if day.Processes {
+		return nil, fmt.Errorf("%s: a day with troubles of processes can be played only by pierlab prove fleet", day.Name)
 	}
-	if d.Registry != nil && !virtual {
-		return nil, fmt.Errorf("%s: a day with a registry is played on the virtual network: --virtual", d.Name)
+	if day.Registry != nil && !virtual {
+		return nil, fmt.Errorf("%s: a day with a registry needs the virtual network (--virtual)", day.Name)
 	}
 	if virtual {
-		play, tape, _ = Virtual(d, nil, log)
+		play, tape, _ = Virtual(day, nil, log)
 		p.noteWorth(play.Count(tape))
 		p.AtMost(float64(play.Odd), 0, "things that do not add up in the emulation")
-		for _, x := range play.Oddities {
-			p.Note("odd: %s", x)
+		for _, oddity := range play.Oddities {
+			p.Note("odd: %s", oddity)
 		}
 	} else {
 		var err error
-		slack = d.Plans[0].Abandon / 40
-		play, tape, err = Loopback(d, func(l *LoopbackEnvironment, t *Tape) *Play { return Begin(d, l, t, nil, log) })
+		slack = day.Plans[0].Abandon / 40
+		play, tape, err = Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play { return Begin(day, env, tape, nil, log) })
 		if err != nil {
 			return nil, err
 		}
 	}
 	p.Note("%s", play.Tally.Summary())
-	for _, v := range Judge(tape, d.Bounds(slack)) {
-		name := fmt.Sprintf("rule %d", v.Rule)
-		p.Judged[name] = v.Judged
-		p.Check(len(v.Broken) == 0, float64(len(v.Broken)), fmt.Sprintf("0 broken of %d", v.Judged), "%s: %s", name, v.Name)
-		if v.Judged == 0 {
+	for _, verdict := range Judge(tape, day.Bounds(slack)) {
+		name := fmt.Sprintf("rule %d", verdict.Rule)
+		p.Judged[name] = verdict.Judged
+		p.Check(len(verdict.Broken) == 0, float64(len(verdict.Broken)), fmt.Sprintf("0 broken of %d", verdict.Judged), "%s: %s", name, verdict.Name)
+		if verdict.Judged == 0 {
 			p.Note("%s: no case came up", name)
 		}
-		for i, x := range v.Broken {
+		for i, violation := range verdict.Broken {
 			if i < 5 {
-				p.Note("%s broken: %s", name, x)
+				p.Note("%s broken: %s", name, violation)
 			}
 		}
 	}
