--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -26,8 +26,8 @@
 	Seed     uint64         `json:"seed"`
 	OK       bool           `json:"ok"`
 	Criteria []Criterion    `json:"aims"`
-	Judged   map[string]int `json:"judged"`
-	Notes    []string       `json:"-"` // for people
+	Judged   map[string]int `json:"judged"` // numbers of cases checked, by kind
+	Notes    []string       `json:"-"`      // further lines of the text output
 }
 
 // Size selects the extent of a proof.
--- a/internal/lab/quality.go
+++ b/internal/lab/quality.go
@@ -17,7 +17,7 @@
 	id                          string
 	plan, rack                  int
 	title                       string
-	startedAt, startup, endedAt Time // startup less than 0: it never started
+	startedAt, startup, endedAt Time // startup is negative if it never started
 	stalls                      [][2]Time
 	rungs                       [][2]Time // start time and rung of each period at one rung
 }
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -15,8 +15,8 @@
 	standin "pierlink/internal/standin/registry"
 )
 
-// follower is one manager's view of the registry, made of its news alone, and what the checker holds
-// against it.
+// registryFollower is one manager's view of the registry, built from its client's updates alone, together with the
+// checker's findings on these updates.
 type registryFollower struct {
 	mu            sync.Mutex
 	store         *standin.Store
@@ -25,70 +25,74 @@
 	checksum      uint64
 	revision      int64
 	history       registry.HistoryID
-	updates       int
+	updates       int             // received
 	unknownStates int             // states that the registry never had
 	duplicates    int             // changes applied twice
-	regressions   int             // revisions that went back within a history
-	delays        []time.Duration // from a change to the view, of news that came by a watch
-	firstBad      string
+	regressions   int             // revisions lower than an earlier one of the same history
+	delays        []time.Duration // from the commit of a change to its arrival by a watch
+	firstUnknown  string          // describes the first unknown state
 }
 
-func (f *registryFollower) apply(n registry.Update, mark registry.HistoryID) {
+// apply applies an update to the view and checks the result against the states that the registry had.
+func (f *registryFollower) apply(update registry.Update, history registry.HistoryID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.updates++
-	if mark == f.history && n.Revision < f.revision {
+	if history == f.history && update.Revision < f.revision {
 		f.regressions++
 	}
-	if n.Snapshot {
+	if update.Snapshot {
 		f.view, f.checksum = map[string]registry.Entry{}, 0
 	}
-	for _, x := range n.Changes {
-		if old, ok := f.view[x.Key]; ok {
-			if old.Mod >= x.Mod {
+	for _, change := range update.Changes {
+		if previous, ok := f.view[change.Key]; ok {
+			if previous.Mod >= change.Mod {
 				f.duplicates++
 			}
-			f.checksum -= standin.Checksum(x.Key, old.Value, old.Mod)
-			delete(f.view, x.Key)
+			f.checksum -= standin.Checksum(change.Key, previous.Value, previous.Mod)
+			delete(f.view, change.Key)
 		}
-		if !x.Deleted {
-			f.view[x.Key] = registry.Entry{Value: x.Value, Mod: x.Mod}
-			f.checksum += standin.Checksum(x.Key, x.Value, x.Mod)
+		if !change.Deleted {
+			f.view[change.Key] = registry.Entry{Value: change.Value, Mod: change.Mod}
+			f.checksum += standin.Checksum(change.Key, change.Value, change.Mod)
 		}
 	}
-	f.revision, f.history = n.Revision, mark
-	if !f.store.HadState(string(mark), n.Revision, f.checksum) {
+	f.revision, f.history = update.Revision, history
+	if !f.store.HadState(string(history), update.Revision, f.checksum) {
 		f.unknownStates++
-		if f.firstBad == "" {
-			f.firstBad = fmt.Sprintf("revision %d of %s (whole %t, %d changes)", n.Revision, mark, n.Snapshot, len(n.Changes))
+		if f.firstUnknown == "" {
+			f.firstUnknown = fmt.Sprintf("revision %d of %s (whole %t, %d changes)", update.Revision, history, update.Snapshot, len(update.Changes))
 		}
 	}
-	if born := f.store.CommittedAt(string(mark), n.Revision); !n.Snapshot && !born.IsZero() {
-		f.delays = append(f.delays, time.Since(born))
+	if committedAt := f.store.CommittedAt(string(history), update.Revision); !update.Snapshot && !committedAt.IsZero() {
+		f.delays = append(f.delays, time.Since(committedAt))
 	}
 }
 
+// proveRegistry plays a day through the simulated registry. It then follows a stand-in registry over loopback with
+// several clients while the registry is compacted, cut off, stalled, restarted and replaced by one with another
+// history. All views must agree with the registry in the end, and must not have had a state that it never had.
 func proveRegistry(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "registry", Seed: seed, Judged: map[string]int{}}
-	d, err := Library("registry")
+	day, err := Library("registry")
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
+	day.Seed = seed
 	if size == Small {
-		d = d.withRateFactor(0.4)
+		day = day.withRateFactor(0.4)
 	}
-	play, tape, _ := Virtual(d, nil, log)
+	play, tape, _ := Virtual(day, nil, log)
 	p.Note("the day through the registry: %s", play.Tally.Summary())
-	p.checkRules(Judge(tape, d.Bounds(0)))
+	p.checkRules(Judge(tape, day.Bounds(0)))
 	p.AtMost(float64(play.Tally.Fell), 0, "boxes pushed over on the day through the registry")
 	p.AtLeast(float64(play.Tally.Played)/float64(max(play.Tally.Asked, 1)), 0.4, "part of its askings that played")
-	changes, managers, boxes := 40_000, 20, 300
+	changeTarget, managerCount, boxCount := 40_000, 20, 300
 	switch size {
 	case Small:
-		changes, managers = 8_000, 8
+		changeTarget, managerCount = 8_000, 8
 	case Full:
-		changes = 200_000
+		changeTarget = 200_000
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x2e9))
 	store := standin.NewStore(7, "history-0", registry.HistoryKey)
@@ -97,33 +101,33 @@
 		return nil, err
 	}
 	addr := server.Addr()
-	hanging, err := standin.Serve("127.0.0.1:0", store) // a second member that answers now and then
+	secondServer, err := standin.Serve("127.0.0.1:0", store) // a second member, which answers only at times
 	if err != nil {
 		return nil, err
 	}
-	second := hanging.Addr()
-	defer func() { hanging.Stop(); server.Stop() }()
-	var all []*registryFollower
-	for i := range managers {
-		f := &registryFollower{store: store, view: map[string]registry.Entry{}}
-		ends := []string{addr}
+	secondAddr := secondServer.Addr()
+	defer func() { secondServer.Stop(); server.Stop() }()
+	var followers []*registryFollower
+	for i := range managerCount {
+		follower := &registryFollower{store: store, view: map[string]registry.Entry{}}
+		endpoints := []string{addr}
 		if i%4 == 0 {
-			ends = append(ends, hanging.Addr())
+			endpoints = append(endpoints, secondServer.Addr())
 		}
-		f.client, err = client.New(client.Config{Endpoints: ends, Core: registry.Config{Seed: seed + uint64(i), GracePeriod: 250_000,
-			Timeout: 400_000, MaxBufferedChanges: 1 << 20}}, zap.NewNop(), f.apply)
+		follower.client, err = client.New(client.Config{Endpoints: endpoints, Core: registry.Config{Seed: seed + uint64(i), GracePeriod: 250_000,
+			Timeout: 400_000, MaxBufferedChanges: 1 << 20}}, zap.NewNop(), follower.apply)
 		if err != nil {
 			return nil, err
 		}
-		defer f.client.Close()
-		all = append(all, f)
+		defer follower.client.Close()
+		followers = append(followers, follower)
 	}
-	const leased = 20 // boxes that register themselves, and do so again when their leases are lost
+	const leasedCount = 20 // boxes that register themselves, and register again when their leases expire
 	ctx, cancel := context.WithCancel(context.Background())
 	var registered sync.WaitGroup
 	defer registered.Wait()
 	defer cancel()
-	for i := range leased {
+	for i := range leasedCount {
 		registered.Add(1)
 		go func() {
 			defer registered.Done()
@@ -131,67 +135,67 @@
 				registry.BoxesPrefix+fmt.Sprint("leased-", i), func() []byte { return []byte("{}") }, nil, 2, zap.NewNop())
 		}()
 	}
-	kinds := map[string]int{}
-	var bag []string
-	epochs := 0
-	next := 0
-	for store.ChangeCount() < int64(changes) {
-		txn := map[string][]byte{}
+	troubleCounts := map[string]int{}
+	var pendingTroubles []string
+	historyCount := 0
+	untilTrouble := 0
+	for store.ChangeCount() < int64(changeTarget) {
+		changesByKey := map[string][]byte{}
 		for range 1 + rng.IntN(8) {
-			b := registry.Box{Address: fmt.Sprintf("127.0.0.1:%d", 1000+rng.IntN(9000)), Zone: "z", Kind: "std", Weight: 1, State: "ready"}
-			key := registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxes))
-			if txn[key] = b.Encode(); rng.IntN(6) == 0 {
-				txn[key] = nil
+			box := registry.Box{Address: fmt.Sprintf("127.0.0.1:%d", 1000+rng.IntN(9000)), Zone: "z", Kind: "std", Weight: 1, State: "ready"}
+			key := registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxCount))
+			if changesByKey[key] = box.Encode(); rng.IntN(6) == 0 {
+				changesByKey[key] = nil
 			}
 		}
-		store.Put(txn)
+		store.Put(changesByKey)
 		store.ExpireLeases(false)
-		if next--; next > 0 {
+		if untilTrouble--; untilTrouble > 0 {
 			if rng.IntN(4) == 0 {
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Microsecond)
 			}
 			continue
 		}
-		next = 150 + rng.IntN(300)
-		if len(bag) == 0 { // each comes up before any comes again
-			bag = []string{"compact", "compact", "cut", "cut", "stall", "new history", "restart", "hang", "lose", "freeze", "freeze"}
-			rng.Shuffle(len(bag), func(i, j int) { bag[i], bag[j] = bag[j], bag[i] })
+		untilTrouble = 150 + rng.IntN(300)
+		if len(pendingTroubles) == 0 { // each comes up before any is repeated
+			pendingTroubles = []string{"compact", "compact", "cut", "cut", "stall", "new history", "restart", "hang", "lose", "freeze", "freeze"}
+			rng.Shuffle(len(pendingTroubles), func(i, j int) { pendingTroubles[i], pendingTroubles[j] = pendingTroubles[j], pendingTroubles[i] })
 		}
-		kind := bag[0]
-		bag = bag[1:]
-		kinds[kind]++
+		kind := pendingTroubles[0]
+		pendingTroubles = pendingTroubles[1:]
+		troubleCounts[kind]++
 		switch kind {
 		case "compact":
-			_, rev, _ := store.State()
-			store.Compact(rev - int64(rng.IntN(200)))
+			_, revision, _ := store.State()
+			store.Compact(revision - int64(rng.IntN(200)))
 		case "cut":
 			server.CloseConnections()
-			if rng.IntN(2) == 0 { // and what they would resume from is gone
+			if rng.IntN(2) == 0 { // and compact away the revision to resume from
 				store.Put(map[string][]byte{registry.BoxesPrefix + "box-0": []byte("x")})
-				_, rev, _ := store.State()
-				store.Compact(rev)
+				_, revision, _ := store.State()
+				store.Compact(revision)
 			}
 		case "stall":
 			server.Hang(true)
 			time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 			server.Hang(false)
 		case "hang":
-			hanging.Hang(rng.IntN(2) == 0)
+			secondServer.Hang(rng.IntN(2) == 0)
 		case "freeze":
-			hanging.Freeze(rng.IntN(2) == 0)
+			secondServer.Freeze(rng.IntN(2) == 0)
 		case "lose":
 			store.ExpireLeases(true)
 		case "new history", "restart":
 			server.Stop()
-			if kind == "new history" { // lower, or soon past what was seen, with the same cluster id or another
-				epochs++
-				_, rev, _ := store.State()
-				store.Reset(7+uint64(rng.IntN(2)), fmt.Sprint("history-", epochs), registry.HistoryKey, max(1, rev+int64(rng.IntN(400))-200))
+			if kind == "new history" { // at a lower or slightly higher revision, with the same cluster ID or another
+				historyCount++
+				_, revision, _ := store.State()
+				store.Reset(7+uint64(rng.IntN(2)), fmt.Sprint("history-", historyCount), registry.HistoryKey, max(1, revision+int64(rng.IntN(400))-200))
 				for range rng.IntN(50) {
-					store.Put(map[string][]byte{registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxes)): []byte("y")})
+					store.Put(map[string][]byte{registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxCount)): []byte("y")})
 				}
 			}
-			for range 100 { // the port may be taken for a moment
+			for range 100 { // the port may still be in use for a short time
 				if server, err = standin.Serve(addr, store); err == nil {
 					break
 				}
@@ -202,51 +206,51 @@
 			}
 		}
 	}
-	hanging.Hang(false)
-	hanging.Freeze(true) // those that watch there may not stay behind
+	secondServer.Hang(false)
+	secondServer.Freeze(true) // clients that watch there must not stay behind
 	store.Put(map[string][]byte{registry.BoxesPrefix + "box-0": []byte("last")})
-	behind, again := managers, 0
-	quiet := time.Now()
-	for time.Since(quiet) < 15*time.Second && (behind > 0 || again < leased) {
+	lagging, reregistered := managerCount, 0
+	quietSince := time.Now()
+	for time.Since(quietSince) < 15*time.Second && (lagging > 0 || reregistered < leasedCount) {
 		time.Sleep(50 * time.Millisecond)
-		epoch, rev, sum := store.State()
-		behind, again = 0, store.CountPrefix(registry.BoxesPrefix+"leased-")
-		for _, f := range all {
-			f.mu.Lock()
-			if string(f.history) != epoch || f.revision != rev || f.checksum != sum {
-				behind++
+		epoch, revision, checksum := store.State()
+		lagging, reregistered = 0, store.CountPrefix(registry.BoxesPrefix+"leased-")
+		for _, follower := range followers {
+			follower.mu.Lock()
+			if string(follower.history) != epoch || follower.revision != revision || follower.checksum != checksum {
+				lagging++
 			}
-			f.mu.Unlock()
+			follower.mu.Unlock()
 		}
 	}
-	took := time.Since(quiet)
-	breaks := 10
+	settleTime := time.Since(quietSince)
+	outages := 10
 	if size == Small {
-		breaks = 4
+		outages = 4
 	}
-	lists := func() (n int64) {
-		for _, f := range all {
-			f.client.WithCore(func(c *registry.Core) { n += c.Counts.Lists })
+	listCount := func() (count int64) {
+		for _, follower := range followers {
+			follower.client.WithCore(func(c *registry.Core) { count += c.Counts.Lists })
 		}
-		return n
+		return count
 	}
-	hanging.Freeze(false)
-	before := lists()
-	var parts []float64
-	for i := range breaks { // while the registry is away it forgets nothing that a watch would go on from
+	secondServer.Freeze(false)
+	listsBefore := listCount()
+	var recoveryRatios []float64
+	for i := range outages { // nothing is compacted during an outage, so that watches can resume
 		server.Stop()
-		hanging.Stop()
-		away := time.Now()
-		for until := away.Add(time.Duration(100+rng.IntN(900)) * time.Millisecond); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-			store.Put(map[string][]byte{registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxes)): fmt.Append(nil, "break ", i)})
+		secondServer.Stop()
+		outageBegan := time.Now()
+		for until := outageBegan.Add(time.Duration(100+rng.IntN(900)) * time.Millisecond); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+			store.Put(map[string][]byte{registry.BoxesPrefix + fmt.Sprint("box-", rng.IntN(boxCount)): fmt.Append(nil, "break ", i)})
 		}
-		length := time.Since(away)
-		for _, x := range []struct {
-			s    **standin.Server
+		outageTime := time.Since(outageBegan)
+		for _, member := range []struct {
+			slot **standin.Server
 			addr string
-		}{{&server, addr}, {&hanging, second}} {
+		}{{&server, addr}, {&secondServer, secondAddr}} {
 			for range 100 {
-				if *x.s, err = standin.Serve(x.addr, store); err == nil {
+				if *member.slot, err = standin.Serve(member.addr, store); err == nil {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -255,58 +259,58 @@
 				return nil, err
 			}
 		}
-		back := time.Now()
-		for left := managers; left > 0 && time.Since(back) < 10*time.Second; time.Sleep(time.Millisecond) {
-			_, rev, sum := store.State()
-			left = 0
-			for _, f := range all {
-				f.mu.Lock()
-				if f.revision != rev || f.checksum != sum {
-					left++
+		returnedAt := time.Now()
+		for notEqual := managerCount; notEqual > 0 && time.Since(returnedAt) < 10*time.Second; time.Sleep(time.Millisecond) {
+			_, revision, checksum := store.State()
+			notEqual = 0
+			for _, follower := range followers {
+				follower.mu.Lock()
+				if follower.revision != revision || follower.checksum != checksum {
+					notEqual++
 				}
-				f.mu.Unlock()
+				follower.mu.Unlock()
 			}
 		}
-		parts = append(parts, time.Since(back).Seconds()/length.Seconds())
-		p.Note("away for %s: every view equal %s after the return", length.Round(time.Millisecond), time.Since(back).Round(time.Millisecond))
+		recoveryRatios = append(recoveryRatios, time.Since(returnedAt).Seconds()/outageTime.Seconds())
+		p.Note("away for %s: every view equal %s after the return", outageTime.Round(time.Millisecond), time.Since(returnedAt).Round(time.Millisecond))
 	}
-	relists := lists() - before
-	slices.Sort(parts)
-	var never, twice, back, news int
+	relists := listCount() - listsBefore
+	slices.Sort(recoveryRatios)
+	var unknownStates, duplicates, regressions, updates int
 	var delays []time.Duration
 	var counts registry.Counts
-	for _, f := range all {
-		f.mu.Lock()
-		never, twice, back, news = never+f.unknownStates, twice+f.duplicates, back+f.regressions, news+f.updates
-		delays = append(delays, f.delays...)
-		if f.firstBad != "" {
-			p.Note("never: %s", f.firstBad)
+	for _, follower := range followers {
+		follower.mu.Lock()
+		unknownStates, duplicates, regressions, updates = unknownStates+follower.unknownStates, duplicates+follower.duplicates, regressions+follower.regressions, updates+follower.updates
+		delays = append(delays, follower.delays...)
+		if follower.firstUnknown != "" {
+			p.Note("never: %s", follower.firstUnknown)
 		}
-		f.mu.Unlock()
-		f.client.WithCore(func(c *registry.Core) {
-			x, y := &counts, &c.Counts
-			x.Lists, x.Watches, x.Compactions, x.Histories = x.Lists+y.Lists, x.Watches+y.Watches, x.Compactions+y.Compactions, x.Histories+y.Histories
-			x.Lower, x.Duplicates, x.Guarded, x.Refuted, x.Failures = x.Lower+y.Lower, x.Duplicates+y.Duplicates, x.Guarded+y.Guarded, x.Refuted+y.Refuted, x.Failures+y.Failures
-			x.Stale, x.Overfull = x.Stale+y.Stale, x.Overfull+y.Overfull
+		follower.mu.Unlock()
+		follower.client.WithCore(func(c *registry.Core) {
+			total, part := &counts, &c.Counts
+			total.Lists, total.Watches, total.Compactions, total.Histories = total.Lists+part.Lists, total.Watches+part.Watches, total.Compactions+part.Compactions, total.Histories+part.Histories
+			total.Lower, total.Duplicates, total.Guarded, total.Refuted, total.Failures = total.Lower+part.Lower, total.Duplicates+part.Duplicates, total.Guarded+part.Guarded, total.Refuted+part.Refuted, total.Failures+part.Failures
+			total.Stale, total.Overfull = total.Stale+part.Stale, total.Overfull+part.Overfull
 		})
 	}
 	p.AtMost(float64(relists), 0, "lists after breaks over which watches could go on")
-	p.AtMost(parts[len(parts)/2], 4, "time to every view after a break, over the break's length, median")
+	p.AtMost(recoveryRatios[len(recoveryRatios)/2], 4, "time to every view after a break, over the break's length, median")
 	slices.Sort(delays)
-	p.Judged["news"], p.Judged["changes"], p.Judged["managers"] = news, int(store.ChangeCount()), managers
-	for k, n := range kinds {
-		p.Judged[k] = n
+	p.Judged["news"], p.Judged["changes"], p.Judged["managers"] = updates, int(store.ChangeCount()), managerCount
+	for kind, count := range troubleCounts {
+		p.Judged[kind] = count
 	}
-	p.AtMost(float64(behind), 0, "views that differ from the registry's final state after quiet")
-	p.AtLeast(float64(again), leased, "boxes with leases that are registered again after quiet")
-	p.AtMost(float64(never), 0, "states that the registry never had")
-	p.AtMost(float64(twice), 0, "changes applied twice")
-	p.AtMost(float64(back), 0, "revisions that went back within a history")
-	p.AtLeast(float64(store.ChangeCount()), float64(changes), "changes made")
-	if n := len(delays); n > 0 {
-		p.Note("from a change to the view by a watch: median %s, 99%% %s (the breaks and stalls included)", delays[n/2], delays[n*99/100])
+	p.AtMost(float64(lagging), 0, "views that differ from the registry's final state after quiet")
+	p.AtLeast(float64(reregistered), leasedCount, "boxes with leases that are registered again after quiet")
+	p.AtMost(float64(unknownStates), 0, "states that the registry never had")
+	p.AtMost(float64(duplicates), 0, "changes applied twice")
+	p.AtMost(float64(regressions), 0, "revisions that went back within a history")
+	p.AtLeast(float64(store.ChangeCount()), float64(changeTarget), "changes made")
+	if count := len(delays); count > 0 {
+		p.Note("from a change to the view by a watch: median %s, 99%% %s (the breaks and stalls included)", delays[count/2], delays[count*99/100])
 	}
-	p.Note("all views equal %s after the last change; %d histories; %v", took.Round(time.Millisecond), epochs+1, kinds)
+	p.Note("all views equal %s after the last change; %d histories; %v", settleTime.Round(time.Millisecond), historyCount+1, troubleCounts)
 	p.Note("%+v", counts)
 	return p, nil
 }
