--- a/internal/lab/spawn.go
+++ b/internal/lab/spawn.go
@@ -12,7 +12,8 @@
 	"syscall"
 )
 
-// order is what the laboratory asks of its spawner, and what comes back of it.
+// spawnMessage is a line of JSON between the lab and its spawner: a request to start a program, or a report that it
+// has started or ended.
 type spawnMessage struct {
 	ID       int      `json:"id"`
 	Program  string   `json:"program,omitempty"`
@@ -21,83 +22,83 @@
 	PID      int      `json:"pid,omitempty"`
 	Ended    bool     `json:"ended,omitempty"`
 	Status   string   `json:"status,omitempty"`
-	LastLine string   `json:"said,omitempty"` // its last line on standard error
+	LastLine string   `json:"said,omitempty"` // last line that it wrote to standard error
 }
 
-// Spawn is the spawner's process: it starts programs on order and tells when they have ended. It stands between
-// the laboratory and the programs because these must not inherit the laboratory's sockets, which the network
-// library opens without close-on-exec: a connection that both have does not end when one closes it. When the
-// laboratory goes, so do the programs.
-func Spawn(in io.Reader, out io.Writer) error {
-	if all, err := os.ReadDir("/proc/self/fd"); err == nil {
-		for _, e := range all {
-			if fd, err := strconv.Atoi(e.Name()); err == nil && fd > 2 {
+// Spawn is the main function of the spawner process. It starts programs on request and reports when they have ended.
+// The lab doesn't start programs itself because they would inherit its sockets, which the network library opens
+// without close-on-exec, and a connection that two processes hold does not end when one of them closes it. When the
+// lab ends, the spawner kills the programs.
+func Spawn(requests io.Reader, responses io.Writer) error {
+	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
+		for _, entry := range entries {
+			if fd, err := strconv.Atoi(entry.Name()); err == nil && fd > 2 {
 				syscall.CloseOnExec(fd)
-				var st syscall.Stat_t
-				if syscall.Fstat(fd, &st) == nil && st.Mode&syscall.S_IFMT == syscall.S_IFSOCK {
+				var stat syscall.Stat_t
+				if syscall.Fstat(fd, &stat) == nil && stat.Mode&syscall.S_IFMT == syscall.S_IFSOCK {
 					_ = syscall.Close(fd)
 				}
 			}
 		}
 	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	say := json.NewEncoder(out)
+	var programs sync.WaitGroup
+	encoder := json.NewEncoder(responses)
 	running := map[int]*os.Process{}
-	tell := func(o spawnMessage) {
+	send := func(message spawnMessage) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = say.Encode(o)
+		_ = encoder.Encode(message)
 	}
-	for d := json.NewDecoder(in); ; {
-		var o spawnMessage
-		if err := d.Decode(&o); err != nil {
+	for decoder := json.NewDecoder(requests); ; {
+		var message spawnMessage
+		if err := decoder.Decode(&message); err != nil {
 			mu.Lock()
-			for _, p := range running {
-				_ = p.Kill()
+			for _, program := range running {
+				_ = program.Kill()
 			}
 			mu.Unlock()
-			wait.Wait()
+			programs.Wait()
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
 			return err
 		}
-		c := exec.Command(o.Program, o.Args...)
-		c.Env = append(os.Environ(), o.Env...)
-		stderr, err := c.StderrPipe()
+		cmd := exec.Command(message.Program, message.Args...)
+		cmd.Env = append(os.Environ(), message.Env...)
+		stderr, err := cmd.StderrPipe()
 		if err == nil {
-			err = c.Start()
+			err = cmd.Start()
 		}
 		if err != nil {
-			tell(spawnMessage{ID: o.ID, Ended: true, Status: err.Error()})
+			send(spawnMessage{ID: message.ID, Ended: true, Status: err.Error()})
 			continue
 		}
 		mu.Lock()
-		running[o.ID] = c.Process
+		running[message.ID] = cmd.Process
 		mu.Unlock()
-		tell(spawnMessage{ID: o.ID, PID: c.Process.Pid})
-		wait.Add(1)
+		send(spawnMessage{ID: message.ID, PID: cmd.Process.Pid})
+		programs.Add(1)
 		go func() {
-			defer wait.Done()
-			last := ""
-			for r := bufio.NewScanner(stderr); r.Scan(); {
-				last = r.Text()
+			defer programs.Done()
+			lastLine := ""
+			for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+				lastLine = scanner.Text()
 			}
-			err := c.Wait()
+			err := cmd.Wait()
 			mu.Lock()
-			delete(running, o.ID)
+			delete(running, message.ID)
 			mu.Unlock()
 			status := "0"
 			if err != nil {
 				status = err.Error()
 			}
-			tell(spawnMessage{ID: o.ID, Ended: true, Status: status, LastLine: last})
+			send(spawnMessage{ID: message.ID, Ended: true, Status: status, LastLine: lastLine})
 		}()
 	}
 }
 
-// spawner is the laboratory's end.
+// spawner is the lab's side of the connection with its spawner process.
 type spawner struct {
 	cmd      *exec.Cmd
 	in       io.WriteCloser
@@ -108,13 +109,13 @@
 	done     chan struct{}
 }
 
-// managed is one program that the spawner runs.
+// spawnedProgram is a program that the spawner process runs.
 type spawnedProgram struct {
 	pid           int
-	started       chan struct{} // its number is known, or it has ended
+	started       chan struct{} // closed when the process ID is known, or the program has ended
 	ready         chan struct{}
 	ended         chan struct{}
-	stopRequested bool // to end
+	stopRequested bool // its end is expected
 	status        string
 	startedAt     Time
 }
@@ -126,7 +127,7 @@
 	}
 	s := &spawner{cmd: exec.Command(self, "spawn"), programs: map[int]*spawnedProgram{}, done: make(chan struct{})}
 	s.cmd.Stderr = os.Stderr
-	out, err := s.cmd.StdoutPipe()
+	responses, err := s.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
@@ -139,55 +140,55 @@
 	s.encoder = json.NewEncoder(s.in)
 	go func() {
 		defer close(s.done)
-		for d := json.NewDecoder(out); ; {
-			var o spawnMessage
-			if d.Decode(&o) != nil {
+		for decoder := json.NewDecoder(responses); ; {
+			var message spawnMessage
+			if decoder.Decode(&message) != nil {
 				return
 			}
 			s.mu.Lock()
-			m := s.programs[o.ID]
+			program := s.programs[message.ID]
 			s.mu.Unlock()
-			if o.PID > 0 {
-				m.pid = o.PID
-				close(m.started)
+			if message.PID > 0 {
+				program.pid = message.PID
+				close(program.started)
 				continue
 			}
-			if m.pid == 0 {
-				close(m.started)
+			if program.pid == 0 {
+				close(program.started)
 			}
-			m.status = o.Status
-			if o.LastLine != "" {
-				m.status += ": " + o.LastLine
+			program.status = message.Status
+			if message.LastLine != "" {
+				program.status += ": " + message.LastLine
 			}
-			close(m.ended)
+			close(program.ended)
 		}
 	}()
 	return s, nil
 }
 
-// start orders a program.
-func (s *spawner) start(at Time, env []string, program string, args ...string) (*spawnedProgram, error) {
-	m := &spawnedProgram{started: make(chan struct{}), ready: make(chan struct{}), ended: make(chan struct{}), startedAt: at}
+// start requests the start of a program.
+func (s *spawner) start(at Time, env []string, path string, args ...string) (*spawnedProgram, error) {
+	program := &spawnedProgram{started: make(chan struct{}), ready: make(chan struct{}), ended: make(chan struct{}), startedAt: at}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
-	s.programs[s.lastID] = m
-	return m, s.encoder.Encode(spawnMessage{ID: s.lastID, Program: program, Args: args, Env: env})
+	s.programs[s.lastID] = program
+	return program, s.encoder.Encode(spawnMessage{ID: s.lastID, Program: path, Args: args, Env: env})
 }
 
-// signal sends one to a program that runs.
-func (m *spawnedProgram) signal(x syscall.Signal) {
-	<-m.started
+// signal sends a signal to the program if it still runs.
+func (program *spawnedProgram) signal(sig syscall.Signal) {
+	<-program.started
 	select {
-	case <-m.ended:
+	case <-program.ended:
 	default:
-		if m.pid > 0 {
-			_ = syscall.Kill(m.pid, x)
+		if program.pid > 0 {
+			_ = syscall.Kill(program.pid, sig)
 		}
 	}
 }
 
-// close ends the spawner, and with it what still runs.
+// close ends the spawner process and the programs that still run.
 func (s *spawner) close() {
 	_ = s.in.Close()
 	<-s.done
