--- a/internal/lab/access.go
+++ b/internal/lab/access.go
@@ -64,8 +64,8 @@
 	loop   edge.DeferredLoop
 }
 
-func (g *accessView) post(call func(*tenants.Core)) {
-	g.loop.Post(func() { call(g.core) })
+func (v *accessView) post(call func(*tenants.Core)) {
+	v.loop.Post(func() { call(v.core) })
 }
 
 func newAccessDay(seed uint64, tenantCount, membersPerTenant int) (*doors, error) {
--- a/internal/lab/accesscost.go
+++ b/internal/lab/accesscost.go
@@ -23,10 +23,8 @@
 // discardNet is a network that discards what is sent, except for the last message.
 type discardNet struct{ lastSent []byte }
 
-func (d *discardNet) Dial(*core.Conn, string) {}
-func (d *discardNet) Send(_ *core.Conn, message []byte) {
-	d.lastSent = append(d.lastSent[:0], message...)
-}
+func (d *discardNet) Dial(*core.Conn, string)           {}
+func (d *discardNet) Send(_ *core.Conn, b []byte)       { d.lastSent = append(d.lastSent[:0], b...) }
 func (d *discardNet) Pending(*core.Conn) int            { return 0 }
 func (d *discardNet) Close(*core.Conn)                  {}
 func (d *discardNet) header(name string) (value string) { return headerOf(d.lastSent, name) }
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -285,8 +285,8 @@
 	return lines, nil
 }
 
-// measureRegistry returns resident memory in kilobytes and CPU microseconds per change with n boxes.
-func (b *Bench) measureRegistry(n, changesPerSec int) (memory, cpu float64, err error) {
+// measureRegistry returns resident memory in kilobytes and CPU microseconds per change with the given number of boxes.
+func (b *Bench) measureRegistry(boxCount, changesPerSec int) (memory, cpu float64, err error) {
 	store := standin.NewStore(1, "bench", registry.HistoryKey)
 	server, err := standin.Serve("127.0.0.1:0", store)
 	if err != nil {
@@ -296,7 +296,7 @@
 	record := registry.Box{Address: "127.0.0.1:9", Zone: "z", Kind: "std", Weight: 1, State: "ready"}
 	boxKey := func(i int) string { return registry.BoxesPrefix + "box-" + strconv.Itoa(i) }
 	records := map[string][]byte{}
-	for i := range n {
+	for i := range boxCount {
 		records[boxKey(i)] = record.Encode()
 	}
 	store.Put(records)
@@ -324,7 +324,7 @@
 	for i := range changes {
 		<-tick.C
 		record.Weight = 1 + float64(i%2)
-		store.Put(map[string][]byte{boxKey(i * 7919 % n): record.Encode()})
+		store.Put(map[string][]byte{boxKey(i * 7919 % boxCount): record.Encode()})
 	}
 	time.Sleep(200 * time.Millisecond)
 	return front.residentKB(), 1e6 * (front.cpuTime() - cpuBefore) / float64(changes), nil
--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -150,7 +150,7 @@
 // fair rate, would have reached the viewer. It returns the median ratio and the number of viewers.
 func statedOverNeeded(play *Play, demands map[string]float64, fairShare float64) (median float64, n int) {
 	type arrival struct {
-		at, retryAfter Time // retryAfter is 0 without a rejection with a retry time at the first attempt
+		at, retryAfter Time // retryAfter is the stated retry time, or 0 if the first attempt got none
 	}
 	arrivals := map[string][]arrival{}
 	activeTimes := map[string][2]Time{}
@@ -278,7 +278,7 @@
 	return peak
 }
 
-// proveFair plays the overload cases under fair queueing, and the first of them also under two other orders for
+// proveFair plays a day without overload and the overload cases under fair queueing, and the first case also under two other orders for
 // comparison. It checks the admitted shares, the retry times and the memory that the queue uses.
 func proveFair(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "fair", Seed: seed, Judged: map[string]int{}}
