--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -278,8 +278,9 @@
 	return peak
 }
 
-// proveFair plays a day without overload and the overload cases under fair queueing, and the first case also under two other orders for
-// comparison. It checks the admitted shares, the retry times and the memory that the queue uses.
+// proveFair plays a day without overload and the overload cases under fair queueing, and the first case also under
+// two other queueing orders for comparison. It checks the admitted shares, the retry times and the memory that the
+// queue uses.
 func proveFair(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "fair", Seed: seed, Judged: map[string]int{}}
 	burst := 4000
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -156,7 +156,7 @@
 	player    bool
 	connTaps  map[*core.Conn]*tap
 	env       *LoopbackEnvironment
-	arrivedAt Time // when the event in progress reached the process; used instead of the current time so that a late loop does not make others' work look late
+	arrivedAt Time // when the current event reached the process; unlike the current time it is not shifted by a late loop, which would make others look late
 }
 
 // Came sets the arrival time of the event that is handled next.
