--- a/cmd/pierlab/bench.go
+++ b/cmd/pierlab/bench.go
@@ -29,7 +29,7 @@
 			}
 			run := bench.Run
 			if boxList {
-				run = func() ([]string, error) { return bench.Boxes([]int{100, 1000, 10000}, 1000) }
+				run = func() ([]string, error) { return bench.MeasureRegistry([]int{100, 1000, 10000}, 1000) }
 			}
 			lines, err := run()
 			for _, line := range lines {
@@ -41,9 +41,9 @@
 	cmd.Flags().StringVar(&bench.Pierlink, "pierlink", "", "path of the pierlink program (default: in the directory of pierlab)")
 	cmd.Flags().IntVar(&bench.Concurrent, "concurrent", 1000, "number of concurrent playbacks")
 	cmd.Flags().Float64Var(&bench.RateKB, "rate", 60, "rate of each playback in kB/s")
-	cmd.Flags().DurationVar(&bench.Span, "span", 4*time.Second, "duration of each steady-state measurement")
+	cmd.Flags().DurationVar(&bench.SteadyTime, "span", 4*time.Second, "duration of each steady-state measurement")
 	cmd.Flags().IntVar(&bench.Setups, "setups", 4000, "number of set-ups to time")
-	cmd.Flags().IntVar(&bench.Firsts, "firsts", 300, "number of first packets to time, each directly from the media box and through pierlink")
+	cmd.Flags().IntVar(&bench.FirstPackets, "firsts", 300, "number of first packets to time, each directly from the media box and through pierlink")
 	return cmd
 }
 
--- a/cmd/pierlab/experiment.go
+++ b/cmd/pierlab/experiment.go
@@ -77,7 +77,7 @@
 
 // searchCommand returns the command that searches for bad days.
 func searchCommand() *cobra.Command {
-	search := &lab.Search{Say: os.Stderr}
+	search := &lab.Search{Progress: os.Stderr}
 	var outputFile string
 	cmd := &cobra.Command{Use: "search [DAY]", Short: "Search for days on which the session manager performs badly, and reduce the worst to a minimal day",
 		Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
@@ -96,15 +96,15 @@
 			if err := found.Save(outputFile, search.Seed); err != nil {
 				return err
 			}
-			fmt.Printf("%s: worth %.3f of at most %.3f, %d rules broken, after %d days\n", outputFile, found.Row.Goal, found.Row.Best, found.Row.Broken, found.Played)
+			fmt.Printf("%s: worth %.3f of at most %.3f, %d rules broken, after %d days\n", outputFile, found.Row.Goal, found.Row.Best, found.Row.Broken, found.DaysRun)
 			for _, note := range found.Row.Notes {
 				fmt.Println(note)
 			}
 			return nil
 		}}
 	cmd.Flags().Uint64Var(&search.Seed, "seed", 1, "seed of the random draws")
-	cmd.Flags().DurationVar(&search.For, "for", time.Minute, "duration of the search")
-	cmd.Flags().StringVar(&search.What, "what", "worth", "what to search for: low worth, or bad answers (failed, abandoned, late)")
+	cmd.Flags().DurationVar(&search.Duration, "for", time.Minute, "duration of the search")
+	cmd.Flags().StringVar(&search.Objective, "what", "worth", "what to search for: low worth, or bad answers (failed, abandoned, late)")
 	cmd.Flags().StringVar(&outputFile, "out", "found.day", "file to write the day that was found to")
 	return cmd
 }
@@ -121,5 +121,5 @@
 	if seed == 0 {
 		return day, nil
 	}
-	return day.With(seed)
+	return day.WithSeed(seed)
 }
--- a/cmd/pierlab/prove.go
+++ b/cmd/pierlab/prove.go
@@ -25,7 +25,7 @@
 			if proof == nil {
 				return fmt.Errorf("unknown proof %q, expected one of %s", args[0], strings.Join(names, ", "))
 			}
-			size := lab.Usual
+			size := lab.Normal
 			if small {
 				size = lab.Small
 			} else if full {
@@ -69,7 +69,7 @@
 				day.Policy = policy
 			}
 			if seed > 0 {
-				if day, err = day.With(seed); err != nil {
+				if day, err = day.WithSeed(seed); err != nil {
 					return err
 				}
 			}
--- a/cmd/pierlab/why.go
+++ b/cmd/pierlab/why.go
@@ -25,7 +25,7 @@
 				if err != nil {
 					return err
 				}
-				day.Told = func(story *front.PlaybackTrace) {
+				day.OnAnswered = func(story *front.PlaybackTrace) {
 					if story.RequestID == args[0] {
 						stories = append(stories, story)
 					}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -127,7 +127,7 @@
 		for _, day := range days {
 			for i := range s.Variants {
 				variant := &s.Variants[i]
-				text, err := lab.Set(day.Text, variant.Overrides)
+				text, err := lab.SetValues(day.Text, variant.Overrides)
 				if err != nil {
 					return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 				}
@@ -136,7 +136,7 @@
 					return nil, fmt.Errorf("variant %s: %w", variant.Name, err)
 				}
 				drawn.Policy = variant.Policy
-				if drawn, err = drawn.With(seed); err != nil {
+				if drawn, err = drawn.WithSeed(seed); err != nil {
 					return nil, err
 				}
 				all = append(all, job{variant, drawn, seed})
--- a/internal/experiment/prove.go
+++ b/internal/experiment/prove.go
@@ -35,15 +35,15 @@
 	if err != nil {
 		return nil, err
 	}
-	loadSeconds := map[lab.Size]string{lab.Small: "6", lab.Usual: "50", lab.Full: "50"}[size]
-	text, err := lab.Set(fullDay.Text, map[string]string{"load.length": loadSeconds})
+	loadSeconds := map[lab.Size]string{lab.Small: "6", lab.Normal: "50", lab.Full: "50"}[size]
+	text, err := lab.SetValues(fullDay.Text, map[string]string{"load.length": loadSeconds})
 	if err != nil {
 		return nil, err
 	}
 	if fullDay, err = lab.Parse("full", text); err != nil {
 		return nil, err
 	}
-	if fullDay, err = fullDay.With(seed); err != nil {
+	if fullDay, err = fullDay.WithSeed(seed); err != nil {
 		return nil, err
 	}
 	cores := runtime.GOMAXPROCS(0)
@@ -76,7 +76,7 @@
 	// CPU time at half and at full rate, on the same fleet
 	var costs []float64
 	for _, rate := range []string{"55", "110"} {
-		text, err := lab.Set(fullDay.Text, map[string]string{"load.rate": rate, "load.length": "6"})
+		text, err := lab.SetValues(fullDay.Text, map[string]string{"load.rate": rate, "load.length": "6"})
 		if err != nil {
 			return nil, err
 		}
@@ -84,7 +84,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if day, err = day.With(seed); err != nil {
+		if day, err = day.WithSeed(seed); err != nil {
 			return nil, err
 		}
 		before := processCPUSeconds()
--- a/internal/lab/access.go
+++ b/internal/lab/access.go
@@ -23,10 +23,10 @@
 
 const realm = "pier"
 
-// doors adds access control to a day that is played on loopback sockets. Its session managers learn from an LDAP
+// accessDay adds access control to a day that is played on loopback sockets. Its session managers learn from an LDAP
 // directory who may play. Each of them has a plain listener, a TLS listener and a directory view of its own. The type
 // keeps the history of each account's credentials and judges the viewers' results by it.
-type doors struct {
+type accessDay struct {
 	tenantConfig tenants.Config
 	store        *directory.Store
 	servers      [2]*directory.Server
@@ -68,8 +68,8 @@
 	v.loop.Post(func() { call(v.core) })
 }
 
-func newAccessDay(seed uint64, tenantCount, membersPerTenant int) (*doors, error) {
-	day := &doors{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: tenantCount, members: membersPerTenant, views: map[string]*accessView{},
+func newAccessDay(seed uint64, tenantCount, membersPerTenant int) (*accessDay, error) {
+	day := &accessDay{rng: rand.New(rand.NewPCG(seed, 0xd00f)), store: directory.NewStore(), tenants: tenantCount, members: membersPerTenant, views: map[string]*accessView{},
 		tlsAddrs: map[string]string{}, history: map[string][]credential{}, kinds: map[*player.Profile]string{}, statuses: map[string]map[int]int{},
 		answerTimes: map[string][]Time{}, faultCounts: map[string]int{},
 		tenantConfig: tenants.Config{Seed: seed, MaxAge: 3_000_000, SyncInterval: 500_000, Timeout: 300_000, NegativeTTL: 500_000, MaxWaiting: 5000, MaxLookups: 4,
@@ -96,7 +96,7 @@
 }
 
 // putMember stores a member with the password of a generation, or deletes it if the generation is 0.
-func (day *doors) putMember(account, dn string, attrs map[string][]string, generation int) {
+func (day *accessDay) putMember(account, dn string, attrs map[string][]string, generation int) {
 	password := ""
 	if generation > 0 {
 		password = fmt.Sprintf("%s/%d", account, generation)
@@ -111,7 +111,7 @@
 
 // Sets up the directory view of a session manager that starts. A view from an earlier run of the same manager is
 // closed.
-func (day *doors) equip(config *front.Config, seed uint64) error {
+func (day *accessDay) attachView(config *front.Config, seed uint64) error {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	day.closeView(config.Name)
@@ -132,7 +132,7 @@
 
 // closeView closes a session manager's view, if it has one, and adds its counts to the totals. The manager's loop must
 // have ended, as the counts are read without synchronization.
-func (day *doors) closeView(name string) {
+func (day *accessDay) closeView(name string) {
 	if view := day.views[name]; view != nil {
 		go view.client.Close()
 		counts := &view.core.Counts // safe to read: its loop has ended
@@ -141,7 +141,7 @@
 }
 
 // Opens the TLS listener of a session manager that has started.
-func (day *doors) opened(name string) error {
+func (day *accessDay) listenTLS(name string) error {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	host := day.env.host(name)
@@ -159,7 +159,7 @@
 }
 
 // Gives a viewer an account and a password. Most viewers use valid ones.
-func (day *doors) viewer(profile *player.Profile) {
+func (day *accessDay) assignIdentity(profile *player.Profile) {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	tenant, member := day.rng.IntN(day.tenants), day.rng.IntN(day.members)
@@ -191,7 +191,7 @@
 }
 
 // Judges a viewer's result by the history of the account.
-func (day *doors) saw(profile *player.Profile, result *player.Result) {
+func (day *accessDay) judgeResult(profile *player.Profile, result *player.Result) {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	kind := day.kinds[profile]
@@ -210,7 +210,7 @@
 	valid, always := false, true // valid: the password was right at some time within the staleness bound; always: it was never wrong in that time
 	history := day.history[profile.Account]
 	for i, entry := range history {
-		end := never
+		end := farFuture
 		if i+1 < len(history) {
 			end = history[i+1].since
 		}
@@ -234,7 +234,7 @@
 }
 
 // changeDirectory changes a random member and sometimes a tenant.
-func (day *doors) changeDirectory() {
+func (day *accessDay) changeDirectory() {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	day.changes++
@@ -252,7 +252,7 @@
 
 // injectFault puts the directory servers into the next fault of a shuffled sequence, in which each fault comes up
 // before any is repeated.
-func (day *doors) injectFault(pendingFaults *[]string) {
+func (day *accessDay) injectFault(pendingFaults *[]string) {
 	if len(*pendingFaults) == 0 {
 		*pendingFaults = []string{"cut", "truncate", "busy", "stall", "silent", "forget", "slow", "hang", "refer", "well", "well"}
 		day.rng.Shuffle(len(*pendingFaults), func(i, j int) { (*pendingFaults)[i], (*pendingFaults)[j] = (*pendingFaults)[j], (*pendingFaults)[i] })
@@ -287,7 +287,7 @@
 }
 
 // run changes the directory and injects faults until stop is closed.
-func (day *doors) run(stop chan struct{}) {
+func (day *accessDay) run(stop chan struct{}) {
 	var pendingFaults []string
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -308,7 +308,7 @@
 	}
 }
 
-func (day *doors) close() {
+func (day *accessDay) close() {
 	day.mu.Lock()
 	defer day.mu.Unlock()
 	for name, view := range day.views {
@@ -338,9 +338,9 @@
 	day.doors = access
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play {
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun {
 		access.env = env
-		play := Begin(day, env, tape, nil, log)
+		play := StartDay(day, env, tape, nil, log)
 		env.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: access.authority.Pool()})
 		wait.Go(func() { access.run(stop) })
 		return play
@@ -351,7 +351,7 @@
 	if err != nil {
 		return err
 	}
-	p.checkRules(Judge(tape, day.Bounds(core.Second/20)))
+	p.checkRules(CheckRules(tape, day.Bounds(core.Second/20)))
 	tally := &play.Tally
 	p.Note("through whole session managers: %s", tally.Summary())
 	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", access.changes, access.faultCounts, access.statuses)
@@ -360,7 +360,7 @@
 			p.Note("%s", violation)
 		}
 	}
-	p.AtLeast(float64(tally.Asked), least, "playbacks asked for through whole session managers")
+	p.AtLeast(float64(tally.Attempts), least, "playbacks asked for through whole session managers")
 	validStatuses := access.statuses["right"]
 	attempts := 0
 	for _, n := range validStatuses {
@@ -369,7 +369,7 @@
 	p.AtLeast(float64(validStatuses[0])/float64(max(attempts, 1)), 0.6, "part of those with a right password that played")
 	p.AtMost(float64(access.misjudged[0]), 0, "played with what had not been right within the bound")
 	p.AtMost(float64(access.misjudged[1]), 0, "turned away with what had been right all the while")
-	p.AtMost(float64(tally.Unasked), 0, "answers that nothing asked for")
+	p.AtMost(float64(tally.Unsolicited), 0, "answers that nothing asked for")
 	for _, kind := range []string{"wrong", "unknown"} {
 		slices.Sort(access.answerTimes[kind])
 	}
--- a/internal/lab/accesscost.go
+++ b/internal/lab/accesscost.go
@@ -61,7 +61,7 @@
 	for k := range 2 * attempts {
 		withAccess := k % 2
 		var turns []time.Duration
-		config := day.Service(0)
+		config := day.FrontConfig(0)
 		config.Site.Terms.ColdShare, config.Site.Terms.WarmUp = 1, 1000 // every box is warm
 		config.Site.Fleet.NoteInterval, config.Site.Fleet.LoadInAnswers, config.Site.Fleet.LoadInProbes = 0, false, false
 		network := &discardNet{}
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -30,9 +30,9 @@
 	Pierlink, Pierlab string        // paths of the two executables
 	Concurrent        int           // concurrent playbacks in the steady state
 	RateKB            float64       // stream rate in kB/s
-	Span              time.Duration // length of each steady-state measurement
+	SteadyTime        time.Duration // length of each steady-state measurement
 	Setups            int           // playbacks in the setup measurement
-	Firsts            int           // playbacks timed to their first packet, per path
+	FirstPackets      int           // playbacks timed to their first packet, per path
 }
 
 const benchSettings = `
@@ -265,10 +265,10 @@
 	return lines, nil
 }
 
-// Boxes measures what following a registry costs the daemon: its memory with each of the given numbers of
+// MeasureRegistry measures what following a registry costs the daemon: its memory with each of the given numbers of
 // boxes, and the CPU time per change at the given rate of changes. Each number of boxes is measured in a
 // new process.
-func (b *Bench) Boxes(boxCounts []int, changesPerSec int) (lines []string, err error) {
+func (b *Bench) MeasureRegistry(boxCounts []int, changesPerSec int) (lines []string, err error) {
 	var memory, cpu []float64
 	for _, boxCount := range boxCounts {
 		boxMemory, boxCPU, err := b.measureRegistry(boxCount, changesPerSec)
@@ -318,7 +318,7 @@
 	defer front.stop()
 	time.Sleep(2 * time.Second)
 	cpuBefore := front.cpuTime()
-	changes := int(b.Span.Seconds() * float64(changesPerSec))
+	changes := int(b.SteadyTime.Seconds() * float64(changesPerSec))
 	tick := time.NewTicker(time.Second / time.Duration(changesPerSec))
 	defer tick.Stop()
 	for i := range changes {
@@ -376,14 +376,14 @@
 	x.loop.Do(func() {
 		x.players.Report = nil
 		for range x.Concurrent {
-			x.players.Start(x.profileFor(proc, x.Span+4*time.Second))
+			x.players.Start(x.profileFor(proc, x.SteadyTime+4*time.Second))
 		}
 	})
 	x.waitUntil(func(plays, _ int) bool { return plays >= x.Concurrent })
 	time.Sleep(300 * time.Millisecond)
 	bytesBefore, _, _ := x.totals()
 	cpuBefore := proc.cpuTime()
-	time.Sleep(x.Span)
+	time.Sleep(x.SteadyTime)
 	bytesAfter, _, _ := x.totals()
 	cpuAfter := proc.cpuTime()
 	if x.playbackKB == 0 {
@@ -425,7 +425,7 @@
 // manager, alternating between them. The histograms are in microseconds.
 func (x *benchRun) timeFirstPackets(box, front string) (direct, via *hdrhistogram.Histogram) {
 	histograms := [2]*hdrhistogram.Histogram{hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)}
-	for range x.Firsts {
+	for range x.FirstPackets {
 		for i, addr := range []string{box, front} {
 			startup := make(chan core.Time, 1)
 			x.loop.Do(func() {
--- a/internal/lab/clock_test.go
+++ b/internal/lab/clock_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := Set(registryDay.Text, map[string]string{"load.length": "8", "load.rate": "60", "door.waiting": "200"})
+	text, err := SetValues(registryDay.Text, map[string]string{"load.length": "8", "load.rate": "60", "door.waiting": "200"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -49,8 +49,8 @@
 	return out, rangeErr
 }
 
-// With returns the same day with its ranges drawn from another seed.
-func (d *Day) With(seed uint64) (*Day, error) {
+// WithSeed returns the same day with its ranges drawn from another seed.
+func (d *Day) WithSeed(seed uint64) (*Day, error) {
 	text, err := drawRanges(d.Text, seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
@@ -63,9 +63,9 @@
 	return drawn, nil
 }
 
-// Set changes words of a day's text, such as "fleet.managers" or "plan live-lesson.rate", to given values. Troubles are
+// SetValues changes words of a day's text, such as "fleet.managers" or "plan live-lesson.rate", to given values. Troubles are
 // identified by their order: "at 2.boxes" is in the second. The value "off" of the word "line" removes the whole line.
-func Set(text string, words map[string]string) (string, error) {
+func SetValues(text string, words map[string]string) (string, error) {
 	lines := strings.Split(text, "\n")
 	for _, key := range sortedKeys(words) {
 		value := words[key]
--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -56,34 +56,34 @@
 }
 
 // measureFairness computes max-min fair shares from the viewers' log and compares the admitted playbacks with them.
-func measureFairness(play *Play, firstAttemptOnly bool) (result fairnessResult) {
+func measureFairness(play *DayRun, firstAttemptOnly bool) (result fairnessResult) {
 	attempts, admitted, loneTimes := map[string]float64{}, map[string]float64{}, []Time{}
 	flooding := map[string]bool{}
 	totalAdmitted := 0.0
 	var floodFrom Time // the lone tenant's waits count from here to the end: a flood's viewers return for a long time
-	for _, viewer := range play.Log {
-		if viewer.Of.Flood && floodFrom == 0 {
-			floodFrom = viewer.At
+	for _, viewer := range play.TenantViewers {
+		if viewer.Config.Floods && floodFrom == 0 {
+			floodFrom = viewer.StartedAt
 		}
 	}
-	for _, viewer := range play.Log {
+	for _, viewer := range play.TenantViewers {
 		attempts[viewer.Tenant]++
-		flooding[viewer.Tenant] = flooding[viewer.Tenant] || viewer.Of.Flood
-		for i, attempt := range viewer.Seen {
+		flooding[viewer.Tenant] = flooding[viewer.Tenant] || viewer.Config.Floods
+		for i, attempt := range viewer.Results {
 			if attempt.StartupTime > 0 {
 				result.played++
 				totalAdmitted++
-				if i == 0 || !firstAttemptOnly || viewer.Of.Flood {
+				if i == 0 || !firstAttemptOnly || viewer.Config.Floods {
 					admitted[viewer.Tenant]++
 				}
 			}
-			if viewer.Of.Lone && i == 0 && attempt.AnsweredAt > 0 && viewer.At >= floodFrom {
+			if viewer.Config.Light && i == 0 && attempt.AnsweredAt > 0 && viewer.StartedAt >= floodFrom {
 				loneTimes = append(loneTimes, attempt.AnsweredAt-attempt.StartedAt)
 			}
 			if attempt.State == player.Rejected && attempt.RetryToken == "" {
 				result.rejectedWithoutTime++
 			}
-			if attempt.BroughtToken && !play.promiseVoided(viewer.Seen[i-1].AnsweredAt, attempt.StartedAt) {
+			if attempt.BroughtToken && !play.promiseVoided(viewer.Results[i-1].AnsweredAt, attempt.StartedAt) {
 				result.returns++
 				if attempt.StartupTime > 0 {
 					result.admittedReturns++
@@ -117,10 +117,10 @@
 
 // promiseVoided reports whether a promised retry time could not be kept: it was made before or while the capacity
 // shrank and was due after that, or it was due while the manager was stalled.
-func (p *Play) promiseVoided(madeAt, dueAt Time) bool {
+func (p *DayRun) promiseVoided(madeAt, dueAt Time) bool {
 	for _, trouble := range p.Day.Troubles {
-		troubleAt := p.began + trouble.At
-		if trouble.Kind == "sag" && madeAt < troubleAt+3*core.Second && dueAt > troubleAt || trouble.Kind == "stand-still" && dueAt > troubleAt-core.Second && dueAt < troubleAt+trouble.For {
+		troubleAt := p.startedAt + trouble.At
+		if trouble.Kind == "sag" && madeAt < troubleAt+3*core.Second && dueAt > troubleAt || trouble.Kind == "stand-still" && dueAt > troubleAt-core.Second && dueAt < troubleAt+trouble.Duration {
 			return true
 		}
 	}
@@ -148,29 +148,29 @@
 // statedOverNeeded compares retry times with the needed ones, over the flooding tenants' viewers that were rejected
 // with a retry time at their first attempt. The needed time is that until a queue of the tenant alone, served at its
 // fair rate, would have reached the viewer. It returns the median ratio and the number of viewers.
-func statedOverNeeded(play *Play, demands map[string]float64, fairShare float64) (median float64, n int) {
+func statedOverNeeded(play *DayRun, demands map[string]float64, fairShare float64) (median float64, n int) {
 	type arrival struct {
 		at, retryAfter Time // retryAfter is the stated retry time, or 0 if the first attempt got none
 	}
 	arrivals := map[string][]arrival{}
 	activeTimes := map[string][2]Time{}
-	for _, viewer := range play.Log {
+	for _, viewer := range play.TenantViewers {
 		bounds := activeTimes[viewer.Tenant]
 		if bounds[0] == 0 {
-			bounds[0] = viewer.At
+			bounds[0] = viewer.StartedAt
 		}
-		bounds[1] = viewer.At
+		bounds[1] = viewer.StartedAt
 		activeTimes[viewer.Tenant] = bounds
-		arrived := arrival{at: viewer.At}
-		if len(viewer.Seen) > 0 && viewer.Seen[0].State == player.Rejected && viewer.Seen[0].RetryToken != "" {
-			arrived.retryAfter = viewer.Seen[0].RetryAfter
+		arrived := arrival{at: viewer.StartedAt}
+		if len(viewer.Results) > 0 && viewer.Results[0].State == player.Rejected && viewer.Results[0].RetryToken != "" {
+			arrived.retryAfter = viewer.Results[0].RetryAfter
 		}
 		arrivals[viewer.Tenant] = append(arrivals[viewer.Tenant], arrived)
 	}
 	var ratios []float64
 	steadyRate, flooding := 0.0, map[string]bool{} // playbacks per second of the tenants that do not flood
-	for _, viewer := range play.Log {
-		flooding[viewer.Tenant] = flooding[viewer.Tenant] || viewer.Of.Flood
+	for _, viewer := range play.TenantViewers {
+		flooding[viewer.Tenant] = flooding[viewer.Tenant] || viewer.Config.Floods
 	}
 	for tenant, demand := range demands {
 		if bounds := activeTimes[tenant]; demand <= fairShare && !flooding[tenant] && bounds[1] > bounds[0] {
@@ -200,11 +200,11 @@
 
 // peakStartRate returns the number of playbacks per second that started in the busiest five seconds, which is the
 // fleet's capacity while demand exceeds it.
-func (p *Play) peakStartRate() float64 {
+func (p *DayRun) peakStartRate() float64 {
 	var busiest float64
 	started := map[Time]float64{}
-	for _, viewer := range p.Log {
-		for _, attempt := range viewer.Seen {
+	for _, viewer := range p.TenantViewers {
+		for _, attempt := range viewer.Results {
 			if attempt.StartupTime > 0 {
 				started[attempt.AnsweredAt/(5*core.Second)]++
 			}
@@ -217,8 +217,8 @@
 }
 
 // playFairDay plays the day "fair" with the added lines of a flood and the given queueing order.
-func playFairDay(seed uint64, order string, lines string, log *zap.Logger) (*Play, *Tape, error) {
-	dayText, err := library.ReadFile("days/fair.day")
+func playFairDay(seed uint64, order string, lines string, log *zap.Logger) (*DayRun, *Recording, error) {
+	dayText, err := libraryFS.ReadFile("days/fair.day")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -227,10 +227,10 @@
 		return nil, nil, err
 	}
 	day.Seed = seed
-	tape := &Tape{}
-	world := NewWorld(day.Links, day.Seed, tape)
-	play := Begin(day, world, tape, nil, log)
-	world.Run(play.began + play.Length())
+	tape := &Recording{}
+	world := NewVirtualNet(day.Links, day.Seed, tape)
+	play := StartDay(day, world, tape, nil, log)
+	world.Run(play.startedAt + play.Duration())
 	open := 1
 	for range 400 { // until the last viewer with a retry time has returned
 		world.Call("players", func(c core.Core) { open = c.(*player.Group).Open() })
@@ -239,7 +239,7 @@
 			break
 		}
 	}
-	play.End()
+	play.Finish()
 	world.Run(world.now + core.Second)
 	return play, tape, nil
 }
@@ -320,7 +320,7 @@
 				return
 			}
 			run.result, run.tally = measureFairness(play, run.firstAttemptOnly), play.Tally
-			run.verdicts = Judge(tape, play.Day.Bounds(0))
+			run.verdicts = CheckRules(tape, play.Day.Bounds(0))
 		}()
 	}
 	workers.Wait()
@@ -336,13 +336,13 @@
 			continue
 		}
 		for _, verdict := range run.verdicts {
-			p.Judged[fmt.Sprintf("rule %d", verdict.Rule)] += verdict.Judged
-			if len(verdict.Broken) > 0 {
-				p.AtMost(float64(len(verdict.Broken)), 0, "rule %d: %s", verdict.Rule, run.name)
-				p.Note("rule %d broken: %s", verdict.Rule, verdict.Broken[0])
+			p.Judged[fmt.Sprintf("rule %d", verdict.Rule)] += verdict.Cases
+			if len(verdict.Violations) > 0 {
+				p.AtMost(float64(len(verdict.Violations)), 0, "rule %d: %s", verdict.Rule, run.name)
+				p.Note("rule %d broken: %s", verdict.Rule, verdict.Violations[0])
 			}
 		}
-		p.AtMost(float64(run.tally.Fronts.Playbacks+int64(run.tally.Unasked)), 0, "left over or unasked: %s", run.name)
+		p.AtMost(float64(run.tally.FrontStats.Playbacks+int64(run.tally.Unsolicited)), 0, "left over or unasked: %s", run.name)
 		if run.dayLines == "" {
 			continue
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -34,19 +34,19 @@
 
 // playWithProcesses plays a day whose session managers are separate processes. check is called at the end of the
 // day, while they still run.
-func playWithProcesses(day *Day, log *zap.Logger, check func(*Processes, *Play) error) (*Processes, *Play, *Tape, error) {
+func playWithProcesses(day *Day, log *zap.Logger, check func(*Processes, *DayRun) error) (*Processes, *DayRun, *Recording, error) {
 	daemon, err := daemonPath()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	var processes *Processes
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play {
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun {
 		if processes, err = NewProcesses(daemon, day, env); err != nil {
 			env.Err = err
 			return nil
 		}
-		return begin(day, env, tape, nil, log, processes)
-	}, func(play *Play) error { return check(processes, play) })
+		return startDay(day, env, tape, nil, log, processes)
+	}, func(play *DayRun) error { return check(processes, play) })
 	if processes != nil {
 		processes.Close()
 	}
@@ -55,14 +55,14 @@
 
 // refusedConnections counts the connection attempts that failed at times when a manager should have accepted them,
 // and describes the first of them.
-func (x *Processes) refusedConnections(play *Play, slack Time) (refused int, firstRefused string) {
-	for _, attempt := range play.Seen {
+func (x *Processes) refusedConnections(play *DayRun, slack Time) (refused int, firstRefused string) {
+	for _, attempt := range play.Results {
 		if attempt.Connected || attempt.State == player.Abandoned || x.expectedDown(attempt.Front, attempt.StartedAt, slack) || x.expectedDown(attempt.Front, attempt.EndedAt, slack) {
 			continue
 		}
 		refused++
 		if firstRefused == "" {
-			firstRefused = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.StartedAt-play.began))
+			firstRefused = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.StartedAt-play.startedAt))
 		}
 	}
 	return refused, firstRefused
@@ -70,14 +70,14 @@
 
 // brokenPlaybacks counts the playbacks that ended before their viewers left, although their session manager was
 // neither killed nor stopped at that time, and describes the first of them.
-func (x *Processes) brokenPlaybacks(play *Play, slack Time) (n int, firstBroken string) {
-	for _, attempt := range play.Seen {
+func (x *Processes) brokenPlaybacks(play *DayRun, slack Time) (n int, firstBroken string) {
+	for _, attempt := range play.Results {
 		if attempt.State != player.Lost || x.expectedDown(attempt.Front, attempt.EndedAt, slack) {
 			continue
 		}
 		n++
 		if firstBroken == "" {
-			firstBroken = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.EndedAt-play.began))
+			firstBroken = fmt.Sprintf("%s at %s (%.3f s into the day)", attempt.ID, x.env.hostNames[attempt.Front], seconds(attempt.EndedAt-play.startedAt))
 		}
 	}
 	return n, firstBroken
@@ -85,8 +85,8 @@
 
 // playbacksAtStops counts the playbacks that were open when their manager was stopped, and those of them whose
 // viewers were stranded: they received neither a redirect nor a retry time.
-func (x *Processes) playbacksAtStops(play *Play) (open, stranded int) {
-	for _, attempt := range play.Seen {
+func (x *Processes) playbacksAtStops(play *DayRun) (open, stranded int) {
+	for _, attempt := range play.Results {
 		for _, inst := range x.instances {
 			if inst.addr != attempt.Front {
 				continue
@@ -133,12 +133,12 @@
 	slack := calmDay.Plans[0].Abandon / 20
 
 	// reloads, stops and upgrades only: nothing may break
-	processes, play, tape, err := playWithProcesses(calmDay, log, func(processes *Processes, _ *Play) error { return p.checkLeftovers(processes, "calm day: ") })
+	processes, play, tape, err := playWithProcesses(calmDay, log, func(processes *Processes, _ *DayRun) error { return p.checkLeftovers(processes, "calm day: ") })
 	if err != nil {
 		return nil, err
 	}
 	p.Note("calm day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
-	p.Note("troubles: %v", play.Tally.ByKind)
+	p.Note("troubles: %v", play.Tally.TroublesByKind)
 	p.checkFleetDay(processes, play, "calm day: ")
 	refused, example := processes.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "calm day: connections refused over reloads, stops and upgrades")
@@ -150,16 +150,16 @@
 	p.Judged["playbacks open at a stop"] = open
 	p.AtMost(float64(stranded), 0, "calm day: viewers that a stop left without a way on")
 	p.AtLeast(float64(open), 1, "calm day: playbacks open at a stop")
-	p.AtLeast(float64(play.Tally.SentOn), 1, "calm day: playing sessions sent on")
-	for _, verdict := range Judge(tape, calmDay.Bounds(slack)) { // not checkRules: this day has no draining and no cold boxes, so some rules have no case
-		p.AtMost(float64(len(verdict.Broken)), 0, "calm day: rule %d broken", verdict.Rule)
-		if len(verdict.Broken) > 0 {
-			p.Note("rule %d: %s", verdict.Rule, verdict.Broken[0])
+	p.AtLeast(float64(play.Tally.RedirectsReceived), 1, "calm day: playing sessions sent on")
+	for _, verdict := range CheckRules(tape, calmDay.Bounds(slack)) { // not checkRules: this day has no draining and no cold boxes, so some rules have no case
+		p.AtMost(float64(len(verdict.Violations)), 0, "calm day: rule %d broken", verdict.Rule)
+		if len(verdict.Violations) > 0 {
+			p.Note("rule %d: %s", verdict.Rule, verdict.Violations[0])
 		}
 	}
 
 	// all kinds of troubles
-	processes, play, tape, err = playWithProcesses(badDay, log, func(processes *Processes, play *Play) error {
+	processes, play, tape, err = playWithProcesses(badDay, log, func(processes *Processes, play *DayRun) error {
 		if err := p.checkLeftovers(processes, "bad day: "); err != nil {
 			return err
 		}
@@ -169,24 +169,24 @@
 		return nil, err
 	}
 	p.Note("bad day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
-	p.Note("troubles: %v", play.Tally.ByKind)
+	p.Note("troubles: %v", play.Tally.TroublesByKind)
 	p.checkFleetDay(processes, play, "bad day: ")
-	p.checkRules(Judge(tape, badDay.Bounds(slack)))
+	p.checkRules(CheckRules(tape, badDay.Bounds(slack)))
 	refused, example = processes.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "bad day: connections refused while a manager was to answer")
 	p.noteUnlessEmpty(example, "refused: ")
 	early := 0
 	for _, entry := range tape.Entries {
-		if entry.Kind == Up && entry.Player {
+		if entry.Kind == ConnOpened && entry.Player {
 			if inst := processes.instances[entry.Front]; inst != nil && slices.ContainsFunc(inst.downtimes, func(downtime span) bool { return downtime.contains(entry.At, -slack) && !inst.stopBegan(downtime) }) {
 				early++
 			}
 		}
 	}
 	p.AtMost(float64(early), 0, "bad day: connections accepted while not ready")
-	p.AtMost(float64(play.Tally.Fell), 0, "bad day: boxes pushed over")
-	p.AtMost(float64(play.Tally.Unasked), 0, "bad day: answers that nothing asked for")
-	p.Judged["playbacks"] = play.Tally.Asked
+	p.AtMost(float64(play.Tally.Crashes), 0, "bad day: boxes pushed over")
+	p.AtMost(float64(play.Tally.Unsolicited), 0, "bad day: answers that nothing asked for")
+	p.Judged["playbacks"] = play.Tally.Attempts
 	return p, nil
 }
 
@@ -197,14 +197,14 @@
 }
 
 // checkFleetDay adds the criteria that every day with processes must meet, and the times that their starts took.
-func (p *Proof) checkFleetDay(processes *Processes, play *Play, prefix string) {
+func (p *Proof) checkFleetDay(processes *Processes, play *DayRun, prefix string) {
 	p.AtMost(float64(len(processes.Failures)), 0, "%sprocesses that ended or failed of themselves", prefix)
 	for n, failure := range processes.Failures {
 		if n < 3 {
 			p.Note("%s", failure)
 		}
 	}
-	p.AtMost(float64(len(processes.day.Troubles)-sumCounts(play.Tally.ByKind)), 0, "%sscripted troubles that were not played", prefix)
+	p.AtMost(float64(len(processes.day.Troubles)-sumCounts(play.Tally.TroublesByKind)), 0, "%sscripted troubles that were not played", prefix)
 	notReady := 0
 	startTimes := map[string][]Time{}
 	for _, start := range processes.Starts {
@@ -242,7 +242,7 @@
 // have no orphaned sessions. It waits for that for a quarter of the session timeout.
 func (p *Proof) checkLeftovers(processes *Processes, prefix string) error {
 	playbacks, orphans := -1, -1
-	for deadline := time.Now().Add(time.Duration(processes.day.Timeout/4) * time.Microsecond); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Duration(processes.day.SessionTimeout/4) * time.Microsecond); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		statuses, err := processes.Statuses()
 		if err != nil {
 			return err
@@ -274,7 +274,7 @@
 }
 
 // restartWithoutRegistry stops the registry, kills a quarter of the managers, and starts them again.
-func (x *Processes) restartWithoutRegistry(play *Play) error {
+func (x *Processes) restartWithoutRegistry(play *DayRun) error {
 	x.env.mu.Lock()
 	x.stopRegistry()
 	restarted := play.fronts[:max(len(play.fronts)/4, 1)]
@@ -312,7 +312,7 @@
 // trouble affects change in proportion.
 func (d *Day) withManagers(managers int) *Day {
 	day := *d
-	day.Rate *= float64(managers) / float64(d.Managers)
+	day.ArrivalRate *= float64(managers) / float64(d.Managers)
 	day.Managers, day.Site.Fronts = managers, managers
 	day.Troubles = slices.Clone(d.Troubles)
 	for i := range day.Troubles {
@@ -422,20 +422,20 @@
 // checkOutage plays a day on which half of the managers are killed at once and return. It compares the day with one
 // on which returning managers don't end the sessions that they had left open at the boxes.
 func (p *Proof) checkOutage(day *Day, log *zap.Logger) {
-	var withRecovery, withoutRecovery *Play
+	var withRecovery, withoutRecovery *DayRun
 	done := make(chan struct{})
 	recovering, plain := *day, *day
-	plain.Recover = false
-	go func() { defer close(done); withoutRecovery, _, _ = Virtual(&plain, nil, log) }()
-	withRecovery, tape, _ := Virtual(&recovering, nil, log)
+	plain.RecoverOrphans = false
+	go func() { defer close(done); withoutRecovery, _, _ = RunVirtual(&plain, nil, log) }()
+	withRecovery, tape, _ := RunVirtual(&recovering, nil, log)
 	<-done
-	for _, verdict := range Judge(tape, day.Bounds(0)) {
-		p.AtMost(float64(len(verdict.Broken)), 0, "outage of half: rule %d broken", verdict.Rule)
+	for _, verdict := range CheckRules(tape, day.Bounds(0)) {
+		p.AtMost(float64(len(verdict.Violations)), 0, "outage of half: rule %d broken", verdict.Rule)
 	}
 	recoveryTally, plainTally := &withRecovery.Tally, &withoutRecovery.Tally
-	p.Note("outage of half of the managers: revenue %.0f with recovery, %.0f without, %.0f offered", recoveryTally.Revenue, plainTally.Revenue, recoveryTally.Offered)
+	p.Note("outage of half of the managers: revenue %.0f with recovery, %.0f without, %.0f offered", recoveryTally.Revenue, plainTally.Revenue, recoveryTally.OfferedRevenue)
 	p.AtLeast(recoveryTally.Revenue/max(plainTally.Revenue, 1), 1, "outage of half: revenue with recovery over that without")
-	p.AtLeast(recoveryTally.Revenue/max(recoveryTally.Offered, 1), 0.8, "outage of half: revenue over all that was offered")
-	p.Note("orphans on the boxes, mean over the day: %.1f with recovery, %.1f without", withRecovery.Orphans, withoutRecovery.Orphans)
-	p.AtMost(withRecovery.Orphans/max(withoutRecovery.Orphans, 1e-9), 0.5, "outage of half: places taken by orphans, over those without recovery")
+	p.AtLeast(recoveryTally.Revenue/max(recoveryTally.OfferedRevenue, 1), 0.8, "outage of half: revenue over all that was offered")
+	p.Note("orphans on the boxes, mean over the day: %.1f with recovery, %.1f without", withRecovery.MeanOrphans, withoutRecovery.MeanOrphans)
+	p.AtMost(withRecovery.MeanOrphans/max(withoutRecovery.MeanOrphans, 1e-9), 0.5, "outage of half: places taken by orphans, over those without recovery")
 }
--- a/internal/lab/found_test.go
+++ b/internal/lab/found_test.go
@@ -51,11 +51,11 @@
 	if _, err := drawRanges("x=3~1", 1); err == nil {
 		t.Error("a range whose lower end is above its upper end was accepted")
 	}
-	out, err := Set("seed 1\nfleet managers=2 boxes=3 # two\nat 1 die\nat 2 drain boxes=1", map[string]string{"fleet.managers": "9", "at 2.boxes": "4", "load.rate": "5"})
+	out, err := SetValues("seed 1\nfleet managers=2 boxes=3 # two\nat 1 die\nat 2 drain boxes=1", map[string]string{"fleet.managers": "9", "at 2.boxes": "4", "load.rate": "5"})
 	if err != nil || out != "seed 1\nfleet managers=9 boxes=3 # two\nat 1 die\nat 2 drain boxes=4\nload rate=5" {
 		t.Errorf("%q %v", out, err)
 	}
-	if _, err := Set("seed 1", map[string]string{"at 3.boxes": "4"}); err == nil {
+	if _, err := SetValues("seed 1", map[string]string{"at 3.boxes": "4"}); err == nil {
 		t.Error("changing a trouble that does not exist gave no error")
 	}
 }
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -15,7 +15,7 @@
 // LoopbackEnvironment plays a day in real time on loopback sockets. Each host has an event loop of its own, as it
 // would have as a process.
 type LoopbackEnvironment struct {
-	tape      *Tape
+	tape      *Recording
 	mu        sync.Mutex
 	hosts     map[string]*loopbackHost
 	hostNames map[string]string // by listening address
@@ -34,7 +34,7 @@
 }
 
 // NewLoopbackEnvironment returns an environment without hosts.
-func NewLoopbackEnvironment(tape *Tape) *LoopbackEnvironment {
+func NewLoopbackEnvironment(tape *Recording) *LoopbackEnvironment {
 	return &LoopbackEnvironment{tape: tape, hosts: map[string]*loopbackHost{}, hostNames: map[string]string{}, stopped: make(chan struct{})}
 }
 
@@ -66,8 +66,8 @@
 	return host
 }
 
-// Player marks a host as a group of players, which has no listener.
-func (l *LoopbackEnvironment) Player(name string) {
+// MarkPlayers marks a host as a group of players, which has no listener.
+func (l *LoopbackEnvironment) MarkPlayers(name string) {
 	host := l.host(name)
 	host.player, host.addr = true, ""
 }
@@ -76,7 +76,7 @@
 func (l *LoopbackEnvironment) Start(name, _ string, build func(core.Net) core.Core) {
 	host := l.host(name)
 	loop, err := edge.New(host.addr, func(network core.Net) core.Core {
-		tapped := &tappedCore{net: network, tape: l.tape, name: name, player: host.player, connTaps: map[*core.Conn]*tap{}, env: l}
+		tapped := &tappedCore{net: network, tape: l.tape, name: name, player: host.player, connTaps: map[*core.Conn]*connTap{}, env: l}
 		tapped.Core = build(tapped)
 		host.core = tapped.Core
 		return tapped
@@ -114,8 +114,8 @@
 	}
 }
 
-// Stand blocks a host's loop for a time.
-func (l *LoopbackEnvironment) Stand(name string, length Time) {
+// Pause blocks a host's loop for a time.
+func (l *LoopbackEnvironment) Pause(name string, length Time) {
 	if host := l.hosts[name]; host.loop != nil && !host.down {
 		host.loop.Post(func() { time.Sleep(time.Duration(length) * time.Microsecond) })
 	}
@@ -151,10 +151,10 @@
 type tappedCore struct {
 	core.Core
 	net       core.Net
-	tape      *Tape
+	tape      *Recording
 	name      string
 	player    bool
-	connTaps  map[*core.Conn]*tap
+	connTaps  map[*core.Conn]*connTap
 	env       *LoopbackEnvironment
 	arrivedAt Time // when the current event reached the process; unlike the current time it is not shifted by a late loop, which would make others look late
 }
@@ -224,8 +224,8 @@
 }
 
 // Loopback plays a day on loopback sockets. The checks run at the end of the day, while all hosts still run.
-func Loopback(day *Day, build func(*LoopbackEnvironment, *Tape) *Play, checks ...func(*Play) error) (*Play, *Tape, error) {
-	tape := &Tape{}
+func Loopback(day *Day, build func(*LoopbackEnvironment, *Recording) *DayRun, checks ...func(*DayRun) error) (*DayRun, *Recording, error) {
+	tape := &Recording{}
 	env := NewLoopbackEnvironment(tape)
 	env.mu.Lock()
 	play := build(env, tape)
@@ -234,7 +234,7 @@
 		return nil, tape, env.Err
 	}
 	time.Sleep(time.Duration(day.Length) * time.Microsecond)
-	for end := play.began + play.Length(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
+	for end := play.startedAt + play.Duration(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
 		open := make(chan int, 1)
 		env.mu.Lock()
 		env.Call("players", func(c core.Core) { open <- c.(*player.Group).Open() })
@@ -250,7 +250,7 @@
 		}
 	}
 	env.mu.Lock()
-	play.End()
+	play.Finish()
 	env.mu.Unlock()
 	env.Drain()
 	env.Close()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -19,21 +19,21 @@
 // request was due, not from when it was sent, so that a load generator that lags does not hide waiting times
 // (coordinated omission).
 type Load struct {
-	To      string // address of the session manager
-	Plan    string
-	Titles  int           // number of different titles
-	Tracks  int           // per playback
-	Rate    float64       // playbacks per second in the first step
-	Grow    float64       // factor of the rate from step to step
-	Step    time.Duration // duration of a step
-	Steps   int           // limit
-	Watch   time.Duration // viewing time of a playback
-	Abandon time.Duration // abandon time of a viewer
-	Target  time.Duration // startup target: a step fails if the 99th percentile exceeds it,
-	Refused float64       // or if more than this share of the playbacks does not play
-	Seed    uint64
-	Control string    // path of the session manager's control socket, to query its status; empty for none
-	Say     io.Writer // receives a line per step; may be nil
+	Addr           string // address of the session manager
+	Plan           string
+	Titles         int           // number of different titles
+	Tracks         int           // per playback
+	Rate           float64       // playbacks per second in the first step
+	Growth         float64       // factor of the rate from step to step
+	StepTime       time.Duration // duration of a step
+	MaxSteps       int           // limit
+	WatchTime      time.Duration // viewing time of a playback
+	AbandonTime    time.Duration // abandon time of a viewer
+	StartupTarget  time.Duration // startup target: a step fails if the 99th percentile exceeds it,
+	MaxFailedShare float64       // or if more than this share of the playbacks does not play
+	Seed           uint64
+	Control        string    // path of the session manager's control socket, to query its status; empty for none
+	Output         io.Writer // receives a line per step; may be nil
 }
 
 // Step is the result of one step.
@@ -51,7 +51,7 @@
 
 // withinLimits reports whether the manager met the startup target and played a sufficient share of the playbacks.
 func (step *Step) withinLimits(load *Load) bool {
-	return step.Asked > 0 && step.P99 <= load.Target && float64(step.Asked-step.Played) <= load.Refused*float64(step.Asked)
+	return step.Asked > 0 && step.P99 <= load.StartupTarget && float64(step.Asked-step.Played) <= load.MaxFailedShare*float64(step.Asked)
 }
 
 // Run runs the steps until one fails, which is then the last of the result.
@@ -68,7 +68,7 @@
 	rng := rand.New(rand.NewPCG(load.Seed, 0x10ad))
 	var steps []Step
 	rate, playbackCount := load.Rate, 0
-	for range load.Steps {
+	for range load.MaxSteps {
 		step := Step{Rate: rate}
 		histogram := hdrhistogram.New(1, 600_000_000, 3)
 		dueAt := map[string]core.Time{}
@@ -102,14 +102,14 @@
 		}
 		startedAt := edge.Now()
 		nextDue := startedAt
-		for nextDue < startedAt+load.Step.Microseconds() {
+		for nextDue < startedAt+load.StepTime.Microseconds() {
 			if delay := nextDue - edge.Now(); delay > 0 {
 				time.Sleep(time.Duration(delay) * time.Microsecond)
 			}
 			due := nextDue
 			playbackCount++
-			profile := &player.Profile{ID: "load-" + strconv.Itoa(playbackCount), Fronts: []string{load.To}, Plan: load.Plan, Title: "t" + strconv.Itoa(rng.IntN(load.Titles)),
-				TopRung: 99, Tracks: load.Tracks, WatchTime: load.Watch.Microseconds(), AbandonTime: load.Abandon.Microseconds()}
+			profile := &player.Profile{ID: "load-" + strconv.Itoa(playbackCount), Fronts: []string{load.Addr}, Plan: load.Plan, Title: "t" + strconv.Itoa(rng.IntN(load.Titles)),
+				TopRung: 99, Tracks: load.Tracks, WatchTime: load.WatchTime.Microseconds(), AbandonTime: load.AbandonTime.Microseconds()}
 			loop.Post(func() {
 				step.MaxLag = max(step.MaxLag, time.Duration(edge.Now()-due)*time.Microsecond)
 				step.Asked++
@@ -129,7 +129,7 @@
 		}
 		for open := 1; open > 0; time.Sleep(10 * time.Millisecond) { // wait until all playbacks have ended, or stop waiting
 			loop.Do(func() { open = unfinished })
-			if edge.Now() > startedAt+(load.Step+2*load.Abandon+load.Watch).Microseconds() {
+			if edge.Now() > startedAt+(load.StepTime+2*load.AbandonTime+load.WatchTime).Microseconds() {
 				break
 			}
 		}
@@ -138,13 +138,13 @@
 		}
 		step.P50, step.P90, step.P99, step.Max = quantile(50), quantile(90), quantile(99), time.Duration(histogram.Max())*time.Microsecond
 		steps = append(steps, step)
-		if load.Say != nil {
-			fmt.Fprintln(load.Say, step.String())
+		if load.Output != nil {
+			fmt.Fprintln(load.Output, step.String())
 		}
 		if !step.withinLimits(load) {
 			break
 		}
-		rate *= load.Grow
+		rate *= load.Growth
 	}
 	return steps, nil
 }
@@ -172,8 +172,8 @@
 	return text
 }
 
-// GaveOut describes what limited the last step, and the rate of the last step that was within the limits.
-func (load *Load) GaveOut(steps []Step) string {
+// Bottleneck describes what limited the last step, and the rate of the last step that was within the limits.
+func (load *Load) Bottleneck(steps []Step) string {
 	if len(steps) == 0 {
 		return "no step was taken"
 	}
@@ -183,7 +183,7 @@
 	}
 	cause := "time to the first packet"
 	switch {
-	case last.MaxLag > load.Target/4:
+	case last.MaxLag > load.StartupTarget/4:
 		cause = "the load itself: it fell behind, and the figures of this step say little of the session manager"
 	case last.Status != nil && last.Status.DescriptorRejects > 0:
 		cause = "descriptors of the session manager"
@@ -193,11 +193,11 @@
 		cause = "the session manager's time: it sheds, as it is late with its work"
 	case last.Status != nil && last.CPU > 0.9:
 		cause = "the session manager's processor"
-	case last.Refused > last.Failed+last.Abandoned && float64(last.Refused) > load.Refused*float64(last.Asked):
+	case last.Refused > last.Failed+last.Abandoned && float64(last.Refused) > load.MaxFailedShare*float64(last.Asked):
 		cause = "room: playbacks are refused"
 	case last.Abandoned > last.Failed:
 		cause = "answers: players gave up"
-	case last.Failed > 0 && float64(last.Asked-last.Played) > load.Refused*float64(last.Asked):
+	case last.Failed > 0 && float64(last.Asked-last.Played) > load.MaxFailedShare*float64(last.Asked):
 		cause = "tries: playbacks failed"
 	}
 	held := "already the first step was too much"
--- a/internal/lab/moved_test.go
+++ b/internal/lab/moved_test.go
@@ -23,10 +23,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			run, recording, _ := Virtual(day, nil, zap.NewNop())
-			for _, verdict := range Judge(recording, day.Bounds(0)) {
-				if !verdict.Kept() {
-					t.Errorf("rule %d: %d cases, violations: %v", verdict.Rule, verdict.Judged, verdict.Broken)
+			run, recording, _ := RunVirtual(day, nil, zap.NewNop())
+			for _, verdict := range CheckRules(recording, day.Bounds(0)) {
+				if !verdict.Passed() {
+					t.Errorf("rule %d: %d cases, violations: %v", verdict.Rule, verdict.Cases, verdict.Violations)
 				}
 			}
 			retries, probes, rejected := 0, 0, 0
@@ -40,9 +40,9 @@
 					rejected++
 				}
 			}
-			if (retries > 0) != expectOpen || (probes > 0) != expectOpen || (rejected > 0) == expectOpen || run.Tally.Played == 0 || run.Odd > 0 {
+			if (retries > 0) != expectOpen || (probes > 0) != expectOpen || (rejected > 0) == expectOpen || run.Tally.Played == 0 || run.Inconsistencies > 0 {
 				t.Errorf("%d responses with Retry-After, %d probes, %d rejections without, %d played, %v", retries, probes, rejected,
-					run.Tally.Played, run.Oddities)
+					run.Tally.Played, run.InconsistencyNotes)
 			}
 		})
 	}
--- a/internal/lab/notation.go
+++ b/internal/lab/notation.go
@@ -17,7 +17,7 @@
 )
 
 //go:embed days/*.day
-var library embed.FS
+var libraryFS embed.FS
 
 // Day is one scripted day: a fleet, its load, and the troubles that occur during it. The notation has a line for each
 // item with `key=value` words, times in seconds, and `#` before a comment:
@@ -32,33 +32,33 @@
 //	door waiting=500 order=fair longest=0
 //	at 5 die boxes=2 for=6
 type Day struct {
-	figures bool   // session managers collect quality measures
-	doors   *doors // nil if no directory and TLS are used
-	Name    string
-	Text    string                     // the day's text with its ranges, as read
-	Told    func(*front.PlaybackTrace) // called for each answered playback, if not nil
-	Policy  string                     // name of a baseline used in place of the module; empty for the module
-	Seed    uint64
+	countQuality bool       // session managers collect quality measures
+	doors        *accessDay // nil if no directory and TLS are used
+	Name         string
+	Text         string                     // the day's text with its ranges, as read
+	OnAnswered   func(*front.PlaybackTrace) // called for each answered playback, if not nil
+	Policy       string                     // name of a baseline used in place of the module; empty for the module
+	Seed         uint64
 
 	Managers, Boxes, Zones, Racks int
-	Frame                         mediabox.Config // for each box, except its name, rack and start time
+	BoxConfig                     mediabox.Config // for each box, except its name, rack and start time
 	UplinkKB                      float64
 	NoticeSpread                  Time // longest delay until a list update reaches a manager
 	LossNoticeDelay               Time // time until the list reports a box that ended
 	LoadByProbes                  bool
-	Silent                        bool // no response has Retry-After
+	OmitRetryAfter                bool // no response has Retry-After
 
-	Plans   []DayPlan
-	Site    session.Site
-	Grace   Time
-	Timeout Time
+	Plans          []DayPlan
+	Site           session.Site
+	DrainGrace     Time
+	SessionTimeout Time
 
-	Rate, ZipfExponent float64
-	Length             Time
-	Titles             int
-	MaxRetries         int
-	RetryDelay         Time
-	SmallScreenShare   float64
+	ArrivalRate, ZipfExponent float64
+	Length                    Time
+	Titles                    int
+	MaxRetries                int
+	RetryDelay                Time
+	SmallScreenShare          float64
 
 	Links    Links
 	Troubles []Trouble
@@ -66,10 +66,10 @@
 	Tenants []DayTenant // if there are any, they make up the load
 	Queue   *fair.Config
 
-	Processes bool         // some troubles need managers as separate processes
-	Recover   bool         // restarted managers end the sessions that they left at boxes
-	Drain     Time         // of processes that are stopped or upgraded
-	Registry  *DayRegistry // nil if list updates reach managers without a registry
+	Processes      bool         // some troubles need managers as separate processes
+	RecoverOrphans bool         // restarted managers end the sessions that they left at boxes
+	DrainTimeout   Time         // of processes that are stopped or upgraded
+	Registry       *DayRegistry // nil if list updates reach managers without a registry
 }
 
 // DayTenant is a tenant, or Count tenants alike, with the arrivals and behaviour of its viewers.
@@ -81,8 +81,8 @@
 	Addresses   int
 	ExactShare  float64 // share of the viewers that retry at the time given
 	EarlyShare  float64 // share that retry at half of that time; the others do not retry
-	Flood       bool    // sends more than its share on purpose
-	Lone        bool    // sends little, so that its waiting time is measured
+	Floods      bool    // sends more than its share on purpose
+	Light       bool    // sends little, so that its waiting time is measured
 }
 
 // DayPlan is a plan with its share of the viewers and the range of their watch times.
@@ -94,7 +94,7 @@
 
 // Trouble is one scripted fault or change of load.
 type Trouble struct {
-	At, For          Time
+	At, Duration     Time
 	Kind             string
 	Boxes, Managers  int
 	Share, Magnitude float64
@@ -108,7 +108,7 @@
 
 // Library returns a day that is embedded in the program.
 func Library(name string) (*Day, error) {
-	text, err := library.ReadFile("days/" + name + ".day")
+	text, err := libraryFS.ReadFile("days/" + name + ".day")
 	if err != nil {
 		return nil, fmt.Errorf("the library has no day %q", name)
 	}
@@ -226,12 +226,12 @@
 			d.Seed = seed
 		}
 	}
-	return d.With(d.Seed)
+	return d.WithSeed(d.Seed)
 }
 
 // parse reads a day whose ranges are drawn already.
 func parse(name, text string) (*Day, error) {
-	d := &Day{Name: name, Seed: 1, Managers: 1, Boxes: 1, Zones: 1, Racks: 1, Recover: true, Drain: 5 * core.Second}
+	d := &Day{Name: name, Seed: 1, Managers: 1, Boxes: 1, Zones: 1, Racks: 1, RecoverOrphans: true, DrainTimeout: 5 * core.Second}
 	d.parseFleet(splitLine("fleet"))
 	d.parseTerms(splitLine("terms"))
 	d.parseLoad(splitLine("load"))
@@ -264,9 +264,9 @@
 		case "door":
 			d.parseDoor(w)
 		case "life":
-			d.Recover, d.Drain = w.count("recover", 1) > 0, w.duration("drain", 5)
+			d.RecoverOrphans, d.DrainTimeout = w.count("recover", 1) > 0, w.duration("drain", 5)
 		case "registry":
-			d.Registry = &DayRegistry{Lease: w.duration("lease", 2), Timeout: w.duration("timeout", 0.5), Way: w.duration("way", 0.002)}
+			d.Registry = &DayRegistry{Lease: w.duration("lease", 2), Timeout: w.duration("timeout", 0.5), Latency: w.duration("way", 0.002)}
 		case "at":
 			d.parseTrouble(w)
 		default:
@@ -288,7 +288,7 @@
 	if d.Policy != "" && baselines[d.Policy] == nil {
 		return nil, fmt.Errorf("%s: unknown baseline %q: expected one of %s", name, d.Policy, strings.Join(Baselines(), ", "))
 	}
-	if len(d.Plans) == 0 || len(d.Frame.LadderKB) == 0 || d.Managers < 1 || d.Boxes < 1 || d.Zones < 1 || d.Racks < 1 {
+	if len(d.Plans) == 0 || len(d.BoxConfig.LadderKB) == 0 || d.Managers < 1 || d.Boxes < 1 || d.Zones < 1 || d.Racks < 1 {
 		return nil, fmt.Errorf("%s: a day needs a ladder, a plan, and at least one manager, box, zone and rack", name)
 	}
 	d.finish()
@@ -298,7 +298,7 @@
 func (d *Day) parseFleet(w *lineWords) {
 	d.Managers, d.Boxes = w.count("managers", d.Managers), w.count("boxes", d.Boxes)
 	d.Zones, d.Racks = w.count("zones", d.Zones), w.count("racks", d.Racks)
-	config := &d.Frame
+	config := &d.BoxConfig
 	config.MaxSessions = w.count("places", 30)
 	config.LinkKB, d.UplinkKB = w.number("link", 1000), w.number("uplink", 3000)
 	config.RejectFromLoad = w.number("fullfrom", 0)
@@ -316,12 +316,12 @@
 		w.fail("expected the rates, separated by commas")
 		return
 	}
-	d.Frame.LadderKB = w.numbers(w.positional[0])
+	d.BoxConfig.LadderKB = w.numbers(w.positional[0])
 	d.Site.Ladder.RevenueShare = w.numbers(w.text("worth", ""))
-	if len(d.Site.Ladder.RevenueShare) != len(d.Frame.LadderKB) {
+	if len(d.Site.Ladder.RevenueShare) != len(d.BoxConfig.LadderKB) {
 		w.fail("worth= needs one number for each rate")
 	}
-	d.Frame.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.duration("change", 0.5)
+	d.BoxConfig.Join, d.Site.Ladder.RungChangeCost = w.number("join", 1), w.duration("change", 0.5)
 }
 
 func (d *Day) parsePlan(w *lineWords) {
@@ -355,7 +355,7 @@
 }
 
 func (d *Day) parseTerms(w *lineWords) {
-	terms, config := &d.Site.Terms, &d.Frame
+	terms, config := &d.Site.Terms, &d.BoxConfig
 	terms.ColdShare, terms.WarmUp = w.number("coldfrom", 0.3), w.duration("warmup", 6)
 	terms.ColdMultiple, terms.ColdSpan = w.number("fallmultiple", 4), w.duration("fallspan", 1)
 	terms.ListDeadline, terms.MaxTries = w.duration("askwithin", 10), w.count("tries", 4)
@@ -363,19 +363,19 @@
 	terms.RetriesLimited = w.values["tryshare"] != "" || w.values["freetries"] != ""
 	terms.FreeRetries, terms.RetryShare, terms.RetrySpan = w.number("freetries", 0), w.number("tryshare", 0), w.duration("tryspan", 10)
 	terms.Probes = w.count("probes", 1) > 0
-	if d.Silent = w.count("advice", 1) == 0; d.Silent {
+	if d.OmitRetryAfter = w.count("advice", 1) == 0; d.OmitRetryAfter {
 		terms.MaxRetryAfter = 0
 	}
-	d.Grace, d.Timeout = w.duration("grace", 0.25), w.duration("timeout", 20)
+	d.DrainGrace, d.SessionTimeout = w.duration("grace", 0.25), w.duration("timeout", 20)
 	d.Site.Prices = session.Prices{CrossZone: w.number("crosszone", 0.02), Move: w.number("move", 0.05),
 		Probe: w.number("probe", 0.01), OverQuota: 0.1,
 		WorstPlan: w.number("worstplan", 0)}
 	config.ColdCapacity, config.WarmUp, config.CrashMultiple, config.CrashWindow = terms.ColdShare, terms.WarmUp, terms.ColdMultiple, terms.ColdSpan
-	config.SessionTimeout = d.Timeout
+	config.SessionTimeout = d.SessionTimeout
 }
 
 func (d *Day) parseLoad(w *lineWords) {
-	d.Rate, d.Length = w.number("rate", 20), w.duration("length", 20)
+	d.ArrivalRate, d.Length = w.number("rate", 20), w.duration("length", 20)
 	d.Titles, d.ZipfExponent = w.count("titles", 40), w.number("zipf", 0.8)
 	d.MaxRetries, d.RetryDelay = w.count("returns", 1), w.duration("break", 0.7)
 	d.SmallScreenShare = w.number("small", 0.2)
@@ -396,7 +396,7 @@
 		w.fail("expected a time and a known kind of trouble, not %q", strings.Join(w.positional, " "))
 		return
 	}
-	d.Troubles = append(d.Troubles, Trouble{At: Time(at * 1e6), For: w.duration("for", 5), Kind: w.positional[1],
+	d.Troubles = append(d.Troubles, Trouble{At: Time(at * 1e6), Duration: w.duration("for", 5), Kind: w.positional[1],
 		Boxes: w.countOrShare("boxes", d.Boxes), Managers: w.countOrShare("managers", d.Managers), Share: w.number("part", 1),
 		Magnitude: w.number("size", 2)})
 }
@@ -408,7 +408,7 @@
 	}
 	d.Tenants = append(d.Tenants, DayTenant{Name: w.positional[0], Count: w.count("count", 1), Rate: w.number("rate", 1), From: w.duration("from", 0),
 		Until: w.duration("until", 1e6), Addresses: max(w.count("addresses", 1), 1), ExactShare: w.number("exact", 1), EarlyShare: w.number("early", 0),
-		Flood: w.count("flood", 0) > 0, Lone: w.count("lone", 0) > 0})
+		Floods: w.count("flood", 0) > 0, Light: w.count("lone", 0) > 0})
 }
 
 func (d *Day) parseDoor(w *lineWords) {
@@ -428,28 +428,28 @@
 // finish fills in the fields that follow from others.
 func (d *Day) finish() {
 	d.Site.Fronts = d.Managers
-	d.Site.Ladder.RateKB, d.Site.Ladder.Join = d.Frame.LadderKB, d.Frame.Join
-	d.Site.Fleet = session.Fleet{Cells: d.Boxes, Racks: d.Racks, TotalLinkKB: d.Frame.LinkKB * float64(d.Boxes),
-		UplinkKB: d.UplinkKB, KBPerWeight: d.Frame.LinkKB, WeightsListed: true, MaxStreams: []float64{float64(d.Frame.MaxSessions)},
-		RefusalFill: d.Frame.RejectFromLoad, NoteDelay: d.Frame.NoteDelay, NoteInterval: d.Frame.NoteInterval,
-		LoadInAnswers: !d.LoadByProbes, LoadInProbes: true, UplinkUnreported: d.Frame.OmitUplinkLoad}
+	d.Site.Ladder.RateKB, d.Site.Ladder.Join = d.BoxConfig.LadderKB, d.BoxConfig.Join
+	d.Site.Fleet = session.Fleet{Cells: d.Boxes, Racks: d.Racks, TotalLinkKB: d.BoxConfig.LinkKB * float64(d.Boxes),
+		UplinkKB: d.UplinkKB, KBPerWeight: d.BoxConfig.LinkKB, WeightsListed: true, MaxStreams: []float64{float64(d.BoxConfig.MaxSessions)},
+		RefusalFill: d.BoxConfig.RejectFromLoad, NoteDelay: d.BoxConfig.NoteDelay, NoteInterval: d.BoxConfig.NoteInterval,
+		LoadInAnswers: !d.LoadByProbes, LoadInProbes: true, UplinkUnreported: d.BoxConfig.OmitUplinkLoad}
 	if d.LoadByProbes {
 		d.Site.Fleet.NoteInterval = 0
 	}
 	for i := range d.Site.Plans {
 		sitePlan := &d.Site.Plans[i]
-		sitePlan.Top = min(sitePlan.Top, len(d.Frame.LadderKB)-1)
+		sitePlan.Top = min(sitePlan.Top, len(d.BoxConfig.LadderKB)-1)
 		boxPlan := mediabox.Plan{Name: d.Plans[i].Name, RateFactor: sitePlan.RateFactor, Live: sitePlan.Live}
 		for _, track := range d.Plans[i].Tracks {
 			boxPlan.Tracks = append(boxPlan.Tracks, track.Media)
 		}
-		d.Frame.Plans = append(d.Frame.Plans, boxPlan)
+		d.BoxConfig.Plans = append(d.BoxConfig.Plans, boxPlan)
 	}
 }
 
 // Bounds returns the figures that the rules are checked against.
 func (d *Day) Bounds(orderTolerance Time) *Bounds {
-	bounds := &Bounds{Site: d.Site, Grace: d.Grace, MaxSessions: d.Frame.MaxSessions, OrderTolerance: orderTolerance,
+	bounds := &Bounds{Site: d.Site, DrainGrace: d.DrainGrace, MaxSessions: d.BoxConfig.MaxSessions, OrderTolerance: orderTolerance,
 		MaxTravel: 4 * (d.Links.Latency + d.Links.Jitter + d.Links.CrossZone)}
 	for _, plan := range d.Plans {
 		bounds.Plans, bounds.AbandonTimes = append(bounds.Plans, plan.Name), append(bounds.AbandonTimes, plan.Abandon)
--- a/internal/lab/processes.go
+++ b/internal/lab/processes.go
@@ -28,7 +28,7 @@
 	dir          string // of settings, sockets and stored state
 	spawner      *spawner
 	day          *Day
-	play         *Play
+	play         *DayRun
 	env          *LoopbackEnvironment
 	store        *standin.Store
 	server       *standin.Server
@@ -149,12 +149,12 @@
 	if terms.RetriesLimited {
 		retryLimit = fmt.Sprintf("rationed = true\nfree_tries = %g\ntry_share = %g\ntry_span = \"%dus\"", terms.FreeRetries, terms.RetryShare, terms.RetrySpan)
 	}
-	if d.Silent {
+	if d.OmitRetryAfter {
 		retryAdvice = "advice = false"
 	}
-	settings := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.Timeout, playbacks, endpoint, d.Grace,
-		drain, formatFloats(d.Frame.LadderKB), formatFloats(d.Site.Ladder.RevenueShare), d.Frame.Join, d.Site.Ladder.RungChangeCost, fleet.Cells, fleet.Racks, fleet.TotalLinkKB,
-		fleet.UplinkKB, fleet.KBPerWeight, fleet.RefusalFill, fleet.NoteDelay, fleet.NoteInterval, d.Frame.MaxSessions, terms.ColdShare, terms.WarmUp, terms.ColdMultiple, terms.ColdSpan,
+	settings := fmt.Sprintf(processTemplate, listen, name, d.Managers, zone, strings.Join(zones, ", "), d.SessionTimeout, playbacks, endpoint, d.DrainGrace,
+		drain, formatFloats(d.BoxConfig.LadderKB), formatFloats(d.Site.Ladder.RevenueShare), d.BoxConfig.Join, d.Site.Ladder.RungChangeCost, fleet.Cells, fleet.Racks, fleet.TotalLinkKB,
+		fleet.UplinkKB, fleet.KBPerWeight, fleet.RefusalFill, fleet.NoteDelay, fleet.NoteInterval, d.BoxConfig.MaxSessions, terms.ColdShare, terms.WarmUp, terms.ColdMultiple, terms.ColdSpan,
 		terms.MaxTries, retryLimit, retryAdvice, prices.CrossZone, prices.Move, prices.Probe, prices.OverQuota)
 	repeats := map[session.Repeat]string{session.Harmless: "harmless", session.Keyed: "keyed", session.Unsafe: "unsafe"}
 	for i, plan := range d.Plans {
@@ -212,16 +212,16 @@
 		dir := filepath.Join(x.dir, manager.name)
 		addr, err := freePort(x.play.rng)
 		inst = &instance{name: manager.name, file: filepath.Join(dir, "pierlink.toml"), addr: addr, front: manager}
-		settings := x.day.settingsText(addr, manager.name, manager.zone, x.registryAddr, 2000, x.day.Drain)
+		settings := x.day.settingsText(addr, manager.name, manager.zone, x.registryAddr, 2000, x.day.DrainTimeout)
 		if err := errors.Join(err, os.MkdirAll(dir, 0o700), os.WriteFile(inst.file, []byte(settings), 0o600)); err != nil {
 			x.Failures = append(x.Failures, err.Error())
 		}
 		x.instances[manager.name] = inst
 		x.env.host(manager.name).addr = addr
 		x.env.hostNames[addr] = manager.name
-		inst.downtimes = append(inst.downtimes, span{x.env.Now(), never})
+		inst.downtimes = append(inst.downtimes, span{x.env.Now(), farFuture})
 	} else {
-		x.play.tape.Began(x.env.Now(), manager.name, 0)
+		x.play.recording.RecordStart(x.env.Now(), manager.name, 0)
 	}
 	x.mu.Unlock()
 	x.launch(inst, again)
@@ -281,7 +281,7 @@
 				x.Starts = append(x.Starts, Start{Name: inst.name, StartedAt: process.startedAt, ReadyAt: readyAt, RegistryDown: registryDown, Restart: again})
 				if takesOver {
 					inst.serving, inst.successor = process, nil
-				} else if count := len(inst.downtimes); count > 0 && inst.downtimes[count-1].To == never {
+				} else if count := len(inst.downtimes); count > 0 && inst.downtimes[count-1].To == farFuture {
 					inst.downtimes[count-1].To = readyAt
 				}
 				inst.responsive = true
@@ -314,13 +314,13 @@
 // recordAllStates records on the tape that an instance knows the current states of all boxes.
 func (x *Processes) recordAllStates(inst *instance, at Time) {
 	for _, name := range sortedKeys(x.boxStates) {
-		x.play.tape.Told(at, inst.name, name, x.boxStates[name], 0)
+		x.play.recording.RecordState(at, inst.name, name, x.boxStates[name], 0)
 	}
 }
 
 // Stores the current state of a box in the registry. On the tape, all running managers know it from now on: the
 // registry's delivery time counts as theirs.
-func (x *Processes) box(box *boxState) {
+func (x *Processes) putBox(box *boxState) {
 	key := registry.BoxesPrefix + box.name
 	if box.state == session.Gone {
 		x.store.Put(map[string][]byte{key: nil})
@@ -340,7 +340,7 @@
 	now := x.env.Now()
 	for _, name := range sortedKeys(x.instances) {
 		if inst := x.instances[name]; inst.responsive {
-			x.play.tape.Told(now, name, box.name, box.state, box.started)
+			x.play.recording.RecordState(now, name, box.name, box.state, box.started)
 		}
 	}
 }
@@ -351,7 +351,7 @@
 	inst := x.instances[manager.name]
 	process := inst.serving
 	now := x.env.Now()
-	inst.downtimes = append(inst.downtimes, span{now, never})
+	inst.downtimes = append(inst.downtimes, span{now, farFuture})
 	inst.responsive = false
 	process.stopRequested = true
 	successor := inst.successor
@@ -359,7 +359,7 @@
 		successor.stopRequested = true
 	}
 	x.mu.Unlock()
-	x.play.tape.Killed(now, manager.name)
+	x.play.recording.RecordKill(now, manager.name)
 	process.signal(syscall.SIGKILL)
 	if successor != nil {
 		successor.signal(syscall.SIGKILL)
@@ -367,7 +367,7 @@
 }
 
 // Pauses a process by SIGSTOP for a time. It learns of changes made in that time when it resumes.
-func (x *Processes) stand(manager *frontState, length Time) {
+func (x *Processes) pause(manager *frontState, length Time) {
 	x.mu.Lock()
 	inst := x.instances[manager.name]
 	process, now := inst.serving, x.env.Now()
@@ -376,7 +376,7 @@
 		return
 	}
 	inst.pauses = append(inst.pauses, span{now, now + length})
-	x.play.tape.Stood(now, now+length, manager.name)
+	x.play.recording.RecordPause(now, now+length, manager.name)
 	inst.responsive = false
 	if inst.successor != nil { // it may time out waiting for the handover
 		inst.successor.stopRequested = true
@@ -395,7 +395,7 @@
 }
 
 // Plays a trouble that only separate processes can have.
-func (x *Processes) trouble(manager *frontState, trouble Trouble) {
+func (x *Processes) playTrouble(manager *frontState, trouble Trouble) {
 	x.mu.Lock()
 	inst := x.instances[manager.name]
 	process := inst.serving
@@ -407,7 +407,7 @@
 	now := x.env.Now()
 	switch trouble.Kind {
 	case "reload", "bad-reload":
-		drain, playbacks := x.day.Drain, 1000+x.play.rng.IntN(1000)
+		drain, playbacks := x.day.DrainTimeout, 1000+x.play.rng.IntN(1000)
 		settings := x.day.settingsText(inst.addr, inst.name, manager.zone, x.registryAddr, playbacks, drain)
 		if trouble.Kind == "bad-reload" {
 			settings = strings.Replace(settings, "max_tries = ", "max_tries = 7", 1)
@@ -425,8 +425,8 @@
 		x.mu.Lock()
 		process.stopRequested = true
 		manager.up = false
-		inst.downtimes = append(inst.downtimes, span{now, never})
-		inst.stops = append(inst.stops, span{now, never})
+		inst.downtimes = append(inst.downtimes, span{now, farFuture})
+		inst.stops = append(inst.stops, span{now, farFuture})
 		stopIndex := len(inst.stops) - 1
 		x.mu.Unlock()
 		process.signal(syscall.SIGTERM)
@@ -437,7 +437,7 @@
 			inst.stops[stopIndex].To = endedAt
 			inst.responsive = false
 			x.mu.Unlock()
-			x.env.At(endedAt+trouble.For, func() { x.play.startFront(manager) })
+			x.env.At(endedAt+trouble.Duration, func() { x.play.startFront(manager) })
 		}()
 	case "upgrade":
 		x.mu.Lock()
--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -36,7 +36,7 @@
 // The sizes of a proof, from the shortest to the longest.
 const (
 	Small Size = iota
-	Usual
+	Normal
 	Full
 )
 
@@ -72,9 +72,9 @@
 // checkRules adds a criterion for each rule: no violation, and at least one case judged.
 func (p *Proof) checkRules(verdicts []Verdict) {
 	for _, verdict := range verdicts {
-		p.Judged[fmt.Sprintf("rule %d", verdict.Rule)] = verdict.Judged
-		p.Check(verdict.Kept(), float64(len(verdict.Broken)), "0 broken, 1 or more judged", "rule %d: %s", verdict.Rule, verdict.Name)
-		for i, violation := range verdict.Broken {
+		p.Judged[fmt.Sprintf("rule %d", verdict.Rule)] = verdict.Cases
+		p.Check(verdict.Passed(), float64(len(verdict.Violations)), "0 broken, 1 or more judged", "rule %d: %s", verdict.Rule, verdict.Name)
+		for i, violation := range verdict.Violations {
 			if i < 5 {
 				p.Note("rule %d broken: %s", verdict.Rule, violation)
 			}
@@ -101,7 +101,7 @@
 // withRateFactor returns a copy of a day with its rate of playbacks multiplied by a factor.
 func (d *Day) withRateFactor(factor float64) *Day {
 	day := *d
-	day.Rate *= factor
+	day.ArrivalRate *= factor
 	return &day
 }
 
@@ -120,7 +120,7 @@
 		day, least = day.withRateFactor(2), 4000
 	}
 	p := &Proof{Name: "path", Seed: seed, Judged: map[string]int{}}
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play { return Begin(day, env, tape, nil, log) })
+	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun { return StartDay(day, env, tape, nil, log) })
 	if err != nil {
 		return nil, err
 	}
@@ -129,25 +129,25 @@
 }
 
 // noteWorth adds a note with the worth of a day and its parts.
-func (p *Proof) noteWorth(worth *Worth) {
+func (p *Proof) noteWorth(worth *Score) {
 	p.Note("worth %.3f: whole %.3f, worst 10 s %.3f, worst plan %.3f, prices %.3f; at most %.3f by what links give", worth.Goal, worth.Whole, worth.Worst,
 		worth.WorstPlan, worth.Prices, worth.Best)
 }
 
 // checkDay adds the criteria that every day with troubles must meet.
-func (p *Proof) checkDay(play *Play, tape *Tape, day *Day, slack Time, least float64) {
+func (p *Proof) checkDay(play *DayRun, tape *Recording, day *Day, slack Time, least float64) {
 	tally := &play.Tally
 	p.Note("%s", tally.Summary())
-	p.Note("troubles played: %v", tally.ByKind)
-	p.checkRules(Judge(tape, day.Bounds(slack)))
-	p.AtLeast(float64(tally.Asked), least, "playbacks asked for")
-	p.AtLeast(float64(tally.Played)/float64(max(tally.Asked, 1)), 0.4, "part of them that played")
-	p.AtMost(float64(tally.Unasked), 0, "answers that nothing asked for")
-	p.AtMost(float64(tally.Fell), 0, "boxes pushed over")
-	p.AtMost(float64(tally.Fronts.Overdue), 0, "answers in the module's place")
-	p.AtMost(float64(tally.Fronts.Playbacks), 0, "playbacks left over at the managers")
-	p.AtMost(float64(len(day.Troubles)-sumCounts(tally.ByKind)), 0, "scripted troubles that were not played")
-	p.Judged["playbacks"], p.Judged["troubles"] = tally.Asked, sumCounts(tally.ByKind)
+	p.Note("troubles played: %v", tally.TroublesByKind)
+	p.checkRules(CheckRules(tape, day.Bounds(slack)))
+	p.AtLeast(float64(tally.Attempts), least, "playbacks asked for")
+	p.AtLeast(float64(tally.Played)/float64(max(tally.Attempts, 1)), 0.4, "part of them that played")
+	p.AtMost(float64(tally.Unsolicited), 0, "answers that nothing asked for")
+	p.AtMost(float64(tally.Crashes), 0, "boxes pushed over")
+	p.AtMost(float64(tally.FrontStats.Overdue), 0, "answers in the module's place")
+	p.AtMost(float64(tally.FrontStats.Playbacks), 0, "playbacks left over at the managers")
+	p.AtMost(float64(len(day.Troubles)-sumCounts(tally.TroublesByKind)), 0, "scripted troubles that were not played")
+	p.Judged["playbacks"], p.Judged["troubles"] = tally.Attempts, sumCounts(tally.TroublesByKind)
 }
 
 // sumCounts returns the sum of a map's values.
@@ -163,9 +163,9 @@
 func proveVirtual(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "path-virtual", Seed: seed, Judged: map[string]int{}}
 	type run struct {
-		play  *Play
-		tape  *Tape
-		world *World
+		play  *DayRun
+		tape  *Recording
+		world *VirtualNet
 	}
 	var runs [2]run
 	var wait sync.WaitGroup
@@ -184,7 +184,7 @@
 		go func() {
 			defer wait.Done()
 			dayCopy := *day
-			runs[i].play, runs[i].tape, runs[i].world = Virtual(&dayCopy, nil, log)
+			runs[i].play, runs[i].tape, runs[i].world = RunVirtual(&dayCopy, nil, log)
 		}()
 	}
 	wait.Wait()
@@ -197,15 +197,15 @@
 	}
 	p.Check(sameDigest == 1, sameDigest, "1", "two runs of one seed give one digest")
 	p.Judged["splits"], p.Judged["cuts"] = first.world.Splits, first.world.Cuts
-	p.Note("digest %016x; %.1f s of day in %.1f s", first.world.Digest(), float64(first.play.Length())/float64(core.Second), took)
+	p.Note("digest %016x; %.1f s of day in %.1f s", first.world.Digest(), float64(first.play.Duration())/float64(core.Second), took)
 	return p, nil
 }
 
 // PlayDay plays a day and judges the rules. A rule of which no case came up is noted and does not fail the day.
 func PlayDay(day *Day, virtual bool, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: day.Name, Seed: day.Seed, Judged: map[string]int{}}
-	var play *Play
-	var tape *Tape
+	var play *DayRun
+	var tape *Recording
 	slack := Time(0)
 	if day.Processes {
 		return nil, fmt.Errorf("%s: a day with troubles of processes can be played only by pierlab prove fleet", day.Name)
@@ -214,29 +214,29 @@
 		return nil, fmt.Errorf("%s: a day with a registry needs the virtual network (--virtual)", day.Name)
 	}
 	if virtual {
-		play, tape, _ = Virtual(day, nil, log)
-		p.noteWorth(play.Count(tape))
-		p.AtMost(float64(play.Odd), 0, "things that do not add up in the emulation")
-		for _, oddity := range play.Oddities {
+		play, tape, _ = RunVirtual(day, nil, log)
+		p.noteWorth(play.Score(tape))
+		p.AtMost(float64(play.Inconsistencies), 0, "things that do not add up in the emulation")
+		for _, oddity := range play.InconsistencyNotes {
 			p.Note("odd: %s", oddity)
 		}
 	} else {
 		var err error
 		slack = day.Plans[0].Abandon / 40
-		play, tape, err = Loopback(day, func(env *LoopbackEnvironment, tape *Tape) *Play { return Begin(day, env, tape, nil, log) })
+		play, tape, err = Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun { return StartDay(day, env, tape, nil, log) })
 		if err != nil {
 			return nil, err
 		}
 	}
 	p.Note("%s", play.Tally.Summary())
-	for _, verdict := range Judge(tape, day.Bounds(slack)) {
+	for _, verdict := range CheckRules(tape, day.Bounds(slack)) {
 		name := fmt.Sprintf("rule %d", verdict.Rule)
-		p.Judged[name] = verdict.Judged
-		p.Check(len(verdict.Broken) == 0, float64(len(verdict.Broken)), fmt.Sprintf("0 broken of %d", verdict.Judged), "%s: %s", name, verdict.Name)
-		if verdict.Judged == 0 {
+		p.Judged[name] = verdict.Cases
+		p.Check(len(verdict.Violations) == 0, float64(len(verdict.Violations)), fmt.Sprintf("0 broken of %d", verdict.Cases), "%s: %s", name, verdict.Name)
+		if verdict.Cases == 0 {
 			p.Note("%s: no case came up", name)
 		}
-		for i, violation := range verdict.Broken {
+		for i, violation := range verdict.Violations {
 			if i < 5 {
 				p.Note("%s broken: %s", name, violation)
 			}
--- a/internal/lab/quality.go
+++ b/internal/lab/quality.go
@@ -254,14 +254,14 @@
 }
 
 // Adds a session manager's quality totals of each rack and title to those of the day.
-func (p *Play) serviceOf(collector *quality.Collector) {
-	if p.service == nil {
-		p.service = map[quality.Group]quality.Totals{}
+func (p *DayRun) addTotals(collector *quality.Collector) {
+	if p.groupTotals == nil {
+		p.groupTotals = map[quality.Group]quality.Totals{}
 	}
 	for group, totals := range collector.Totals() {
-		sum := p.service[group]
+		sum := p.groupTotals[group]
 		sum.RevenueDue, sum.RevenueOnTime, sum.Watched, sum.Playbacks = sum.RevenueDue+totals.RevenueDue, sum.RevenueOnTime+totals.RevenueOnTime, sum.Watched+totals.Watched, sum.Playbacks+totals.Playbacks
-		p.service[group] = sum
+		p.groupTotals[group] = sum
 	}
 }
 
@@ -272,37 +272,37 @@
 	if err != nil {
 		return err
 	}
-	day.Seed, day.figures = seed, true
-	play, tape, _ := Virtual(day, nil, log)
+	day.Seed, day.countQuality = seed, true
+	play, tape, _ := RunVirtual(day, nil, log)
 	cellOf := map[string]int{}
 	for _, box := range play.boxes {
 		cellOf[box.name] = box.cell
 	}
-	lastTry, requests := map[string]*attempt{}, map[string]*asked{}
-	for _, request := range askings(tape.Entries) {
-		requests[request.request] = request
+	lastTry, requests := map[string]*serverTry{}, map[string]*playerRequest{}
+	for _, request := range findPlayerRequests(tape.Entries) {
+		requests[request.requestID] = request
 	}
-	for _, try := range attempts(tape.Entries) {
-		if request := requests[try.request]; request != nil && (request.answeredAt == 0 || try.from <= request.answeredAt) { // only tries up to the answer: a later move uses another request name
-			lastTry[try.request] = try
+	for _, try := range findTries(tape.Entries) {
+		if request := requests[try.requestID]; request != nil && (request.answeredAt == 0 || try.startedAt <= request.answeredAt) { // only tries up to the answer: a later move uses another request name
+			lastTry[try.requestID] = try
 		}
 	}
 	expected := make([]quality.Totals, day.Racks)
 	for _, request := range requests {
-		try := lastTry[request.request]
+		try := lastTry[request.requestID]
 		if try == nil {
 			continue
 		}
 		planIndex, _ := day.Bounds(0).plan(request.plan)
 		totals := &expected[cellOf[try.box]%day.Racks]
 		totals.RevenueDue += day.Site.Plans[planIndex].Revenue
-		if request.status == 200 && request.answeredAt-request.at <= day.Site.Plans[planIndex].StartupTarget {
+		if request.status == 200 && request.answeredAt-request.sentAt <= day.Site.Plans[planIndex].StartupTarget {
 			totals.RevenueOnTime += day.Site.Plans[planIndex].Revenue
 		}
 	}
 	largestError, lowestRack := 0.0, 0
 	for rack := range expected {
-		measured := play.service[quality.Group{Kind: quality.Rack, Rack: rack}]
+		measured := play.groupTotals[quality.Group{Kind: quality.Rack, Rack: rack}]
 		largestError = max(largestError, math.Abs(measured.RevenueDue/expected[rack].RevenueDue-1), math.Abs(measured.RevenueOnTime/expected[rack].RevenueOnTime-1))
 		if expected[rack].Service() < expected[lowestRack].Service() {
 			lowestRack = rack
--- a/internal/lab/simregistry.go
+++ b/internal/lab/registrysim.go
@@ -19,27 +19,27 @@
 // DayRegistry configures a registry for a day, from which its managers learn about boxes and about each other.
 type DayRegistry struct {
 	Lease, Timeout Time
-	Way            Time // one-way latency between a manager and the registry
+	Latency        Time // one-way latency between a manager and the registry
 }
 
 const registryPort = ":1" // suffix of addresses in the registry; on the virtual network a host's name is its address
 
-// newsroom simulates the registry of a day on the virtual network. It uses the stand-in's store, and schedules what the
+// simRegistry simulates the registry of a day on the virtual network. It uses the stand-in's store, and schedules what the
 // managers receive from it.
-type newsroom struct {
+type simRegistry struct {
 	*DayRegistry
-	play      *Play
-	store     *standin.Store
-	clients   []*ear
-	down      bool
-	stalled   Time // no delivery before this time
-	histories int  // histories begun after the first one
+	play         *DayRun
+	store        *standin.Store
+	clients      []*registryClient
+	down         bool
+	stalledUntil Time // no delivery before this time
+	histories    int  // histories begun after the first one
 }
 
-// ear is a manager's core together with its registry client. It is the core.Core of its host.
-type ear struct {
+// registryClient is a manager's core together with its registry client. It is the core.Core of its host.
+type registryClient struct {
 	*front.Front
-	sim          *newsroom
+	sim          *simRegistry
 	name         string
 	core         *registry.Core
 	tracker      registry.BoxTracker
@@ -52,44 +52,44 @@
 	detached     bool                           // replaced by a later start of the manager
 }
 
-func newRoom(play *Play, config *DayRegistry) *newsroom {
-	sim := &newsroom{DayRegistry: config, play: play, store: standin.NewStore(7, "day-0", registry.HistoryKey)}
-	play.at(config.Timeout, sim.sendProgress)
+func newSimRegistry(play *DayRun, config *DayRegistry) *simRegistry {
+	sim := &simRegistry{DayRegistry: config, play: play, store: standin.NewStore(7, "day-0", registry.HistoryKey)}
+	play.schedule(config.Timeout, sim.sendProgress)
 	return sim
 }
 
 // Creates the registry client of a manager that starts, and detaches an earlier one of the same name.
-func (r *newsroom) listen(manager *front.Front, name string) *ear {
+func (r *simRegistry) attach(manager *front.Front, name string) *registryClient {
 	for _, previous := range r.clients {
 		if previous.name == name {
 			previous.detached = true
 		}
 	}
-	r.clients = slices.DeleteFunc(r.clients, func(client *ear) bool { return client.detached })
-	now := r.play.stage.Now()
-	client := &ear{Front: manager, sim: r, name: name, managers: registry.ManagerSet{OwnName: name, LeaseTime: r.Lease}, states: map[string]session.ServerState{}}
+	r.clients = slices.DeleteFunc(r.clients, func(client *registryClient) bool { return client.detached })
+	now := r.play.env.Now()
+	client := &registryClient{Front: manager, sim: r, name: name, managers: registry.ManagerSet{OwnName: name, LeaseTime: r.Lease}, states: map[string]session.ServerState{}}
 	seed := r.play.Day.Seed<<16 + uint64(len(r.clients)) + uint64(now)
-	client.core = registry.New(registry.Config{Seed: seed, GracePeriod: r.play.Day.Grace, Timeout: r.Timeout, MaxBufferedChanges: 1 << 16}, now)
+	client.core = registry.New(registry.Config{Seed: seed, GracePeriod: r.play.Day.DrainGrace, Timeout: r.Timeout, MaxBufferedChanges: 1 << 16}, now)
 	r.clients = append(r.clients, client)
 	manager.SetFronts(1, 0) // it knows of no other manager yet
 	return client
 }
 
 // BeginTurn begins a turn.
-func (e *ear) BeginTurn(now Time) {
+func (e *registryClient) BeginTurn(now Time) {
 	e.Front.BeginTurn(now)
 	e.core.SetTime(now)
 }
 
 // EndTurn ends a turn.
-func (e *ear) EndTurn() Time {
+func (e *registryClient) EndTurn() Time {
 	next := e.core.Process(e.handleRequest, e.applyUpdate)
 	return min(next, e.Front.EndTurn())
 }
 
 // applyUpdate passes an update of the registry view on to the front.
-func (e *ear) applyUpdate(update registry.Update) {
-	now := e.sim.play.stage.Now()
+func (e *registryClient) applyUpdate(update registry.Update) {
+	now := e.sim.play.env.Now()
 	e.managers.Apply(update, now)
 	e.updateFrontCount()
 	changedBoxes, _ := e.tracker.Apply(update)
@@ -102,18 +102,20 @@
 		server.Address = strings.TrimSuffix(server.Address, registryPort)
 		listUpdate.Servers = append(listUpdate.Servers, server)
 	}
-	if broken := e.sim.play.broken; broken != nil && broken.List != nil {
-		listUpdate = broken.List(listUpdate)
+	if broken := e.sim.play.faulty; broken != nil && broken.ChangeList != nil {
+		listUpdate = broken.ChangeList(listUpdate)
 	}
 	e.Front.UpdateList(listUpdate)
 }
 
 // updateFrontCount sets the number of live managers at the front.
-func (e *ear) updateFrontCount() { e.Front.SetFronts(e.managers.Count(e.sim.play.stage.Now())) }
+func (e *registryClient) updateFrontCount() {
+	e.Front.SetFronts(e.managers.Count(e.sim.play.env.Now()))
+}
 
 // recordDelivery records on the tape which state of a box was delivered to the manager, independent of how the manager
 // handles it.
-func (e *ear) recordDelivery(key string, value []byte, deleted bool) {
+func (e *registryClient) recordDelivery(key string, value []byte, deleted bool) {
 	name, ok := strings.CutPrefix(key, registry.BoxesPrefix)
 	if !ok {
 		return
@@ -126,15 +128,15 @@
 	}
 	if previous, known := e.states[name]; !known || previous != state {
 		e.states[name] = state
-		e.sim.play.tape.Told(e.sim.play.stage.Now(), e.name, name, state, started)
+		e.sim.play.recording.RecordState(e.sim.play.env.Now(), e.name, name, state, started)
 	}
 }
 
 // schedule runs a function in a turn of the manager after a delay. Functions run in the order of the calls, and not
 // before a stall of the registry has ended.
-func (e *ear) schedule(delay Time, call func()) {
-	env := e.sim.play.stage
-	e.lastArrival = max(e.lastArrival, env.Now()+delay, e.sim.stalled)
+func (e *registryClient) schedule(delay Time, call func()) {
+	env := e.sim.play.env
+	e.lastArrival = max(e.lastArrival, env.Now()+delay, e.sim.stalledUntil)
 	env.At(e.lastArrival, func() {
 		if !e.detached {
 			env.Call(e.name, func(hostCore core.Core) {
@@ -147,16 +149,16 @@
 }
 
 // handleRequest carries out a list or watch request of the manager's registry view.
-func (e *ear) handleRequest(request registry.Request) {
+func (e *registryClient) handleRequest(request registry.Request) {
 	sim := e.sim
-	env := sim.play.stage
+	env := sim.play.env
 	e.request, e.watching = request, false
-	env.At(max(env.Now()+sim.Way, sim.stalled), func() {
+	env.At(max(env.Now()+sim.Latency, sim.stalledUntil), func() {
 		if e.detached || e.request.Attempt != request.Attempt {
 			return
 		}
 		fail := func(reason registry.Failure) {
-			e.schedule(sim.Way, func() { e.core.HandleFailure(request.Attempt, reason) })
+			e.schedule(sim.Latency, func() { e.core.HandleFailure(request.Attempt, reason) })
 		}
 		if sim.down {
 			fail(registry.ConnectionLost)
@@ -173,7 +175,7 @@
 			}
 		}
 		if request.Op == registry.List {
-			e.schedule(sim.Way, func() {
+			e.schedule(sim.Latency, func() {
 				if e.request.Attempt == request.Attempt {
 					for _, kv := range stored {
 						e.recordDelivery(string(kv.Key), kv.Value, false)
@@ -196,7 +198,7 @@
 			fail(registry.Compacted)
 		default:
 			e.watching, e.sentRevision = true, header.Revision
-			e.schedule(sim.Way, func() { e.core.HandleWatch(request.Attempt, header, nil, false, true) })
+			e.schedule(sim.Latency, func() { e.core.HandleWatch(request.Attempt, header, nil, false, true) })
 			if len(missedEvents) > 0 {
 				e.sendEvents(header, missedEvents)
 			}
@@ -205,13 +207,13 @@
 }
 
 // sendEvents delivers events over the watch.
-func (e *ear) sendEvents(header registry.Header, events []*mvccpb.Event) {
+func (e *registryClient) sendEvents(header registry.Header, events []*mvccpb.Event) {
 	attempt := e.request.Attempt
 	var changes []registry.Change
 	for _, event := range events {
 		changes = append(changes, registry.Change{Key: string(event.Kv.Key), Value: event.Kv.Value, Mod: event.Kv.ModRevision, Deleted: event.Type == mvccpb.Event_DELETE})
 	}
-	e.schedule(e.sim.Way, func() {
+	e.schedule(e.sim.Latency, func() {
 		if e.request.Attempt == attempt {
 			for _, change := range changes {
 				e.recordDelivery(change.Key, change.Value, change.Deleted)
@@ -222,9 +224,9 @@
 }
 
 // commit applies a transaction and delivers its events to all open watches. A nil value deletes the key.
-func (r *newsroom) commit(keys map[string][]byte) {
+func (r *simRegistry) commit(keys map[string][]byte) {
 	if r.down { // the registering process retries until it succeeds
-		r.play.stage.At(r.play.stage.Now()+r.Timeout, func() { r.commit(keys) })
+		r.play.env.At(r.play.env.Now()+r.Timeout, func() { r.commit(keys) })
 		return
 	}
 	r.store.Put(keys)
@@ -238,22 +240,22 @@
 }
 
 // sendProgress sends a progress notification over all open watches, and has the managers count live managers again.
-func (r *newsroom) sendProgress() {
+func (r *simRegistry) sendProgress() {
 	for _, client := range r.clients {
 		if client.detached {
 			continue
 		}
-		client.schedule(r.Way, client.updateFrontCount)
+		client.schedule(r.Latency, client.updateFrontCount)
 		if client.watching && !r.down {
 			storeHeader, _ := r.store.Keys()
 			client.sendEvents(registry.Header{Cluster: storeHeader.ClusterId, Revision: storeHeader.Revision}, nil)
 		}
 	}
-	r.play.stage.At(r.play.stage.Now()+r.Timeout, r.sendProgress)
+	r.play.env.At(r.play.env.Now()+r.Timeout, r.sendProgress)
 }
 
 // Stores the current state of a box in the registry, or deletes its key if the box has gone.
-func (r *newsroom) box(box *boxState) {
+func (r *simRegistry) putBox(box *boxState) {
 	key := registry.BoxesPrefix + box.name
 	if box.state == session.Gone {
 		r.commit(map[string][]byte{key: nil})
@@ -262,7 +264,7 @@
 	r.commit(map[string][]byte{key: r.boxValue(box)})
 }
 
-func (r *newsroom) boxValue(box *boxState) []byte {
+func (r *simRegistry) boxValue(box *boxState) []byte {
 	record := registry.Box{Address: box.name + registryPort, Zone: box.zone, Cell: box.cell, Kind: "std", Weight: 1, State: "ready"}
 	if box.state == session.Draining {
 		record.State = "draining"
@@ -274,13 +276,13 @@
 }
 
 // Stores the key of a running manager, or deletes that of a stopped one once its lease has expired.
-func (r *newsroom) manager(manager *frontState) {
-	starts := manager.starts
+func (r *simRegistry) putManager(manager *frontState) {
+	starts := manager.startCount
 	if key := registry.ManagersPrefix + manager.name; manager.up {
 		r.commit(map[string][]byte{key: []byte(manager.name)})
 	} else {
-		r.play.stage.At(r.play.stage.Now()+r.Lease, func() {
-			if !manager.up && manager.starts == starts {
+		r.play.env.At(r.play.env.Now()+r.Lease, func() {
+			if !manager.up && manager.startCount == starts {
 				r.commit(map[string][]byte{key: nil})
 			}
 		})
@@ -288,21 +290,21 @@
 }
 
 // Breaks all watches and makes the registry unreachable for a time.
-func (r *newsroom) cut(length Time) {
+func (r *simRegistry) disconnect(length Time) {
 	r.down = true
 	for _, client := range r.clients {
 		if client.watching && !client.detached {
 			client.watching = false
 			attempt := client.request.Attempt
-			client.schedule(r.Way, func() { client.core.HandleFailure(attempt, registry.ConnectionLost) })
+			client.schedule(r.Latency, func() { client.core.HandleFailure(attempt, registry.ConnectionLost) })
 		}
 	}
-	r.play.stage.At(r.play.stage.Now()+length, func() { r.down = false })
+	r.play.env.At(r.play.env.Now()+length, func() { r.down = false })
 }
 
 // Begins a new history of the registry. It is empty except for what is registered again.
-func (r *newsroom) anew() {
-	r.cut(r.Timeout / 2)
+func (r *simRegistry) startNewHistory() {
+	r.disconnect(r.Timeout / 2)
 	r.histories++
 	storeHeader, _ := r.store.Keys()
 	historyID := "day-" + string(rune('0'+r.histories%10)) + r.play.Day.Name
@@ -311,7 +313,7 @@
 }
 
 // Expires all leases at once, as after a long stall of the registry.
-func (r *newsroom) lose() {
+func (r *simRegistry) expireLeases() {
 	_, stored := r.store.Keys()
 	keys := map[string][]byte{}
 	for _, kv := range stored {
@@ -324,18 +326,18 @@
 }
 
 // reregisterAll makes all live boxes and managers register again, each after a random delay.
-func (r *newsroom) reregisterAll() {
+func (r *simRegistry) reregisterAll() {
 	for _, box := range r.play.boxes {
-		r.play.stage.At(r.play.stage.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
+		r.play.env.At(r.play.env.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
 			if box.state != session.Gone {
-				r.box(box)
+				r.putBox(box)
 			}
 		})
 	}
 	for _, manager := range r.play.fronts {
-		r.play.stage.At(r.play.stage.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
+		r.play.env.At(r.play.env.Now()+Time(r.play.rng.Float64()*float64(r.Timeout)), func() {
 			if manager.up {
-				r.manager(manager)
+				r.putManager(manager)
 			}
 		})
 	}
--- a/internal/lab/row.go
+++ b/internal/lab/row.go
@@ -76,7 +76,7 @@
 // Plants are deliberate regressions, by name: an experiment must detect them.
 var Plants = map[string]*FaultyFront{
 	"lower-brim": {WrapModule: func(m session.Manager) session.Manager { return &inflatedLoad{m} }}, // treats links as full too early
-	"deaf-to-drains": {List: func(l front.ListUpdate) front.ListUpdate { // removes the check that keeps rule 3
+	"deaf-to-drains": {ChangeList: func(l front.ListUpdate) front.ListUpdate { // removes the check that keeps rule 3
 		l.Servers = slices.Clone(l.Servers)
 		for i := range l.Servers {
 			if l.Servers[i].State == session.Draining {
@@ -126,20 +126,20 @@
 	if day.Processes {
 		return nil, fmt.Errorf("%s: a day with troubles of processes cannot run on the virtual network", day.Name)
 	}
-	run, recording, network := Virtual(day, faulty, zap.NewNop())
-	score, tally := run.Count(recording), &run.Tally
+	run, recording, network := RunVirtual(day, faulty, zap.NewNop())
+	score, tally := run.Score(recording), &run.Tally
 	row := &Row{Day: day.Name, Seed: int64(day.Seed), Goal: score.Goal, Whole: score.Whole, Worst: score.Worst, WorstPlan: score.WorstPlan, WorstTenant: score.WorstTenant,
-		Prices: score.Prices, Best: score.Best, Unserved: score.Unserved, Late: score.Late, LowRung: score.LowRung, Short: score.Short, Asked: int64(tally.Asked),
+		Prices: score.Prices, Best: score.Best, Unserved: score.Unserved, Late: score.Late, LowRung: score.LowRung, Short: score.Short, Asked: int64(tally.Attempts),
 		Played: int64(tally.Played), Refused: int64(tally.Rejected), Failed: int64(tally.Failed), Abandoned: int64(tally.Abandoned), Lost: int64(tally.Lost),
-		Tries: tally.Fronts.Tries, Moves: int64(score.Moves), Changes: int64(score.Changes), Fell: int64(tally.Fell), Odd: int64(run.Odd),
-		Digest: fmt.Sprintf("%016x", network.Digest()), Notes: run.Oddities}
+		Tries: tally.FrontStats.Tries, Moves: int64(score.Moves), Changes: int64(score.Changes), Fell: int64(tally.Crashes), Odd: int64(run.Inconsistencies),
+		Digest: fmt.Sprintf("%016x", network.Digest()), Notes: run.InconsistencyNotes}
 	slices.Sort(tally.StartupTimes)
 	if n := len(tally.StartupTimes); n > 0 {
 		row.Startup50, row.Startup99 = seconds(tally.StartupTimes[n/2]), seconds(tally.StartupTimes[n*99/100])
 	}
-	for _, verdict := range Judge(recording, day.Bounds(0)) {
-		row.Broken += int64(len(verdict.Broken))
-		for i, violation := range verdict.Broken {
+	for _, verdict := range CheckRules(recording, day.Bounds(0)) {
+		row.Broken += int64(len(verdict.Violations))
+		for i, violation := range verdict.Violations {
 			if i < 2 {
 				row.Notes = append(row.Notes, fmt.Sprintf("rule %d: %s", verdict.Rule, violation))
 			}
@@ -157,7 +157,7 @@
 			Playing: score.Playing[i], Tries: score.Tries[i]})
 	}
 	for _, trouble := range day.Troubles {
-		row.Troubles = append(row.Troubles, Mark{seconds(trouble.At), seconds(trouble.For), trouble.Kind})
+		row.Troubles = append(row.Troubles, Mark{seconds(trouble.At), seconds(trouble.Duration), trouble.Kind})
 	}
 	return row, nil
 }
--- a/internal/lab/rules.go
+++ b/internal/lab/rules.go
@@ -15,7 +15,7 @@
 	Site           session.Site
 	Plans          []string // names, in the site's order
 	AbandonTimes   []Time
-	Grace          Time
+	DrainGrace     Time
 	MaxSessions    int
 	OrderTolerance Time // entries of different connections may be out of order by this much
 	MaxTravel      Time // longest time that a request takes from a player to its manager
@@ -23,51 +23,51 @@
 
 // Verdict is the result of one rule's checker. A rule without cases counts as not kept.
 type Verdict struct {
-	Rule   int
-	Name   string
-	Judged int
-	Broken []string
+	Rule       int
+	Name       string
+	Cases      int
+	Violations []string
 }
 
-// Kept reports whether there were cases and none of them broke the rule.
-func (v *Verdict) Kept() bool { return v.Judged > 0 && len(v.Broken) == 0 }
+// Passed reports whether there were cases and none of them broke the rule.
+func (v *Verdict) Passed() bool { return v.Cases > 0 && len(v.Violations) == 0 }
 
 func (v *Verdict) addViolation(format string, a ...any) {
-	v.Broken = append(v.Broken, fmt.Sprintf(format, a...))
+	v.Violations = append(v.Violations, fmt.Sprintf(format, a...))
 }
 
-// attempt is one setup try as seen on a connection to a box.
-type attempt struct {
-	request, front, box, plan, title string
-	tryIndex                         int  // index among the tries of its playback
-	connectedAt, from, endedAt       Time // time that its connection opened; of its first SETUP; of its end
-	rejected                         bool // 453 to its first SETUP, so nothing ran
-	ended                            bool
-	rung                             int
+// serverTry is one setup try as seen on a connection to a box.
+type serverTry struct {
+	requestID, front, box, plan, title string
+	tryIndex                           int  // index among the tries of its playback
+	connectedAt, startedAt, endedAt    Time // time that its connection opened; of its first SETUP; of its end
+	rejected                           bool // 453 to its first SETUP, so nothing ran
+	ended                              bool
+	rung                               int
 }
 
-// asked is one playback as seen on a player's connection.
-type asked struct {
-	request, front, plan string
-	at                   Time
-	status               int
-	answeredAt           Time
+// playerRequest is one playback as seen on a player's connection.
+type playerRequest struct {
+	requestID, front, plan string
+	sentAt                 Time
+	status                 int
+	answeredAt             Time
 }
 
-// Judge checks recorded traffic against the six rules and returns a verdict for each.
-func Judge(t *Tape, b *Bounds) []Verdict {
+// CheckRules checks recorded traffic against the six rules and returns a verdict for each.
+func CheckRules(t *Recording, b *Bounds) []Verdict {
 	entries := slices.Clone(t.Entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(a.At, b.At) })
-	tries := attempts(entries)
-	players := askings(entries)
+	tries := findTries(entries)
+	players := findPlayerRequests(entries)
 	return []Verdict{checkAnswers(entries, b), checkSingleSetup(tries, players, b), checkDrains(entries, tries, b), checkColdStart(entries, tries, b),
 		checkPlanTerms(entries, tries, b), checkRetryBudget(entries, tries, players, b)}
 }
 
-// attempts returns the tries: one for each connection to a box on which SETUP was sent.
-func attempts(entries []Entry) []*attempt {
-	tryByConn, tryCount, closedConns, openedAt := map[int]*attempt{}, map[string]int{}, map[int]bool{}, map[int]Time{}
-	var tries []*attempt
+// findTries returns the tries: one for each connection to a box on which SETUP was sent.
+func findTries(entries []Entry) []*serverTry {
+	tryByConn, tryCount, closedConns, openedAt := map[int]*serverTry{}, map[string]int{}, map[int]bool{}, map[int]Time{}
+	var tries []*serverTry
 	firstCSeq := map[int]int{}
 	for _, e := range entries {
 		if e.Kind == ProcessKilled { // the tries that ran there have ended
@@ -80,7 +80,7 @@
 		if e.Player || e.ConnID == 0 {
 			continue
 		}
-		if e.Kind == Up {
+		if e.Kind == ConnOpened {
 			openedAt[e.ConnID] = e.At
 		}
 		try := tryByConn[e.ConnID]
@@ -89,8 +89,8 @@
 		}
 		switch {
 		case e.Kind == RequestSent && e.FromFront && e.Method == "SETUP" && try == nil:
-			try = &attempt{request: e.RequestID, front: e.Front, box: e.Host, plan: e.Plan, title: e.Title, from: e.At, connectedAt: e.At,
-				endedAt: never, tryIndex: tryCount[e.RequestID], rung: e.Rung}
+			try = &serverTry{requestID: e.RequestID, front: e.Front, box: e.Host, plan: e.Plan, title: e.Title, startedAt: e.At, connectedAt: e.At,
+				endedAt: farFuture, tryIndex: tryCount[e.RequestID], rung: e.Rung}
 			if at, ok := openedAt[e.ConnID]; ok {
 				try.connectedAt = at
 			}
@@ -111,18 +111,18 @@
 	return tries
 }
 
-const never = Time(1) << 60
+const farFuture = Time(1) << 60
 
-func askings(entries []Entry) []*asked {
-	byID := map[string]*asked{}
-	var requests []*asked
+func findPlayerRequests(entries []Entry) []*playerRequest {
+	byID := map[string]*playerRequest{}
+	var requests []*playerRequest
 	for _, e := range entries {
 		if !e.Player || e.RequestID == "" {
 			continue
 		}
 		request := byID[e.RequestID]
 		if e.Kind == RequestSent && e.Method == "SETUP" && request == nil {
-			request = &asked{request: e.RequestID, front: e.Front, plan: e.Plan, at: e.At}
+			request = &playerRequest{requestID: e.RequestID, front: e.Front, plan: e.Plan, sentAt: e.At}
 			byID[e.RequestID] = request
 			requests = append(requests, request)
 		}
@@ -200,7 +200,7 @@
 				v.addViolation("%s: answered %.3f s after it was asked", request.RequestID, seconds(e.At-request.At))
 			}
 			if request.Method == "SETUP" && request.n == 1 {
-				v.Judged++
+				v.Cases++
 			}
 		case e.Kind == ConnClosed:
 			for _, request := range conn.open {
@@ -208,7 +208,7 @@
 					continue
 				}
 				if !e.NetworkBroken && !(e.ClosedLocally && !isLate(request, e.At+1)) && !unavailable(request, e.At) {
-					v.Judged++
+					v.Cases++
 					v.addViolation("%s: never answered (%.3f s)", request.RequestID, seconds(e.At-request.At))
 				}
 			}
@@ -232,7 +232,7 @@
 		own := intervals[e.Host]
 		switch {
 		case e.Kind == ProcessKilled:
-			intervals[e.Host] = append(own, [2]Time{e.At, never})
+			intervals[e.Host] = append(own, [2]Time{e.At, farFuture})
 		case e.Kind == ProcessStarted && len(own) > 0:
 			own[len(own)-1][1] = e.At
 		}
@@ -244,41 +244,41 @@
 
 // checkSingleSetup checks rule 2: one try at a time, and for plans paid at set-up no further try and no rejection
 // unless no earlier try can have run.
-func checkSingleSetup(tries []*attempt, players []*asked, b *Bounds) Verdict {
+func checkSingleSetup(tries []*serverTry, players []*playerRequest, b *Bounds) Verdict {
 	v := Verdict{Rule: 2, Name: "no set-up happens twice"}
-	triesByRequest := map[string][]*attempt{}
+	triesByRequest := map[string][]*serverTry{}
 	for _, try := range tries {
-		triesByRequest[try.request] = append(triesByRequest[try.request], try)
+		triesByRequest[try.requestID] = append(triesByRequest[try.requestID], try)
 	}
-	requestByID := map[string]*asked{}
+	requestByID := map[string]*playerRequest{}
 	for _, request := range players {
-		requestByID[request.request] = request
+		requestByID[request.requestID] = request
 	}
 	for _, try := range tries { // in the order of the recording
-		requestTries := triesByRequest[try.request]
+		requestTries := triesByRequest[try.requestID]
 		if try.tryIndex > 0 {
-			v.Judged++
-			if previous := requestTries[try.tryIndex-1]; previous.endedAt > try.from+b.OrderTolerance {
-				v.addViolation("%s: try %d at %s while one at %s is out for %.3f s more", try.request, try.tryIndex, try.box, previous.box, seconds(min(previous.endedAt, try.from+1e12)-try.from))
+			v.Cases++
+			if previous := requestTries[try.tryIndex-1]; previous.endedAt > try.startedAt+b.OrderTolerance {
+				v.addViolation("%s: try %d at %s while one at %s is out for %.3f s more", try.requestID, try.tryIndex, try.box, previous.box, seconds(min(previous.endedAt, try.startedAt+1e12)-try.startedAt))
 			}
 		}
 		_, plan := b.plan(try.plan)
 		if plan.Repeat != session.Unsafe || try.tryIndex != len(requestTries)-1 {
 			continue
 		}
-		v.Judged++
+		v.Cases++
 		mayHaveRun := 0
-		playerSide := requestByID[try.request]
+		playerSide := requestByID[try.requestID]
 		for _, t := range requestTries {
-			if !t.rejected && (playerSide == nil || playerSide.status != 200 || t.from <= playerSide.answeredAt) {
+			if !t.rejected && (playerSide == nil || playerSide.status != 200 || t.startedAt <= playerSide.answeredAt) {
 				mayHaveRun++
 			}
 		}
 		if mayHaveRun > 1 {
-			v.addViolation("%s: sent again though a try may have run", try.request)
+			v.addViolation("%s: sent again though a try may have run", try.requestID)
 		}
 		if playerSide != nil && mayHaveRun > 0 && (playerSide.status == 453 || playerSide.status == 503) {
-			v.addViolation("%s: refused though a try may have run", try.request)
+			v.addViolation("%s: refused though a try may have run", try.requestID)
 		}
 	}
 	return v
@@ -286,7 +286,7 @@
 
 // checkDrains checks rule 3: no new try at a box later than the grace period after the manager was notified that it
 // drains or is gone.
-func checkDrains(entries []Entry, tries []*attempt, b *Bounds) Verdict {
+func checkDrains(entries []Entry, tries []*serverTry, b *Bounds) Verdict {
 	v := Verdict{Rule: 3, Name: "drains are kept"}
 	type notification struct {
 		at    Time
@@ -298,7 +298,7 @@
 			key := [2]string{e.Front, e.Host}
 			notifications[key] = append(notifications[key], notification{e.At, e.State})
 			if e.State != session.Ready {
-				v.Judged++
+				v.Cases++
 			}
 		}
 	}
@@ -306,15 +306,15 @@
 		var drainingSince Time = -1 // time of the notification; -1 if the box is not known to drain
 		for _, notice := range notifications[[2]string{try.front, try.box}] {
 			switch {
-			case notice.at > try.from:
+			case notice.at > try.startedAt:
 			case notice.state == session.Ready:
 				drainingSince = -1
 			case drainingSince < 0:
 				drainingSince = notice.at
 			}
 		}
-		if drainingSince >= 0 && try.from > drainingSince+b.Grace+b.OrderTolerance {
-			v.addViolation("%s: try at %s %.3f s after %s was told", try.request, try.box, seconds(try.from-drainingSince), try.front)
+		if drainingSince >= 0 && try.startedAt > drainingSince+b.DrainGrace+b.OrderTolerance {
+			v.addViolation("%s: try at %s %.3f s after %s was told", try.requestID, try.box, seconds(try.startedAt-drainingSince), try.front)
 		}
 	}
 	return v
@@ -322,12 +322,12 @@
 
 // checkColdStart checks rule 4: the set-ups that all managers together send to a box that has just started stay
 // within ColdMultiple times its growing capacity, in every window of ColdSpan.
-func checkColdStart(entries []Entry, tries []*attempt, b *Bounds) Verdict {
+func checkColdStart(entries []Entry, tries []*serverTry, b *Bounds) Verdict {
 	v := Verdict{Rule: 4, Name: "a cold box is not pushed over"}
 	terms := &b.Site.Terms
 	setupTimes := map[string][]Time{}
 	for _, try := range tries {
-		setupTimes[try.box] = append(setupTimes[try.box], try.from)
+		setupTimes[try.box] = append(setupTimes[try.box], try.startedAt)
 	}
 	for _, e := range entries {
 		if e.Kind != ProcessStarted || e.Started == 0 {
@@ -338,7 +338,7 @@
 			if at < e.Started || at >= e.Started+terms.WarmUp {
 				continue
 			}
-			v.Judged++
+			v.Cases++
 			window = append(window, at)
 			for window[0] <= at-terms.ColdSpan {
 				window = window[1:]
@@ -355,7 +355,7 @@
 
 // checkPlanTerms checks rule 5: no rung below a plan's floor, and at no manager more playbacks of one title and plan
 // than there are seats.
-func checkPlanTerms(entries []Entry, tries []*attempt, b *Bounds) Verdict {
+func checkPlanTerms(entries []Entry, tries []*serverTry, b *Bounds) Verdict {
 	v := Verdict{Rule: 5, Name: "floors and seats are kept"}
 	planByConn := map[int]string{}
 	for _, e := range entries {
@@ -367,7 +367,7 @@
 		}
 		planByConn[e.ConnID] = e.Plan
 		if _, plan := b.plan(e.Plan); plan.Floor > 0 {
-			v.Judged++
+			v.Cases++
 			if e.Rung < plan.Floor {
 				v.addViolation("%s at %s: rung %d under the floor %d of %s", e.RequestID, e.Host, e.Rung, plan.Floor, e.Plan)
 			}
@@ -376,13 +376,13 @@
 	type change struct {
 		at  Time
 		by  int
-		try *attempt
+		try *serverTry
 	}
 	seatChanges := map[[3]string][]change{}
 	for _, try := range tries {
 		if _, plan := b.plan(try.plan); plan.Seats > 0 {
 			key := [3]string{try.front, try.plan, try.title}
-			seatChanges[key] = append(seatChanges[key], change{try.from, 1, try}, change{max(try.endedAt-b.OrderTolerance, try.from), -1, try})
+			seatChanges[key] = append(seatChanges[key], change{try.startedAt, 1, try}, change{max(try.endedAt-b.OrderTolerance, try.startedAt), -1, try})
 		}
 	}
 	for key, changes := range seatChanges {
@@ -392,14 +392,14 @@
 		for _, change := range changes {
 			seatsUsed += change.by
 			if change.by > 0 {
-				v.Judged++
+				v.Cases++
 				if seatsUsed > plan.Seats {
-					v.addViolation("%s: %d playbacks of %s at %s, %d seats", change.try.request, seatsUsed, key[2], key[0], plan.Seats)
+					v.addViolation("%s: %d playbacks of %s at %s, %d seats", change.try.requestID, seatsUsed, key[2], key[0], plan.Seats)
 				}
 			}
 		}
 	}
-	slices.Sort(v.Broken)
+	slices.Sort(v.Violations)
 	return v
 }
 
@@ -434,7 +434,7 @@
 // RetryShare of the playbacks that it accepted. A manager that was killed starts counting anew, as it cannot know of
 // its earlier tries. A try counts from the opening of its connection, which is when it was decided: a manager that is
 // then paused sends its SETUP later.
-func checkRetryBudget(entries []Entry, tries []*attempt, players []*asked, b *Bounds) Verdict {
+func checkRetryBudget(entries []Entry, tries []*serverTry, players []*playerRequest, b *Bounds) Verdict {
 	v := Verdict{Rule: 6, Name: "further tries stay within their budget"}
 	terms := &b.Site.Terms
 	if !terms.RetriesLimited {
@@ -443,21 +443,21 @@
 	outageTimes := outages(entries)
 	acceptedAt, pauseTimes := map[string][]Time{}, pauses(entries)
 	for _, request := range players {
-		acceptedAt[request.front] = append(acceptedAt[request.front], receivedAt(pauseTimes[request.front], request.at))
+		acceptedAt[request.front] = append(acceptedAt[request.front], receivedAt(pauseTimes[request.front], request.sentAt))
 	}
 	retryTimes := map[string][]Time{}
 	for _, try := range tries { // a moved playback counts as accepted again
-		if try.tryIndex == 0 && strings.Contains(try.request, "/m") {
+		if try.tryIndex == 0 && strings.Contains(try.requestID, "/m") {
 			acceptedAt[try.front] = append(acceptedAt[try.front], try.connectedAt)
 		}
 	}
 	tries = slices.Clone(tries)
-	slices.SortStableFunc(tries, func(x, y *attempt) int { return cmp.Compare(x.connectedAt, y.connectedAt) })
+	slices.SortStableFunc(tries, func(x, y *serverTry) int { return cmp.Compare(x.connectedAt, y.connectedAt) })
 	for _, try := range tries {
 		if try.tryIndex == 0 {
 			continue
 		}
-		v.Judged++
+		v.Cases++
 		window := append(retryTimes[try.front], try.connectedAt)
 		since := try.connectedAt - terms.RetrySpan
 		for _, outage := range outageTimes[try.front] {
--- a/internal/lab/rules_test.go
+++ b/internal/lab/rules_test.go
@@ -84,7 +84,7 @@
 				s.Plans[i].Repeat = session.Harmless
 			}
 		}}},
-		"ignores drains": {3, &FaultyFront{List: func(l front.ListUpdate) front.ListUpdate {
+		"ignores drains": {3, &FaultyFront{ChangeList: func(l front.ListUpdate) front.ListUpdate {
 			for i := range l.Servers {
 				l.Servers[i].State = session.Ready
 			}
@@ -111,19 +111,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			run, recording, _ := Virtual(day, test.faulty, zap.NewNop())
-			for _, verdict := range Judge(recording, day.Bounds(0)) {
-				if verdict.Rule != test.rule && len(verdict.Broken) > 0 {
-					t.Errorf("rule %d: unexpected violation: %s", verdict.Rule, verdict.Broken[0])
+			run, recording, _ := RunVirtual(day, test.faulty, zap.NewNop())
+			for _, verdict := range CheckRules(recording, day.Bounds(0)) {
+				if verdict.Rule != test.rule && len(verdict.Violations) > 0 {
+					t.Errorf("rule %d: unexpected violation: %s", verdict.Rule, verdict.Violations[0])
 				}
-				if verdict.Rule == test.rule && len(verdict.Broken) == 0 {
-					t.Errorf("rule %d: no violation reported in %d cases", verdict.Rule, verdict.Judged)
+				if verdict.Rule == test.rule && len(verdict.Violations) == 0 {
+					t.Errorf("rule %d: no violation reported in %d cases", verdict.Rule, verdict.Cases)
 				}
-				if verdict.Judged == 0 {
+				if verdict.Cases == 0 {
 					t.Errorf("rule %d: no cases checked", verdict.Rule)
 				}
 			}
-			if left := run.Tally.Fronts.Playbacks; left != 0 {
+			if left := run.Tally.FrontStats.Playbacks; left != 0 {
 				t.Errorf("%d playbacks still open at the end of the day, expected none", left)
 			}
 		})
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -27,45 +27,45 @@
 	Addr(name string) string
 	Kill(name string, silent bool)
 	Call(name string, run func(core.Core)) // runs it within one of the host's event loop turns
-	Stand(name string, duration Time)
+	Pause(name string, duration Time)
 	CutZones(a, b string, duration Time)
-	Player(name string)
+	MarkPlayers(name string)
 }
 
 // Tally holds the totals of a day as players and boxes counted them.
 type Tally struct {
-	Asked, Played, Rejected, Failed, Abandoned, Lost, Completed int
-	Packets, Gaps                                               int
-	Bytes                                                       int64
-	Requests, Responses, Unasked                                int
-	ByKind                                                      map[string]int // troubles applied, by kind
-	StartupTimes                                                []Time
-	Fell, Setups                                                int
-	Redirected                                                  int
-	SentOn                                                      int // redirected while playing
-	Revenue, Offered                                            float64
-	RevenueByTenth                                              []float64   // revenue per tenth of a second since the start of the day
-	Fronts                                                      front.Stats // summed over all front processes
+	Attempts, Played, Rejected, Failed, Abandoned, Lost, Completed int
+	Packets, Gaps                                                  int
+	Bytes                                                          int64
+	Requests, Responses, Unsolicited                               int
+	TroublesByKind                                                 map[string]int // troubles applied, by kind
+	StartupTimes                                                   []Time
+	Crashes, Setups                                                int
+	Redirected                                                     int
+	RedirectsReceived                                              int // redirected while playing
+	Revenue, OfferedRevenue                                        float64
+	RevenueByTenth                                                 []float64   // revenue per tenth of a second since the start of the day
+	FrontStats                                                     front.Stats // summed over all front processes
 }
 
 // FaultyFront makes a front break a rule on purpose, to show that the rule's checker reports it: it may change
 // the module's input, or the network that the front sends on.
 type FaultyFront struct {
 	ChangeSite func(*session.Site)
-	List       func(front.ListUpdate) front.ListUpdate
+	ChangeList func(front.ListUpdate) front.ListUpdate
 	WrapNet    func(core.Net) core.Net
 	WrapModule func(session.Manager) session.Manager // wraps the module to change its input
 	SeedMask   uint64                                // XORed into the seed of the module's random source
 }
 
-// Play is the state of a running day.
-type Play struct {
+// DayRun is the state of a running day.
+type DayRun struct {
 	Day                                         *Day
 	Tally                                       Tally
-	stage                                       Environment
-	tape                                        *Tape
+	env                                         Environment
+	recording                                   *Recording
 	rng                                         *rand.Rand
-	began                                       Time
+	startedAt                                   Time
 	boxes                                       []*boxState
 	racks                                       []*mediabox.Rack
 	fronts                                      []*frontState
@@ -75,25 +75,25 @@
 	crowdShare                                  float64
 	viewerCount                                 int
 	slowRack                                    int // rack chosen by the slow-rack trouble
-	service                                     map[quality.Group]quality.Totals
-	broken                                      *FaultyFront
+	groupTotals                                 map[quality.Group]quality.Totals
+	faulty                                      *FaultyFront
 	log                                         *zap.Logger
 	cumulativeZipf                              []float64
-	Log                                         []*TenantViewer // only for days with tenants
+	TenantViewers                               []*TenantViewer // only for days with tenants
 	viewerByProfile                             map[*player.Profile]*TenantViewer
-	registry                                    *newsroom  // nil if the day has no registry
-	processes                                   *Processes // only where managers are separate processes
+	registry                                    *simRegistry // nil if the day has no registry
+	processes                                   *Processes   // only where managers are separate processes
 	revenueCounted                              map[*player.Profile]bool
-	Orphans                                     float64 // mean number of sessions without a connection over the day
+	MeanOrphans                                 float64 // mean number of sessions without a connection over the day
 	orphanSum, orphanSamples                    float64
-	Seen                                        []player.Result // only where managers are separate processes
+	Results                                     []player.Result // only where managers are separate processes
 	profiles                                    []*player.Profile
 	requestedAt                                 map[*player.Profile]Time
 	zoneByHost                                  map[string]string
 	capacityKB, meanFills, maxFills, unanswered []float64 // sampled each half second, on the virtual network only
 	packetsSent                                 int       // RTP packets sent by boxes
-	Odd                                         int       // failed consistency checks of the emulation
-	Oddities                                    []string
+	Inconsistencies                             int       // failed consistency checks of the emulation
+	InconsistencyNotes                          []string
 	mu                                          sync.Mutex // guards Tally: on loopback sockets the hosts run concurrently
 }
 
@@ -104,7 +104,7 @@
 	state      session.ServerState
 	started    Time
 	inTrouble  bool // a trouble applies to it now
-	starts     int  // number of processes started so far
+	startCount int  // number of processes started so far
 }
 
 // frontState is a session manager of the day.
@@ -112,7 +112,7 @@
 	name, zone string
 	index      int
 	up         bool
-	starts     uint64
+	startCount uint64
 	journal    memoryJournal
 }
 
@@ -122,14 +122,14 @@
 func (m memoryJournal) Opened(orphan life.Orphan) { m[orphan.Name] = orphan }
 func (m memoryJournal) Ended(name string)         { delete(m, name) }
 
-// Begin starts a day's fleet in an environment and schedules its load and troubles.
-func Begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger) *Play {
-	return begin(day, env, recording, faulty, log, nil)
+// StartDay starts a day's fleet in an environment and schedules its load and troubles.
+func StartDay(day *Day, env Environment, recording *Recording, faulty *FaultyFront, log *zap.Logger) *DayRun {
+	return startDay(day, env, recording, faulty, log, nil)
 }
 
-func begin(day *Day, env Environment, recording *Tape, faulty *FaultyFront, log *zap.Logger, processes *Processes) *Play {
-	p := &Play{Day: day, stage: env, tape: recording, rng: rand.New(rand.NewPCG(day.Seed, 0xda1)), began: env.Now(), surgeFactor: 1,
-		broken: faulty, log: log, requestedAt: map[*player.Profile]Time{}, zoneByHost: map[string]string{}, Tally: Tally{ByKind: map[string]int{}}}
+func startDay(day *Day, env Environment, recording *Recording, faulty *FaultyFront, log *zap.Logger, processes *Processes) *DayRun {
+	p := &DayRun{Day: day, env: env, recording: recording, rng: rand.New(rand.NewPCG(day.Seed, 0xda1)), startedAt: env.Now(), surgeFactor: 1,
+		faulty: faulty, log: log, requestedAt: map[*player.Profile]Time{}, zoneByHost: map[string]string{}, Tally: Tally{TroublesByKind: map[string]int{}}}
 	if p.processes = processes; processes != nil {
 		processes.play = p
 	}
@@ -142,7 +142,7 @@
 		p.racks = append(p.racks, &mediabox.Rack{UplinkKB: day.UplinkKB})
 	}
 	if day.Registry != nil {
-		p.registry = newRoom(p, day.Registry)
+		p.registry = newSimRegistry(p, day.Registry)
 	}
 	for i := range day.Boxes {
 		b := &boxState{name: "box-" + strconv.Itoa(i), zone: p.zoneName(i), cell: i, state: session.Ready}
@@ -150,10 +150,10 @@
 		p.zoneByHost[b.name] = b.zone
 		p.startBox(b, 0)
 		if p.registry != nil {
-			p.registry.box(b)
+			p.registry.putBox(b)
 		}
 		if p.processes != nil {
-			p.processes.box(b)
+			p.processes.putBox(b)
 		}
 	}
 	for i := range day.Managers {
@@ -162,14 +162,14 @@
 		p.zoneByHost[f.name] = f.zone
 		p.startFront(f)
 	}
-	env.Player("players")
+	env.MarkPlayers("players")
 	env.Start("players", "", func(n core.Net) core.Core {
 		group := player.New(n, env.Now())
 		group.Report = p.recordResult
 		return group
 	})
 	if len(day.Tenants) == 0 {
-		p.at(0, p.startViewer)
+		p.schedule(0, p.startViewer)
 	}
 	for i := range day.Tenants {
 		for n := range day.Tenants[i].Count {
@@ -178,22 +178,22 @@
 			if tenant.Count > 1 {
 				name += "-" + strconv.Itoa(n)
 			}
-			p.at(tenant.From+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
+			p.schedule(tenant.From+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 		}
 	}
-	p.at(core.Second, p.sampleOrphans)
+	p.schedule(core.Second, p.sampleOrphans)
 	for _, trouble := range day.Troubles {
-		p.at(trouble.At, func() { p.applyTrouble(trouble) })
+		p.schedule(trouble.At, func() { p.applyTrouble(trouble) })
 	}
 	return p
 }
 
 // sampleOrphans counts, ten times a second, the box sessions that have no connection.
-func (p *Play) sampleOrphans() {
-	if p.Day.Frame.KeepSessionsOnClose && p.processes == nil {
+func (p *DayRun) sampleOrphans() {
+	if p.Day.BoxConfig.KeepSessionsOnClose && p.processes == nil {
 		p.orphanSamples++
 		for _, b := range p.boxes {
-			p.stage.Call(b.name, func(c core.Core) {
+			p.env.Call(b.name, func(c core.Core) {
 				if box, ok := c.(*mediabox.Box); ok {
 					p.mu.Lock()
 					p.orphanSum += float64(box.OrphanedSessions())
@@ -201,14 +201,14 @@
 				}
 			})
 		}
-		if now := p.stage.Now() - p.began; now < p.Day.Length {
-			p.at(now+core.Second/10, p.sampleOrphans)
+		if now := p.env.Now() - p.startedAt; now < p.Day.Length {
+			p.schedule(now+core.Second/10, p.sampleOrphans)
 		}
 	}
 }
 
-// Length returns the time until every request of the day has been answered and every playback has ended.
-func (p *Play) Length() Time {
+// Duration returns the time until every request of the day has been answered and every playback has ended.
+func (p *DayRun) Duration() Time {
 	longestWatch, longestAbandon := Time(0), Time(0)
 	for _, plan := range p.Day.Plans {
 		longestWatch, longestAbandon = max(longestWatch, plan.Watch[1]), max(longestAbandon, plan.Abandon)
@@ -216,22 +216,22 @@
 	return p.Day.Length + Time(p.Day.MaxRetries+1)*(longestWatch+2*longestAbandon+p.Day.RetryDelay)
 }
 
-func (p *Play) zoneName(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
+func (p *DayRun) zoneName(i int) string { return "zone-" + strconv.Itoa(i%p.Day.Zones) }
 
-func (p *Play) at(offset Time, run func()) { p.stage.At(p.began+offset, run) }
+func (p *DayRun) schedule(offset Time, run func()) { p.env.At(p.startedAt+offset, run) }
 
-func (p *Play) startBox(b *boxState, startedAt Time) {
-	config := p.Day.Frame
+func (p *DayRun) startBox(b *boxState, startedAt Time) {
+	config := p.Day.BoxConfig
 	config.Name, config.Rack, config.StartedAt = b.name, p.racks[b.cell%p.Day.Racks], startedAt
-	b.starts++
-	config.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.starts)
-	p.tape.Began(p.stage.Now(), b.name, startedAt)
-	p.stage.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(config, n, p.stage.Now()) })
+	b.startCount++
+	config.Seed = p.Day.Seed<<20 + uint64(b.cell)<<8 + uint64(b.startCount)
+	p.recording.RecordStart(p.env.Now(), b.name, startedAt)
+	p.env.Start(b.name, b.zone, func(n core.Net) core.Core { return mediabox.New(config, n, p.env.Now()) })
 }
 
-// Service returns the configuration of the day's front with the given index.
-func (d *Day) Service(index int) *front.Config {
-	config := &front.Config{Name: "front-" + strconv.Itoa(index), Site: d.Site, SessionTimeout: d.Timeout, OmitRetryAfter: d.Silent,
+// FrontConfig returns the configuration of the day's front with the given index.
+func (d *Day) FrontConfig(index int) *front.Config {
+	config := &front.Config{Name: "front-" + strconv.Itoa(index), Site: d.Site, SessionTimeout: d.SessionTimeout, OmitRetryAfter: d.OmitRetryAfter,
 		Kinds: []string{"std"}, Secret: []byte{byte(d.Seed), byte(index)},
 		Bounds: front.Bounds{Connections: 20000, Playbacks: 8000, Pipelined: 16, PlayerBytes: 256 << 10}}
 	for i := range d.Zones {
@@ -242,15 +242,15 @@
 	}
 	if d.Queue != nil {
 		queue := *d.Queue
-		queue.TokenSecret, queue.WithholdRetryTime = config.Secret, d.Silent
+		queue.TokenSecret, queue.WithholdRetryTime = config.Secret, d.OmitRetryAfter
 		for _, sitePlan := range d.Site.Plans {
 			queue.StartupTarget = max(queue.StartupTarget, sitePlan.StartupTarget)
 		}
 		config.Queue = &queue
 		config.Bounds.Connections = 200000
 	}
-	config.OnAnswered = d.Told
-	if d.figures {
+	config.OnAnswered = d.OnAnswered
+	if d.countQuality {
 		measures := quality.Config{RungWorth: config.Site.Ladder.RevenueShare, Racks: d.Racks, MaxTitles: 1000, MaxPlaybacks: 20000, BucketWidth: core.Second, BucketCount: 1000}
 		for _, plan := range config.Site.Plans {
 			measures.Plans = append(measures.Plans, quality.Plan{Startup: plan.StartupTarget, Revenue: plan.Revenue})
@@ -261,16 +261,16 @@
 	return config
 }
 
-func (p *Play) startFront(f *frontState) {
+func (p *DayRun) startFront(f *frontState) {
 	if p.processes != nil {
-		f.starts++
+		f.startCount++
 		p.processes.start(f)
 		return
 	}
-	config := p.Day.Service(f.index)
-	config.Secret = append(config.Secret, byte(f.starts)) // session and playback names differ from those of an earlier process
+	config := p.Day.FrontConfig(f.index)
+	config.Secret = append(config.Secret, byte(f.startCount)) // session and playback names differ from those of an earlier process
 	var orphans []life.Orphan
-	if p.Day.Recover {
+	if p.Day.RecoverOrphans {
 		for _, name := range sortedKeys(f.journal) {
 			orphans = append(orphans, f.journal[name])
 		}
@@ -278,50 +278,50 @@
 		config.Journal = f.journal
 	}
 	if p.Day.doors != nil {
-		if err := p.Day.doors.equip(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
+		if err := p.Day.doors.attachView(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
 			p.log.Error("front started without its directory and TLS configuration", zap.Error(err))
 		}
 	}
 	changedSite := config.Site
-	if p.broken != nil && p.broken.ChangeSite != nil {
-		p.broken.ChangeSite(&changedSite)
+	if p.faulty != nil && p.faulty.ChangeSite != nil {
+		p.faulty.ChangeSite(&changedSite)
 	}
-	f.starts++
-	p.tape.Began(p.stage.Now(), f.name, 0)
-	seed := p.Day.Seed*1000 + uint64(f.index) + f.starts<<32
-	if p.broken != nil {
-		seed ^= p.broken.SeedMask
+	f.startCount++
+	p.recording.RecordStart(p.env.Now(), f.name, 0)
+	seed := p.Day.Seed*1000 + uint64(f.index) + f.startCount<<32
+	if p.faulty != nil {
+		seed ^= p.faulty.SeedMask
 	}
-	p.stage.Start(f.name, f.zone, func(n core.Net) core.Core {
-		if p.broken != nil && p.broken.WrapNet != nil {
-			n = p.broken.WrapNet(n)
+	p.env.Start(f.name, f.zone, func(n core.Net) core.Core {
+		if p.faulty != nil && p.faulty.WrapNet != nil {
+			n = p.faulty.WrapNet(n)
 		}
-		now := p.stage.Now()
+		now := p.env.Now()
 		site := &changedSite
-		if p.broken == nil || p.broken.ChangeSite == nil {
+		if p.faulty == nil || p.faulty.ChangeSite == nil {
 			site = &config.Site
 		}
 		var module session.Manager = policy.New(site, seed, now)
 		if newPolicy := baselines[p.Day.Policy]; newPolicy != nil {
 			module = newPolicy(site, seed)
 		}
-		if p.broken != nil && p.broken.WrapModule != nil {
-			module = p.broken.WrapModule(module)
+		if p.faulty != nil && p.faulty.WrapModule != nil {
+			module = p.faulty.WrapModule(module)
 		}
 		manager := front.New(config, module, n, p.log, now)
 		return p.wrapFront(manager, f)
 	})
 	f.up = true
 	if p.Day.doors != nil {
-		if err := p.Day.doors.opened(f.name); err != nil {
+		if err := p.Day.doors.listenTLS(f.name); err != nil {
 			p.log.Error("front started without its TLS listener", zap.Error(err))
 		}
 	}
 	if len(orphans) > 0 {
-		p.stage.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(orphans, nil) })
+		p.env.Call(f.name, func(c core.Core) { frontOf(c).AdoptOrphans(orphans, nil) })
 	}
 	if p.registry != nil {
-		p.registry.manager(f)
+		p.registry.putManager(f)
 		return
 	}
 	var allBoxes []*boxState
@@ -330,56 +330,56 @@
 }
 
 // wrapFront adds a registry client to a front if the day has a registry.
-func (p *Play) wrapFront(manager *front.Front, f *frontState) core.Core {
+func (p *DayRun) wrapFront(manager *front.Front, f *frontState) core.Core {
 	if p.registry != nil {
-		return p.registry.listen(manager, f.name)
+		return p.registry.attach(manager, f.name)
 	}
 	return manager
 }
 
 // sendList sends a front the current list entries of some boxes.
-func (p *Play) sendList(f *frontState, boxes []*boxState, complete bool) {
+func (p *DayRun) sendList(f *frontState, boxes []*boxState, complete bool) {
 	update := front.ListUpdate{Complete: complete}
 	for _, b := range boxes {
-		update.Servers = append(update.Servers, front.Server{Name: b.name, Address: p.stage.Addr(b.name), Zone: b.zone, Kind: "std",
+		update.Servers = append(update.Servers, front.Server{Name: b.name, Address: p.env.Addr(b.name), Zone: b.zone, Kind: "std",
 			Cell: b.cell, Weight: 1, State: b.state, Started: b.started})
 	}
-	p.stage.Call(f.name, func(c core.Core) {
+	p.env.Call(f.name, func(c core.Core) {
 		for _, s := range update.Servers {
-			p.tape.Told(p.stage.Now(), f.name, s.Name, s.State, s.Started)
+			p.recording.RecordState(p.env.Now(), f.name, s.Name, s.State, s.Started)
 		}
-		if p.broken != nil && p.broken.List != nil {
-			update = p.broken.List(update)
+		if p.faulty != nil && p.faulty.ChangeList != nil {
+			update = p.faulty.ChangeList(update)
 		}
 		c.(*front.Front).UpdateList(update)
 	})
 }
 
 // announceState sends all fronts a box's list entry, each after a random delay within the day's NoticeSpread.
-func (p *Play) announceState(b *boxState, state session.ServerState, delay Time) {
+func (p *DayRun) announceState(b *boxState, state session.ServerState, delay Time) {
 	if p.processes != nil {
-		startCount := b.starts
-		p.stage.At(p.stage.Now()+delay, func() {
-			if b.state == state && b.starts == startCount {
-				p.processes.box(b)
+		startCount := b.startCount
+		p.env.At(p.env.Now()+delay, func() {
+			if b.state == state && b.startCount == startCount {
+				p.processes.putBox(b)
 			}
 		})
 		return
 	}
 	if p.registry != nil {
-		startCount := b.starts
-		p.stage.At(p.stage.Now()+delay, func() {
-			if b.state == state && b.starts == startCount {
-				p.registry.box(b)
+		startCount := b.startCount
+		p.env.At(p.env.Now()+delay, func() {
+			if b.state == state && b.startCount == startCount {
+				p.registry.putBox(b)
 			}
 		})
 		return
 	}
 	for _, f := range p.fronts {
 		frontDelay := delay + Time(p.rng.Float64()*float64(p.Day.NoticeSpread))
-		startCount := b.starts
-		p.stage.At(p.stage.Now()+frontDelay, func() {
-			if b.state == state && b.starts == startCount && f.up {
+		startCount := b.startCount
+		p.env.At(p.env.Now()+frontDelay, func() {
+			if b.state == state && b.startCount == startCount && f.up {
 				p.sendList(f, []*boxState{b}, false)
 			}
 		})
@@ -387,25 +387,25 @@
 }
 
 // startViewer starts the next viewer and schedules the one after it.
-func (p *Play) startViewer() {
+func (p *DayRun) startViewer() {
 	day := p.Day
-	now := p.stage.Now() - p.began
+	now := p.env.Now() - p.startedAt
 	if now >= day.Length {
 		return
 	}
 	profile := p.drawProfile()
 	p.viewerCount++
 	p.mu.Lock()
-	p.Tally.Offered += p.planRevenue(profile)
+	p.Tally.OfferedRevenue += p.planRevenue(profile)
 	p.mu.Unlock()
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
-	gap := p.rng.ExpFloat64() / (day.Rate * p.surgeFactor)
-	p.at(now+Time(gap*1e6), p.startViewer)
+	p.env.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	gap := p.rng.ExpFloat64() / (day.ArrivalRate * p.surgeFactor)
+	p.schedule(now+Time(gap*1e6), p.startViewer)
 }
 
 // startTenantViewer starts a tenant's next viewer and schedules the one after it.
-func (p *Play) startTenantViewer(tenant *DayTenant, name string) {
-	now := p.stage.Now() - p.began
+func (p *DayRun) startTenantViewer(tenant *DayTenant, name string) {
+	now := p.env.Now() - p.startedAt
 	if now >= min(tenant.Until, p.Day.Length) {
 		return
 	}
@@ -417,25 +417,25 @@
 	if !profile.HonorsRetryAfter {
 		profile.MaxRetries = 0
 	}
-	p.Log = append(p.Log, &TenantViewer{Tenant: name, Of: tenant, Profile: profile, At: p.stage.Now()})
+	p.TenantViewers = append(p.TenantViewers, &TenantViewer{Tenant: name, Config: tenant, Profile: profile, StartedAt: p.env.Now()})
 	if p.viewerByProfile == nil {
 		p.viewerByProfile = map[*player.Profile]*TenantViewer{}
 	}
-	p.viewerByProfile[profile] = p.Log[len(p.Log)-1]
-	p.stage.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
-	p.at(now+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
+	p.viewerByProfile[profile] = p.TenantViewers[len(p.TenantViewers)-1]
+	p.env.Call("players", func(c core.Core) { c.(*player.Group).Start(profile) })
+	p.schedule(now+Time(p.rng.ExpFloat64()/tenant.Rate*1e6), func() { p.startTenantViewer(tenant, name) })
 }
 
 // TenantViewer is one viewer of a tenant with the results of its attempts in order.
 type TenantViewer struct {
-	Tenant  string
-	Of      *DayTenant
-	Profile *player.Profile
-	At      Time
-	Seen    []player.Result
+	Tenant    string
+	Config    *DayTenant
+	Profile   *player.Profile
+	StartedAt Time
+	Results   []player.Result
 }
 
-func (p *Play) drawProfile() *player.Profile {
+func (p *DayRun) drawProfile() *player.Profile {
 	day := p.Day
 	planDraw, plan := p.rng.Float64(), 0
 	totalShare := 0.0
@@ -455,7 +455,7 @@
 		title = 0
 	}
 	profile := &player.Profile{ID: "pb" + strconv.Itoa(p.viewerCount), Plan: dayPlan.Name, Title: dayPlan.Name + "-" + strconv.Itoa(title),
-		TopRung: len(day.Frame.LadderKB) - 1, Tracks: len(dayPlan.Tracks), AbandonTime: dayPlan.Abandon, MaxRetries: day.MaxRetries, RetryDelay: day.RetryDelay,
+		TopRung: len(day.BoxConfig.LadderKB) - 1, Tracks: len(dayPlan.Tracks), AbandonTime: dayPlan.Abandon, MaxRetries: day.MaxRetries, RetryDelay: day.RetryDelay,
 		WatchTime: dayPlan.Watch[0] + Time(p.rng.Float64()*float64(dayPlan.Watch[1]-dayPlan.Watch[0])), HonorsRetryAfter: p.rng.Float64() < 0.7,
 		DescribeFirst: p.rng.Float64() < 0.3, DuplicateSetups: p.rng.Float64() < p.duplicateShare}
 	if p.rng.Float64() < day.SmallScreenShare {
@@ -468,18 +468,18 @@
 	first := p.rng.IntN(len(p.fronts))
 	for i := range p.fronts {
 		if f := p.fronts[(first+i)%len(p.fronts)]; f.index%day.Zones == zone || day.Managers < day.Zones {
-			profile.Fronts = append(profile.Fronts, p.stage.Addr(f.name))
+			profile.Fronts = append(profile.Fronts, p.env.Addr(f.name))
 		}
 	}
 	if day.doors != nil {
-		day.doors.viewer(profile)
+		day.doors.assignIdentity(profile)
 	}
 	p.profiles = append(p.profiles, profile)
-	p.requestedAt[profile] = p.stage.Now()
+	p.requestedAt[profile] = p.env.Now()
 	return profile
 }
 
-func (p *Play) planRevenue(profile *player.Profile) float64 {
+func (p *DayRun) planRevenue(profile *player.Profile) float64 {
 	for i := range p.Day.Plans {
 		if p.Day.Plans[i].Name == profile.Plan {
 			return p.Day.Site.Plans[i].Revenue
@@ -489,27 +489,27 @@
 }
 
 // recordResult adds the result of one attempt of a viewer to the tally.
-func (p *Play) recordResult(profile *player.Profile, result *player.Result) {
+func (p *DayRun) recordResult(profile *player.Profile, result *player.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if viewer := p.viewerByProfile[profile]; viewer != nil {
-		viewer.Seen = append(viewer.Seen, *result)
+		viewer.Results = append(viewer.Results, *result)
 	}
 	if p.Day.doors != nil {
-		p.Day.doors.saw(profile, result)
+		p.Day.doors.judgeResult(profile, result)
 	}
 	tally := &p.Tally
-	tally.Asked++
+	tally.Attempts++
 	tally.Requests += result.Requests
 	tally.Responses += result.Responses
-	tally.Unasked += result.Unsolicited
+	tally.Unsolicited += result.Unsolicited
 	tally.Packets += result.Packets
 	tally.Gaps += result.Gaps
 	if result.RedirectReceived {
-		tally.SentOn++
+		tally.RedirectsReceived++
 	}
 	if p.processes != nil {
-		p.Seen = append(p.Seen, *result)
+		p.Results = append(p.Results, *result)
 	}
 	if result.StartupTime > 0 && !result.FromRedirect && !p.revenueCounted[profile] {
 		if p.revenueCounted == nil {
@@ -517,7 +517,7 @@
 		}
 		p.revenueCounted[profile] = true
 		tally.Revenue += p.planRevenue(profile)
-		if n := int((result.StartedAt - p.began) / (core.Second / 10)); n >= 0 {
+		if n := int((result.StartedAt - p.startedAt) / (core.Second / 10)); n >= 0 {
 			for len(tally.RevenueByTenth) <= n {
 				tally.RevenueByTenth = append(tally.RevenueByTenth, 0)
 			}
@@ -546,7 +546,7 @@
 }
 
 // pickBoxes draws up to count ready boxes that no trouble applies to, and marks them.
-func (p *Play) pickBoxes(count int) (all []*boxState) {
+func (p *DayRun) pickBoxes(count int) (all []*boxState) {
 	for _, i := range p.rng.Perm(len(p.boxes)) {
 		if b := p.boxes[i]; len(all) < count && !b.inTrouble && b.state == session.Ready {
 			b.inTrouble = true
@@ -557,8 +557,8 @@
 }
 
 // changeFaults changes the faults of a box if it is running.
-func (p *Play) changeFaults(b *boxState, change func(*mediabox.Faults)) {
-	p.stage.Call(b.name, func(c core.Core) {
+func (p *DayRun) changeFaults(b *boxState, change func(*mediabox.Faults)) {
+	p.env.Call(b.name, func(c core.Core) {
 		if box, ok := c.(*mediabox.Box); ok {
 			change(&box.Faults)
 		}
@@ -566,9 +566,9 @@
 }
 
 // applyTrouble applies one trouble of the day's script.
-func (p *Play) applyTrouble(trouble Trouble) {
-	p.Tally.ByKind[trouble.Kind]++
-	runLater := func(after Time, call func()) { p.stage.At(p.stage.Now()+after, call) }
+func (p *DayRun) applyTrouble(trouble Trouble) {
+	p.Tally.TroublesByKind[trouble.Kind]++
+	runLater := func(after Time, call func()) { p.env.At(p.env.Now()+after, call) }
 	applyFault := func(kind mediabox.Fault, methods ...string) {
 		for _, b := range p.pickBoxes(trouble.Boxes) {
 			p.changeFaults(b, func(x *mediabox.Faults) {
@@ -577,7 +577,7 @@
 					x.ByMethod[m] = kind
 				}
 			})
-			runLater(trouble.For, func() {
+			runLater(trouble.Duration, func() {
 				b.inTrouble = false
 				p.changeFaults(b, func(x *mediabox.Faults) { x.ByMethod = nil })
 			})
@@ -586,7 +586,7 @@
 	applyState := func(set, unset func(x *mediabox.Faults)) {
 		for _, b := range p.pickBoxes(trouble.Boxes) {
 			p.changeFaults(b, set)
-			runLater(trouble.For, func() {
+			runLater(trouble.Duration, func() {
 				b.inTrouble = false
 				p.changeFaults(b, unset)
 			})
@@ -596,13 +596,13 @@
 	case "die", "vanish":
 		for _, b := range p.pickBoxes(trouble.Boxes) {
 			p.stopBox(b, trouble.Kind == "vanish")
-			runLater(trouble.For, func() { p.restartBox(b) })
+			runLater(trouble.Duration, func() { p.restartBox(b) })
 		}
 	case "drain":
 		for _, b := range p.pickBoxes(trouble.Boxes) {
 			b.state = session.Draining
 			p.announceState(b, b.state, 0)
-			runLater(trouble.For, func() {
+			runLater(trouble.Duration, func() {
 				p.stopBox(b, false)
 				runLater(core.Second, func() { p.restartBox(b) })
 			})
@@ -622,7 +622,7 @@
 		for _, b := range p.boxes {
 			if b.cell%p.Day.Racks == p.slowRack {
 				p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = trouble.Magnitude })
-				runLater(trouble.For, func() { p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
+				runLater(trouble.Duration, func() { p.changeFaults(b, func(x *mediabox.Faults) { x.SetupTimeFactor = 0 }) })
 			}
 		}
 	case "slow":
@@ -639,16 +639,16 @@
 			func(x *mediabox.Faults) { x.CompetingShare = 0 })
 	case "surge":
 		p.surgeFactor = trouble.Magnitude
-		runLater(trouble.For, func() { p.surgeFactor = 1 })
+		runLater(trouble.Duration, func() { p.surgeFactor = 1 })
 	case "crowd":
 		p.crowdShare = trouble.Share
-		runLater(trouble.For, func() { p.crowdShare = 0 })
+		runLater(trouble.Duration, func() { p.crowdShare = 0 })
 	case "repeat":
 		p.duplicateShare = trouble.Share
-		runLater(trouble.For, func() { p.duplicateShare = 0 })
+		runLater(trouble.Duration, func() { p.duplicateShare = 0 })
 	case "leave":
 		p.earlyLeaveShare = trouble.Share
-		runLater(trouble.For, func() { p.earlyLeaveShare = 0 })
+		runLater(trouble.Duration, func() { p.earlyLeaveShare = 0 })
 	case "kill":
 		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
 			f := p.fronts[i]
@@ -658,16 +658,16 @@
 			f.up = false
 			if p.processes != nil {
 				p.processes.kill(f)
-				runLater(trouble.For, func() { p.startFront(f) })
+				runLater(trouble.Duration, func() { p.startFront(f) })
 				continue
 			}
-			p.tape.Killed(p.stage.Now(), f.name)
+			p.recording.RecordKill(p.env.Now(), f.name)
 			p.collectFront(f)
-			p.stage.Kill(f.name, false)
+			p.env.Kill(f.name, false)
 			if p.registry != nil {
-				p.registry.manager(f)
+				p.registry.putManager(f)
 			}
-			runLater(trouble.For, func() { p.startFront(f) })
+			runLater(trouble.Duration, func() { p.startFront(f) })
 		}
 	case "stand-still":
 		for range trouble.Managers {
@@ -676,61 +676,61 @@
 				continue
 			}
 			if p.processes != nil {
-				p.processes.stand(f, trouble.For)
+				p.processes.pause(f, trouble.Duration)
 				continue
 			}
-			p.tape.Stood(p.stage.Now(), p.stage.Now()+trouble.For, f.name)
-			p.stage.Stand(f.name, trouble.For)
+			p.recording.RecordPause(p.env.Now(), p.env.Now()+trouble.Duration, f.name)
+			p.env.Pause(f.name, trouble.Duration)
 		}
 	case "reload", "bad-reload", "halt", "upgrade": // only with separate processes
 		for _, i := range p.rng.Perm(len(p.fronts))[:min(trouble.Managers, len(p.fronts))] {
-			p.processes.trouble(p.fronts[i], trouble)
+			p.processes.playTrouble(p.fronts[i], trouble)
 		}
 	case "registry-cut":
-		p.registry.cut(trouble.For)
+		p.registry.disconnect(trouble.Duration)
 	case "registry-stall":
-		p.registry.stalled = p.stage.Now() + trouble.For
+		p.registry.stalledUntil = p.env.Now() + trouble.Duration
 	case "registry-compact":
 		h, _ := p.registry.store.Keys()
 		p.registry.store.Compact(h.Revision)
 	case "registry-anew":
-		p.registry.anew()
+		p.registry.startNewHistory()
 	case "registry-lose":
-		p.registry.lose()
+		p.registry.expireLeases()
 	case "zone-cut":
-		p.stage.CutZones("zone-0", p.zoneName(1), trouble.For)
+		p.env.CutZones("zone-0", p.zoneName(1), trouble.Duration)
 	}
 }
 
 // stopBox ends a box's process; the list reports it after LossNoticeDelay.
-func (p *Play) stopBox(b *boxState, silent bool) {
-	p.tape.Killed(p.stage.Now(), b.name)
+func (p *DayRun) stopBox(b *boxState, silent bool) {
+	p.recording.RecordKill(p.env.Now(), b.name)
 	p.collectBox(b)
-	p.stage.Call(b.name, func(c core.Core) {
+	p.env.Call(b.name, func(c core.Core) {
 		if box, ok := c.(*mediabox.Box); ok {
 			box.ReleaseUplink()
 		}
-		p.stage.At(p.stage.Now(), func() { p.stage.Kill(b.name, silent) })
+		p.env.At(p.env.Now(), func() { p.env.Kill(b.name, silent) })
 	})
 	b.state = session.Gone
 	p.announceState(b, b.state, p.Day.LossNoticeDelay)
 }
 
 // restartBox starts a box's process again, cold, and announces it.
-func (p *Play) restartBox(b *boxState) {
-	p.stage.Kill(b.name, false)
-	b.started, b.state = p.stage.Now(), session.Ready
+func (p *DayRun) restartBox(b *boxState) {
+	p.env.Kill(b.name, false)
+	b.started, b.state = p.env.Now(), session.Ready
 	p.startBox(b, b.started)
 	p.announceState(b, b.state, 0)
 	b.inTrouble = false
 }
 
-func (p *Play) collectBox(b *boxState) {
-	p.stage.Call(b.name, func(c core.Core) {
+func (p *DayRun) collectBox(b *boxState) {
+	p.env.Call(b.name, func(c core.Core) {
 		if box, ok := c.(*mediabox.Box); ok {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.Tally.Fell += box.Counts.Crashes
+			p.Tally.Crashes += box.Counts.Crashes
 			p.Tally.Setups += box.Counts.Setups
 			p.packetsSent += box.Counts.Packets
 			box.Faults.Unresponsive = true // its packets are counted already, so it must not send more before it ends
@@ -743,28 +743,28 @@
 	switch x := c.(type) {
 	case *front.Front:
 		return x
-	case *ear:
+	case *registryClient:
 		return x.Front
 	}
 	return nil
 }
 
-func (p *Play) collectFront(f *frontState) {
-	p.stage.Call(f.name, func(c core.Core) {
+func (p *DayRun) collectFront(f *frontState) {
+	p.env.Call(f.name, func(c core.Core) {
 		if manager := frontOf(c); manager != nil {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			addStats(&p.Tally.Fronts, &manager.Figures)
+			addStats(&p.Tally.FrontStats, &manager.Figures)
 			if manager.Quality != nil {
-				p.serviceOf(manager.Quality)
+				p.addTotals(manager.Quality)
 			}
 		}
 	})
 }
 
-// End collects the figures of the boxes and fronts that still run.
-func (p *Play) End() {
-	p.Orphans = p.orphanSum / max(p.orphanSamples, 1)
+// Finish collects the figures of the boxes and fronts that still run.
+func (p *DayRun) Finish() {
+	p.MeanOrphans = p.orphanSum / max(p.orphanSamples, 1)
 	for _, b := range p.boxes {
 		p.collectBox(b)
 	}
@@ -784,14 +784,14 @@
 	}
 }
 
-// Virtual runs a day on the virtual network until all of its playbacks have ended, and checks the totals.
-func Virtual(day *Day, faulty *FaultyFront, log *zap.Logger) (*Play, *Tape, *World) {
-	recording := &Tape{}
-	network := NewWorld(day.Links, day.Seed, recording)
-	p := Begin(day, network, recording, faulty, log)
+// RunVirtual runs a day on the virtual network until all of its playbacks have ended, and checks the totals.
+func RunVirtual(day *Day, faulty *FaultyFront, log *zap.Logger) (*DayRun, *Recording, *VirtualNet) {
+	recording := &Recording{}
+	network := NewVirtualNet(day.Links, day.Seed, recording)
+	p := StartDay(day, network, recording, faulty, log)
 	network.At(network.now+bucketWidth, func() { p.sample(network) })
-	network.Run(p.began + p.Length())
-	p.End()
+	network.Run(p.startedAt + p.Duration())
+	p.Finish()
 	network.Run(network.now + core.Second)
 	p.checkTotals(network)
 	return p, recording, network
@@ -801,7 +801,7 @@
 func (t *Tally) Summary() string {
 	return fmt.Sprintf("asked %d, played %d, refused %d, failed %d, abandoned %d, lost %d; packets %d, gaps %d\n"+
 		"fronts: taken %d, plays %d, refused %d, failed %d, left %d, overdue %d, tries %d, lapsed %d, late answers %d, left over: %d playbacks, %d dialogues",
-		t.Asked, t.Played, t.Rejected, t.Failed, t.Abandoned, t.Lost, t.Packets, t.Gaps, t.Fronts.Taken, t.Fronts.Plays,
-		t.Fronts.Refused, t.Fronts.Failed, t.Fronts.Left, t.Fronts.Overdue, t.Fronts.Tries, t.Fronts.Lapsed,
-		t.Fronts.LateAnswers, t.Fronts.Playbacks, t.Fronts.Dialogues)
+		t.Attempts, t.Played, t.Rejected, t.Failed, t.Abandoned, t.Lost, t.Packets, t.Gaps, t.FrontStats.Taken, t.FrontStats.Plays,
+		t.FrontStats.Refused, t.FrontStats.Failed, t.FrontStats.Left, t.FrontStats.Overdue, t.FrontStats.Tries, t.FrontStats.Lapsed,
+		t.FrontStats.LateAnswers, t.FrontStats.Playbacks, t.FrontStats.Dialogues)
 }
--- a/internal/lab/score.go
+++ b/internal/lab/score.go
@@ -17,11 +17,11 @@
 	minShareDivisor = 40 // only plans and tenants with more than 1/40 of the offered revenue count as the worst
 )
 
-// Worth is the score of a day as its users value it. For each half second in which a viewer wants to watch, offered is
+// Score is the score of a day as its users value it. For each half second in which a viewer wants to watch, offered is
 // its plan's revenue at the highest rung that it can use. Earned is the revenue at the rung in force times the share
 // that was delivered, if the playback started within its startup target. All of it is computed from the recorded
 // traffic.
-type Worth struct {
+type Score struct {
 	Whole, Worst, WorstPlan, WorstTenant float64   // earned over offered: of the day, of the worst 10 s, of the worst plan and tenant
 	Prices                               float64   // cost of zone crossings, moves, probes and rung changes, on the scale of Whole
 	Goal                                 float64   // weighted sum of Whole, Worst and WorstPlan, less Prices
@@ -55,15 +55,15 @@
 	bytesFrom                            Time
 }
 
-// Count computes the score of a day from its recorded traffic.
-func (p *Play) Count(recording *Tape) *Worth {
+// Score computes the score of a day from its recorded traffic.
+func (p *DayRun) Score(recording *Recording) *Score {
 	day := p.Day
 	entries := slices.Clone(recording.Entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return int(min(max(a.At-b.At, -1), 1)) })
-	bucketCount := int(p.Length()/bucketWidth) + 1
-	score := &Worth{Offered: make([]float64, bucketCount), Earned: make([]float64, bucketCount), Possible: make([]float64, bucketCount), MeanRungs: make([]float64, bucketCount),
+	bucketCount := int(p.Duration()/bucketWidth) + 1
+	score := &Score{Offered: make([]float64, bucketCount), Earned: make([]float64, bucketCount), Possible: make([]float64, bucketCount), MeanRungs: make([]float64, bucketCount),
 		Playing: make([]float64, bucketCount), Tries: make([]float64, bucketCount), MeanWaits: make([]float64, bucketCount)}
-	bucketOf := func(t Time) int { return min(max(int((t-p.began)/bucketWidth), 0), bucketCount-1) }
+	bucketOf := func(t Time) int { return min(max(int((t-p.startedAt)/bucketWidth), 0), bucketCount-1) }
 
 	type upstream struct {
 		requestID, box, front string
@@ -103,7 +103,7 @@
 		flow := flowByConn[e.ConnID]
 		switch {
 		case e.Kind == RequestSent && !e.FromFront && e.Method == "SETUP" && e.RequestID != "" && flow == nil:
-			flow = &playerFlow{requestedAt: e.At, front: e.Front, plan: e.Plan, title: e.Title, closedAt: never}
+			flow = &playerFlow{requestedAt: e.At, front: e.Front, plan: e.Plan, title: e.Title, closedAt: farFuture}
 			flowByConn[e.ConnID], flowByRequest[e.RequestID] = flow, flow
 		case flow != nil && e.Kind == ResponseSent && e.FromFront && !flow.answered && flow.firstPacketAt == 0 && e.RequestID != "":
 			flow.answered = true
@@ -142,7 +142,7 @@
 		watched := Time(0)
 		requestedAt := p.requestedAt[profile]
 		for b := bucketOf(requestedAt); b <= bucketOf(requestedAt+profile.WatchTime-1); b++ {
-			bucketShare := float64(min(requestedAt+profile.WatchTime, p.began+Time(b+1)*bucketWidth)-max(requestedAt, p.began+Time(b)*bucketWidth)) / float64(bucketWidth)
+			bucketShare := float64(min(requestedAt+profile.WatchTime, p.startedAt+Time(b+1)*bucketWidth)-max(requestedAt, p.startedAt+Time(b)*bucketWidth)) / float64(bucketWidth)
 			value := bucketRevenue * day.Site.Ladder.RevenueShare[topRung] * max(bucketShare, 0)
 			score.Offered[b] += value
 			offeredBy[plan] += value
@@ -164,8 +164,8 @@
 			}
 			spans := rungSpans[id]
 			spanIndex := -1
-			for b := bucketOf(flow.firstPacketAt); b <= bucketOf(min(flow.closedAt, p.began+Time(bucketCount-1)*bucketWidth)); b++ {
-				from, to := max(flow.firstPacketAt, p.began+Time(b)*bucketWidth), min(flow.closedAt, p.began+Time(b+1)*bucketWidth)
+			for b := bucketOf(flow.firstPacketAt); b <= bucketOf(min(flow.closedAt, p.startedAt+Time(bucketCount-1)*bucketWidth)); b++ {
+				from, to := max(flow.firstPacketAt, p.startedAt+Time(b)*bucketWidth), min(flow.closedAt, p.startedAt+Time(b+1)*bucketWidth)
 				for spanIndex+1 < len(spans) && spans[spanIndex+1].from <= (from+to)/2 {
 					spanIndex++
 				}
@@ -179,8 +179,8 @@
 					score.Late += bucketRevenue * day.Site.Ladder.RevenueShare[topRung] * bucketShare
 					continue
 				}
-				dueBytes := day.Frame.LadderKB[span.rung] * sitePlan.RateFactor * 1000 * seconds(bucketWidth) * bucketShare
-				deliveredShare := min(flow.delivered(b, p.began)/dueBytes, 1)
+				dueBytes := day.BoxConfig.LadderKB[span.rung] * sitePlan.RateFactor * 1000 * seconds(bucketWidth) * bucketShare
+				deliveredShare := min(flow.delivered(b, p.startedAt)/dueBytes, 1)
 				value := bucketRevenue * day.Site.Ladder.RevenueShare[min(span.rung, topRung)] * bucketShare * deliveredShare
 				score.Earned[b] += value
 				atRung := bucketRevenue * day.Site.Ladder.RevenueShare[min(span.rung, topRung)] * bucketShare
@@ -214,7 +214,7 @@
 	score.Late, score.LowRung, score.Short = score.Late/offered, score.LowRung/offered, score.Short/offered
 	score.Unserved = 1 - score.Whole - score.Late - score.LowRung - score.Short
 	windowBuckets := int(worstWindow / bucketWidth)
-	lastBucket := bucketOf(p.began + day.Length)
+	lastBucket := bucketOf(p.startedAt + day.Length)
 	for i := 0; i+windowBuckets <= lastBucket; i++ {
 		offeredNow, earnedNow := 0.0, 0.0
 		for j := i; j < i+windowBuckets; j++ {
@@ -266,12 +266,12 @@
 // ready boxes' links and uplinks among the viewers, one rung step at a time, the steps with the most revenue per kB
 // first; a further viewer of a live title costs only the join share of its rate. No policy can earn more on these
 // links, except by chance in who watches what; the cost of set-ups and the limits of cold boxes are not counted.
-func (p *Play) estimatePossible(score *Worth) {
+func (p *DayRun) estimatePossible(score *Score) {
 	day := p.Day
 	bucketCount := len(score.Offered)
 	type step struct{ costKB, revenue float64 }
 	firstViewers := make([][]int, bucketCount) // for each half second, the number of viewers by plan and top rung
-	rungCount := len(day.Frame.LadderKB)
+	rungCount := len(day.BoxConfig.LadderKB)
 	seenTitles := make([]map[string]bool, bucketCount)
 	joiners := make([][]int, bucketCount)
 	for i := range firstViewers {
@@ -288,7 +288,7 @@
 		sitePlan := &day.Site.Plans[plan]
 		requestedAt := p.requestedAt[profile]
 		key := plan*rungCount + min(profile.TopRung, sitePlan.Top)
-		for b := int((requestedAt - p.began) / bucketWidth); b <= int((requestedAt+profile.WatchTime-1-p.began)/bucketWidth) && b < bucketCount; b++ {
+		for b := int((requestedAt - p.startedAt) / bucketWidth); b <= int((requestedAt+profile.WatchTime-1-p.startedAt)/bucketWidth) && b < bucketCount; b++ {
 			if sitePlan.Live && seenTitles[b][profile.Title] {
 				joiners[b][key]++
 			} else {
@@ -313,11 +313,11 @@
 				sitePlan := &day.Site.Plans[key/rungCount]
 				rateShare := sitePlan.RateFactor
 				if kind == 1 {
-					rateShare *= day.Frame.Join
+					rateShare *= day.BoxConfig.Join
 				}
 				lastKB, lastRevenue := 0.0, 0.0
 				for rung := sitePlan.Floor; rung <= key%rungCount; rung++ {
-					rateKB, revenue := day.Frame.LadderKB[rung]*rateShare, day.Site.Ladder.RevenueShare[rung]*sitePlan.Revenue*seconds(bucketWidth)
+					rateKB, revenue := day.BoxConfig.LadderKB[rung]*rateShare, day.Site.Ladder.RevenueShare[rung]*sitePlan.Revenue*seconds(bucketWidth)
 					steps = append(steps, step{float64(count) * (rateKB - lastKB), float64(count) * (revenue - lastRevenue)})
 					lastKB, lastRevenue = rateKB, revenue
 				}
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -18,24 +18,24 @@
 // mutants, and minimizes the worst of them.
 type Search struct {
 	Seed      uint64
-	For       time.Duration
-	Say       io.Writer
+	Duration  time.Duration
+	Progress  io.Writer
 	MaxRounds int    // number of rounds, whatever the time; 0 for as many as fit
-	What      string // "worth" for lost revenue, or "answers" for failed, abandoned and late playbacks, whatever the capacity
+	Objective string // "worth" for lost revenue, or "answers" for failed, abandoned and late playbacks, whatever the capacity
 }
 
 // FoundDay is a day found by a search.
 type FoundDay struct {
-	Text   string
-	Row    *Row
-	Played int
+	Text    string
+	Row     *Row
+	DaysRun int
 }
 
 // badness returns how badly a day went: the goal that was lost compared with the upper bound. A broken rule or a
 // failed consistency check counts for more than anything else.
 func (s *Search) badness(row *Row) float64 {
 	badness := max(row.Best, 0.05) - row.Goal
-	if s.What == "answers" {
+	if s.Objective == "answers" {
 		badness = row.Late + float64(row.Failed+row.Abandoned)/float64(max(row.Asked, 1))
 	}
 	if row.Broken > 0 {
@@ -104,7 +104,7 @@
 			if parameter.integral {
 				newText = strconv.Itoa(int(value + 0.5))
 			}
-			if out, err := Set(strings.Join(lines, "\n"), map[string]string{parameter.key: newText}); err == nil {
+			if out, err := SetValues(strings.Join(lines, "\n"), map[string]string{parameter.key: newText}); err == nil {
 				lines = strings.Split(out, "\n")
 			}
 		case choice < 8 && len(troubleLines) < maxTroubleLines: // add a trouble
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if day, err = day.With(seed); err != nil {
+	if day, err = day.WithSeed(seed); err != nil {
 		return nil, err
 	}
 	return Run(day, "")
@@ -159,7 +159,7 @@
 	pool := []candidate{{from.Text, first}}
 	daysRun := 1
 	workers := max(runtime.GOMAXPROCS(0), 1)
-	deadline := time.Now().Add(s.For)
+	deadline := time.Now().Add(s.Duration)
 	for round := 0; s.MaxRounds > 0 && round < s.MaxRounds || s.MaxRounds == 0 && time.Now().Before(deadline); round++ {
 		next := make([]candidate, workers)
 		var running sync.WaitGroup
@@ -192,15 +192,15 @@
 			return 0
 		})
 		pool = pool[:min(len(pool), 6)]
-		if s.Say != nil {
-			fmt.Fprintf(s.Say, "\r%d days played; the worst: worth %.3f of %.3f, %d rules broken     ", daysRun, pool[0].row.Goal, pool[0].row.Best, pool[0].row.Broken)
+		if s.Progress != nil {
+			fmt.Fprintf(s.Progress, "\r%d days played; the worst: worth %.3f of %.3f, %d rules broken     ", daysRun, pool[0].row.Goal, pool[0].row.Best, pool[0].row.Broken)
 		}
 	}
-	if s.Say != nil {
-		fmt.Fprintln(s.Say)
+	if s.Progress != nil {
+		fmt.Fprintln(s.Progress)
 	}
 	text, row, minimizeRuns := s.minimize(pool[0].text, pool[0].row)
-	return &FoundDay{Text: text, Row: row, Played: daysRun + minimizeRuns}, nil
+	return &FoundDay{Text: text, Row: row, DaysRun: daysRun + minimizeRuns}, nil
 }
 
 // minimize removes trouble lines that do not matter and then tries shorter lengths of the day.
@@ -225,7 +225,7 @@
 	}
 	for _, key := range []string{"load.length"} {
 		for _, value := range []string{"6", "8", "10"} {
-			shorter, err := Set(text, map[string]string{key: value})
+			shorter, err := SetValues(text, map[string]string{key: value})
 			if err != nil {
 				continue
 			}
@@ -246,7 +246,7 @@
 // Save writes a found day to a file that a test plays; its first lines hold its score when it was found.
 func (f *FoundDay) Save(path string, seed uint64) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "# Found by a search with seed %d over %d days: worth %.3f, of at most %.3f by what links give; %d broken rules.\n", seed, f.Played,
+	fmt.Fprintf(&text, "# Found by a search with seed %d over %d days: worth %.3f, of at most %.3f by what links give; %d broken rules.\n", seed, f.DaysRun,
 		f.Row.Goal, f.Row.Best, f.Row.Broken)
 	fmt.Fprintf(&text, "# floor %.3f\nseed %d\n", f.Row.Goal-0.05, seed)
 	for line := range strings.SplitSeq(strings.TrimSpace(f.Text), "\n") {
--- a/internal/lab/traffic.go
+++ b/internal/lab/traffic.go
@@ -9,9 +9,9 @@
 	"pierlink/session"
 )
 
-// Tape records what passed on the connections of players and boxes, and the box states sent to the managers. It parses
+// Recording records what passed on the connections of players and boxes, and the box states sent to the managers. It parses
 // the bytes itself and does not use the state of the cores.
-type Tape struct {
+type Recording struct {
 	mu        sync.Mutex
 	Entries   []Entry
 	Flows     []*Flow // for players' connections only
@@ -30,7 +30,7 @@
 
 // The kinds of entries: of connections, of messages on them, and of processes.
 const (
-	Up EntryKind = iota
+	ConnOpened EntryKind = iota
 	ConnClosed
 	RequestSent   // a request
 	ResponseSent  // a response
@@ -67,33 +67,35 @@
 	NetworkBroken bool                // of ConnClosed: broken by the network
 }
 
-func (t *Tape) add(e Entry) {
+func (t *Recording) add(e Entry) {
 	t.mu.Lock()
 	t.Entries = append(t.Entries, e)
 	t.mu.Unlock()
 }
 
-// Told records that a manager was notified of a box's state.
-func (t *Tape) Told(at Time, front, box string, state session.ServerState, startedAt Time) {
+// RecordState records that a manager was notified of a box's state.
+func (t *Recording) RecordState(at Time, front, box string, state session.ServerState, startedAt Time) {
 	t.add(Entry{At: at, Kind: StateNotified, Front: front, Host: box, State: state, Started: startedAt})
 }
 
-// Killed records the end of a manager's or a box's process.
-func (t *Tape) Killed(at Time, name string) { t.add(Entry{At: at, Kind: ProcessKilled, Host: name}) }
+// RecordKill records the end of a manager's or a box's process.
+func (t *Recording) RecordKill(at Time, name string) {
+	t.add(Entry{At: at, Kind: ProcessKilled, Host: name})
+}
 
-// Stood records that a manager's process was paused.
-func (t *Tape) Stood(from, until Time, name string) {
+// RecordPause records that a manager's process was paused.
+func (t *Recording) RecordPause(from, until Time, name string) {
 	t.add(Entry{At: from, Kind: ProcessPaused, Host: name, Until: until})
 }
 
-// Began records the start of a manager's or a box's process; started is 0 if it counts as warm.
-func (t *Tape) Began(at Time, name string, startedAt Time) {
+// RecordStart records the start of a manager's or a box's process; started is 0 if it counts as warm.
+func (t *Recording) RecordStart(at Time, name string, startedAt Time) {
 	t.add(Entry{At: at, Kind: ProcessStarted, Host: name, Started: startedAt})
 }
 
-// tap parses and records one connection.
-type tap struct {
-	recording               *Tape
+// connTap parses and records one connection.
+type connTap struct {
+	recording               *Recording
 	connID                  int
 	host                    string
 	front                   string
@@ -104,21 +106,21 @@
 	flow                    *Flow
 }
 
-func (t *Tape) tap(host, front string, player bool) *tap {
+func (t *Recording) tap(host, front string, player bool) *connTap {
 	t.mu.Lock()
 	t.connCount++
 	connID := t.connCount
 	t.mu.Unlock()
-	return &tap{recording: t, connID: connID, host: host, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
+	return &connTap{recording: t, connID: connID, host: host, front: front, player: player, toHost: rtsp.Parser{Bounds: rtsp.DefaultBounds},
 		fromHost: rtsp.Parser{Bounds: rtsp.DefaultBounds}}
 }
 
-func (p *tap) entry(at Time, kind EntryKind) Entry {
+func (p *connTap) entry(at Time, kind EntryKind) Entry {
 	return Entry{At: at, Kind: kind, Player: p.player, ConnID: p.connID, Host: p.host, Front: p.front, Rung: -1}
 }
 
-func (p *tap) opened(at Time, _ string) { p.recording.add(p.entry(at, Up)) }
-func (p *tap) closed(at Time, local bool) {
+func (p *connTap) opened(at Time, _ string) { p.recording.add(p.entry(at, ConnOpened)) }
+func (p *connTap) closed(at Time, local bool) {
 	if !p.isClosed {
 		p.isClosed = true
 		e := p.entry(at, ConnClosed)
@@ -126,12 +128,12 @@
 		p.recording.add(e)
 	}
 }
-func (p *tap) received(at Time, b []byte) { _ = p.toHost.Feed(b, &tapSink{p, at, true}) }
-func (p *tap) sent(at Time, b []byte)     { _ = p.fromHost.Feed(b, &tapSink{p, at, false}) }
+func (p *connTap) received(at Time, b []byte) { _ = p.toHost.Feed(b, &tapSink{p, at, true}) }
+func (p *connTap) sent(at Time, b []byte)     { _ = p.fromHost.Feed(b, &tapSink{p, at, false}) }
 
 // tapSink adds the messages and frames that a parser finds to the recording.
 type tapSink struct {
-	tap       *tap
+	tap       *connTap
 	at        Time
 	fromFront bool
 }
--- a/internal/lab/virtualnet.go
+++ b/internal/lab/virtualnet.go
@@ -25,28 +25,28 @@
 	WindowBytes     int     // bytes in flight above which a sender gets backpressure
 }
 
-// World is the virtual network and its clock. It runs on one goroutine; the same seed and the same
+// VirtualNet is the virtual network and its clock. It runs on one goroutine; the same seed and the same
 // calls give the same traffic, byte for byte.
-type World struct {
+type VirtualNet struct {
 	Links
-	now      Time
-	queue    eventQueue
-	sequence uint64
-	rng      *rand.Rand
-	hosts    map[string]*hostState
-	digest   *xxhash.Digest
-	turnHost *hostState
-	tape     *Tape
-	zoneCuts map[[2]string]Time // pairs of zones that are partitioned, and until when
-	Cuts     int
-	Splits   int
+	now       Time
+	queue     eventQueue
+	sequence  uint64
+	rng       *rand.Rand
+	hosts     map[string]*hostState
+	digest    *xxhash.Digest
+	turnHost  *hostState
+	recording *Recording
+	zoneCuts  map[[2]string]Time // pairs of zones that are partitioned, and until when
+	Cuts      int
+	Splits    int
 
 	Sent, Arrived, Dropped int64 // bytes
 }
 
 // hostState is an address on the network that runs one core.
 type hostState struct {
-	net         *World
+	net         *VirtualNet
 	name        string
 	zone        string
 	core        core.Core
@@ -71,7 +71,7 @@
 	lastArrival Time // arrival time of the last bytes that it sent
 	inFlight    int
 	blocked     bool // its core waits for Drained
-	tap         *tap
+	tap         *connTap
 }
 
 // netEvent is something that happens at a time: at a host, or, without one, outside of any core.
@@ -115,31 +115,31 @@
 	return x
 }
 
-// NewWorld returns an empty network. Its clock starts at a time other than zero, as real clocks do.
-func NewWorld(links Links, seed uint64, recording *Tape) *World {
-	return &World{Links: links, now: 1_000_000_000, rng: rand.New(rand.NewPCG(seed, 0x10e7)), hosts: map[string]*hostState{},
-		digest: xxhash.New(), tape: recording, zoneCuts: map[[2]string]Time{}}
+// NewVirtualNet returns an empty network. Its clock starts at a time other than zero, as real clocks do.
+func NewVirtualNet(links Links, seed uint64, recording *Recording) *VirtualNet {
+	return &VirtualNet{Links: links, now: 1_000_000_000, rng: rand.New(rand.NewPCG(seed, 0x10e7)), hosts: map[string]*hostState{},
+		digest: xxhash.New(), recording: recording, zoneCuts: map[[2]string]Time{}}
 }
 
 // Now returns the virtual time.
-func (w *World) Now() Time { return w.now }
+func (w *VirtualNet) Now() Time { return w.now }
 
 // Digest returns a hash of all bytes delivered so far, with their times.
-func (w *World) Digest() uint64 { return w.digest.Sum64() }
+func (w *VirtualNet) Digest() uint64 { return w.digest.Sum64() }
 
-func (w *World) enqueue(event *netEvent) {
+func (w *VirtualNet) enqueue(event *netEvent) {
 	w.sequence++
 	event.sequence = w.sequence
 	heap.Push(&w.queue, event)
 }
 
 // At runs a function at a time, outside of any core.
-func (w *World) At(at Time, run func()) {
+func (w *VirtualNet) At(at Time, run func()) {
 	w.enqueue(&netEvent{at: max(at, w.now), kind: eventCall, call: run})
 }
 
 // Start runs a core at a host, in place of one that was killed. Host names are addresses.
-func (w *World) Start(name, zone string, build func(core.Net) core.Core) {
+func (w *VirtualNet) Start(name, zone string, build func(core.Net) core.Core) {
 	host := w.host(name, zone)
 	host.generation++
 	host.down, host.silent, host.pausedUntil, host.wakeAt = false, false, 0, core.Never
@@ -149,10 +149,10 @@
 }
 
 // Addr returns the address of a host, which is its name.
-func (w *World) Addr(name string) string { return name }
+func (w *VirtualNet) Addr(name string) string { return name }
 
 // Core returns the core that runs at a host, or nil.
-func (w *World) Core(name string) core.Core {
+func (w *VirtualNet) Core(name string) core.Core {
 	if host := w.hosts[name]; host != nil {
 		return host.core
 	}
@@ -160,7 +160,7 @@
 }
 
 // InFlight returns the number of bytes in flight.
-func (w *World) InFlight() (n int64) {
+func (w *VirtualNet) InFlight() (n int64) {
 	for _, event := range w.queue {
 		if event.kind == eventData {
 			n += int64(len(event.data))
@@ -170,7 +170,7 @@
 }
 
 // Kill ends a host's process. Its peers see their connections close or, if silent, receive nothing more.
-func (w *World) Kill(name string, silent bool) {
+func (w *VirtualNet) Kill(name string, silent bool) {
 	host := w.hosts[name]
 	host.core, host.generation = nil, host.generation+1
 	host.down, host.silent = true, silent
@@ -187,21 +187,21 @@
 }
 
 // Call runs a function within one of a host's event loop turns.
-func (w *World) Call(name string, run func(core.Core)) {
+func (w *VirtualNet) Call(name string, run func(core.Core)) {
 	host := w.hosts[name]
 	w.enqueue(&netEvent{at: w.now, kind: eventCall, host: host, generation: host.generation, call: func() { run(host.core) }})
 }
 
-// Stand pauses a host: events for it wait until the pause ends.
-func (w *World) Stand(name string, duration Time) { w.hosts[name].pausedUntil = w.now + duration }
+// Pause pauses a host: events for it wait until the pause ends.
+func (w *VirtualNet) Pause(name string, duration Time) { w.hosts[name].pausedUntil = w.now + duration }
 
 // CutZones delays all traffic between two zones until the duration has passed.
-func (w *World) CutZones(a, b string, duration Time) {
+func (w *VirtualNet) CutZones(a, b string, duration Time) {
 	w.zoneCuts[[2]string{a, b}], w.zoneCuts[[2]string{b, a}] = w.now+duration, w.now+duration
 }
 
 // Run handles events up to a time, or until none is left.
-func (w *World) Run(until Time) {
+func (w *VirtualNet) Run(until Time) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		event := heap.Pop(&w.queue).(*netEvent)
 		if host := event.host; host != nil && host.pausedUntil > event.at && event.generation == host.generation {
@@ -221,7 +221,7 @@
 	w.now = max(w.now, until)
 }
 
-func (w *World) endTurn() {
+func (w *VirtualNet) endTurn() {
 	host := w.turnHost
 	w.turnHost = nil
 	if host.core == nil {
@@ -233,7 +233,7 @@
 	}
 }
 
-func (w *World) dispatch(event *netEvent) {
+func (w *VirtualNet) dispatch(event *netEvent) {
 	host := event.host
 	if host == nil {
 		event.call()
@@ -310,7 +310,7 @@
 	}
 }
 
-func (w *World) hashDelivery(event *netEvent) {
+func (w *VirtualNet) hashDelivery(event *netEvent) {
 	var header [24]byte
 	binary.BigEndian.PutUint64(header[:], uint64(w.now))
 	binary.BigEndian.PutUint64(header[8:], uint64(event.end.id))
@@ -320,7 +320,7 @@
 }
 
 // delivered takes bytes that have arrived out of their sender's window.
-func (w *World) delivered(endpoint *connEnd, n int) {
+func (w *VirtualNet) delivered(endpoint *connEnd, n int) {
 	endpoint.inFlight -= n
 	if endpoint.blocked && endpoint.inFlight <= w.WindowBytes && endpoint.host.generation == endpoint.generation {
 		endpoint.blocked = false
@@ -339,7 +339,7 @@
 }
 
 // arrivalTime returns when something sent now arrives.
-func (w *World) arrivalTime(from, to *hostState) Time {
+func (w *VirtualNet) arrivalTime(from, to *hostState) Time {
 	delay := w.Latency
 	if w.Jitter > 0 {
 		delay += w.rng.Int64N(w.Jitter)
@@ -353,7 +353,7 @@
 }
 
 // notifyPeerClosed schedules the close of the connection at the peer of an endpoint.
-func (w *World) notifyPeerClosed(endpoint *connEnd, at Time) {
+func (w *VirtualNet) notifyPeerClosed(endpoint *connEnd, at Time) {
 	peer := endpoint.peer
 	if peer == nil || peer.closed {
 		return
@@ -382,11 +382,11 @@
 	peer.conn.Socket = peer
 	local.peer = peer
 	target.endpoints = append(target.endpoints, peer)
-	if network.tape != nil {
+	if network.recording != nil {
 		if h.isPlayer {
-			local.tap = network.tape.tap(h.name, addr, true)
+			local.tap = network.recording.tap(h.name, addr, true)
 		} else {
-			peer.tap = network.tape.tap(addr, h.name, false)
+			peer.tap = network.recording.tap(addr, h.name, false)
 		}
 	}
 	dialedAt := acceptedAt + network.arrivalTime(target, h) - network.now
@@ -435,7 +435,7 @@
 		data = data[n:]
 	}
 	if broken {
-		for _, tap := range []*tap{local.tap, peer.tap} {
+		for _, tap := range []*connTap{local.tap, peer.tap} {
 			if tap != nil {
 				tap.networkBroken = true
 			}
@@ -474,10 +474,10 @@
 	}
 }
 
-// Player marks a host as players, so that its connections are recorded as players' connections.
-func (w *World) Player(name string) { w.host(name, "").isPlayer = true }
+// MarkPlayers marks a host as players, so that its connections are recorded as players' connections.
+func (w *VirtualNet) MarkPlayers(name string) { w.host(name, "").isPlayer = true }
 
-func (w *World) host(name, zone string) *hostState {
+func (w *VirtualNet) host(name, zone string) *hostState {
 	host := w.hosts[name]
 	if host == nil {
 		host = &hostState{net: w, name: name, zone: zone, down: true}
