--- a/cmd/pierlink/serve.go
+++ b/cmd/pierlink/serve.go
@@ -405,8 +405,8 @@
 		status.Waiting, status.Playing, status.Redirected, status.Orphans = carried.Unanswered, carried.Playing, carried.Redirected, p.front.Orphans().Remaining()
 		status.LagMS = float64(p.front.Lag().Lag(now)) / 1e3
 		status.Figures = p.front.Figures
-		if gate := p.front.Access; gate != nil {
-			status.DirectoryAgeSeconds, status.DirectoryEntries = float64(gate.Core.Age())/1e6, gate.Core.Size()
+		if access := p.front.Access; access != nil {
+			status.DirectoryAgeSeconds, status.DirectoryEntries = float64(access.Core.Age())/1e6, access.Core.Size()
 		}
 	})
 	if p.registryClient != nil {
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -202,10 +202,10 @@
 	}
 	l.stopped = true
 	l.spaceFreed.Broadcast()
-	doors := l.listeners
+	stopping := l.listeners
 	l.listeners = nil
 	l.mu.Unlock()
-	for _, d := range doors {
+	for _, d := range stopping {
 		_ = d.ln.Close()
 		<-d.done
 	}
@@ -230,8 +230,8 @@
 	timer := time.NewTimer(0)
 	var events []event
 	observer, _ := l.core.(interface { // implemented by cores that measure the duration of turns and the time that events wait
-		Came(at core.Time)
-		Turned(waited, took core.Time)
+		EventArrived(at core.Time)
+		TurnFinished(waited, took core.Time)
 	})
 	next := core.Time(0) // the first turn starts at once
 	for {
@@ -262,14 +262,14 @@
 		}
 		for i := range events {
 			if observer != nil {
-				observer.Came(events[i].arrivedAt)
+				observer.EventArrived(events[i].arrivedAt)
 			}
 			l.deliver(&events[i])
 			events[i] = event{}
 		}
 		next = l.core.EndTurn()
 		if observer != nil {
-			observer.Turned(waited, Now()-now)
+			observer.TurnFinished(waited, Now()-now)
 		}
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -125,8 +125,8 @@
 		if monitor := c.front.Quality; monitor != nil {
 			service, reports = monitor.Totals(), monitor.Counts
 		}
-		queue, door := c.front.Admission()
-		turned = door.Refused
+		queue, limiter := c.front.Admission()
+		turned = limiter.Refused
 		if queue == nil {
 			return
 		}
--- a/internal/edge/registry.go
+++ b/internal/edge/registry.go
@@ -66,9 +66,9 @@
 			logger.Info("number of session managers or own index changed", zap.Int("fronts", count), zap.Int("front", index))
 		}
 	}
-	c, err := client.New(place, logger, func(news registry.Update, _ registry.HistoryID) {
+	c, err := client.New(place, logger, func(update registry.Update, _ registry.HistoryID) {
 		if fleet != nil {
-			fleet.Apply(news, Now())
+			fleet.Apply(update, Now())
 			updateCount()
 			if fleet.LeaseLost {
 				fleet.LeaseLost = false
@@ -79,24 +79,24 @@
 				loop.Post(func() { frontCore.OtherManagers().Set(current) })
 			}
 		}
-		changed, invalid := boxes.Apply(news)
+		changed, invalid := boxes.Apply(update)
 		for _, err := range invalid {
 			logger.Warn("invalid value in the registry", zap.Error(err))
 		}
-		if !news.Snapshot && len(changed) == 0 {
+		if !update.Snapshot && len(changed) == 0 {
 			return
 		}
-		list := front.ListUpdate{Complete: news.Snapshot, Restored: news.Restored}
+		list := front.ListUpdate{Complete: update.Snapshot, Restored: update.Restored}
 		for _, b := range changed {
 			list.Servers = append(list.Servers, ServerOf(b))
 		}
 		batcher.add(list)
 		logAt := logger.Debug
-		if news.Snapshot {
+		if update.Snapshot {
 			logAt = logger.Info
 		}
-		logAt("server list received", zap.Bool("whole", news.Snapshot), zap.Int("servers", len(list.Servers)), zap.Int64("revision", news.Revision),
-			zap.Bool("confirmed", news.Deferred))
+		logAt("server list received", zap.Bool("whole", update.Snapshot), zap.Int("servers", len(list.Servers)), zap.Int64("revision", update.Revision),
+			zap.Bool("confirmed", update.Deferred))
 	})
 	if err != nil || fleet == nil {
 		return c, err
--- a/internal/edge/secure_test.go
+++ b/internal/edge/secure_test.go
@@ -199,11 +199,11 @@
 	bed := newTestbed(t, 1)
 	issuer := newAuthority(t)
 	keys, _, _ := writeKeyPair(t, issuer)
-	gate := tenants.New(tenants.Config{MaxAge: 1e12, SyncInterval: 1e9, Timeout: 1e6, MaxWaiting: 10, MaxLookups: 1, MaxEntries: 10}, edge.Now())
-	gate.Restore([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
+	directory := tenants.New(tenants.Config{MaxAge: 1e12, SyncInterval: 1e9, Timeout: 1e6, MaxWaiting: 10, MaxLookups: 1, MaxEntries: 10}, edge.Now())
+	directory.Restore([]tenants.Record{{ID: "1", Kind: tenants.Tenant, Name: "t", Plans: []string{"live"}},
 		{ID: "2", Kind: tenants.Member, Name: "ann", Tenant: "t", Digest: player.HA1("pier", "ann", "pass", sha256.New)}}, tenants.Checkpoint{End: -1}, edge.Now())
 	bed.front.Do(func() {
-		bed.frontCore.Access = &front.AccessControl{Core: gate, Lookup: func(tenants.Request) {}, Realm: "pier", Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
+		bed.frontCore.Access = &front.AccessControl{Core: directory, Lookup: func(tenants.Request) {}, Realm: "pier", Basic: true, FailedLogins: tenants.FailureLimiter{HalfLife: core.Second}}
 	})
 	if err := bed.front.Listen("127.0.0.1:0", keys.TLSConfig()); err != nil {
 		t.Fatal(err)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -360,12 +360,12 @@
 	return min(next, f.timers.Next())
 }
 
-// Came sets the arrival time of the event that is handled next.
-func (f *Front) Came(at Time) { f.arrivedAt = min(at, f.now) }
+// EventArrived sets the arrival time of the event that is handled next.
+func (f *Front) EventArrived(at Time) { f.arrivedAt = min(at, f.now) }
 
-// Turned reports how long the last turn took, by the clock of the caller, and how long its events had waited
+// TurnFinished reports how long the last turn took, by the clock of the caller, and how long its events had waited
 // before.
-func (f *Front) Turned(waited, took Time) {
+func (f *Front) TurnFinished(waited, took Time) {
 	f.arrivedAt = 0
 	f.lag.Record(f.now+took, waited+took)
 	if f.queue != nil {
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -44,7 +44,7 @@
 // UpdateList applies an update of the server list and passes it to the module. Servers of an unknown zone or kind
 // are left out with a log message.
 func (f *Front) UpdateList(update ListUpdate) {
-	news := session.List{Complete: update.Complete}
+	moduleUpdate := session.List{Complete: update.Complete}
 	if update.Complete {
 		f.Site.StartsListed = !update.Restored
 	}
@@ -58,7 +58,7 @@
 			if ok {
 				box := &f.boxes[i]
 				box.state, box.lastListed.State = session.Gone, session.Gone
-				news.Entries = append(news.Entries, box.lastListed)
+				moduleUpdate.Entries = append(moduleUpdate.Entries, box.lastListed)
 			}
 			continue
 		}
@@ -80,7 +80,7 @@
 		}
 		box.address, box.state = server.Address, server.State
 		box.lastListed = session.Entry{Server: i, Zone: zone, Kind: kind, Cell: server.Cell, State: server.State, Started: server.Started, Weight: server.Weight}
-		news.Entries = append(news.Entries, box.lastListed)
+		moduleUpdate.Entries = append(moduleUpdate.Entries, box.lastListed)
 	}
 	if update.Titles != nil {
 		f.titles.catalogue = map[string]Title{}
@@ -88,7 +88,7 @@
 			f.titles.catalogue[title.Name] = title
 		}
 	}
-	f.module.Listed(news)
+	f.module.Listed(moduleUpdate)
 }
 
 // SetFronts sets the number of fronts and the index of this one. The module reads both from the site that it was
--- a/internal/front/scenario_test.go
+++ b/internal/front/scenario_test.go
@@ -248,14 +248,14 @@
 		s.turn(func() { s.manager.Lifecycle().TakenOver() })
 	case party == "late":
 		seconds, _ := strconv.ParseFloat(words[1], 64)
-		s.manager.Turned(core.Time(seconds*1e6), 0)
+		s.manager.TurnFinished(core.Time(seconds*1e6), 0)
 	case party == "came": // came SECONDS who event: the event arrived SECONDS ago
 		seconds, _ := strconv.ParseFloat(words[1], 64)
 		s.manager.BeginTurn(s.now)
-		s.manager.Came(s.now - core.Time(seconds*1e6))
+		s.manager.EventArrived(s.now - core.Time(seconds*1e6))
 		s.manager.Received(s.conns[words[2]], s.message(words[2], words[3:]))
 		s.nextTurn = s.manager.EndTurn()
-		s.manager.Turned(0, 0)
+		s.manager.TurnFinished(0, 0)
 	case party == "found" || party == "none": // the directory answers the pending look-up
 		s.turn(func() {
 			switch {
--- a/internal/lab/access.go
+++ b/internal/lab/access.go
@@ -335,12 +335,12 @@
 	if err != nil {
 		return err
 	}
-	day.doors = access
+	day.access = access
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun {
+	play, recording, err := Loopback(day, func(env *LoopbackEnvironment, recording *Recording) *DayRun {
 		access.env = env
-		play := StartDay(day, env, tape, nil, log)
+		play := StartDay(day, env, recording, nil, log)
 		env.hosts["players"].loop.SetClientTLS(&tls.Config{RootCAs: access.authority.Pool()})
 		wait.Go(func() { access.run(stop) })
 		return play
@@ -351,7 +351,7 @@
 	if err != nil {
 		return err
 	}
-	p.checkRules(CheckRules(tape, day.Bounds(core.Second/20)))
+	p.checkRules(CheckRules(recording, day.Bounds(core.Second/20)))
 	tally := &play.Tally
 	p.Note("through whole session managers: %s", tally.Summary())
 	p.Note("%d changes of the directory, troubles %v; statuses by kind of viewer (0: played): %v", access.changes, access.faultCounts, access.statuses)
--- a/internal/lab/fair.go
+++ b/internal/lab/fair.go
@@ -227,21 +227,21 @@
 		return nil, nil, err
 	}
 	day.Seed = seed
-	tape := &Recording{}
-	world := NewVirtualNet(day.Links, day.Seed, tape)
-	play := StartDay(day, world, tape, nil, log)
-	world.Run(play.startedAt + play.Duration())
+	recording := &Recording{}
+	network := NewVirtualNet(day.Links, day.Seed, recording)
+	play := StartDay(day, network, recording, nil, log)
+	network.Run(play.startedAt + play.Duration())
 	open := 1
 	for range 400 { // until the last viewer with a retry time has returned
-		world.Call("players", func(c core.Core) { open = c.(*player.Group).Open() })
-		world.Run(world.now + 5*core.Second)
+		network.Call("players", func(c core.Core) { open = c.(*player.Group).Open() })
+		network.Run(network.now + 5*core.Second)
 		if open == 0 {
 			break
 		}
 	}
 	play.Finish()
-	world.Run(world.now + core.Second)
-	return play, tape, nil
+	network.Run(network.now + core.Second)
+	return play, recording, nil
 }
 
 // peakQueueMemory returns the peak heap use, in bytes, of an admission queue and its tables during a flood of so
@@ -315,12 +315,12 @@
 			defer workers.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			play, tape, err := playFairDay(seed, run.order, run.dayLines, log)
+			play, recording, err := playFairDay(seed, run.order, run.dayLines, log)
 			if run.err = err; err != nil {
 				return
 			}
 			run.result, run.tally = measureFairness(play, run.firstAttemptOnly), play.Tally
-			run.verdicts = CheckRules(tape, play.Day.Bounds(0))
+			run.verdicts = CheckRules(recording, play.Day.Bounds(0))
 		}()
 	}
 	workers.Wait()
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -40,17 +40,17 @@
 		return nil, nil, nil, err
 	}
 	var processes *Processes
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun {
+	play, recording, err := Loopback(day, func(env *LoopbackEnvironment, recording *Recording) *DayRun {
 		if processes, err = NewProcesses(daemon, day, env); err != nil {
 			env.Err = err
 			return nil
 		}
-		return startDay(day, env, tape, nil, log, processes)
+		return startDay(day, env, recording, nil, log, processes)
 	}, func(play *DayRun) error { return check(processes, play) })
 	if processes != nil {
 		processes.Close()
 	}
-	return processes, play, tape, err
+	return processes, play, recording, err
 }
 
 // refusedConnections counts the connection attempts that failed at times when a manager should have accepted them,
@@ -133,7 +133,7 @@
 	slack := calmDay.Plans[0].Abandon / 20
 
 	// reloads, stops and upgrades only: nothing may break
-	processes, play, tape, err := playWithProcesses(calmDay, log, func(processes *Processes, _ *DayRun) error { return p.checkLeftovers(processes, "calm day: ") })
+	processes, play, recording, err := playWithProcesses(calmDay, log, func(processes *Processes, _ *DayRun) error { return p.checkLeftovers(processes, "calm day: ") })
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	p.AtMost(float64(stranded), 0, "calm day: viewers that a stop left without a way on")
 	p.AtLeast(float64(open), 1, "calm day: playbacks open at a stop")
 	p.AtLeast(float64(play.Tally.RedirectsReceived), 1, "calm day: playing sessions sent on")
-	for _, verdict := range CheckRules(tape, calmDay.Bounds(slack)) { // not checkRules: this day has no draining and no cold boxes, so some rules have no case
+	for _, verdict := range CheckRules(recording, calmDay.Bounds(slack)) { // not checkRules: this day has no draining and no cold boxes, so some rules have no case
 		p.AtMost(float64(len(verdict.Violations)), 0, "calm day: rule %d broken", verdict.Rule)
 		if len(verdict.Violations) > 0 {
 			p.Note("rule %d: %s", verdict.Rule, verdict.Violations[0])
@@ -159,7 +159,7 @@
 	}
 
 	// all kinds of troubles
-	processes, play, tape, err = playWithProcesses(badDay, log, func(processes *Processes, play *DayRun) error {
+	processes, play, recording, err = playWithProcesses(badDay, log, func(processes *Processes, play *DayRun) error {
 		if err := p.checkLeftovers(processes, "bad day: "); err != nil {
 			return err
 		}
@@ -171,12 +171,12 @@
 	p.Note("bad day: %s", strings.Split(play.Tally.Summary(), "\n")[0])
 	p.Note("troubles: %v", play.Tally.TroublesByKind)
 	p.checkFleetDay(processes, play, "bad day: ")
-	p.checkRules(CheckRules(tape, badDay.Bounds(slack)))
+	p.checkRules(CheckRules(recording, badDay.Bounds(slack)))
 	refused, example = processes.refusedConnections(play, slack)
 	p.AtMost(float64(refused), 0, "bad day: connections refused while a manager was to answer")
 	p.noteUnlessEmpty(example, "refused: ")
 	early := 0
-	for _, entry := range tape.Entries {
+	for _, entry := range recording.Entries {
 		if entry.Kind == ConnOpened && entry.Player {
 			if inst := processes.instances[entry.Front]; inst != nil && slices.ContainsFunc(inst.downtimes, func(downtime span) bool { return downtime.contains(entry.At, -slack) && !inst.stopBegan(downtime) }) {
 				early++
@@ -427,9 +427,9 @@
 	recovering, plain := *day, *day
 	plain.RecoverOrphans = false
 	go func() { defer close(done); withoutRecovery, _, _ = RunVirtual(&plain, nil, log) }()
-	withRecovery, tape, _ := RunVirtual(&recovering, nil, log)
+	withRecovery, recording, _ := RunVirtual(&recovering, nil, log)
 	<-done
-	for _, verdict := range CheckRules(tape, day.Bounds(0)) {
+	for _, verdict := range CheckRules(recording, day.Bounds(0)) {
 		p.AtMost(float64(len(verdict.Violations)), 0, "outage of half: rule %d broken", verdict.Rule)
 	}
 	recoveryTally, plainTally := &withRecovery.Tally, &withoutRecovery.Tally
--- a/internal/lab/live.go
+++ b/internal/lab/live.go
@@ -15,7 +15,7 @@
 // LoopbackEnvironment plays a day in real time on loopback sockets. Each host has an event loop of its own, as it
 // would have as a process.
 type LoopbackEnvironment struct {
-	tape      *Recording
+	recording *Recording
 	mu        sync.Mutex
 	hosts     map[string]*loopbackHost
 	hostNames map[string]string // by listening address
@@ -34,8 +34,8 @@
 }
 
 // NewLoopbackEnvironment returns an environment without hosts.
-func NewLoopbackEnvironment(tape *Recording) *LoopbackEnvironment {
-	return &LoopbackEnvironment{tape: tape, hosts: map[string]*loopbackHost{}, hostNames: map[string]string{}, stopped: make(chan struct{})}
+func NewLoopbackEnvironment(recording *Recording) *LoopbackEnvironment {
+	return &LoopbackEnvironment{recording: recording, hosts: map[string]*loopbackHost{}, hostNames: map[string]string{}, stopped: make(chan struct{})}
 }
 
 // Now returns the current time.
@@ -76,7 +76,7 @@
 func (l *LoopbackEnvironment) Start(name, _ string, build func(core.Net) core.Core) {
 	host := l.host(name)
 	loop, err := edge.New(host.addr, func(network core.Net) core.Core {
-		tapped := &tappedCore{net: network, tape: l.tape, name: name, player: host.player, connTaps: map[*core.Conn]*connTap{}, env: l}
+		tapped := &tappedCore{net: network, recording: l.recording, name: name, player: host.player, connTaps: map[*core.Conn]*connTap{}, env: l}
 		tapped.Core = build(tapped)
 		host.core = tapped.Core
 		return tapped
@@ -151,7 +151,7 @@
 type tappedCore struct {
 	core.Core
 	net       core.Net
-	tape      *Recording
+	recording *Recording
 	name      string
 	player    bool
 	connTaps  map[*core.Conn]*connTap
@@ -159,15 +159,15 @@
 	arrivedAt Time // when the current event reached the process; unlike the current time it is not shifted by a late loop, which would make others look late
 }
 
-// Came sets the arrival time of the event that is handled next.
-func (t *tappedCore) Came(at Time) { t.arrivedAt = at }
+// EventArrived sets the arrival time of the event that is handled next.
+func (t *tappedCore) EventArrived(at Time) { t.arrivedAt = at }
 
-// Turned does nothing: turn times are not measured here.
-func (t *tappedCore) Turned(Time, Time) {}
+// TurnFinished does nothing: turn times are not measured here.
+func (t *tappedCore) TurnFinished(Time, Time) {}
 
 func (t *tappedCore) Accepted(conn *core.Conn, from string) {
 	if !t.player && t.name[0] == 'b' {
-		t.connTaps[conn] = t.tape.tap(t.name, from, false)
+		t.connTaps[conn] = t.recording.tap(t.name, from, false)
 		t.connTaps[conn].opened(t.arrivedAt, from)
 	}
 	t.Core.Accepted(conn, from)
@@ -178,7 +178,7 @@
 		t.env.mu.Lock()
 		name := t.env.hostNames[addr]
 		t.env.mu.Unlock()
-		t.connTaps[conn] = t.tape.tap(t.name, name, true)
+		t.connTaps[conn] = t.recording.tap(t.name, name, true)
 	}
 	t.net.Dial(conn, addr)
 }
@@ -225,13 +225,13 @@
 
 // Loopback plays a day on loopback sockets. The checks run at the end of the day, while all hosts still run.
 func Loopback(day *Day, build func(*LoopbackEnvironment, *Recording) *DayRun, checks ...func(*DayRun) error) (*DayRun, *Recording, error) {
-	tape := &Recording{}
-	env := NewLoopbackEnvironment(tape)
+	recording := &Recording{}
+	env := NewLoopbackEnvironment(recording)
 	env.mu.Lock()
-	play := build(env, tape)
+	play := build(env, recording)
 	env.mu.Unlock()
 	if play == nil {
-		return nil, tape, env.Err
+		return nil, recording, env.Err
 	}
 	time.Sleep(time.Duration(day.Length) * time.Microsecond)
 	for end := play.startedAt + play.Duration(); edge.Now() < end; time.Sleep(100 * time.Millisecond) {
@@ -254,5 +254,5 @@
 	env.mu.Unlock()
 	env.Drain()
 	env.Close()
-	return play, tape, env.Err
+	return play, recording, env.Err
 }
--- a/internal/lab/notation.go
+++ b/internal/lab/notation.go
@@ -33,7 +33,7 @@
 //	at 5 die boxes=2 for=6
 type Day struct {
 	countQuality bool       // session managers collect quality measures
-	doors        *accessDay // nil if no directory and TLS are used
+	access       *accessDay // nil if no directory and TLS are used
 	Name         string
 	Text         string                     // the day's text with its ranges, as read
 	OnAnswered   func(*front.PlaybackTrace) // called for each answered playback, if not nil
--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -120,11 +120,13 @@
 		day, least = day.withRateFactor(2), 4000
 	}
 	p := &Proof{Name: "path", Seed: seed, Judged: map[string]int{}}
-	play, tape, err := Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun { return StartDay(day, env, tape, nil, log) })
+	play, recording, err := Loopback(day, func(env *LoopbackEnvironment, recording *Recording) *DayRun {
+		return StartDay(day, env, recording, nil, log)
+	})
 	if err != nil {
 		return nil, err
 	}
-	p.checkDay(play, tape, day, day.Plans[0].Abandon/40, least)
+	p.checkDay(play, recording, day, day.Plans[0].Abandon/40, least)
 	return p, nil
 }
 
@@ -135,11 +137,11 @@
 }
 
 // checkDay adds the criteria that every day with troubles must meet.
-func (p *Proof) checkDay(play *DayRun, tape *Recording, day *Day, slack Time, least float64) {
+func (p *Proof) checkDay(play *DayRun, recording *Recording, day *Day, slack Time, least float64) {
 	tally := &play.Tally
 	p.Note("%s", tally.Summary())
 	p.Note("troubles played: %v", tally.TroublesByKind)
-	p.checkRules(CheckRules(tape, day.Bounds(slack)))
+	p.checkRules(CheckRules(recording, day.Bounds(slack)))
 	p.AtLeast(float64(tally.Attempts), least, "playbacks asked for")
 	p.AtLeast(float64(tally.Played)/float64(max(tally.Attempts, 1)), 0.4, "part of them that played")
 	p.AtMost(float64(tally.Unsolicited), 0, "answers that nothing asked for")
@@ -163,9 +165,9 @@
 func proveVirtual(seed uint64, size Size, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: "path-virtual", Seed: seed, Judged: map[string]int{}}
 	type run struct {
-		play  *DayRun
-		tape  *Recording
-		world *VirtualNet
+		play      *DayRun
+		recording *Recording
+		network   *VirtualNet
 	}
 	var runs [2]run
 	var wait sync.WaitGroup
@@ -184,20 +186,20 @@
 		go func() {
 			defer wait.Done()
 			dayCopy := *day
-			runs[i].play, runs[i].tape, runs[i].world = RunVirtual(&dayCopy, nil, log)
+			runs[i].play, runs[i].recording, runs[i].network = RunVirtual(&dayCopy, nil, log)
 		}()
 	}
 	wait.Wait()
 	took := time.Since(began).Seconds()
 	first, second := runs[0], runs[1]
-	p.checkDay(first.play, first.tape, day, 0, least)
+	p.checkDay(first.play, first.recording, day, 0, least)
 	sameDigest := 0.0
-	if first.world.Digest() == second.world.Digest() {
+	if first.network.Digest() == second.network.Digest() {
 		sameDigest = 1
 	}
 	p.Check(sameDigest == 1, sameDigest, "1", "two runs of one seed give one digest")
-	p.Judged["splits"], p.Judged["cuts"] = first.world.Splits, first.world.Cuts
-	p.Note("digest %016x; %.1f s of day in %.1f s", first.world.Digest(), float64(first.play.Duration())/float64(core.Second), took)
+	p.Judged["splits"], p.Judged["cuts"] = first.network.Splits, first.network.Cuts
+	p.Note("digest %016x; %.1f s of day in %.1f s", first.network.Digest(), float64(first.play.Duration())/float64(core.Second), took)
 	return p, nil
 }
 
@@ -205,7 +207,7 @@
 func PlayDay(day *Day, virtual bool, log *zap.Logger) (*Proof, error) {
 	p := &Proof{Name: day.Name, Seed: day.Seed, Judged: map[string]int{}}
 	var play *DayRun
-	var tape *Recording
+	var recording *Recording
 	slack := Time(0)
 	if day.Processes {
 		return nil, fmt.Errorf("%s: a day with troubles of processes can be played only by pierlab prove fleet", day.Name)
@@ -214,8 +216,8 @@
 		return nil, fmt.Errorf("%s: a day with a registry needs the virtual network (--virtual)", day.Name)
 	}
 	if virtual {
-		play, tape, _ = RunVirtual(day, nil, log)
-		p.noteWorth(play.Score(tape))
+		play, recording, _ = RunVirtual(day, nil, log)
+		p.noteWorth(play.Score(recording))
 		p.AtMost(float64(play.Inconsistencies), 0, "things that do not add up in the emulation")
 		for _, oddity := range play.InconsistencyNotes {
 			p.Note("odd: %s", oddity)
@@ -223,13 +225,15 @@
 	} else {
 		var err error
 		slack = day.Plans[0].Abandon / 40
-		play, tape, err = Loopback(day, func(env *LoopbackEnvironment, tape *Recording) *DayRun { return StartDay(day, env, tape, nil, log) })
+		play, recording, err = Loopback(day, func(env *LoopbackEnvironment, recording *Recording) *DayRun {
+			return StartDay(day, env, recording, nil, log)
+		})
 		if err != nil {
 			return nil, err
 		}
 	}
 	p.Note("%s", play.Tally.Summary())
-	for _, verdict := range CheckRules(tape, day.Bounds(slack)) {
+	for _, verdict := range CheckRules(recording, day.Bounds(slack)) {
 		name := fmt.Sprintf("rule %d", verdict.Rule)
 		p.Judged[name] = verdict.Cases
 		p.Check(len(verdict.Violations) == 0, float64(len(verdict.Violations)), fmt.Sprintf("0 broken of %d", verdict.Cases), "%s: %s", name, verdict.Name)
--- a/internal/lab/quality.go
+++ b/internal/lab/quality.go
@@ -273,16 +273,16 @@
 		return err
 	}
 	day.Seed, day.countQuality = seed, true
-	play, tape, _ := RunVirtual(day, nil, log)
+	play, recording, _ := RunVirtual(day, nil, log)
 	cellOf := map[string]int{}
 	for _, box := range play.boxes {
 		cellOf[box.name] = box.cell
 	}
 	lastTry, requests := map[string]*serverTry{}, map[string]*playerRequest{}
-	for _, request := range findPlayerRequests(tape.Entries) {
+	for _, request := range findPlayerRequests(recording.Entries) {
 		requests[request.requestID] = request
 	}
-	for _, try := range findTries(tape.Entries) {
+	for _, try := range findTries(recording.Entries) {
 		if request := requests[try.requestID]; request != nil && (request.answeredAt == 0 || try.startedAt <= request.answeredAt) { // only tries up to the answer: a later move uses another request name
 			lastTry[try.requestID] = try
 		}
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -82,9 +82,9 @@
 	if size == Small {
 		day = day.withRateFactor(0.4)
 	}
-	play, tape, _ := RunVirtual(day, nil, log)
+	play, recording, _ := RunVirtual(day, nil, log)
 	p.Note("the day through the registry: %s", play.Tally.Summary())
-	p.checkRules(CheckRules(tape, day.Bounds(0)))
+	p.checkRules(CheckRules(recording, day.Bounds(0)))
 	p.AtMost(float64(play.Tally.Crashes), 0, "boxes pushed over on the day through the registry")
 	p.AtLeast(float64(play.Tally.Played)/float64(max(play.Tally.Attempts, 1)), 0.4, "part of its askings that played")
 	changeTarget, managerCount, boxCount := 40_000, 20, 300
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -277,8 +277,8 @@
 		f.journal = memoryJournal{}
 		config.Journal = f.journal
 	}
-	if p.Day.doors != nil {
-		if err := p.Day.doors.attachView(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
+	if p.Day.access != nil {
+		if err := p.Day.access.attachView(config, p.Day.Seed<<8+uint64(f.index)); err != nil {
 			p.log.Error("front started without its directory and TLS configuration", zap.Error(err))
 		}
 	}
@@ -312,8 +312,8 @@
 		return p.wrapFront(manager, f)
 	})
 	f.up = true
-	if p.Day.doors != nil {
-		if err := p.Day.doors.listenTLS(f.name); err != nil {
+	if p.Day.access != nil {
+		if err := p.Day.access.listenTLS(f.name); err != nil {
 			p.log.Error("front started without its TLS listener", zap.Error(err))
 		}
 	}
@@ -471,8 +471,8 @@
 			profile.Fronts = append(profile.Fronts, p.env.Addr(f.name))
 		}
 	}
-	if day.doors != nil {
-		day.doors.assignIdentity(profile)
+	if day.access != nil {
+		day.access.assignIdentity(profile)
 	}
 	p.profiles = append(p.profiles, profile)
 	p.requestedAt[profile] = p.env.Now()
@@ -495,8 +495,8 @@
 	if viewer := p.viewerByProfile[profile]; viewer != nil {
 		viewer.Results = append(viewer.Results, *result)
 	}
-	if p.Day.doors != nil {
-		p.Day.doors.judgeResult(profile, result)
+	if p.Day.access != nil {
+		p.Day.access.judgeResult(profile, result)
 	}
 	tally := &p.Tally
 	tally.Attempts++
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -53,8 +53,8 @@
 	if config.Settings, err = start.Read(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	for i, patience := range config.Settings.AbandonAfter {
-		if patience <= 0 {
+	for i, abandonAfter := range config.Settings.AbandonAfter {
+		if abandonAfter <= 0 {
 			return nil, fmt.Errorf("settings: classes[%d].giveUp: expected a time above 0", i)
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -152,11 +152,11 @@
 	m.module.BeginTurn(now)
 }
 
-// Turned records the duration of a turn.
-func (m *Manager) Turned(_, took core.Time) { m.stats.Longest = max(m.stats.Longest, took) }
+// TurnFinished records the duration of a turn.
+func (m *Manager) TurnFinished(_, took core.Time) { m.stats.Longest = max(m.stats.Longest, took) }
 
-// Came sets the arrival time of the next event, which may precede the turn.
-func (m *Manager) Came(at core.Time) { m.eventAt = min(at, m.now) }
+// EventArrived sets the arrival time of the next event, which may precede the turn.
+func (m *Manager) EventArrived(at core.Time) { m.eventAt = min(at, m.now) }
 
 // EndTurn ends a turn and returns the time at which the next one is due. Received events are handled before timers
 // fire, because after a pause of the process both may be waiting.
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -152,7 +152,7 @@
 	connName, args := words[0], words[1:]
 	if len(args) > 2 && args[0] == "late" { // the event arrived so many milliseconds before its turn
 		lateMS, _ := strconv.Atoi(args[1])
-		s.manager.Came(s.now - core.Time(lateMS)*core.Millisecond)
+		s.manager.EventArrived(s.now - core.Time(lateMS)*core.Millisecond)
 		args = args[2:]
 	}
 	conn := s.conns[connName]
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -47,9 +47,9 @@
 		}
 		live := map[string]*manager{}
 		type message struct {
-			at   Time
-			to   *manager // a message to a manager that died does not reach its successor of the same name
-			news Update
+			at     Time
+			to     *manager // a message to a manager that died does not reach its successor of the same name
+			update Update
 		}
 		var inTransit []message
 		keys, latest := map[string]bool{}, map[*manager]Time{}
@@ -91,7 +91,7 @@
 				if msg.at > now {
 					undelivered = append(undelivered, msg)
 				} else {
-					msg.to.set.Apply(msg.news, now)
+					msg.to.set.Apply(msg.update, now)
 				}
 			}
 			inTransit = undelivered
