--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -83,7 +83,7 @@
 // Config configures a core.
 type Config struct {
 	Seed               uint64 // of the backoff jitter and of the first member to ask
-	GracePeriod        Time   // removed boxes must be out of use within this time
+	GracePeriod        Time   // removed boxes must be out of use within this time, for rule 3
 	Timeout            Time   // of one attempt
 	MaxBufferedChanges int    // most changes buffered of a fragmented response; 0 for no limit
 }
